--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -101,6 +101,7 @@
                 Err(problem) => return gossip.log_broken(session, &problem.to_string()),
             },
             Ok(None) => {
+                session.partial_frame.set(!buffer.is_empty());
                 buffer.reserve(READ_BYTES);
                 if !read_more(gossip, session, &mut reader, &mut buffer).await {
                     return;
--- a/crates/link/src/gossip.rs
+++ b/crates/link/src/gossip.rs
@@ -1,10 +1,11 @@
 //! Anti-entropy between linked processes: each change of the replicated state (configuration, members, endpoints) is sent
 //! to all links at once, and periodic digests find and repair what was lost.
 
+use crate::config_exchange::ConfigExchange;
 use crate::environment::Environment;
 use crate::session::{IDLE_LINK_TIMEOUT, SendQueue, Session};
 use crate::trust::{agreed_suspects, config_sources};
-use runtrack_message::{Digest, Endpoint, Hello, Message, Role, StateSummary, encode};
+use runtrack_message::{ConfigDelta, Digest, Endpoint, Hello, Message, Role, StateSummary, encode};
 use runtrack_net::{Network, Tcp, mutant};
 use runtrack_registry::{HeartbeatTable, Replica, StoredConfig};
 use slog::{Logger, info, warn};
@@ -18,8 +19,6 @@
 
 /// Interval at which each link is sent a digest and a summary without a change: it repairs lost messages.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(1000);
-/// A requested configuration that has not arrived after this time is requested from another peer.
-const FETCH_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time within which a change reaches the linked processes, unless it is lost. Digests that differ sooner are ignored.
 const PROPAGATION_TIME: Duration = Duration::from_millis(800);
 /// Interval of the periodic work.
@@ -57,7 +56,7 @@
     reported_suspects: RefCell<BTreeSet<u64>>,
     sessions: RefCell<Vec<Rc<Session>>>,
     next_key: Cell<usize>,
-    fetching: Cell<Option<(u64, Instant)>>,
+    config_exchange: ConfigExchange,
     /// When endpoint records changed last.
     changed_at: Cell<Instant>,
     changes: watch::Sender<u64>,
@@ -96,7 +95,7 @@
             reported_suspects: RefCell::default(),
             sessions: RefCell::default(),
             next_key: Cell::new(0),
-            fetching: Cell::new(None),
+            config_exchange: ConfigExchange::default(),
             changed_at: Cell::new(Instant::now()),
             changes: watch::channel(0).0,
             handler,
@@ -230,10 +229,37 @@
         if !self.replica.borrow_mut().take_config(version, body) {
             return false;
         }
+        self.config_taken(version);
+        true
+    }
+
+    fn config_taken(&self, version: u64) {
         info!(self.logger, "config.taken"; "version" => version);
         self.announce();
         self.notify_changed();
-        true
+    }
+
+    /// Stores a committed configuration that comes by difference. Where it can't be applied it is requested again: by
+    /// difference to what is here now, or whole.
+    fn take_config_delta(&self, session: &Session, delta: &ConfigDelta) {
+        self.config_exchange.note_answer(session);
+        let taken = self.replica.borrow_mut().take_config_delta(delta);
+        let version = self.replica.borrow().version();
+        match taken {
+            Ok(true) => self.config_taken(delta.version),
+            Ok(false) => {}
+            // Another configuration has come since the request.
+            Err(_) if delta.base_version > 0 && delta.base_version != version => {
+                self.config_exchange.request(session, version);
+            }
+            Err(problem) => {
+                warn!(self.logger, "config.delta_refused"; "version" => delta.version,
+                    "base" => delta.base_version, "problem" => %problem);
+                if delta.base_version > 0 {
+                    self.config_exchange.request(session, 0);
+                }
+            }
+        }
     }
 
     /// Stores a committed member set if its sequence number is higher, and announces it. Returns whether it was.
@@ -320,12 +346,30 @@
             }
             Message::StateSummary(summary) => self.on_summary(session, summary),
             Message::Fetch(version) => {
-                if let Some(answer) = self.replica.borrow().answer_fetch(version) {
+                let answer =
+                    self.config_exchange.answer(&self.replica.borrow(), version, session.peer_wire());
+                if let Some(answer) = answer {
+                    session.send_encoded(answer);
+                }
+            }
+            Message::FetchChunkDigests(_) => {
+                if let Some(answer) = self.replica.borrow().answer_fetch_digests() {
+                    session.send(&answer);
+                }
+            }
+            Message::ChunkDigests(digests) => {
+                if let Some(answer) = self.replica.borrow().answer_digests(digests) {
                     session.send(&answer);
                 }
             }
             Message::Config(config) => {
+                self.config_exchange.note_answer(session);
                 self.take_config(config.version, config.body.into_vec());
+                self.fetch();
+            }
+            Message::ConfigDelta(delta) => {
+                self.take_config_delta(session, &delta);
+                self.fetch();
             }
             Message::Entries(records) => {
                 self.merge(records.into_vec(), Some(session.key));
@@ -402,18 +446,13 @@
         let sources: Vec<Rc<Session>> =
             config_sources(self.me.role, running_for, self.sessions()).collect();
         let newest = sources.iter().map(|session| session.announced_version.get()).max().unwrap_or(0);
-        if newest <= version {
-            return;
-        }
-        let asked = self.fetching.get();
-        if asked.is_some_and(|(what, at)| what >= newest && at.elapsed() < FETCH_TIMEOUT) {
+        if newest <= version || self.config_exchange.is_pending(&sources) {
             return;
         }
         let having: Vec<&Rc<Session>> =
             sources.iter().filter(|session| session.announced_version.get() == newest).collect();
         if let Some(session) = fastrand::choice(&having) {
-            session.send(&Message::Fetch(version));
-            self.fetching.set(Some((newest, Instant::now())));
+            self.config_exchange.request(session, version);
         }
     }
 
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -5,6 +5,7 @@
 //! differs, and from then on send each change at once. A link that has been silent for [`IDLE_LINK_TIMEOUT`] is closed,
 //! since a network partition ends no connection by itself.
 
+mod config_exchange;
 mod connection;
 mod dials;
 mod environment;
--- a/crates/link/src/session.rs
+++ b/crates/link/src/session.rs
@@ -38,6 +38,8 @@
     queue: UnboundedSender<Bytes>,
     queued: Rc<Cell<usize>>,
     last_received: Cell<Instant>,
+    /// A frame has begun to arrive, and is not complete.
+    pub(crate) partial_frame: Cell<bool>,
 }
 
 impl Session {
@@ -96,6 +98,7 @@
             queue,
             queued: queued.clone(),
             last_received: Cell::new(Instant::now()),
+            partial_frame: Cell::new(false),
         };
         (session, SendQueue { waiting, queued })
     }
@@ -105,6 +108,11 @@
         self.last_received.set(Instant::now());
     }
 
+    /// Whether a frame is arriving, with bytes of it within this time.
+    pub(crate) fn is_receiving(&self, within: Duration) -> bool {
+        self.partial_frame.get() && self.last_received.get().elapsed() < within
+    }
+
     /// Whether nothing has been received for [`IDLE_LINK_TIMEOUT`].
     pub(crate) fn has_fallen_silent(&self) -> bool {
         self.last_received.get().elapsed() >= IDLE_LINK_TIMEOUT
--- a/crates/message/src/lib.rs
+++ b/crates/message/src/lib.rs
@@ -5,6 +5,7 @@
 //! own version; a frame that it can't read ends the link (see [`decode`]). Processes of different versions do no harm
 //! beside each other, and no work together either: `docs/design/control-state.md` says how a fleet changes over.
 
+mod config_delta;
 mod contact;
 mod endpoint;
 mod inspect;
@@ -13,6 +14,7 @@
 mod register;
 mod watermark;
 
+pub use config_delta::{ChunkDigests, ConfigDelta, DeltaStep, DeltaSteps};
 pub use contact::ProbeReply;
 pub use endpoint::{Endpoint, EndpointState, Model};
 pub use inspect::{InspectReply, InspectRequest};
@@ -28,11 +30,13 @@
 use quick_error::quick_error;
 
 /// Version of the messages.
-pub const WIRE_VERSION: u16 = 3;
+pub const WIRE_VERSION: u16 = 4;
 /// The first version whose processes read `Probe`, `ProbeReply` and `MajorityContact`: older ones are not sent them.
 pub const CONTACT_WIRE_VERSION: u16 = 2;
 /// The first version whose processes read messages about placements: older ones are not sent them.
 pub const PLACEMENT_WIRE_VERSION: u16 = 3;
+/// The first version whose processes read configurations by difference: older ones are sent whole bodies.
+pub const DELTA_WIRE_VERSION: u16 = 4;
 /// The longest frame that is read or written: a configuration of some ten thousand routes.
 pub const MAX_FRAME: usize = 16 << 20;
 /// The longest text in a message.
@@ -324,6 +328,15 @@
     /// Whether the speaking controller has heard of all placements that matter; behind those that were asked for.
     #[deku(id = "29")]
     PlacementsComplete(bool),
+    /// The configuration, by difference to the one that was named in [`Message::Fetch`], or whole and compressed.
+    #[deku(id = "30")]
+    ConfigDelta(ConfigDelta),
+    /// The speaker no longer remembers the configuration of this version: it asks for the digests of its chunks.
+    #[deku(id = "31")]
+    FetchChunkDigests(u64),
+    /// Those digests.
+    #[deku(id = "32")]
+    ChunkDigests(ChunkDigests),
 }
 
 /// A message as the payload of a frame.
--- a/crates/message/tests/wire.rs
+++ b/crates/message/tests/wire.rs
@@ -67,6 +67,17 @@
         Message::Placements(vec![PrefixPlacement { prefix: 5, endpoint: 7, part_tokens: 13_000 }].into()),
         Message::FetchPlacements,
         Message::PlacementsComplete(true),
+        Message::ConfigDelta(ConfigDelta {
+            base_version: 3,
+            base_digest: [1; 16],
+            version: 4,
+            digest: [2; 16],
+            length: 900,
+            steps: vec![DeltaStep::Insert { length: 2 }, DeltaStep::Copy { first: 1, count: 3 }].into(),
+            inserted: vec![7, 8].into(),
+        }),
+        Message::FetchChunkDigests(3),
+        Message::ChunkDigests(ChunkDigests { version: 3, digest: [1; 16], chunks: vec![5, 6].into() }),
         Message::HeartbeatRelay(vec![7].into()),
         Message::Probe(9),
         Message::ProbeReply(ProbeReply {
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -151,7 +151,7 @@
         let Some(stored) = self.gossip.config().filter(|config| config.version > self.version.get()) else {
             return;
         };
-        match FleetConfig::read(&stored.body) {
+        match FleetConfig::read(stored.body()) {
             Ok(config) => {
                 info!(self.logger, "config.in_force"; "version" => stored.version, "routes" => config.routes.len());
                 *self.routes.borrow_mut() = Some(Rc::new(RouteTable::new(config)));
--- a/crates/rig/src/fleet/feed.rs
+++ b/crates/rig/src/fleet/feed.rs
@@ -4,7 +4,8 @@
 use super::history::{Did, State};
 use super::operator::version_of;
 use runtrack_message::{
-    Endpoint, EndpointState, Hello, MAX_FRAME, Member, Message, Role, WIRE_VERSION, decode, encode,
+    Endpoint, EndpointState, Hello, MAX_FRAME, Member, Message, PLACEMENT_WIRE_VERSION, Role, decode,
+    encode,
 };
 use std::collections::BTreeSet;
 use std::io;
@@ -57,7 +58,12 @@
     mut writer: OwnedWriteHalf,
     mut asked: tokio::sync::mpsc::UnboundedReceiver<u64>,
 ) -> io::Result<()> {
-    let hello = Hello { wire: WIRE_VERSION, role: Role::Proxy, node: "rig".into(), member: Member::none() };
+    let hello = Hello {
+        wire: PLACEMENT_WIRE_VERSION,
+        role: Role::Proxy,
+        node: "rig".into(),
+        member: Member::none(),
+    };
     write(&mut writer, &Message::Hello(hello)).await?;
     let mut ticks = interval(PING_INTERVAL);
     loop {
--- a/crates/sim/src/fleet/observer.rs
+++ b/crates/sim/src/fleet/observer.rs
@@ -8,7 +8,7 @@
 use bytes::{Bytes, BytesMut};
 use runtrack_link::PING_INTERVAL;
 use runtrack_message::{
-    Digest, Endpoint, Hello, MAX_FRAME, Member, Message, Role, WIRE_VERSION, decode, encode,
+    Digest, Endpoint, Hello, MAX_FRAME, Member, Message, PLACEMENT_WIRE_VERSION, Role, decode, encode,
 };
 use runtrack_registry::key_of;
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
 impl Observer {
     fn hello(&self) -> Message {
         Message::Hello(Hello {
-            wire: WIRE_VERSION,
+            wire: PLACEMENT_WIRE_VERSION,
             role: Role::Proxy,
             node: format!("edge-{}", self.agent).as_str().into(),
             member: Member::none(),
