--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -5,12 +5,12 @@
 //! from its agent, a restarted agent from its proxy.
 
 use runtrack_fleetconfig::Node;
+use runtrack_hash_ring::{HashRing, hash, weight};
 use runtrack_link::{
     Dials, Environment, Gossip, Logger, MessageHandler, ProcessEvent, ProcessEvents, Session, Signals,
     listen,
 };
 use runtrack_message::{Hello, Member, Message, PLACEMENT_WIRE_VERSION, Role, WIRE_VERSION};
-use runtrack_ring::{Ring, hash, weight};
 use slog::info;
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -98,7 +98,7 @@
 
 /// The members that an agent of this name keeps links to: its watchers, and those that sum up load reports for all.
 pub fn controllers_to_link(name: &str, members: &BTreeSet<SocketAddrV4>) -> BTreeSet<SocketAddrV4> {
-    let ring = Ring::new(members.iter().copied(), |member| member.to_string().into_bytes());
+    let ring = HashRing::new(members.iter().copied(), |member| member.to_string().into_bytes());
     let mut wanted: BTreeSet<SocketAddrV4> =
         ring.successors(name.as_bytes(), WATCHERS).into_iter().collect();
     wanted.extend(backlog_members(members.iter().copied()));
--- a/crates/controller/benches/copies.rs
+++ b/crates/controller/benches/copies.rs
@@ -4,7 +4,7 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use runtrack_ringstore::{Folder, Ring};
+use runtrack_record_store::{Folder, RecordStore};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use support::{Cluster, config};
@@ -48,7 +48,7 @@
 }
 
 /// A change, a bare sync and a bare call in turn: the disk and the machine are the same to all three.
-fn compared(cluster: &Cluster, ring: &mut Ring<Folder>, from: u64) -> String {
+fn compared(cluster: &Cluster, ring: &mut RecordStore<Folder>, from: u64) -> String {
     let record = vec![7; 2048];
     let (mut changes, mut syncs, mut calls) = (Vec::new(), Vec::new(), Vec::new());
     for version in from + 1..=from + CHANGES {
@@ -71,7 +71,7 @@
     orders(&cluster, 0, 0, 10);
     let bare = cluster.folder().join("bare");
     std::fs::create_dir_all(&bare).expect("a folder");
-    let (mut ring, _) = Ring::open(Folder(bare), "bare", VALUE_ROOM).expect("a ring");
+    let (mut ring, _) = RecordStore::open(Folder(bare), "bare", VALUE_ROOM).expect("a ring");
     (0..10).for_each(|_| ring.append(&[7; 2048]).expect("room"));
     println!("an acknowledged change: {}", compared(&cluster, &mut ring, 10));
     cluster.stall_values(2);
--- a/crates/controller/src/contact.rs
+++ b/crates/controller/src/contact.rs
@@ -5,11 +5,11 @@
 
 use crate::member::MemberTask;
 use crate::proposer::Proposer;
+use runtrack_hash_ring::{ContactTable, ContactTimes};
 use runtrack_link::{Gossip, Session};
 use runtrack_message::{Ballot, CONTACT_WIRE_VERSION, Member, Message, ProbeReply, Role};
 use runtrack_net::mutant;
 use runtrack_register::sets_of;
-use runtrack_ring::{ContactTable, ContactTimes};
 use slog::info;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -6,9 +6,9 @@
 use runtrack_fleetconfig::Node;
 use runtrack_message::{Message, PrefixPlacements, decode};
 use runtrack_net::mutant;
+use runtrack_record_store::{Files, Folder, RecordStore, StoreError};
 use runtrack_register::{Acceptor, Durable, PromiseRecord, Recovery, ValueRecord, recover};
 use runtrack_registry::{LEAVE_GENERATIONS, LeaveRecord, MAX_LEAVE_RECORD};
-use runtrack_ringstore::{Files, Folder, Ring, StoreError};
 use slog::{Logger, warn};
 use std::future::Future;
 use std::path::PathBuf;
@@ -101,10 +101,10 @@
 
 /// The rings of promises, of values and of leaves.
 pub struct Rings<F> {
-    promises: Ring<F>,
-    values: Ring<F>,
-    leaves: Vec<Ring<F>>,
-    placements: Ring<F>,
+    promises: RecordStore<F>,
+    values: RecordStore<F>,
+    leaves: Vec<RecordStore<F>>,
+    placements: RecordStore<F>,
     recovered: Vec<LeaveRecord>,
     recovered_placements: PrefixPlacements,
 }
@@ -113,15 +113,15 @@
     /// Opens the rings and recovers the member that is in them; one that is not there is made, of this incarnation,
     /// and one whose records can't be read comes back under an incarnation of its own.
     pub fn open(files: F, incarnation: impl FnOnce() -> u64) -> Result<(Self, Acceptor), StoreError> {
-        let (promises, promise) = Ring::open(files.clone(), "promise", PROMISE_ROOM)?;
-        let (values, value) = Ring::open(files.clone(), "value", VALUE_ROOM)?;
+        let (promises, promise) = RecordStore::open(files.clone(), "promise", PROMISE_ROOM)?;
+        let (values, value) = RecordStore::open(files.clone(), "value", VALUE_ROOM)?;
         let acceptor = match recover(promise.as_deref(), value.as_deref()) {
             Recovery::Member(acceptor) => acceptor,
             Recovery::Empty => Acceptor::new(incarnation()),
             Recovery::Damaged => Acceptor::new(fastrand::u64(1..)),
         };
         let (leaves, recovered) = open_leaves(&files)?;
-        let (placements, newest) = Ring::open(files, "placements", PLACEMENT_ROOM)?;
+        let (placements, newest) = RecordStore::open(files, "placements", PLACEMENT_ROOM)?;
         let recovered_placements = newest.and_then(|record| read_placements(&record)).unwrap_or_default();
         Ok((Rings { promises, values, leaves, placements, recovered, recovered_placements }, acceptor))
     }
@@ -158,11 +158,11 @@
 }
 
 /// The rings of leaves, and the newest record of each that can be read.
-fn open_leaves<F: Files + Clone>(files: &F) -> Result<(Vec<Ring<F>>, Vec<LeaveRecord>), StoreError> {
+fn open_leaves<F: Files + Clone>(files: &F) -> Result<(Vec<RecordStore<F>>, Vec<LeaveRecord>), StoreError> {
     let mut rings = Vec::new();
     let mut records = Vec::new();
     for name in LEAVE_RINGS {
-        let (ring, newest) = Ring::open(files.clone(), name, LEAVE_ROOM)?;
+        let (ring, newest) = RecordStore::open(files.clone(), name, LEAVE_ROOM)?;
         rings.push(ring);
         records.extend(newest.and_then(|record| LeaveRecord::read(&record).ok()));
     }
--- a/crates/controller/src/membership.rs
+++ b/crates/controller/src/membership.rs
@@ -9,6 +9,7 @@
 use crate::leave_sync::LeaveSync;
 use crate::member::MemberTask;
 use crate::proposer::Proposer;
+use runtrack_hash_ring::{hash, rendezvous};
 use runtrack_link::{Dials, Gossip, Session};
 use runtrack_message::{Ballot, Member, Message, Role, Value};
 use runtrack_net::mutant;
@@ -16,7 +17,6 @@
     Decision, MembershipPlan, MembershipTimes, MembershipView, Outcome, PresentMember, WaitReason,
     finish_membership, initial_value, is_joint, members_of, plan_membership, replace_members,
 };
-use runtrack_ring::{hash, rendezvous};
 use slog::info;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/ring/src/lib.rs
+++ b/crates/hash_ring/src/lib.rs
@@ -1,7 +1,7 @@
 //! Assignment of work to members by hashing: processes that know the same members compute the same assignment, and where
 //! one is added or removed only its share moves. Beside it, the table of proven contact between processes. No I/O.
 //!
-//! [`Ring`] is consistent hashing (Karger and others, 1997) with several points a member: it assigns the watchers of a
+//! [`HashRing`] is consistent hashing (Karger and others, 1997) with several points a member: it assigns the watchers of a
 //! process. [`rendezvous`] is highest-random-weight hashing (Thaler and Ravishankar, 1998): it assigns the owner of a
 //! key, such as the preferred endpoint of a prompt's prefix. [`ContactTable`] computes whether a process is in contact
 //! with a majority of the members, and which members a majority suspects.
@@ -33,15 +33,15 @@
 
 /// A consistent-hashing ring of members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ring<M> {
+pub struct HashRing<M> {
     points: BTreeMap<u64, M>,
     members: BTreeSet<M>,
 }
 
-impl<M: Clone + Ord> Ring<M> {
+impl<M: Clone + Ord> HashRing<M> {
     /// A ring of these members; `name` returns the bytes whose hashes are its points.
     pub fn new(members: impl IntoIterator<Item = M>, name: impl Fn(&M) -> Vec<u8>) -> Self {
-        let mut ring = Ring { points: BTreeMap::new(), members: BTreeSet::new() };
+        let mut ring = HashRing { points: BTreeMap::new(), members: BTreeSet::new() };
         for member in members {
             let place = hash(&name(&member));
             for point in 0..POINTS {
--- a/crates/ring/tests/hashing.rs
+++ b/crates/hash_ring/tests/hashing.rs
@@ -1,10 +1,10 @@
 //! Who owns what, and how little moves.
 
-use runtrack_ring::{Ring, hash, rendezvous, weight};
+use runtrack_hash_ring::{HashRing, hash, rendezvous, weight};
 use std::collections::BTreeMap;
 
-fn ring(members: impl IntoIterator<Item = u32>) -> Ring<u32> {
-    Ring::new(members, |member| member.to_le_bytes().to_vec())
+fn ring(members: impl IntoIterator<Item = u32>) -> HashRing<u32> {
+    HashRing::new(members, |member| member.to_le_bytes().to_vec())
 }
 
 #[test]
--- a/crates/ringstore/src/lib.rs
+++ b/crates/record_store/src/lib.rs
@@ -71,7 +71,7 @@
 const HEADER: usize = 24;
 
 /// A ring of records.
-pub struct Ring<F> {
+pub struct RecordStore<F> {
     files: F,
     name: &'static str,
     room: usize,
@@ -81,7 +81,7 @@
     named: BTreeSet<u64>,
 }
 
-impl<F: Files> Ring<F> {
+impl<F: Files> RecordStore<F> {
     /// Opens the ring of this name with files of `room` bytes; returns it with its newest valid record.
     pub fn open(files: F, name: &'static str, room: usize) -> Result<(Self, Option<Vec<u8>>), StoreError> {
         let mut newest: Option<(u64, Vec<u8>)> = None;
@@ -93,7 +93,10 @@
             }
         }
         let sequence = newest.as_ref().map_or(0, |(sequence, _)| *sequence);
-        Ok((Ring { files, name, room, sequence, named: BTreeSet::new() }, newest.map(|(_, record)| record)))
+        Ok((
+            RecordStore { files, name, room, sequence, named: BTreeSet::new() },
+            newest.map(|(_, record)| record),
+        ))
     }
 
     /// Writes a record; once this returns it survives a power failure.
--- a/crates/ringstore/tests/contract.rs
+++ b/crates/record_store/tests/contract.rs
@@ -1,6 +1,6 @@
 //! What every store must keep, on a disk and in memory.
 
-use runtrack_ringstore::{Files, Folder, Memory, Ring};
+use runtrack_record_store::{Files, Folder, Memory, RecordStore};
 use std::path::PathBuf;
 
 const ROOM: usize = 4096;
@@ -24,12 +24,12 @@
 }
 
 fn newest<F: Files + Clone>(files: &F) -> Option<Vec<u8>> {
-    Ring::open(files.clone(), "value", ROOM).expect("it opens").1
+    RecordStore::open(files.clone(), "value", ROOM).expect("it opens").1
 }
 
 fn contract<F: Files + Clone>(files: F) {
     assert_eq!(newest(&files), None, "an empty disk has no record");
-    let (mut ring, _) = Ring::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
     for number in 0..20u8 {
         ring.append(&vec![number; 10 + number as usize]).expect("it is kept");
         assert_eq!(newest(&files), Some(vec![number; 10 + number as usize]));
@@ -39,10 +39,10 @@
     let long = vec![7; 3 * ROOM];
     ring.append(&long).expect("a record may outgrow its room");
     assert_eq!(newest(&files), Some(long));
-    let (mut again, _) = Ring::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut again, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
     again.append(b"after a restart").expect("it is kept");
     assert_eq!(newest(&files).as_deref(), Some(b"after a restart".as_slice()));
-    let (mut other, none) = Ring::open(files.clone(), "promise", ROOM).expect("it opens");
+    let (mut other, none) = RecordStore::open(files.clone(), "promise", ROOM).expect("it opens");
     assert_eq!(none, None, "rings of other names are apart");
     other.append(b"promise").expect("it is kept");
     assert_eq!(newest(&files).as_deref(), Some(b"after a restart".as_slice()));
@@ -63,7 +63,7 @@
 fn a_write_torn_anywhere_costs_only_itself() {
     for torn in 0..60 {
         let files = Memory::default();
-        let (mut ring, _) = Ring::open(files.clone(), "value", 64).expect("it opens");
+        let (mut ring, _) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
         for number in 0..5u8 {
             ring.append(&[number; 30]).expect("it is kept");
         }
@@ -81,7 +81,7 @@
 #[test]
 fn a_full_disk_refuses_writes_and_never_reading() {
     let files = Memory::default();
-    let (mut ring, _) = Ring::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
     ring.append(b"before").expect("it is kept");
     files.set_full(true);
     assert!(ring.append(b"while full").is_err());
@@ -95,7 +95,7 @@
 fn any_spoilt_byte_of_the_newest_record_is_noticed() {
     let scratch = Scratch::new("spoilt");
     let folder = Folder(scratch.0.clone());
-    let (mut ring, _) = Ring::open(folder.clone(), "value", 64).expect("it opens");
+    let (mut ring, _) = RecordStore::open(folder.clone(), "value", 64).expect("it opens");
     ring.append(b"the first").expect("it is kept");
     ring.append(b"the second").expect("it is kept");
     let path = scratch.0.join("value-2.ring");
@@ -111,11 +111,11 @@
 #[test]
 fn the_name_of_a_file_that_a_killed_process_made_is_synced_before_a_record_in_it_counts() {
     let files = Memory::default();
-    let (mut ring, _) = Ring::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
     // The process is killed once it has written the file, and before the folder is synced.
     files.refuse_next_sync_of_names();
     assert!(ring.append(b"not acknowledged").is_err());
-    let (mut ring, _) = Ring::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
     for record in [b"the first", b"a second ", b"the third"] {
         ring.append(record).expect("it is kept");
         files.lose_power();
@@ -126,7 +126,7 @@
 #[test]
 fn a_name_whose_sync_failed_is_synced_by_the_next_write() {
     let files = Memory::default();
-    let (mut ring, _) = Ring::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
     files.refuse_next_sync_of_names();
     assert!(ring.append(b"refused").is_err());
     ring.append(b"kept").expect("it is kept");
@@ -137,7 +137,7 @@
 #[test]
 fn a_record_that_outgrows_its_room_on_a_full_disk_costs_only_itself() {
     let files = Memory::default();
-    let (mut ring, _) = Ring::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
     for number in 0..3u8 {
         ring.append(&[number; 100]).expect("it is kept");
     }
@@ -158,7 +158,7 @@
 #[test]
 fn a_file_grows_by_whole_rooms() {
     let files = Memory::default();
-    let (mut ring, _) = Ring::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
     for extra in [1, 2, 500] {
         ring.append(&vec![1; ROOM + extra]).expect("it is kept");
     }
@@ -173,7 +173,7 @@
 fn the_longest_configuration_is_kept_and_found() {
     let scratch = Scratch::new("longest");
     let folder = Folder(scratch.0.clone());
-    let (mut ring, _) = Ring::open(folder.clone(), "value", 384 << 10).expect("it opens");
+    let (mut ring, _) = RecordStore::open(folder.clone(), "value", 384 << 10).expect("it opens");
     for number in 0..4u8 {
         let long = vec![number; (8 << 20) + 20_000];
         ring.append(&long).expect("it is kept");
@@ -185,7 +185,7 @@
 fn a_record_that_was_synced_and_is_damaged_gives_way_to_the_one_before() {
     // No disk can tell this from a torn write: what a member has lost by it must be found out from the others.
     let files = Memory::default();
-    let (mut ring, _) = Ring::open(files.clone(), "value", 64).expect("it opens");
+    let (mut ring, _) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
     for number in 0..5u8 {
         ring.append(&[number; 30]).expect("it is kept");
     }
@@ -200,14 +200,14 @@
 #[test]
 fn an_older_copy_of_the_disk_is_recovered_as_it_was() {
     let files = Memory::default();
-    let (mut ring, _) = Ring::open(files.clone(), "value", 64).expect("it opens");
+    let (mut ring, _) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
     ring.append(b"old").expect("it is kept");
     let copy = files.copy();
     for _ in 0..4 {
         ring.append(b"new").expect("it is kept");
     }
     files.put_back(&copy);
-    let (mut ring, found) = Ring::open(files.clone(), "value", 64).expect("it opens");
+    let (mut ring, found) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
     assert_eq!(found.as_deref(), Some(b"old".as_slice()));
     ring.append(b"later").expect("it is kept");
     assert_eq!(newest(&files).as_deref(), Some(b"later".as_slice()));
--- a/crates/ringstore/tests/stored_bytes.rs
+++ b/crates/record_store/tests/stored_bytes.rs
@@ -2,7 +2,7 @@
 //! same bytes again, so that versions read each other's disks both ways. `fixtures/folder` was written by the version
 //! before the crate got its present name.
 
-use runtrack_ringstore::{Files, Folder, Memory, Ring};
+use runtrack_record_store::{Files, Folder, Memory, RecordStore};
 use std::path::{Path, PathBuf};
 
 const NAME: &str = "value";
@@ -20,7 +20,7 @@
 }
 
 fn newest<F: Files>(files: F) -> Option<Vec<u8>> {
-    Ring::open(files, NAME, PREALLOCATED).expect("the folder opens").1
+    RecordStore::open(files, NAME, PREALLOCATED).expect("the folder opens").1
 }
 
 #[test]
@@ -43,7 +43,7 @@
 #[test]
 fn the_same_records_make_the_same_bytes() {
     let files = Memory::default();
-    let (mut ring, _) = Ring::open(files.clone(), NAME, PREALLOCATED).expect("the folder opens");
+    let (mut ring, _) = RecordStore::open(files.clone(), NAME, PREALLOCATED).expect("the folder opens");
     for record in records() {
         ring.append(&record).expect("the record is written");
     }
--- a/crates/register/tests/stored_bytes.rs
+++ b/crates/register/tests/stored_bytes.rs
@@ -6,11 +6,11 @@
 
 use deku::DekuContainerWrite;
 use runtrack_message::{Ballot, Member, Value};
+use runtrack_record_store::{Files, Folder, Memory, RecordStore};
 use runtrack_register::{
     ConfigAnswer, ConfigRequest, Decision, PromiseRecord, Recovery, ValueRecord, initial_value, members_of,
     recover, replace_members, sets_of,
 };
-use runtrack_ringstore::{Files, Folder, Memory, Ring};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use support::member;
@@ -64,7 +64,7 @@
 }
 
 fn newest<F: Files>(files: F, name: &'static str) -> Vec<u8> {
-    Ring::open(files, name, PREALLOCATED).expect("the folder opens").1.expect("a record")
+    RecordStore::open(files, name, PREALLOCATED).expect("the folder opens").1.expect("a record")
 }
 
 #[test]
@@ -94,11 +94,13 @@
 #[test]
 fn the_same_records_make_the_same_bytes() {
     let files = Memory::default();
-    let (mut promises, _) = Ring::open(files.clone(), "promise", PREALLOCATED).expect("the folder opens");
+    let (mut promises, _) =
+        RecordStore::open(files.clone(), "promise", PREALLOCATED).expect("the folder opens");
     for record in promise_records() {
         promises.append(&record.to_bytes().expect("a record")).expect("the record is written");
     }
-    let (mut values, _) = Ring::open(files.clone(), "value", PREALLOCATED).expect("the folder opens");
+    let (mut values, _) =
+        RecordStore::open(files.clone(), "value", PREALLOCATED).expect("the folder opens");
     for record in value_records() {
         values.append(&record.to_bytes().expect("a record")).expect("the record is written");
     }
--- a/crates/sim/src/fleet/disk.rs
+++ b/crates/sim/src/fleet/disk.rs
@@ -7,7 +7,7 @@
 use runtrack_message::{PrefixPlacements, Value};
 use runtrack_register::Acceptor;
 use runtrack_registry::LeaveRecord;
-use runtrack_ringstore::Files;
+use runtrack_record_store::Files;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
