--- a/crates/controller/src/contact.rs
+++ b/crates/controller/src/contact.rs
@@ -5,7 +5,7 @@
 
 use crate::member::MemberTask;
 use crate::proposer::Proposer;
-use runtrack_hash_ring::{ContactTable, ContactTimes};
+use runtrack_failure_detector::{ContactTable, ContactTimes};
 use runtrack_link::{Gossip, Session};
 use runtrack_message::{Ballot, CONTACT_WIRE_VERSION, Member, Message, ProbeReply, Role};
 use runtrack_net::mutant;
--- a/crates/hash_ring/tests/contact.rs
+++ b/crates/failure_detector/tests/contact.rs
@@ -1,6 +1,6 @@
 //! Contact with a majority: what proves it, how long it lasts, and who counts as gone.
 
-use runtrack_hash_ring::{ContactTable, ContactTimes};
+use runtrack_failure_detector::{ContactTable, ContactTimes};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/hash_ring/src/lib.rs
+++ b/crates/hash_ring/src/lib.rs
@@ -1,14 +1,9 @@
 //! Assignment of work to members by hashing: processes that know the same members compute the same assignment, and where
-//! one is added or removed only its share moves. Beside it, the table of proven contact between processes. No I/O.
+//! one is added or removed only its share moves. No I/O.
 //!
 //! [`HashRing`] is consistent hashing (Karger and others, 1997) with several points a member: it assigns the watchers of a
 //! process. [`rendezvous`] is highest-random-weight hashing (Thaler and Ravishankar, 1998): it assigns the owner of a
-//! key, such as the preferred endpoint of a prompt's prefix. [`ContactTable`] computes whether a process is in contact
-//! with a majority of the members, and which members a majority suspects.
-
-mod contact;
-
-pub use contact::{ContactTable, ContactTimes};
+//! key, such as the member that coordinates changes of membership.
 
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/scale/tests/modules.rs
+++ b/crates/scale/tests/modules.rs
@@ -8,8 +8,9 @@
 use support::Sources;
 
 /// The fleet's crates, as docs/ARCHITECTURE.md lists them.
-const FLEET: [&str; 11] = [
+const FLEET: [&str; 12] = [
     "message",
+    "failure_detector",
     "fleetconfig",
     "register",
     "hash_ring",
