--- a/crates/controller/src/copies.rs
+++ b/crates/controller/src/copies.rs
@@ -6,7 +6,7 @@
 use runtrack_link::Gossip;
 use runtrack_message::{Ballot, Member, Value};
 use runtrack_net::mutant;
-use runtrack_register::{CopyEvent, CopyTable, members_of};
+use runtrack_register::{ReplicaEvent, ReplicaTable, members_of};
 use slog::{info, warn};
 use std::cell::{Ref, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
     proposer: Rc<Proposer>,
     member: Rc<MemberTask>,
     contact: Rc<MajorityContact>,
-    table: RefCell<CopyTable>,
+    table: RefCell<ReplicaTable>,
 }
 
 impl Copies {
@@ -35,11 +35,11 @@
         contact: Rc<MajorityContact>,
         wait: Duration,
     ) -> Self {
-        Copies { gossip, proposer, member, contact, table: RefCell::new(CopyTable::new(wait)) }
+        Copies { gossip, proposer, member, contact, table: RefCell::new(ReplicaTable::new(wait)) }
     }
 
     /// What is known, as of the last look at it.
-    pub fn table(&self) -> Ref<'_, CopyTable> {
+    pub fn table(&self) -> Ref<'_, ReplicaTable> {
         self.table.borrow()
     }
 
@@ -61,9 +61,9 @@
         let events = self.table.borrow_mut().observe(self.gossip.now(), ballot, value, holding);
         for event in events {
             match event {
-                CopyEvent::Whole { sequence, after } => info!(self.gossip.logger(), "copies.whole";
+                ReplicaEvent::Complete { sequence, after } => info!(self.gossip.logger(), "copies.whole";
                     "sequence" => sequence, "after_ms" => after.as_millis() as u64),
-                CopyEvent::Missing { member } => warn!(self.gossip.logger(), "copies.missing";
+                ReplicaEvent::Missing { member } => warn!(self.gossip.logger(), "copies.missing";
                     "members" => member.address().to_string()),
             }
         }
--- a/crates/controller/src/membership.rs
+++ b/crates/controller/src/membership.rs
@@ -93,7 +93,7 @@
             proposer.clone(),
             member.clone(),
             contact.clone(),
-            settings.times.copy_wait,
+            settings.times.replica_wait,
         );
         Rc::new(Membership {
             me: gossip.me().member,
@@ -339,6 +339,6 @@
     match reason {
         WaitReason::JoiningMemberLacksValue(member) => ("joining_member_lacks_value", member),
         WaitReason::MemberUnreachable(member) => ("member_unreachable", member),
-        WaitReason::CopyMissing(member) => ("copy_missing", member),
+        WaitReason::ReplicaMissing(member) => ("copy_missing", member),
     }
 }
--- a/crates/controller/src/proposer.rs
+++ b/crates/controller/src/proposer.rs
@@ -267,7 +267,7 @@
 
     /// How long a round waits for the next reply.
     fn patience(&self, round: &Round) -> Duration {
-        if round.outrun_by().is_some() {
+        if round.preempted_by().is_some() {
             OUTRUN_TIMEOUT.max(self.member.write_time()).min(ROUND_TIMEOUT)
         } else {
             self.at_least_writes(ROUND_TIMEOUT)
@@ -284,7 +284,7 @@
         self.send(sends, &replies);
         let outcome = loop {
             let Ok(Some((from, reply))) = timeout(self.patience(&round), came.recv()).await else {
-                break round.outrun_by().map(Outcome::Preempted);
+                break round.preempted_by().map(Outcome::Preempted);
             };
             match round.reply(from, reply, decide) {
                 Progress::Send(sends) => self.send(sends, &replies),
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -17,12 +17,12 @@
 
 mod acceptor;
 mod change;
-mod copies;
 mod digest;
 mod membership;
 mod quorum_read;
 mod record;
 mod recovery;
+mod replicas;
 mod request;
 mod round;
 mod sets;
@@ -30,7 +30,6 @@
 
 pub use acceptor::{Accepted, Acceptor, Durable};
 pub use change::{Decision, finish_membership, initial_value, replace_members};
-pub use copies::{CopyEvent, CopyTable, JOIN_LAG};
 pub use digest::{amendment_digest, legacy_request_digest, request_digest};
 pub use membership::{
     MembershipPlan, MembershipTimes, MembershipView, PresentMember, WaitReason, plan_membership,
@@ -38,6 +37,7 @@
 pub use quorum_read::{Inspection, QuorumRead, ReadOutcome, ReadProgress, inspect};
 pub use record::{PromiseRecord, ValueRecord};
 pub use recovery::{Recovery, recover};
+pub use replicas::{JOIN_LAG, ReplicaEvent, ReplicaTable};
 pub use request::{ConfigAnswer, ConfigChange, ConfigRequest, MAX_APPLIED_REQUESTS, Step};
 pub use round::{Outcome, Progress, Round, Send};
 pub use sets::{has_majority, is_joint, majority_of, members_of, sets_of};
--- a/crates/register/src/membership.rs
+++ b/crates/register/src/membership.rs
@@ -18,7 +18,7 @@
     /// A member that was not reached for longer is suspect.
     pub suspicion: Duration,
     /// A missing copy is waited for so long before the next change of members.
-    pub copy_wait: Duration,
+    pub replica_wait: Duration,
     /// A leaving member waits so long for the copies of the others.
     pub leave: Duration,
 }
@@ -28,7 +28,7 @@
     /// it; who leaves does so within a quarter of `grace`.
     pub fn new(settle: Duration, grace: Duration) -> Self {
         let quarter = settle / 4;
-        MembershipTimes { suspicion: quarter.max(MIN_SUSPICION), copy_wait: quarter, leave: grace / 4 }
+        MembershipTimes { suspicion: quarter.max(MIN_SUSPICION), replica_wait: quarter, leave: grace / 4 }
     }
 }
 
@@ -82,15 +82,15 @@
     /// what a majority is.
     MemberUnreachable(Member),
     /// A present member lacks the value of the last change.
-    CopyMissing(Member),
+    ReplicaMissing(Member),
 }
 
 /// The next change of members, or what it waits for.
 pub fn plan_membership(view: &MembershipView) -> MembershipPlan {
     let plan = join(view).or_else(|| remove(view)).unwrap_or(MembershipPlan::Keep);
     match plan {
-        MembershipPlan::Change(next) => match missing_copy(view, &next) {
-            Some(member) => MembershipPlan::Wait(WaitReason::CopyMissing(member)),
+        MembershipPlan::Change(next) => match missing_replica(view, &next) {
+            Some(member) => MembershipPlan::Wait(WaitReason::ReplicaMissing(member)),
             None => MembershipPlan::Change(next),
         },
         other => other,
@@ -98,7 +98,7 @@
 }
 
 /// A present member that stays and lacks the value of the last change.
-fn missing_copy(view: &MembershipView, next: &BTreeSet<Member>) -> Option<Member> {
+fn missing_replica(view: &MembershipView, next: &BTreeSet<Member>) -> Option<Member> {
     let lacks = |present: &PresentMember| present.accepted < view.membership && !present.overdue;
     let staying = view.present.iter().filter(|(member, _)| next.contains(member));
     staying.filter(|(_, present)| lacks(present)).map(|(member, _)| *member).next()
--- a/crates/register/src/copies.rs
+++ b/crates/register/src/replicas.rs
@@ -1,7 +1,7 @@
 //! Who holds the committed value on disk. No I/O and no clock: time comes in as a [`Duration`] on a steady clock.
 //!
 //! A committed value is on the disks of a majority. After a change of members, or once a member can be reached again,
-//! the [`CopyTable`] watches until every member can be reached and holds it too.
+//! the [`ReplicaTable`] watches until every member can be reached and holds it too.
 
 use crate::membership::PresentMember;
 use crate::sets::{is_joint, members_of};
@@ -15,9 +15,9 @@
 
 /// What became of the copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CopyEvent {
+pub enum ReplicaEvent {
     /// Every member can be reached and holds the value of this sequence number, so long after it was first wanted.
-    Whole {
+    Complete {
         /// Sequence number of the value.
         sequence: u64,
         /// Time since the members changed, or one of them could be reached again.
@@ -40,7 +40,7 @@
 
 /// Who holds the committed value.
 #[derive(Clone, Debug)]
-pub struct CopyTable {
+pub struct ReplicaTable {
     wait: Duration,
     set: BTreeSet<Member>,
     /// Ballot of the first value that was known with the current set.
@@ -54,10 +54,10 @@
     recent: VecDeque<(Duration, Ballot)>,
 }
 
-impl CopyTable {
+impl ReplicaTable {
     /// Nothing is known. A copy that is missing for longer than `wait` is not waited for.
     pub fn new(wait: Duration) -> Self {
-        CopyTable {
+        ReplicaTable {
             wait,
             set: BTreeSet::new(),
             membership: Ballot::default(),
@@ -76,7 +76,7 @@
         ballot: Ballot,
         value: &Value,
         holding: BTreeMap<Member, Ballot>,
-    ) -> Vec<CopyEvent> {
+    ) -> Vec<ReplicaEvent> {
         let set = members_of(value);
         let is_written = ballot > Ballot::default();
         // The first value that is written brings its members into force anew, also where they are the first ones.
@@ -95,7 +95,7 @@
             self.note_committed(now, ballot);
         }
         let mut events = self.note_missing(now);
-        events.extend(self.note_whole(now));
+        events.extend(self.note_complete(now));
         events
     }
 
@@ -109,7 +109,7 @@
         }
     }
 
-    fn note_missing(&mut self, now: Duration) -> Vec<CopyEvent> {
+    fn note_missing(&mut self, now: Duration) -> Vec<ReplicaEvent> {
         let lacks =
             |(member, accepted): (&Member, &Ballot)| (*accepted < self.membership).then_some(*member);
         let lacking: BTreeSet<Member> = self.reached.iter().filter_map(lacks).collect();
@@ -121,17 +121,17 @@
         let overdue: Vec<Member> =
             lacking.into_iter().filter(|member| self.is_overdue(now, member)).collect();
         let new = overdue.into_iter().filter(|member| self.reported.insert(*member));
-        new.map(|member| CopyEvent::Missing { member }).collect()
+        new.map(|member| ReplicaEvent::Missing { member }).collect()
     }
 
-    fn note_whole(&mut self, now: Duration) -> Option<CopyEvent> {
+    fn note_complete(&mut self, now: Duration) -> Option<ReplicaEvent> {
         let target = self.target?;
-        if !self.is_whole(target.ballot) {
+        if !self.is_complete(target.ballot) {
             return None;
         }
         self.target = None;
         let after = now.saturating_sub(target.since);
-        Some(CopyEvent::Whole { sequence: target.sequence, after })
+        Some(ReplicaEvent::Complete { sequence: target.sequence, after })
     }
 
     fn is_overdue(&self, now: Duration, member: &Member) -> bool {
@@ -140,7 +140,7 @@
 
     /// Whether every member can be reached and holds the value of this ballot, or a newer one. Beside one that can't be
     /// reached the next loss may leave no majority, however whole the copies of the others are.
-    pub fn is_whole(&self, ballot: Ballot) -> bool {
+    pub fn is_complete(&self, ballot: Ballot) -> bool {
         let holds = |member| self.reached.get(member).is_some_and(|accepted| *accepted >= ballot);
         self.set.iter().all(holds)
     }
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -96,7 +96,7 @@
 
     /// The highest ballot that a member has promised to another proposer; nothing while no member has refused this round
     /// for one.
-    pub fn outrun_by(&self) -> Option<Ballot> {
+    pub fn preempted_by(&self) -> Option<Ballot> {
         (self.highest > self.ballot).then_some(self.highest)
     }
 
--- a/crates/register/tests/copies.rs
+++ b/crates/register/tests/adoption.rs
@@ -5,7 +5,7 @@
 use runtrack_message::{Ballot, RegisterReply, RegisterRequest, Value};
 use runtrack_register::{Acceptor, ConfigAnswer, Decision, Durable, Outcome};
 use std::rc::Rc;
-use support::{Cluster, order};
+use support::{Cluster, request};
 
 fn ballot(round: u64) -> Ballot {
     Ballot { round, boot: 1 }
@@ -80,10 +80,10 @@
 #[test]
 fn a_member_that_missed_a_change_holds_it_through_the_loss_of_another_and_a_restart_of_all() {
     let mut cluster = Cluster::new(3);
-    cluster.cut(2, true);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
+    cluster.set_partitioned(2, true);
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     let (ballot, value) = committed(&mut cluster, 0);
-    cluster.cut(2, false);
+    cluster.set_partitioned(2, false);
     assert!(cluster.adopt(2, ballot, &value), "it had missed it");
     assert!(!cluster.adopt(2, ballot, &value), "once is enough");
     for at in 0..3 {
@@ -91,9 +91,9 @@
     }
     // Who had accepted it in the first place is lost, one after the other.
     for lost in [0, 1] {
-        cluster.cut(lost, true);
+        cluster.set_partitioned(lost, true);
         assert_eq!(cluster.read(2).version, 1);
-        cluster.cut(lost, false);
+        cluster.set_partitioned(lost, false);
     }
     assert_eq!(cluster.acceptor(2).accepted().map(|accepted| accepted.value.version), Some(1));
 }
@@ -101,16 +101,16 @@
 #[test]
 fn a_proposer_that_was_promised_before_the_value_was_learnt_is_not_misled() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
-    cluster.cut(2, true);
-    assert_eq!(cluster.order(0, &order(1, 2)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
+    cluster.set_partitioned(2, true);
+    assert_eq!(cluster.submit(0, &request(1, 2)), Some(ConfigAnswer::Applied));
     let (ballot, value) = committed(&mut cluster, 0);
-    cluster.cut(2, false);
+    cluster.set_partitioned(2, false);
     // A round on top of version 2 has all promises, member 2's without the value, and then falls asleep.
-    let mut sleeping = cluster.prepared(1, &order(2, 3));
+    let mut paused = cluster.prepared(1, &request(2, 3));
     assert!(cluster.adopt(2, ballot, &value), "learnt under a ballot below the promise");
-    assert!(matches!(cluster.wake(&mut sleeping), Some(Outcome::Committed(..))));
+    assert!(matches!(cluster.wake(&mut paused), Some(Outcome::Committed(..))));
     assert!(!cluster.adopt(2, ballot, &value), "told again late");
-    cluster.cut(0, true);
+    cluster.set_partitioned(0, true);
     assert_eq!(cluster.read(2).version, 3);
 }
--- a/crates/register/tests/membership.rs
+++ b/crates/register/tests/membership.rs
@@ -141,7 +141,7 @@
 
 #[test]
 fn no_change_while_a_present_member_lacks_the_membership_value() {
-    let lacks = wait(WaitReason::CopyMissing(member(3, 0)));
+    let lacks = wait(WaitReason::ReplicaMissing(member(3, 0)));
     for view in [
         whole(3).lost(2).joining(7, 70, NEWEST),
         whole(3).joining(7, 70, NEWEST),
@@ -198,7 +198,7 @@
     let (settle, grace) = (Duration::from_secs(6), Duration::from_secs(8));
     let times = MembershipTimes::new(settle, grace);
     assert_eq!(times.suspicion, Duration::from_millis(1500));
-    assert_eq!(times.copy_wait, Duration::from_millis(1500));
+    assert_eq!(times.replica_wait, Duration::from_millis(1500));
     assert_eq!(times.leave, Duration::from_secs(2));
     let short = MembershipTimes::new(Duration::from_millis(400), grace);
     assert_eq!(short.suspicion, Duration::from_millis(1000), "a probe or two may be late");
--- a/crates/register/tests/model/machine.rs
+++ b/crates/register/tests/model/machine.rs
@@ -5,9 +5,9 @@
 use crate::scenario::Scenario;
 use crate::state::{Answer, MAX_NODES, NONE, State};
 use crate::support::attempt::{Attempt, Decided, Purpose, is_refusal};
-use crate::support::inspecting::Inspecting;
 use crate::support::mutants::Mutant;
 use crate::support::node::Node;
+use crate::support::read_attempt::ReadAttempt;
 use runtrack_message::{
     Ballot, InspectReply, InspectRequest, Member, RegisterReply, RegisterRequest, Value,
 };
@@ -292,7 +292,7 @@
             return *done;
         }
         let (sets, value) = self.beginning(known);
-        let (mut read, mut asked) = Inspecting::new(sets, value, self.scenario.mutant);
+        let (mut read, mut asked) = ReadAttempt::new(sets, value, self.scenario.mutant);
         let mut outcome = None;
         for (at, answer) in answers.iter().enumerate().filter(|(_, answer)| **answer != NONE) {
             let reply = (*self.inspections.get(*answer)).clone();
--- a/crates/register/tests/model/scenario.rs
+++ b/crates/register/tests/model/scenario.rs
@@ -2,7 +2,7 @@
 
 use crate::support::attempt::{Purpose, Terms};
 use crate::support::mutants::Mutant;
-use crate::support::{member, order as request};
+use crate::support::{member, request};
 use runtrack_message::{Member, Value};
 use runtrack_register::{ConfigRequest, Decision, MAX_APPLIED_REQUESTS};
 use std::collections::BTreeSet;
@@ -104,12 +104,12 @@
 }
 
 /// Two requests, one on top of the other, at two proposers in two orders, with a table that holds one of them.
-pub fn repeats() -> Scenario {
+pub fn retries() -> Scenario {
     Scenario {
         purposes: vec![Purpose::Replace(request(0, 1)), Purpose::Replace(request(1, 2))],
         scripts: [vec![0, 1], vec![1, 0]],
         max_applied: 1,
-        ..base("repeats")
+        ..base("retries")
     }
 }
 
--- a/crates/register/tests/quorum_reads.rs
+++ b/crates/register/tests/quorum_reads.rs
@@ -8,7 +8,7 @@
 };
 use std::collections::BTreeSet;
 use std::rc::Rc;
-use support::{member, order};
+use support::{member, request};
 
 /// Sets of members by number.
 fn set(members: &[u8]) -> BTreeSet<Member> {
@@ -23,7 +23,7 @@
 fn value(version: u64, members: &[u8]) -> Value {
     let mut current: Option<Value> = None;
     for base in 0..version {
-        let decision = order(base, base + 1).decide(current.as_ref(), &[set(members)]).0;
+        let decision = request(base, base + 1).decide(current.as_ref(), &[set(members)]).0;
         let Decision::Propose(next) = decision else { panic!("{decision:?}") };
         current = Some(next);
     }
--- a/crates/register/tests/records.rs
+++ b/crates/register/tests/records.rs
@@ -9,7 +9,7 @@
     legacy_request_digest, members_of, recover, request_digest,
 };
 use std::rc::Rc;
-use support::{Cluster, member, order};
+use support::{Cluster, member, request};
 
 const BODY: &[u8] = b"{\"version\":12}";
 
@@ -51,7 +51,7 @@
     assert_eq!(repeated.decide(Some(&value), &[]), (Decision::Read, ConfigAnswer::Applied));
     let rival = ConfigRequest::replace(11, 12, b"another".to_vec());
     assert_eq!(rival.decide(Some(&value), &[]).1, ConfigAnswer::VersionMismatch(12));
-    let (Decision::Propose(next), _) = order(12, 13).decide(Some(&value), &[]) else {
+    let (Decision::Propose(next), _) = request(12, 13).decide(Some(&value), &[]) else {
         panic!("it is applied")
     };
     value = next;
@@ -71,13 +71,13 @@
     let record = ValueRecord::read(&bytes).expect("a record");
     assert_eq!(record.value.floor, 100);
     assert_eq!(record.value.applied.items()[0].digest, RequestDigest::from_legacy(101));
-    assert_eq!(order(90, 100).decide(Some(&record.value), &[]).1, ConfigAnswer::Indeterminate);
+    assert_eq!(request(90, 100).decide(Some(&record.value), &[]).1, ConfigAnswer::Indeterminate);
 }
 
 #[test]
 fn a_record_of_this_format_is_read_as_it_was_written() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     let value = cluster.read(0);
     let record = ValueRecord { incarnation: 5, ballot: Ballot { round: 3, boot: 9 }, value };
     let bytes = record.to_bytes().expect("it can be written");
--- a/crates/register/tests/copy_table.rs
+++ b/crates/register/tests/replica_table.rs
@@ -3,10 +3,10 @@
 mod support;
 
 use runtrack_message::{Ballot, Member, MemberSet, Value};
-use runtrack_register::{CopyEvent, CopyTable, Decision, JOIN_LAG, initial_value};
+use runtrack_register::{Decision, JOIN_LAG, ReplicaEvent, ReplicaTable, initial_value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use support::{member, order};
+use support::{member, request};
 
 const WAIT: Duration = Duration::from_millis(1000);
 
@@ -23,7 +23,7 @@
         let members: Vec<Member> = set.iter().map(|at| member(*at, 0)).collect();
         MemberSet::from(members)
     };
-    let Decision::Propose(value) = order(0, 1).decide(None, &[]).0 else {
+    let Decision::Propose(value) = request(0, 1).decide(None, &[]).0 else {
         panic!("nothing stands against it")
     };
     Value { sequence, sets: sets.iter().map(set).collect::<Vec<MemberSet>>().into(), ..value }
@@ -33,13 +33,13 @@
     members.iter().map(|(at, round)| (member(*at, 0), ballot(*round))).collect()
 }
 
-fn whole(sequence: u64, after: u64) -> Vec<CopyEvent> {
-    vec![CopyEvent::Whole { sequence, after: at(after) }]
+fn whole(sequence: u64, after: u64) -> Vec<ReplicaEvent> {
+    vec![ReplicaEvent::Complete { sequence, after: at(after) }]
 }
 
 /// Members 1 to 3, all of them with the value of round 5.
-fn three() -> CopyTable {
-    let mut table = CopyTable::new(WAIT);
+fn three() -> ReplicaTable {
+    let mut table = ReplicaTable::new(WAIT);
     let events =
         table.observe(at(0), ballot(5), &value(1, &[&[1, 2, 3]]), holding(&[(1, 5), (2, 5), (3, 5)]));
     assert_eq!(events, whole(1, 0));
@@ -52,7 +52,7 @@
     let joined_beside_one_that_is_lost = value(3, &[&[1, 2, 3, 4]]);
     let others = || holding(&[(1, 7), (2, 7), (4, 7)]);
     assert_eq!(table.observe(at(100), ballot(7), &joined_beside_one_that_is_lost, others()), []);
-    assert!(!table.is_whole(ballot(7)), "two of four would be no majority");
+    assert!(!table.is_complete(ballot(7)), "two of four would be no majority");
     let removed = value(5, &[&[1, 2, 4]]);
     let events = table.observe(at(900), ballot(9), &removed, holding(&[(1, 9), (2, 9), (4, 9)]));
     assert_eq!(events, whole(5, 0));
@@ -63,7 +63,7 @@
     let mut table = three();
     let changed = value(3, &[&[1, 2, 4]]);
     assert_eq!(table.observe(at(100), ballot(7), &changed, holding(&[(1, 7), (2, 5), (4, 5)])), []);
-    assert!(!table.is_whole(ballot(7)));
+    assert!(!table.is_complete(ballot(7)));
     assert_eq!(table.observe(at(200), ballot(7), &changed, holding(&[(1, 7), (2, 7), (4, 5)])), []);
     let events = table.observe(at(300), ballot(7), &changed, holding(&[(1, 7), (2, 7), (4, 7)]));
     assert_eq!(events, whole(3, 200));
@@ -101,7 +101,7 @@
     assert_eq!(table.observe(at(100), ballot(7), &changed, lacking()), []);
     assert_eq!(table.observe(at(1100), ballot(7), &changed, lacking()), []);
     assert!(!table.present(at(1100))[&member(3, 0)].overdue);
-    let missing = [CopyEvent::Missing { member: member(3, 0) }];
+    let missing = [ReplicaEvent::Missing { member: member(3, 0) }];
     assert_eq!(table.observe(at(1101), ballot(7), &changed, lacking()), missing);
     assert!(table.present(at(1101))[&member(3, 0)].overdue);
     assert!(!table.present(at(1101))[&member(2, 0)].overdue);
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_joining_member_must_hold_what_has_been_committed_for_a_while() {
-    let mut table = CopyTable::new(WAIT);
+    let mut table = ReplicaTable::new(WAIT);
     assert_eq!(table.required(), Ballot::default());
     let set: &[&[u8]] = &[&[1, 2, 3]];
     table.observe(at(0), ballot(5), &value(1, set), holding(&[]));
@@ -140,7 +140,7 @@
 fn what_there_is_before_the_first_value_is_no_copy_to_wait_for() {
     let first: BTreeSet<Member> = [1, 2, 3].map(|at| member(at, 0)).into();
     let empty_disks = || first.iter().map(|member| (*member, Ballot::default())).collect();
-    let mut table = CopyTable::new(WAIT);
+    let mut table = ReplicaTable::new(WAIT);
     assert_eq!(table.observe(at(0), Ballot::default(), &initial_value(&first), empty_disks()), []);
     assert_eq!(table.required(), Ballot::default());
     assert_eq!(table.present(at(0)).len(), 3);
--- a/crates/register/tests/rounds.rs
+++ b/crates/register/tests/rounds.rs
@@ -8,15 +8,15 @@
     members_of, replace_members,
 };
 use std::collections::BTreeSet;
-use support::{Cluster, member, order};
+use support::{Cluster, member, request};
 
 #[test]
 fn an_order_is_taken_once_and_acknowledged_again_after_others() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
-    assert_eq!(cluster.order(1, &order(1, 5)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(1, &request(1, 5)), Some(ConfigAnswer::Applied));
     assert_eq!(
-        cluster.order(2, &order(0, 1)),
+        cluster.submit(2, &request(0, 1)),
         Some(ConfigAnswer::Applied),
         "the same order again, at another member"
     );
@@ -26,31 +26,31 @@
 #[test]
 fn of_two_orders_on_one_version_one_wins() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
-    assert_eq!(cluster.order(1, &order(1, 3)), Some(ConfigAnswer::Applied));
-    assert_eq!(cluster.order(2, &order(1, 4)), Some(ConfigAnswer::VersionMismatch(3)));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(1, &request(1, 3)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(2, &request(1, 4)), Some(ConfigAnswer::VersionMismatch(3)));
     assert_eq!(cluster.read(1).version, 3);
 }
 
 #[test]
 fn a_version_that_does_not_rise_is_refused() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 4)), Some(ConfigAnswer::Applied));
-    assert_eq!(cluster.order(0, &order(4, 4)), Some(ConfigAnswer::VersionNotIncreasing(4)));
+    assert_eq!(cluster.submit(0, &request(0, 4)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(4, 4)), Some(ConfigAnswer::VersionNotIncreasing(4)));
 }
 
 #[test]
 fn a_value_at_a_minority_is_finished_or_superseded_and_a_refusal_stands() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     // Accepted by member 0 alone: its proposer then falls silent.
-    let lost = order(1, 2);
-    cluster.order_reaching(0, &lost, &[0]);
+    let lost = request(1, 2);
+    cluster.submit_reaching(0, &lost, &[0]);
     // Members 1 and 2 know nothing of it and take another order.
-    cluster.cut(0, true);
-    assert_eq!(cluster.order(1, &order(1, 3)), Some(ConfigAnswer::Applied));
-    cluster.cut(0, false);
-    assert_eq!(cluster.order(2, &lost), Some(ConfigAnswer::VersionMismatch(3)));
+    cluster.set_partitioned(0, true);
+    assert_eq!(cluster.submit(1, &request(1, 3)), Some(ConfigAnswer::Applied));
+    cluster.set_partitioned(0, false);
+    assert_eq!(cluster.submit(2, &lost), Some(ConfigAnswer::VersionMismatch(3)));
     for at in 0..3 {
         assert_eq!(cluster.read(at).version, 3, "the refused order must never come into force");
     }
@@ -59,59 +59,59 @@
 #[test]
 fn who_refuses_makes_sure_that_what_it_saw_is_chosen() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     // Version 3 stands at member 1 alone when member 2 refuses another order because of it.
-    cluster.order_reaching(1, &order(1, 3), &[1]);
-    cluster.cut(0, true);
-    assert_eq!(cluster.order(2, &order(1, 4)), Some(ConfigAnswer::VersionMismatch(3)));
-    cluster.cut(0, false);
-    cluster.cut(1, true);
+    cluster.submit_reaching(1, &request(1, 3), &[1]);
+    cluster.set_partitioned(0, true);
+    assert_eq!(cluster.submit(2, &request(1, 4)), Some(ConfigAnswer::VersionMismatch(3)));
+    cluster.set_partitioned(0, false);
+    cluster.set_partitioned(1, true);
     assert_eq!(cluster.read(0).version, 3, "member 1 is away, and version 3 is still there");
 }
 
 #[test]
 fn a_read_that_finds_a_value_at_a_minority_chooses_it() {
     let mut cluster = Cluster::new(3);
-    cluster.order_reaching(0, &order(0, 1), &[0]);
+    cluster.submit_reaching(0, &request(0, 1), &[0]);
     assert_eq!(cluster.read(0).version, 1);
-    cluster.cut(0, true);
+    cluster.set_partitioned(0, true);
     assert_eq!(cluster.read(1).version, 1, "a value that was read is there for good");
 }
 
 #[test]
 fn a_proposer_that_wakes_up_late_is_preempted() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
-    let late = order(1, 2);
-    let mut sleeping = cluster.prepared(0, &late);
-    assert_eq!(cluster.order(1, &order(1, 3)), Some(ConfigAnswer::Applied));
-    assert_eq!(cluster.order(2, &order(3, 4)), Some(ConfigAnswer::Applied));
-    assert!(matches!(cluster.wake(&mut sleeping), Some(Outcome::Preempted(_))));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
+    let late = request(1, 2);
+    let mut paused = cluster.prepared(0, &late);
+    assert_eq!(cluster.submit(1, &request(1, 3)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(2, &request(3, 4)), Some(ConfigAnswer::Applied));
+    assert!(matches!(cluster.wake(&mut paused), Some(Outcome::Preempted(_))));
     assert_eq!(cluster.read(0).version, 4);
 }
 
 #[test]
 fn a_member_is_replaced_and_the_old_one_does_not_count_any_more() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
-    cluster.cut(2, true);
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
+    cluster.set_partitioned(2, true);
     let new = cluster.add(member(2, 77));
     assert!(cluster.replace(0, &[member(0, 0), member(1, 0), member(2, 77)]));
-    cluster.cut(0, true);
+    cluster.set_partitioned(0, true);
     assert_eq!(
-        cluster.order(1, &order(1, 2)),
+        cluster.submit(1, &request(1, 2)),
         Some(ConfigAnswer::Applied),
         "members 1 and the new one are a majority"
     );
-    cluster.cut(1, true);
-    cluster.cut(2, false);
+    cluster.set_partitioned(1, true);
+    cluster.set_partitioned(2, false);
     assert_eq!(cluster.try_read(new), None, "the new one and the one that was replaced are none");
 }
 
 #[test]
 fn a_round_that_finds_other_sets_whose_members_have_all_promised_goes_on() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     cluster.add(member(3, 9));
     let four = [member(0, 0), member(1, 0), member(2, 0), member(3, 9)];
     // The first half of a change alone: its sets are the three and the four.
@@ -127,13 +127,13 @@
 #[test]
 fn a_proposer_with_the_view_of_long_ago_finds_the_newest_value() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     let long_ago = cluster.view();
     cluster.add(member(3, 9));
     assert!(cluster.replace(0, &[member(0, 0), member(1, 0), member(3, 9)]));
     cluster.add(member(4, 9));
     assert!(cluster.replace(0, &[member(0, 0), member(4, 9), member(3, 9)]));
-    assert_eq!(cluster.order(0, &order(1, 2)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(1, 2)), Some(ConfigAnswer::Applied));
     let outcome = cluster.round(2, long_ago, &mut |_| Decision::Read);
     let Some(Outcome::Read(_, value)) = outcome else { panic!("{outcome:?}") };
     assert_eq!(value.version, 2);
@@ -163,7 +163,7 @@
 #[test]
 fn an_acceptor_that_recovers_keeps_its_promise_and_its_value() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     for at in 0..3 {
         cluster.restart(at);
     }
@@ -173,7 +173,7 @@
 #[test]
 fn a_change_of_members_under_way_is_finished_before_another_begins() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     cluster.add(member(3, 9));
     let four = [member(0, 0), member(1, 0), member(2, 0), member(3, 9)];
     assert!(cluster.begin_replace(0, &four));
@@ -186,7 +186,7 @@
 #[test]
 fn the_second_half_of_a_change_waits_until_the_first_is_chosen() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     let new = cluster.add(member(3, 9));
     let next = [member(0, 0), member(1, 0), member(3, 9)];
     // The first half reaches member 1 and the new one: no majority of the old members.
@@ -201,8 +201,8 @@
 fn what_was_taken_is_remembered_within_bounds() {
     let mut cluster = Cluster::new(1);
     for version in 1..=600 {
-        let order = ConfigRequest::replace(version - 1, version, Vec::new());
-        assert_eq!(cluster.order(0, &order), Some(ConfigAnswer::Applied));
+        let request = ConfigRequest::replace(version - 1, version, Vec::new());
+        assert_eq!(cluster.submit(0, &request), Some(ConfigAnswer::Applied));
     }
     assert_eq!(cluster.read(0).applied.items().len(), 512);
 }
@@ -216,17 +216,17 @@
     let grown = cluster.read(1);
     assert_eq!((grown.sequence, grown.version, grown.config.as_slice()), (2, 0, [].as_slice()));
     assert_eq!(
-        cluster.order(2, &order(1, 2)),
+        cluster.submit(2, &request(1, 2)),
         Some(ConfigAnswer::Indeterminate),
         "there may be a version 1"
     );
-    assert_eq!(cluster.order(2, &order(0, 1)), Some(ConfigAnswer::Applied));
-    cluster.cut(0, true);
+    assert_eq!(cluster.submit(2, &request(0, 1)), Some(ConfigAnswer::Applied));
+    cluster.set_partitioned(0, true);
     let value = cluster.read(1);
     assert_eq!((value.sequence, value.version), (3, 1));
     assert!(value.sets.items()[0].items().contains(&member(3, 9)));
-    cluster.cut(1, true);
-    assert_eq!(cluster.order(2, &order(1, 2)), None, "two of four are no majority");
+    cluster.set_partitioned(1, true);
+    assert_eq!(cluster.submit(2, &request(1, 2)), None, "two of four are no majority");
 }
 
 #[test]
@@ -234,16 +234,16 @@
     let members = [member(0, 0), member(1, 0), member(2, 0), member(3, 9)];
     let mut cluster = Cluster::new(3);
     cluster.add(member(3, 9));
-    cluster.order_reaching(0, &order(0, 1), &[1]);
-    cluster.cut(0, true);
+    cluster.submit_reaching(0, &request(0, 1), &[1]);
+    cluster.set_partitioned(0, true);
     assert!(cluster.replace(2, &members));
     assert_eq!(cluster.read(2).version, 1, "it may have been acknowledged");
 
     let mut cluster = Cluster::new(3);
     cluster.add(member(3, 9));
     assert!(cluster.begin_replace(0, &members), "joint sets");
-    cluster.cut(0, true);
-    assert_eq!(cluster.order(1, &order(0, 1)), Some(ConfigAnswer::Applied));
+    cluster.set_partitioned(0, true);
+    assert_eq!(cluster.submit(1, &request(0, 1)), Some(ConfigAnswer::Applied));
     let value = cluster.read(1);
     assert!(is_joint(&value) && value.version == 1, "the sets under way stay");
 }
--- a/crates/register/tests/support/attempt.rs
+++ b/crates/register/tests/support/attempt.rs
@@ -217,12 +217,13 @@
         Purpose::Read => (Decision::Read, None),
         Purpose::Members(next) => {
             let initial = terms.changes_before_first_value.then(|| initial_value(&terms.first[0]));
-            let begin = |value| table_kept(replace_members(value, next), mutant);
+            let begin = |value| with_applied_table(replace_members(value, next), mutant);
             (current.or(initial.as_ref()).map_or(Decision::Read, begin), None)
         }
-        Purpose::Finish => {
-            (current.map_or(Decision::Read, |value| table_kept(finish_membership(value), mutant)), None)
-        }
+        Purpose::Finish => (
+            current.map_or(Decision::Read, |value| with_applied_table(finish_membership(value), mutant)),
+            None,
+        ),
     }
 }
 
@@ -264,7 +265,7 @@
     answer
 }
 
-fn table_kept(mut decision: Decision, mutant: Mutant) -> Decision {
+fn with_applied_table(mut decision: Decision, mutant: Mutant) -> Decision {
     if mutant == Mutant::TableLostAtMembership
         && let Decision::Propose(value) = &mut decision
     {
--- a/crates/register/tests/support/mod.rs
+++ b/crates/register/tests/support/mod.rs
@@ -3,9 +3,9 @@
 
 pub mod attempt;
 pub mod checker;
-pub mod inspecting;
 pub mod mutants;
 pub mod node;
+pub mod read_attempt;
 pub mod world;
 
 use runtrack_message::{Ballot, Member, RegisterReply, RegisterRequest, Value, Watermark};
@@ -29,7 +29,7 @@
 }
 
 /// An order by its versions.
-pub fn order(base: u64, version: u64) -> ConfigRequest {
+pub fn request(base: u64, version: u64) -> ConfigRequest {
     ConfigRequest::replace(base, version, format!("config {version}").into_bytes())
 }
 
@@ -38,7 +38,7 @@
     acceptor: Acceptor,
     promise: Option<PromiseRecord>,
     value: Option<ValueRecord>,
-    cut: bool,
+    partitioned: bool,
 }
 
 impl Node {
@@ -59,7 +59,7 @@
 }
 
 /// A round that sleeps between its two halves.
-pub struct Sleeping {
+pub struct PausedRound {
     round: Round,
     accepts: Vec<Send>,
 }
@@ -96,7 +96,7 @@
             acceptor: Acceptor::new(member.incarnation),
             promise: Some(first_promise(member)),
             value: None,
-            cut: false,
+            partitioned: false,
         });
         self.nodes.len() - 1
     }
@@ -105,8 +105,8 @@
         self.view.clone()
     }
 
-    pub fn cut(&mut self, at: usize, cut: bool) {
-        self.nodes[at].cut = cut;
+    pub fn set_partitioned(&mut self, at: usize, partitioned: bool) {
+        self.nodes[at].partitioned = partitioned;
     }
 
     /// A copy of a member's disk.
@@ -144,7 +144,7 @@
     }
 
     fn deliver(&mut self, to: Member, request: &RegisterRequest) -> Option<RegisterReply> {
-        let node = self.nodes.iter_mut().find(|node| node.member == to && !node.cut)?;
+        let node = self.nodes.iter_mut().find(|node| node.member == to && !node.partitioned)?;
         let (reply, durable) = node.acceptor.handle(request);
         node.keep(durable);
         Some(reply)
@@ -203,11 +203,11 @@
         outcome
     }
 
-    pub fn order(&mut self, at: usize, order: &ConfigRequest) -> Option<ConfigAnswer> {
+    pub fn submit(&mut self, at: usize, request: &ConfigRequest) -> Option<ConfigAnswer> {
         let first = self.view.clone();
         let mut answer = None;
         let outcome = self.decide(at, &mut |current| {
-            let (decision, found) = order.decide(current, &first);
+            let (decision, found) = request.decide(current, &first);
             answer = Some(found);
             decision
         });
@@ -218,19 +218,23 @@
     }
 
     /// Prepares for an order, and stops before it is sent out.
-    pub fn prepared(&mut self, at: usize, order: &ConfigRequest) -> Sleeping {
+    pub fn prepared(&mut self, at: usize, request: &ConfigRequest) -> PausedRound {
         let first = self.view.clone();
-        self.prepared_for(at, &mut |current| order.decide(current, &first).0)
+        self.prepared_for(at, &mut |current| request.decide(current, &first).0)
     }
 
-    fn prepared_for(&mut self, at: usize, decide: &mut dyn FnMut(Option<&Value>) -> Decision) -> Sleeping {
+    fn prepared_for(
+        &mut self,
+        at: usize,
+        decide: &mut dyn FnMut(Option<&Value>) -> Decision,
+    ) -> PausedRound {
         let ballot = self.ballot(at);
         let first = self.view.clone();
         let (mut round, prepares) = Round::new(ballot, first, None);
         for (to, request) in prepares {
             let Some(reply) = self.deliver(to, &request) else { continue };
             match round.reply(to, reply, decide) {
-                Progress::Send(accepts) if !accepts.is_empty() => return Sleeping { round, accepts },
+                Progress::Send(accepts) if !accepts.is_empty() => return PausedRound { round, accepts },
                 Progress::Send(_) => {}
                 Progress::Done(outcome) => panic!("{outcome:?}"),
             }
@@ -239,10 +243,10 @@
     }
 
     /// Sends out what a round had decided before it slept.
-    pub fn wake(&mut self, sleeping: &mut Sleeping) -> Option<Outcome> {
-        for (to, request) in std::mem::take(&mut sleeping.accepts) {
+    pub fn wake(&mut self, paused: &mut PausedRound) -> Option<Outcome> {
+        for (to, request) in std::mem::take(&mut paused.accepts) {
             let Some(reply) = self.deliver(to, &request) else { continue };
-            if let Progress::Done(outcome) = sleeping.round.reply(to, reply, &mut |_| Decision::Read) {
+            if let Progress::Done(outcome) = paused.round.reply(to, reply, &mut |_| Decision::Read) {
                 return Some(outcome);
             }
         }
@@ -250,22 +254,22 @@
     }
 
     /// An order whose accepts reach these members alone; its proposer hears nothing more.
-    pub fn order_reaching(&mut self, at: usize, order: &ConfigRequest, reached: &[usize]) {
-        let sleeping = self.prepared(at, order);
-        self.reach(sleeping, reached);
+    pub fn submit_reaching(&mut self, at: usize, request: &ConfigRequest, reached: &[usize]) {
+        let paused = self.prepared(at, request);
+        self.reach(paused, reached);
     }
 
     /// The first half of a change of members that reaches these alone.
     pub fn begin_replace_reaching(&mut self, at: usize, next: &[Member], reached: &[usize]) {
         let next: BTreeSet<Member> = next.iter().copied().collect();
-        let sleeping =
+        let paused =
             self.prepared_for(at, &mut |current| replace_members(current.expect("a value"), &next));
-        self.reach(sleeping, reached);
+        self.reach(paused, reached);
     }
 
-    fn reach(&mut self, sleeping: Sleeping, reached: &[usize]) {
+    fn reach(&mut self, paused: PausedRound, reached: &[usize]) {
         let reached: Vec<Member> = reached.iter().map(|at| self.nodes[*at].member).collect();
-        for (to, request) in sleeping.accepts.into_iter().filter(|(to, _)| reached.contains(to)) {
+        for (to, request) in paused.accepts.into_iter().filter(|(to, _)| reached.contains(to)) {
             let reply = self.deliver(to, &request);
             assert!(matches!(reply, Some(RegisterReply::Accepted { .. })), "{reply:?}");
         }
--- a/crates/register/tests/support/inspecting.rs
+++ b/crates/register/tests/support/read_attempt.rs
@@ -8,7 +8,7 @@
 
 /// One quorum read.
 #[derive(Clone, Debug)]
-pub struct Inspecting {
+pub struct ReadAttempt {
     read: QuorumRead,
     mutant: Mutant,
     /// For mutants: the sets that the reader began with, and what was answered.
@@ -17,7 +17,7 @@
     seen: BTreeMap<Ballot, Rc<Value>>,
 }
 
-impl Inspecting {
+impl ReadAttempt {
     /// A read for who believes that these sets are in force and has this value.
     pub fn new(
         sets: Vec<BTreeSet<Member>>,
@@ -26,7 +26,7 @@
     ) -> (Self, Vec<Inspection>) {
         let seen = known.iter().cloned().collect();
         let (read, inspections) = QuorumRead::new(sets.clone(), known);
-        (Inspecting { read, mutant, sets, answers: BTreeMap::new(), seen }, inspections)
+        (ReadAttempt { read, mutant, sets, answers: BTreeMap::new(), seen }, inspections)
     }
 
     /// Takes a member's reply.
--- a/crates/register/tests/support/world/operations.rs
+++ b/crates/register/tests/support/world/operations.rs
@@ -36,7 +36,7 @@
         if self.operations.len() >= self.profile.max_operations {
             return;
         }
-        if !self.requests.is_empty() && self.rng.u32(..100) < self.profile.repeats {
+        if !self.requests.is_empty() && self.rng.u32(..100) < self.profile.retries {
             let request = self.some_request();
             return self.start_request_at(request);
         }
--- a/crates/register/tests/support/world/profile.rs
+++ b/crates/register/tests/support/world/profile.rs
@@ -33,7 +33,7 @@
     /// Requests that were applied before the world begins.
     pub applied_before: u64,
     /// Of a hundred requests so many are one that was sent before.
-    pub repeats: u32,
+    pub retries: u32,
     /// Of a hundred new requests so many have the version of another one and another body.
     pub same_version: u32,
     /// Of a hundred new requests so many have a successor at once, on a version that may never come into force.
@@ -73,7 +73,7 @@
             max_operations: rng.usize(2..5),
             max_applied: if rng.bool() { rng.usize(1..4) } else { MAX_APPLIED_REQUESTS },
             applied_before: 0,
-            repeats: rng.u32(20..60),
+            retries: rng.u32(20..60),
             same_version: rng.u32(..30),
             successors: rng.u32(..60),
             rivals: rng.u32(..100),
--- a/crates/register/tests/support/world/reads.rs
+++ b/crates/register/tests/support/world/reads.rs
@@ -4,9 +4,9 @@
 use super::World;
 use super::network::accept_for;
 use crate::support::checker::Event;
-use crate::support::inspecting::Inspecting;
 use crate::support::mutants::Mutant;
 use crate::support::node::{Disk, Node};
+use crate::support::read_attempt::ReadAttempt;
 use fastrand::Rng;
 use runtrack_message::{InspectReply, InspectRequest, Member};
 use runtrack_register::{Inspection, ReadOutcome, ReadProgress};
@@ -37,7 +37,7 @@
 
 struct OpenRead {
     id: usize,
-    read: Inspecting,
+    read: ReadAttempt,
     until: usize,
 }
 
@@ -136,7 +136,7 @@
         let at = self.reads.rng.usize(..self.processes.len());
         let process = &self.processes[at];
         let (read, inspections) =
-            Inspecting::new(process.view.1.clone(), process.known.clone(), self.terms.mutant);
+            ReadAttempt::new(process.view.1.clone(), process.known.clone(), self.terms.mutant);
         let id = self.reads.next;
         self.reads.next += 1;
         self.reads.open.push(OpenRead { id, read, until: self.now + READ_STEPS });
--- a/crates/register/tests/watermarks.rs
+++ b/crates/register/tests/watermarks.rs
@@ -7,7 +7,7 @@
 use runtrack_register::{ConfigAnswer, DiskCheck, DiskVerdict, DurableWatermarks, LATE_ANSWERS_TIMEOUT};
 use std::collections::BTreeSet;
 use std::time::Duration;
-use support::{Cluster, member, order};
+use support::{Cluster, member, request};
 
 fn ballot(round: u64) -> Ballot {
     Ballot { round, boot: 1 }
@@ -135,11 +135,11 @@
 /// Version 2 is acknowledged at members 1 and 2, then member 2's disk is put back to where it held version 1.
 fn put_back() -> Cluster {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(0, &order(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     let copy = cluster.copy_disk(2);
-    cluster.cut(0, true);
-    assert_eq!(cluster.order(1, &order(1, 2)), Some(ConfigAnswer::Applied));
-    cluster.cut(0, false);
+    cluster.set_partitioned(0, true);
+    assert_eq!(cluster.submit(1, &request(1, 2)), Some(ConfigAnswer::Applied));
+    cluster.set_partitioned(0, false);
     cluster.restart_from(2, copy);
     cluster
 }
@@ -148,7 +148,7 @@
 fn a_member_that_goes_on_with_an_older_disk_loses_what_was_acknowledged() {
     // What the check stands against: without it this happens every time.
     let mut cluster = put_back();
-    cluster.cut(1, true);
+    cluster.set_partitioned(1, true);
     assert_eq!(cluster.read(0).version, 1, "version 2 was acknowledged");
 }
 
@@ -161,19 +161,19 @@
     }
     assert!(matches!(check.verdict(START), DiskVerdict::Older(_)));
     // It is silent under its old incarnation, and joins as another member.
-    cluster.cut(2, true);
+    cluster.set_partitioned(2, true);
     cluster.add(member(2, 7));
     assert!(cluster.replace(0, &[member(0, 0), member(1, 0), member(2, 7)]));
-    cluster.cut(1, true);
+    cluster.set_partitioned(1, true);
     assert_eq!(cluster.read(0).version, 2);
 }
 
 #[test]
 fn a_damaged_newest_record_is_found_out_like_an_older_disk() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(1, &order(0, 1)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(1, &request(0, 1)), Some(ConfigAnswer::Applied));
     let before = cluster.copy_disk(2);
-    assert_eq!(cluster.order(1, &order(1, 2)), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(1, &request(1, 2)), Some(ConfigAnswer::Applied));
     // The ring falls back to the record before the damaged one.
     cluster.restart_from(2, before);
     let mut check = cluster.disk_check(2);
