--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -1,13 +1,17 @@
-//! What a member has promised and accepted.
+//! The acceptor of CASPaxos (Rystsov 2018): what a member has promised and accepted.
+//!
+//! The proposer's half is in `round.rs`; `recovery.rs` makes an acceptor of the records on a disk. `runtrack-controller`
+//! writes each [`Durable`] before it sends the reply that came with it: a reply that left before its write could be
+//! contradicted after a power failure, and two values chosen.
 
 use crate::record::{PromiseRecord, ValueRecord};
 use runtrack_message::{Ballot, RegisterReply, RegisterRequest, Value, Watermark};
 use std::rc::Rc;
 
-/// A value that was accepted.
+/// A value that was accepted, and the ballot that it was accepted under.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Accepted {
-    /// Under this ballot.
+    /// The ballot of the round that proposed it.
     pub ballot: Ballot,
     /// The value.
     pub value: Rc<Value>,
@@ -16,13 +20,13 @@
 /// What must be on disk before the reply goes out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Durable {
-    /// A promise.
+    /// A promise to take part in no round below this ballot.
     Promise(Ballot),
     /// An accepted value.
     Value(Accepted),
 }
 
-/// One incarnation of a member.
+/// The state of one incarnation of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     incarnation: u64,
@@ -36,9 +40,9 @@
         Acceptor { incarnation, promised: Ballot::default(), accepted: None }
     }
 
-    /// The member that these records are of; none where there is no promise. A member writes a promise before anything
-    /// else, so a value without one is what is left of a damaged disk, and what was promised there is not known. A value
-    /// of another incarnation was written before the member took this one.
+    /// The member that wrote these records; none where there is no promise. A member writes a promise before anything
+    /// else, so a value without one is what remains of a damaged disk, and what was promised there is not known. A value
+    /// of another incarnation was written before the member took this one, and is ignored.
     pub fn recover(promise: Option<PromiseRecord>, value: Option<ValueRecord>) -> Option<Self> {
         let PromiseRecord { incarnation, promised } = promise?;
         let value = value.filter(|value| value.incarnation == incarnation);
@@ -47,12 +51,12 @@
         Some(Acceptor { incarnation, promised, accepted })
     }
 
-    /// Its incarnation.
+    /// The incarnation that requests must name; others get [`RegisterReply::WrongIncarnation`].
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// What it has accepted last.
+    /// The value that it has accepted last; none before the first.
     pub fn accepted(&self) -> Option<&Accepted> {
         self.accepted.as_ref()
     }
@@ -62,7 +66,7 @@
         self.promised
     }
 
-    /// What it holds on disk, where everything that it promised and accepted was kept.
+    /// What it has on disk, provided that each [`Durable`] so far has been written.
     pub fn watermark(&self) -> Watermark {
         Watermark {
             promised: self.promised,
@@ -70,8 +74,8 @@
         }
     }
 
-    /// Its reply, and what must be kept before that goes out. Where it can't be kept, the caller puts the acceptor
-    /// back as it was and says nothing.
+    /// The reply to a request, and what must be on disk before that is sent. Where the write fails, the caller restores
+    /// the acceptor as it was and sends nothing: the proposer then can't tell it from a member that is down.
     pub fn handle(&mut self, request: &RegisterRequest) -> (RegisterReply, Option<Durable>) {
         match request {
             RegisterRequest::Prepare { to, ballot, have } if *to == self.incarnation => {
@@ -84,9 +88,9 @@
         }
     }
 
-    /// Takes a value that is known to be committed under this ballot, and says what must be kept; nothing where it has
-    /// that value or a newer one. It doesn't matter what was promised meanwhile: a majority had accepted the value
-    /// before, so no proposer can rely on this member's not having it. The promise never goes down.
+    /// Takes a value that is known to be committed under this ballot, and returns what must be on disk; none where it has
+    /// that value or a newer one. Promises made meanwhile don't matter: a majority had accepted the value before, so no
+    /// proposer can rely on this member's lacking it. The promise is never lowered, since a proposer counts on it.
     pub fn adopt_committed(&mut self, ballot: Ballot, value: Rc<Value>) -> Option<Durable> {
         if self.accepted.as_ref().is_some_and(|accepted| accepted.ballot >= ballot) {
             return None;
--- a/crates/register/src/change.rs
+++ b/crates/register/src/change.rs
@@ -1,19 +1,23 @@
-//! Decisions on the value that a round found, and changes of the membership.
+//! Decisions on the value that a round found, and the two halves of a change of membership (joint sets: Ongaro's thesis
+//! 2014, 4.3, applied to a register; the CASPaxos paper itself changes acceptors one at a time: Rystsov 2018, cluster membership
+//! change).
+//!
+//! `request.rs` decides on operators' requests; which change of members is due is decided in `membership.rs`.
 
 use crate::sets::{is_joint, members_of, wire_sets};
 use runtrack_message::{Member, Value};
 use std::collections::BTreeSet;
 
-/// What is to be done with the value that was found.
+/// What a round does with the value that it found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Nothing, but it must be chosen for sure.
+    /// It answers with that value, once it is known to be chosen.
     Read,
-    /// This one takes its place.
+    /// It proposes this value in place of the one found.
     Propose(Value),
 }
 
-/// What a register holds before anything is written to it: no configuration, and its first members. A change of members may
+/// The value of a register that nothing was written to: no configuration, and its first members. A change of members may
 /// build on it as on any other value.
 pub fn initial_value(first: &BTreeSet<Member>) -> Value {
     Value {
@@ -30,7 +34,7 @@
     Value { sequence: value.sequence + 1, sets: wire_sets(sets), ..value.clone() }
 }
 
-/// The second half of a change of membership: the new set alone.
+/// The second half of a change of membership: the new set alone. Reads where no change is in progress.
 pub fn finish_membership(current: &Value) -> Decision {
     if !is_joint(current) {
         return Decision::Read;
@@ -38,7 +42,8 @@
     Decision::Propose(with_sets(current, &[members_of(current)]))
 }
 
-/// The first half of a change of membership. Where the change of another is under way, that is finished first.
+/// The first half of a change of membership: joint sets of the current members and the next. Where a change is in progress,
+/// that one is finished first, so that there are never more than two sets. Reads where `next` is empty or in force.
 pub fn replace_members(current: &Value, next: &BTreeSet<Member>) -> Decision {
     if is_joint(current) {
         return finish_membership(current);
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -1,6 +1,8 @@
-//! A compare-and-set register in two rounds at a majority (CASPaxos: Rystsov, 2018), with its own membership in the
-//! value. No I/O and no clock: an [`Acceptor`] takes requests and says what must be on disk before its reply may go
-//! out; a [`Round`] takes replies and says what to send next.
+//! A compare-and-set register in two rounds at a majority (CASPaxos: Rystsov, "CASPaxos: Replicated State Machines without
+//! logs", 2018), with its own membership in the value. No I/O and no clock: an [`Acceptor`] takes requests and states what
+//! must be on disk before its reply may be sent; a [`Round`] takes replies and states what to send next.
+//!
+//! `runtrack-controller` hosts it: sockets, disk and timers are there. Messages are `runtrack-message`'s.
 //!
 //! Membership changes by joint sets (Ongaro's thesis, 4.3, on a register): a value names the sets of members at each
 //! of which a majority must accept. A change first writes a value with the old set and the new one, then one with the
@@ -10,10 +12,10 @@
 //! ([`Outcome::MembershipCommitted`]).
 //!
 //! A round that wants to answer without writing still makes sure that what it saw is chosen, by accepting it again
-//! unless a majority already has it under one ballot. Without that a refused order could come into force later.
+//! unless a majority already has it under one ballot. Without that a rejected request could come into force later.
 //!
-//! A [`QuorumRead`] finds what is chosen without any ballot: members only say what they have accepted, and nothing is
-//! written. Where that does not settle it, the reader takes a [`Round`].
+//! A [`QuorumRead`] finds what is chosen without any ballot: members only report what they have accepted, and nothing is
+//! written. Where their answers leave it open, the reader takes a [`Round`].
 
 mod acceptor;
 mod change;
--- a/crates/register/src/membership.rs
+++ b/crates/register/src/membership.rs
@@ -1,31 +1,32 @@
-//! Which change of members comes next. No I/O and no clock: a [`MembershipView`] says what the coordinator knows, the
-//! [`MembershipPlan`] what it does about it.
+//! Planning of changes of members. No I/O and no clock: a [`MembershipView`] states what the coordinator knows, the
+//! [`MembershipPlan`] what it does next. `change.rs` has the two halves of the change itself.
 //!
 //! One member is added, replaced or removed at a time, and the next change waits until the members that are present
-//! hold the value of the one before. The register itself makes the change safe whoever proposes it; the plan keeps the
-//! copies whole, so that a second loss right after a change finds as many copies as there were before the first.
+//! have the value of the one before on disk. The register makes each change safe, whichever process proposes it; the plan
+//! keeps the replicas complete, so that a second loss right after a change finds as many of them as the first one did.
 
 use runtrack_message::{Ballot, Member};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Shortest time after which a member is suspected: above the lease of contact, so that a probe or two may be late.
+/// Shortest time after which a member is suspected: above the lease of contact (800 ms in `runtrack-controller`), so that a
+/// probe or two may be late.
 const MIN_SUSPICION: Duration = Duration::from_millis(1000);
 
-/// The times of the membership, from the figures of the deployment.
+/// Time-outs of the membership, derived from the deployment's bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipTimes {
-    /// A member that was not reached for longer is suspect.
+    /// A member without proven contact for longer than this is suspected.
     pub suspicion: Duration,
-    /// A missing copy is waited for so long before the next change of members.
+    /// How long the next change of members waits for a replica that is missing.
     pub replica_wait: Duration,
-    /// A leaving member waits so long for the copies of the others.
+    /// How long a leaving member waits for the replicas of the others.
     pub leave: Duration,
 }
 
 impl MembershipTimes {
-    /// A lost member is suspected within a quarter of `settle`, so that its replacement holds its copy within half of
-    /// it; who leaves does so within a quarter of `grace`.
+    /// Suspicion and replica wait are a quarter of `settle` each, so that a replacement has its replica within half of it;
+    /// a leave takes at most a quarter of `grace`, the time between the signal to end and the kill.
     pub fn new(settle: Duration, grace: Duration) -> Self {
         let quarter = settle / 4;
         MembershipTimes { suspicion: quarter.max(MIN_SUSPICION), replica_wait: quarter, leave: grace / 4 }
@@ -37,7 +38,7 @@
 pub struct PresentMember {
     /// Ballot of the value that it has on disk.
     pub accepted: Ballot,
-    /// It has lacked the value of the last change for so long that it is not waited for any more.
+    /// It has lacked the value of the last change for longer than the replica wait: changes don't wait for it any more.
     pub overdue: bool,
 }
 
@@ -46,46 +47,46 @@
 pub struct MembershipView {
     /// The set in force.
     pub current: BTreeSet<Member>,
-    /// How many members there should be.
+    /// Number of members that there should be.
     pub wanted: usize,
     /// Ballot of the value by which the current set came into force.
     pub membership: Ballot,
-    /// Ballot of the committed value that a joining member must hold before it counts.
+    /// Ballot of the committed value that a joining member must have on disk before it is admitted.
     pub required: Ballot,
     /// Members of the current set that can be reached.
     pub present: BTreeMap<Member, PresentMember>,
     /// Members without contact to a majority of the current set.
     pub suspects: BTreeSet<Member>,
-    /// Who asks to join, with the ballot of the value that it has on disk.
+    /// Processes that ask to join, with the ballot of the value that they have on disk.
     pub joining: BTreeMap<Member, Ballot>,
-    /// Who is about to leave.
+    /// Members that are about to leave.
     pub leaving: BTreeSet<Member>,
 }
 
 /// What the coordinator does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipPlan {
-    /// The members are as they should be, as far as can be had.
+    /// No change is due, or none is possible.
     Keep,
-    /// This set comes next.
+    /// Propose this set as the next one.
     Change(BTreeSet<Member>),
-    /// A change is due, but not yet.
+    /// A change is due, and waits.
     Wait(WaitReason),
 }
 
 /// What a change that is due waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// The joining member does not hold the committed value yet.
+    /// The joining member lacks the committed value.
     JoiningMemberLacksValue(Member),
-    /// A member can't be reached and is not suspected by a majority yet: beside it a further member would only raise
-    /// what a majority is.
+    /// A member can't be reached and is not suspected by a majority yet: beside it a further member would only enlarge
+    /// the majority.
     MemberUnreachable(Member),
     /// A present member lacks the value of the last change.
     ReplicaMissing(Member),
 }
 
-/// The next change of members, or what it waits for.
+/// The next change of members, or the reason why it waits.
 pub fn plan_membership(view: &MembershipView) -> MembershipPlan {
     let plan = join(view).or_else(|| remove(view)).unwrap_or(MembershipPlan::Keep);
     match plan {
@@ -104,7 +105,7 @@
     staying.filter(|(_, present)| lacks(present)).map(|(member, _)| *member).next()
 }
 
-/// What becomes of those who ask to join: the first that holds the committed value, else a reason to wait.
+/// Admits the first process that asks to join and has the committed value; else the reason to wait for one, if any.
 fn join(view: &MembershipView) -> Option<MembershipPlan> {
     let new = view.joining.iter().filter(|(member, _)| !view.current.contains(member));
     let (ready, lacking): (Vec<_>, Vec<_>) = new.partition(|(_, accepted)| **accepted >= view.required);
@@ -118,7 +119,7 @@
     awaited.map(|member| MembershipPlan::Wait(WaitReason::JoiningMemberLacksValue(member)))
 }
 
-/// The set with this joining member in it; nothing where there is no place for it.
+/// The set with this joining member in it; none where no further member is wanted.
 fn admit(view: &MembershipView, joining: Member) -> Option<MembershipPlan> {
     // Another incarnation at its address has lost its disk, and is no member any more.
     let former = view.current.iter().find(|member| member.address() == joining.address());
@@ -135,7 +136,7 @@
     })
 }
 
-/// A member to spare that is lost or about to leave.
+/// Removes a member beyond the wanted number that is suspected or about to leave.
 fn remove(view: &MembershipView) -> Option<MembershipPlan> {
     if view.current.len() <= view.wanted.max(1) {
         return None;
--- a/crates/register/src/quorum_read.rs
+++ b/crates/register/src/quorum_read.rs
@@ -1,5 +1,7 @@
-//! A read that writes nothing (a quorum read: Charapko, Ailijiang, Demirbas, 2019). Members say what they have accepted
-//! and have on disk, and promise nothing. The argument is in `docs/design/control-state.md`, section "Reads".
+//! A read that writes nothing (a quorum read: Charapko, Ailijiang and Demirbas, "Linearizable Quorum Reads in Paxos", 2019).
+//! Members report what they have accepted and have on disk, and promise nothing. The argument is in
+//! `docs/design/control-state.md`, section "Reads". Where a read ends [`ReadOutcome::Unsettled`], the caller takes a round
+//! (`round.rs`).
 
 use crate::acceptor::Accepted;
 use crate::sets::{has_majority, sets_of};
@@ -7,11 +9,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A request for a member.
+/// A request of a read, and the member that it is for.
 pub type Inspection = (Member, InspectRequest);
 
-/// A member's reply to a read. `durable` is what it has accepted and has on disk: what it is still writing could be lost
-/// with the power after the reader was told of it.
+/// A member's reply to a read. `durable` is what it has accepted and has on disk: a value that is still being written could
+/// be lost in a power failure after the reader had answered with it.
 pub fn inspect(incarnation: u64, durable: Option<&Accepted>, request: &InspectRequest) -> InspectReply {
     if request.to != incarnation {
         return InspectReply::WrongIncarnation;
@@ -30,22 +32,22 @@
 pub enum ReadOutcome {
     /// This value is chosen, and none was chosen after it when the read began.
     Chosen(Ballot, Rc<Value>),
-    /// Nothing was chosen when the read began.
+    /// No value was chosen when the read began.
     Empty,
-    /// All have answered and it is not known what is chosen: another read or a round may find out.
+    /// All replies are in and it is not known which value is chosen: another read or a round may find out.
     Unsettled,
 }
 
-/// What a reply brought about.
+/// What the caller does after a reply.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ReadProgress {
-    /// Ask these, and wait for replies.
+    /// Send these, if any, and wait for further replies.
     Ask(Vec<Inspection>),
-    /// It is over.
+    /// The read has ended.
     Done(ReadOutcome),
 }
 
-/// One read. Replies count in whatever order they come.
+/// One read. Replies may arrive in any order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuorumRead {
     known: Option<(Ballot, Rc<Value>)>,
@@ -54,21 +56,21 @@
     asked: BTreeSet<Member>,
     /// Who has answered, and the ballot of what it has accepted; zero for nothing.
     answers: BTreeMap<Member, Ballot>,
-    /// Who will not answer.
-    refused: BTreeSet<Member>,
+    /// Members without an answer to wait for: unreachable, or another incarnation.
+    unavailable: BTreeSet<Member>,
     /// The values that were seen, by ballot.
     seen: BTreeMap<Ballot, Rc<Value>>,
 }
 
 impl QuorumRead {
-    /// A read for who believes that these sets are in force and has this value.
+    /// A read by a process that believes that these sets are in force and has this value, with its first requests.
     pub fn new(sets: Vec<BTreeSet<Member>>, known: Option<(Ballot, Rc<Value>)>) -> (Self, Vec<Inspection>) {
         let mut read = QuorumRead {
             known,
             sets: sets.clone(),
             asked: BTreeSet::new(),
             answers: BTreeMap::new(),
-            refused: BTreeSet::new(),
+            unavailable: BTreeSet::new(),
             seen: BTreeMap::new(),
         };
         let inspections = read.ask(&sets);
@@ -78,18 +80,18 @@
     /// Takes a member's reply.
     pub fn reply(&mut self, from: Member, reply: InspectReply) -> ReadProgress {
         let inspections = match reply {
-            InspectReply::Accepted(ballot) => self.answered(from, ballot, None),
+            InspectReply::Accepted(ballot) => self.on_answer(from, ballot, None),
             InspectReply::AcceptedWith { ballot, value } => {
-                self.answered(from, ballot, Some(Rc::new(value)))
+                self.on_answer(from, ballot, Some(Rc::new(value)))
             }
-            InspectReply::WrongIncarnation => self.refused(from),
+            InspectReply::WrongIncarnation => self.on_unavailable(from),
         };
         self.progress(inspections)
     }
 
-    /// A member that was asked can't be reached: nobody waits for it.
+    /// A member that was asked can't be reached: the read doesn't wait for it.
     pub fn unreachable(&mut self, member: Member) -> ReadProgress {
-        let inspections = self.refused(member);
+        let inspections = self.on_unavailable(member);
         self.progress(inspections)
     }
 
@@ -108,17 +110,17 @@
         new.into_iter().map(|member| (member, InspectRequest { to: member.incarnation, have })).collect()
     }
 
-    fn refused(&mut self, from: Member) -> Vec<Inspection> {
-        self.refused.insert(from);
+    fn on_unavailable(&mut self, from: Member) -> Vec<Inspection> {
+        self.unavailable.insert(from);
         Vec::new()
     }
 
-    fn answered(&mut self, from: Member, ballot: Ballot, value: Option<Rc<Value>>) -> Vec<Inspection> {
+    fn on_answer(&mut self, from: Member, ballot: Ballot, value: Option<Rc<Value>>) -> Vec<Inspection> {
         let known =
             self.known.as_ref().filter(|(known, _)| *known == ballot).map(|(_, value)| value.clone());
         let value = value.or(known);
         if value.is_none() && ballot > Ballot::default() {
-            return self.refused(from); // it says that we have what we don't
+            return self.on_unavailable(from); // it claims that this reader has a value which it lacks
         }
         self.answers.insert(from, ballot);
         let Some(value) = value else { return Vec::new() };
@@ -127,7 +129,7 @@
         self.ask(&sets)
     }
 
-    /// What is known so far; nothing while somebody who was asked may still answer.
+    /// The outcome as of the answers so far; none while it is open and a member may still answer.
     fn outcome(&self) -> Option<ReadOutcome> {
         let answered = |member: &Member| self.answers.contains_key(member);
         if self.sets.iter().all(|set| has_majority(set, answered)) {
@@ -138,7 +140,7 @@
                 return Some(ReadOutcome::Empty);
             }
         }
-        let replied = |member: &Member| answered(member) || self.refused.contains(member);
+        let replied = |member: &Member| answered(member) || self.unavailable.contains(member);
         self.asked.iter().all(replied).then_some(ReadOutcome::Unsettled)
     }
 
--- a/crates/register/src/replicas.rs
+++ b/crates/register/src/replicas.rs
@@ -1,7 +1,8 @@
-//! Who holds the committed value on disk. No I/O and no clock: time comes in as a [`Duration`] on a steady clock.
+//! Which members have the committed value on disk. No I/O and no clock: time is passed in as a [`Duration`] on a monotonic
+//! clock. `membership.rs` plans on what is known here.
 //!
 //! A committed value is on the disks of a majority. After a change of members, or once a member can be reached again,
-//! the [`ReplicaTable`] watches until every member can be reached and holds it too.
+//! the [`ReplicaTable`] watches until every member can be reached and has it too.
 
 use crate::membership::PresentMember;
 use crate::sets::{is_joint, members_of};
@@ -9,28 +10,28 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// A joining member must hold what has been known to be committed for so long: while configurations change all the time
-/// it is never quite at the newest one.
+/// A joining member must have each value that has been known to be committed for this long. While configurations change
+/// all the time it never has quite the newest one.
 pub const JOIN_LAG: Duration = Duration::from_millis(1000);
 
-/// What became of the copies.
+/// A change in the replication of the committed value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaEvent {
-    /// Every member can be reached and holds the value of this sequence number, so long after it was first wanted.
+    /// Every member can be reached and has the value of this sequence number.
     Complete {
         /// Sequence number of the value.
         sequence: u64,
         /// Time since the members changed, or one of them could be reached again.
         after: Duration,
     },
-    /// A member that can be reached has lacked the value for so long that changes of members don't wait for it.
+    /// A member that can be reached has lacked the value for so long that changes of members don't wait for it any more.
     Missing {
         /// The member.
         member: Member,
     },
 }
 
-/// A value that everyone should hold.
+/// A value that all members should have.
 #[derive(Clone, Copy, Debug)]
 struct Target {
     ballot: Ballot,
@@ -38,7 +39,7 @@
     since: Duration,
 }
 
-/// Who holds the committed value.
+/// Which members have the committed value.
 #[derive(Clone, Debug)]
 pub struct ReplicaTable {
     wait: Duration,
@@ -47,7 +48,7 @@
     membership: Ballot,
     reached: BTreeMap<Member, Ballot>,
     target: Option<Target>,
-    /// Members that can be reached and lack the value of the last change, since when.
+    /// Members that can be reached and lack the value of the last change, with the time since when.
     lacking: BTreeMap<Member, Duration>,
     reported: BTreeSet<Member>,
     /// Ballots of committed values and since when each is known: the last one before [`JOIN_LAG`], and all since.
@@ -55,7 +56,7 @@
 }
 
 impl ReplicaTable {
-    /// Nothing is known. A copy that is missing for longer than `wait` is not waited for.
+    /// An empty table. A member that lacks the value for longer than `wait` is reported as missing, once.
     pub fn new(wait: Duration) -> Self {
         ReplicaTable {
             wait,
@@ -69,20 +70,21 @@
         }
     }
 
-    /// Notes the newest committed value, and what the members that can be reached hold, this one included.
+    /// Notes the newest committed value, its ballot, and the ballots that the members which can be reached have on disk,
+    /// this one included; a member that is absent from `durable` can't be reached.
     pub fn observe(
         &mut self,
         now: Duration,
         ballot: Ballot,
         value: &Value,
-        holding: BTreeMap<Member, Ballot>,
+        durable: BTreeMap<Member, Ballot>,
     ) -> Vec<ReplicaEvent> {
         let set = members_of(value);
         let is_written = ballot > Ballot::default();
-        // The first value that is written brings its members into force anew, also where they are the first ones.
+        // With the first value its members come into force, also where they are the same as before it.
         let is_first = is_written && self.membership == Ballot::default();
         let changed = !is_joint(value) && (is_first || set != self.set);
-        let returned = holding.keys().any(|member| !self.reached.contains_key(member));
+        let returned = durable.keys().any(|member| !self.reached.contains_key(member));
         if changed {
             self.set = set;
             self.membership = ballot;
@@ -90,7 +92,7 @@
         if is_written && (changed || returned) {
             self.target = Some(Target { ballot, sequence: value.sequence, since: now });
         }
-        self.reached = holding;
+        self.reached = durable;
         if is_written {
             self.note_committed(now, ballot);
         }
@@ -103,8 +105,8 @@
         if self.recent.back().is_none_or(|(_, newest)| *newest < ballot) {
             self.recent.push_back((now, ballot));
         }
-        let settled = |(since, _): &(Duration, Ballot)| now.saturating_sub(*since) >= JOIN_LAG;
-        while self.recent.get(1).is_some_and(settled) {
+        let is_past_lag = |(since, _): &(Duration, Ballot)| now.saturating_sub(*since) >= JOIN_LAG;
+        while self.recent.get(1).is_some_and(is_past_lag) {
             self.recent.pop_front();
         }
     }
@@ -138,11 +140,11 @@
         self.lacking.get(member).is_some_and(|since| now.saturating_sub(*since) > self.wait)
     }
 
-    /// Whether every member can be reached and holds the value of this ballot, or a newer one. Beside one that can't be
-    /// reached the next loss may leave no majority, however whole the copies of the others are.
+    /// Whether every member can be reached and has the value of this ballot, or a newer one. Beside one that can't be
+    /// reached the next loss may leave no majority, however complete the replicas of the others are.
     pub fn is_complete(&self, ballot: Ballot) -> bool {
-        let holds = |member| self.reached.get(member).is_some_and(|accepted| *accepted >= ballot);
-        self.set.iter().all(holds)
+        let has_it = |member| self.reached.get(member).is_some_and(|accepted| *accepted >= ballot);
+        self.set.iter().all(has_it)
     }
 
     /// Ballot of the value by which the current set came into force.
@@ -150,12 +152,12 @@
         self.membership
     }
 
-    /// Ballot of the value that a joining member must hold before it counts.
+    /// Ballot of the value that a joining member must have on disk before it is admitted.
     pub fn required(&self) -> Ballot {
         self.recent.front().map(|(_, ballot)| *ballot).unwrap_or_default()
     }
 
-    /// The members that can be reached, with what they hold.
+    /// The members that can be reached, with what they have on disk.
     pub fn present(&self, now: Duration) -> BTreeMap<Member, PresentMember> {
         let present = |(member, accepted): (&Member, &Ballot)| {
             (*member, PresentMember { accepted: *accepted, overdue: self.is_overdue(now, member) })
--- a/crates/register/src/request.rs
+++ b/crates/register/src/request.rs
@@ -1,4 +1,6 @@
-//! The operator's request: a whole configuration in place of the current one, or an amendment of it.
+//! The operator's request: a complete configuration in place of the current one, or an amendment of it. It is the change
+//! function of CASPaxos (Rystsov 2018) as compare-and-set with idempotence: applied requests are remembered in
+//! the value itself, so that each member acknowledges a retry.
 
 use crate::change::Decision;
 use crate::digest::{amendment_digest, legacy_request_digest, request_digest};
@@ -7,13 +9,13 @@
 use runtrack_message::{AppliedRequest, Member, RequestDigest, Value};
 use std::collections::BTreeSet;
 
-/// Requests that are remembered as applied, so that one that comes again is acknowledged again.
+/// Number of requests that are remembered as applied, so that a retry is acknowledged again: 12 KiB of each value.
 pub const MAX_APPLIED_REQUESTS: usize = 512;
 
 /// What a request's body is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConfigChange {
-    /// A whole configuration.
+    /// A complete configuration.
     Replace,
     /// An [`Amendment`] of the configuration that it builds on.
     Amend,
@@ -24,20 +26,21 @@
 pub struct ConfigRequest {
     /// The version that it builds on; 0 for the first.
     pub base: u64,
-    /// Its own version.
+    /// Its own version, above `base`.
     pub version: u64,
     /// Digest of its body and its base.
     pub digest: RequestDigest,
     /// What its body is.
     pub change: ConfigChange,
-    /// As it came.
+    /// The body as the operator sent it.
     pub body: Vec<u8>,
 }
 
-/// What a round found out about a request. It may be told once the round has ended well, not before.
+/// What a round found out about a request. It may be answered once the round has committed or read, not before: until then
+/// the value that it rests on may never be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConfigAnswer {
-    /// It is, or was, in force.
+    /// The request is, or was, in force.
     Applied,
     /// A newer version than the one that it builds on is current: it never was and never will be in force.
     VersionMismatch(u64),
@@ -45,7 +48,7 @@
     VersionNotIncreasing(u64),
     /// It can't be applied to this version, which it builds on: it never was and never will be in force.
     Invalid(u64),
-    /// It can't be said whether it was, or will be, in force.
+    /// It is not known whether the request was, or will be, in force.
     Indeterminate,
 }
 
@@ -53,7 +56,7 @@
 pub type Step = (Decision, ConfigAnswer);
 
 impl ConfigRequest {
-    /// A request for a whole configuration, with the digest of its base and body.
+    /// A request for a complete configuration, with the digest of its base and body.
     pub fn replace(base: u64, version: u64, body: Vec<u8>) -> Self {
         let digest = request_digest(base, &body);
         ConfigRequest { base, version, digest, change: ConfigChange::Replace, body }
@@ -65,12 +68,12 @@
         ConfigRequest { base, version, digest, change: ConfigChange::Amend, body }
     }
 
-    /// Decides on the value that was found; `first` are the members before the first value.
+    /// Decides on the value that a round found; `first` are the sets of members before the first value.
     pub fn decide(&self, current: Option<&Value>, first: &[BTreeSet<Member>]) -> Step {
         self.decide_within(current, first, MAX_APPLIED_REQUESTS)
     }
 
-    /// The same with another bound on the requests that are remembered.
+    /// As [`Self::decide`], with another bound on the number of requests that are remembered.
     pub fn decide_within(
         &self,
         current: Option<&Value>,
@@ -89,8 +92,9 @@
         }
     }
 
-    /// The whole configuration that it makes of the current one, which has the version that it builds on. None if it does
-    /// not fit that. A version has one configuration, so the result is the same at any member and at any time.
+    /// The complete configuration that it makes of the current one, which has the version that it builds on; none where an
+    /// amendment does not apply to that. A version has one configuration, so the result is the same at any member and at
+    /// any time.
     fn config_on(&self, current: Option<&Value>) -> Option<Vec<u8>> {
         match self.change {
             ConfigChange::Replace => Some(self.body.clone()),
@@ -98,10 +102,10 @@
         }
     }
 
-    /// What may be told on top of this value. A refusal must be certain for good: the current version only rises, so a
-    /// base below it never comes back, while one above it may still be committed, and another copy of this request be
-    /// applied on top of it. Applied versions rise too, so whatever was applied above the floor is in the table; of
-    /// what lies at or below the floor and is not there, nothing is known.
+    /// The answer on top of this value. A rejection must be final: the current version only rises, so a base below it never
+    /// comes back, while one above it may still be committed, and a duplicate of this request be applied on top of it.
+    /// Applied versions rise too, so whatever was applied above the floor is in the table; of a version at or below the
+    /// floor that is not there, nothing is known.
     fn answer(&self, current: Option<&Value>) -> ConfigAnswer {
         let version = current.map_or(0, |value| value.version);
         let floor = current.map_or(0, |value| value.floor);
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -1,4 +1,8 @@
-//! One try of a proposer: prepare, decide on what was found, accept.
+//! The proposer of CASPaxos (Rystsov 2018): one attempt under one ballot, which prepares, decides on the value
+//! that it found, and has the decision accepted.
+//!
+//! `runtrack-controller`'s proposer draws the ballot, sends what a [`Round`] asks for and passes replies in. The acceptor's
+//! half is in `acceptor.rs`; the decisions are in `change.rs` and `request.rs`.
 
 use crate::change::Decision;
 use crate::sets::{has_majority, is_joint, sets_of};
@@ -9,62 +13,72 @@
 /// How a round ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Nothing was ever written, as of this round.
+    /// Nothing had been committed when this round began.
     Empty,
-    /// This value is chosen and was not this round's own.
+    /// This value is chosen under this ballot and was proposed by another round.
     Read(Ballot, Rc<Value>),
-    /// This round's own value is chosen.
+    /// The value that this round proposed is chosen under this ballot.
     Committed(Ballot, Rc<Value>),
-    /// A change of membership was under way and is chosen now; nothing was decided on it. The next round can.
+    /// A change of membership was in progress and its joint sets are chosen now; nothing was decided on them. The next
+    /// round can.
     MembershipCommitted(Ballot, Rc<Value>),
-    /// A higher ballot is about. Where values had been sent out, it is not known whether they will be chosen.
+    /// So many members rejected this round that it can't reach a majority; the highest ballot that one of them has
+    /// promised, or the round's own where they are other incarnations. Where a value had been sent out
+    /// ([`Round::may_write`]), it is not known whether it will be chosen.
     Preempted(Ballot),
 }
 
-/// A request for a member.
+/// A request, and the member that it is for.
 pub type Send = (Member, RegisterRequest);
 
-/// What a reply brought about.
+/// What the caller does after a reply.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Progress {
-    /// Send these, and wait for replies.
+    /// Send these, if any, and wait for further replies.
     Send(Vec<Send>),
-    /// It is over.
+    /// The round has ended; replies that still come are ignored by the caller.
     Done(Outcome),
 }
 
-/// Why a value is sent out.
+/// Why a value is proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Kind {
-    /// It is this round's own.
+enum Origin {
+    /// This round decided on it.
     Own,
-    /// It was found, and an answer depends on its being chosen.
+    /// It was found, and a read's answer depends on its being chosen.
     Found,
-    /// It was found and changes the membership: it must be chosen before anything is decided.
-    Settling,
+    /// It was found and has joint sets: these must be chosen before anything is decided.
+    FoundJoint,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Preparing,
-    Accepting { value: Rc<Value>, kind: Kind, sets: Vec<BTreeSet<Member>>, accepted: BTreeSet<Member> },
+    Accepting { value: Rc<Value>, origin: Origin, sets: Vec<BTreeSet<Member>>, accepted: BTreeSet<Member> },
 }
 
-/// One try of a proposer.
+/// One attempt of a proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
     ballot: Ballot,
+    /// A value that the proposer has, so that members need not send it again.
     known: Option<(Ballot, Rc<Value>)>,
+    /// The sets that have been asked; a majority of each must promise.
     sets: Vec<BTreeSet<Member>>,
+    /// Who has promised, and the ballot of what it had accepted; zero for nothing.
     promises: BTreeMap<Member, Ballot>,
-    refused: BTreeSet<Member>,
-    highest: Ballot,
-    best: Option<(Ballot, Rc<Value>)>,
+    /// Who has rejected this phase's request.
+    rejected: BTreeSet<Member>,
+    /// The highest ballot that a member has promised, its own at the least.
+    highest_seen: Ballot,
+    /// The accepted value of the highest ballot among the promises.
+    newest: Option<(Ballot, Rc<Value>)>,
     phase: Phase,
 }
 
 impl Round {
-    /// A round under this ballot, for who believes that these sets are in force and has this value.
+    /// A round under this ballot, for a proposer that believes that these sets are in force and has this value, with its
+    /// first requests. The ballot must be new to the proposer and its process, or two values may share it.
     pub fn new(
         ballot: Ballot,
         sets: Vec<BTreeSet<Member>>,
@@ -75,29 +89,30 @@
             known,
             sets: Vec::new(),
             promises: BTreeMap::new(),
-            refused: BTreeSet::new(),
-            highest: ballot,
-            best: None,
+            rejected: BTreeSet::new(),
+            highest_seen: ballot,
+            newest: None,
             phase: Phase::Preparing,
         };
         let sends = round.ask(sets);
         (round, sends)
     }
 
-    /// Its ballot.
+    /// The ballot that all of its requests carry.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// Whether a value of its own has been sent out: then it may be chosen, whatever becomes of the round.
+    /// Whether a value of its own has been sent out: then it may be chosen, also where the round fails or ends unheard, and
+    /// the caller must not report it as rejected.
     pub fn may_write(&self) -> bool {
-        matches!(self.phase, Phase::Accepting { kind: Kind::Own, .. })
+        matches!(self.phase, Phase::Accepting { origin: Origin::Own, .. })
     }
 
-    /// The highest ballot that a member has promised to another proposer; nothing while no member has refused this round
-    /// for one.
+    /// The highest ballot that a member has promised to another proposer; none while no member has rejected this round for
+    /// one.
     pub fn preempted_by(&self) -> Option<Ballot> {
-        (self.highest > self.ballot).then_some(self.highest)
+        (self.highest_seen > self.ballot).then_some(self.highest_seen)
     }
 
     /// Prepares at members that have not been asked yet.
@@ -122,22 +137,22 @@
             RegisterReply::Promised { ballot, accepted } if ballot == self.ballot => {
                 let value =
                     self.known.as_ref().filter(|(known, _)| *known == accepted).map(|(_, v)| v.clone());
-                self.promised(from, accepted, value, decide)
+                self.on_promise(from, accepted, value, decide)
             }
             RegisterReply::PromisedWith { ballot, accepted, value } if ballot == self.ballot => {
-                self.promised(from, accepted, Some(Rc::new(value)), decide)
+                self.on_promise(from, accepted, Some(Rc::new(value)), decide)
             }
-            RegisterReply::Accepted { ballot } if ballot == self.ballot => self.accepted(from),
+            RegisterReply::Accepted { ballot } if ballot == self.ballot => self.on_accepted(from),
             RegisterReply::Rejected { ballot, promised } if ballot == self.ballot => {
-                self.highest = self.highest.max(promised);
-                self.refused(from)
+                self.highest_seen = self.highest_seen.max(promised);
+                self.on_rejection(from)
             }
-            RegisterReply::WrongIncarnation => self.refused(from),
+            RegisterReply::WrongIncarnation => self.on_rejection(from),
             _ => Progress::Send(Vec::new()),
         }
     }
 
-    fn promised(
+    fn on_promise(
         &mut self,
         from: Member,
         accepted: Ballot,
@@ -148,43 +163,44 @@
             return Progress::Send(Vec::new());
         }
         if accepted > Ballot::default() && value.is_none() {
-            return self.refused(from); // it says that we have what we don't
+            return self.on_rejection(from); // it claims that this proposer has a value which it lacks
         }
         self.promises.insert(from, accepted);
         if let Some(value) = value
-            && self.best.as_ref().is_none_or(|(best, _)| *best < accepted)
+            && self.newest.as_ref().is_none_or(|(newest, _)| *newest < accepted)
         {
-            self.best = Some((accepted, value));
+            self.newest = Some((accepted, value));
         }
-        // A value that stands under other sets: nothing is known before a majority of these has promised too.
-        let named = self.best.as_ref().map(|(_, value)| sets_of(value)).unwrap_or_default();
+        // A value with other sets: their members may have accepted a newer one, so that nothing may be decided before a
+        // majority of them has promised too.
+        let named = self.newest.as_ref().map(|(_, value)| sets_of(value)).unwrap_or_default();
         let unasked: Vec<_> = named.into_iter().filter(|set| !self.sets.contains(set)).collect();
         let sends = self.ask(unasked);
-        // Whose members had all been asked before may have promised by now.
+        // A set whose members had all been asked before needs no further request, and may have its majority by now.
         if !sends.is_empty()
             || !self.sets.iter().all(|set| has_majority(set, |m| self.promises.contains_key(m)))
         {
             return Progress::Send(sends);
         }
-        self.decided(decide)
+        self.begin_accept_phase(decide)
     }
 
-    fn decided(&mut self, decide: &mut dyn FnMut(Option<&Value>) -> Decision) -> Progress {
-        let chosen = self.best.as_ref().is_some_and(|(ballot, value)| {
+    fn begin_accept_phase(&mut self, decide: &mut dyn FnMut(Option<&Value>) -> Decision) -> Progress {
+        let chosen = self.newest.as_ref().is_some_and(|(ballot, value)| {
             let accepted = |member: &Member| self.promises.get(member) == Some(ballot);
             sets_of(value).iter().all(|set| has_majority(set, accepted))
         });
-        let (value, kind) = match &self.best {
+        let (value, origin) = match &self.newest {
             // The new set alone must never be written on top of joint sets that may not be chosen: it would count as
             // chosen at a majority of the new set, while the old one could still choose something else.
-            Some((_, best)) if is_joint(best) && !chosen => (best.clone(), Kind::Settling),
-            best => match (decide(best.as_ref().map(|(_, value)| &**value)), best) {
+            Some((_, found)) if is_joint(found) && !chosen => (found.clone(), Origin::FoundJoint),
+            found => match (decide(found.as_ref().map(|(_, value)| &**value)), found) {
                 (Decision::Read, None) => return Progress::Done(Outcome::Empty),
                 (Decision::Read, Some((ballot, value))) if chosen => {
                     return Progress::Done(Outcome::Read(*ballot, value.clone()));
                 }
-                (Decision::Read, Some((_, value))) => (value.clone(), Kind::Found),
-                (Decision::Propose(value), _) => (Rc::new(value), Kind::Own),
+                (Decision::Read, Some((_, value))) => (value.clone(), Origin::Found),
+                (Decision::Propose(value), _) => (Rc::new(value), Origin::Own),
             },
         };
         let sets = sets_of(&value);
@@ -193,13 +209,13 @@
             (m, RegisterRequest::Accept { to: m.incarnation, ballot: self.ballot, value: (*value).clone() })
         };
         let sends = members.into_iter().map(accept).collect();
-        self.refused.clear();
-        self.phase = Phase::Accepting { value, kind, sets, accepted: BTreeSet::new() };
+        self.rejected.clear();
+        self.phase = Phase::Accepting { value, origin, sets, accepted: BTreeSet::new() };
         Progress::Send(sends)
     }
 
-    fn accepted(&mut self, from: Member) -> Progress {
-        let Phase::Accepting { value, kind, sets, accepted } = &mut self.phase else {
+    fn on_accepted(&mut self, from: Member) -> Progress {
+        let Phase::Accepting { value, origin, sets, accepted } = &mut self.phase else {
             return Progress::Send(Vec::new());
         };
         accepted.insert(from);
@@ -207,22 +223,22 @@
             return Progress::Send(Vec::new());
         }
         let (ballot, value) = (self.ballot, value.clone());
-        Progress::Done(match kind {
-            Kind::Own => Outcome::Committed(ballot, value),
-            Kind::Found => Outcome::Read(ballot, value),
-            Kind::Settling => Outcome::MembershipCommitted(ballot, value),
+        Progress::Done(match origin {
+            Origin::Own => Outcome::Committed(ballot, value),
+            Origin::Found => Outcome::Read(ballot, value),
+            Origin::FoundJoint => Outcome::MembershipCommitted(ballot, value),
         })
     }
 
-    fn refused(&mut self, from: Member) -> Progress {
-        self.refused.insert(from);
+    fn on_rejection(&mut self, from: Member) -> Progress {
+        self.rejected.insert(from);
         let sets = match &self.phase {
             Phase::Preparing => &self.sets,
             Phase::Accepting { sets, .. } => sets,
         };
-        let hopeless = |set: &BTreeSet<Member>| !has_majority(set, |m| !self.refused.contains(m));
-        if sets.iter().any(hopeless) {
-            return Progress::Done(Outcome::Preempted(self.highest));
+        let lost_majority = |set: &BTreeSet<Member>| !has_majority(set, |m| !self.rejected.contains(m));
+        if sets.iter().any(lost_majority) {
+            return Progress::Done(Outcome::Preempted(self.highest_seen));
         }
         Progress::Send(Vec::new())
     }
--- a/crates/register/src/watermark.rs
+++ b/crates/register/src/watermark.rs
@@ -1,30 +1,30 @@
-//! Whether a member that starts has its newest disk, or one that was put back from an older copy.
+//! Detection of a disk that was restored from an older copy when its member starts.
 //!
-//! A disk alone can't tell: an older copy is whole and valid, and a newest record that is damaged looks like one whose
-//! write was never acknowledged. So each member remembers, in memory, the highest ballots that every other member has
+//! The disk alone doesn't show it: an older copy is complete and valid, and a newest record that is damaged looks like one
+//! whose write was never acknowledged. So each member remembers, in memory, the highest ballots that every other member has
 //! shown to have on disk ([`DurableWatermarks`]), and one that starts with records asks the others before it promises
-//! anything ([`DiskCheck`]). Who is told of a higher ballot than its own has an older disk: under its incarnation it
-//! must neither promise nor accept any more, since it has forgotten what it owes, and joins again as another one.
+//! anything ([`DiskCheck`]). A member that learns of a higher ballot than its own has an older disk: under its incarnation
+//! it must neither promise nor accept any more, since it has forgotten promises, and joins again as another one.
 //!
-//! What is remembered goes with the process. Where all members start at once nobody remembers, and the check says that
-//! it is not known. A ballot that only a proposer has seen that has ended since is not known either.
+//! Watermarks end with the process that remembers them. Where all members start at once none are left, and the check ends
+//! [`DiskVerdict::Unknown`]. A ballot that only a proposer has seen which has ended since is not known either.
 
 use crate::sets::has_majority;
 use runtrack_message::{Ballot, Member, RegisterReply, Watermark};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Once a majority has answered, the others get so much longer.
+/// How long the check waits for the remaining answers once a majority of each set has answered.
 pub const LATE_ANSWERS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What members have shown to have on disk, as far as this process has seen since its start.
+/// The highest ballots that members have shown to have on disk, as seen by this process since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DurableWatermarks {
     seen: BTreeMap<Member, Watermark>,
 }
 
 impl DurableWatermarks {
-    /// A member's reply: it is only sent once what it says is on disk.
+    /// Notes a member's reply: it is only sent once what it states is on disk.
     pub fn on_reply(&mut self, from: Member, reply: &RegisterReply) {
         let nothing = Ballot::default();
         let watermark = match reply {
@@ -41,7 +41,7 @@
         self.raise(from, watermark);
     }
 
-    /// A member says that the value of this ballot is on its disk.
+    /// Notes that a member reported the value of this ballot to be on its disk.
     pub fn on_accepted(&mut self, from: Member, ballot: Ballot) {
         self.raise(from, Watermark { promised: ballot, accepted: ballot });
     }
@@ -51,37 +51,36 @@
         *seen = seen.highest(&watermark);
     }
 
-    /// What is remembered of a member; zeros where that is nothing.
+    /// The watermark of a member; zero ballots where none is known.
     pub fn of(&self, member: &Member) -> Watermark {
         self.seen.get(member).copied().unwrap_or_default()
     }
 
-    /// How many members it remembers.
+    /// Number of members with a watermark.
     pub fn remembered_members(&self) -> usize {
         self.seen.len()
     }
 
-    /// Forgets all members but these.
+    /// Drops the watermarks of all members but these.
     pub fn retain(&mut self, members: &BTreeSet<Member>) {
         self.seen.retain(|member, _| members.contains(member));
     }
 }
 
-/// What a starting member knows about its disk.
+/// What a starting member may conclude about its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskVerdict {
-    /// It has to wait for more answers, and must not promise or accept anything.
+    /// More answers are needed; until then the member must not promise or accept anything.
     Waiting,
-    /// Nobody remembers more than is on the disk, and somebody remembers something.
+    /// No answer exceeds what is on the disk, and at least one has a watermark.
     Current,
-    /// Nobody who answered remembers anything of this member: it goes on, and it is not known whether the disk is the
-    /// newest one.
+    /// No answer has a watermark of this member: it goes on, and it is not known whether the disk is the newest one.
     Unknown,
-    /// It has shown these ballots, and the disk lacks one of them: it must join again as another incarnation.
+    /// The member has shown these ballots, and the disk lacks one of them: it must join again as another incarnation.
     Older(Watermark),
 }
 
-/// The question of a starting member with records on its disk, and the answers so far.
+/// The check of a starting member with records on its disk, and the answers so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DiskCheck {
     me: Member,
@@ -95,7 +94,7 @@
 }
 
 impl DiskCheck {
-    /// A member that has this on its disk, and asks the members of these sets.
+    /// The check of member `me` with `own` on its disk, which asks the members of these sets.
     pub fn new(me: Member, own: Watermark, sets: Vec<BTreeSet<Member>>) -> Self {
         DiskCheck {
             me,
@@ -107,7 +106,7 @@
         }
     }
 
-    /// Newer sets than those on the disk have become known. An older copy may name members of long ago.
+    /// Replaces the sets by newer ones that have become known: an older copy may name former members.
     pub fn set_sets(&mut self, sets: Vec<BTreeSet<Member>>) {
         if self.sets != sets {
             self.sets = sets;
@@ -115,26 +114,26 @@
         }
     }
 
-    /// Who has still to be asked.
+    /// The members that have not answered yet.
     pub fn unanswered(&self) -> BTreeSet<Member> {
         self.others().filter(|member| !self.answers.contains_key(member)).collect()
     }
 
-    /// A member says what it remembers of this one.
+    /// Notes the watermark that a member has of this one.
     pub fn on_answer(&mut self, from: Member, remembered: Watermark) {
         let answer = self.answers.entry(from).or_default();
         *answer = answer.highest(&remembered);
     }
 
-    /// Another incarnation has taken the place of this member, which remembers nothing any more: nobody waits for it.
-    /// That is no answer, and does not count towards a majority.
+    /// Another incarnation has replaced this member, and has no watermarks of before: the check doesn't wait for it. That is
+    /// no answer, and does not count towards a majority.
     pub fn on_replaced(&mut self, member: Member) {
         self.replaced.insert(member);
     }
 
-    /// What is known at this moment of a steady clock. It is asked again after each answer and each tick until it is
-    /// something else than [`DiskVerdict::Waiting`]. Without a majority it waits on, which costs nothing: nothing could
-    /// be committed with this member either.
+    /// The verdict at this time of a monotonic clock. It is asked for after each answer and each tick until it differs from
+    /// [`DiskVerdict::Waiting`]. Without a majority it stays there, which costs nothing: without one, nothing could be
+    /// committed with this member either.
     pub fn verdict(&mut self, now: Duration) -> DiskVerdict {
         let remembered = self.remembered();
         if remembered.exceeds(&self.own) {
