--- a/crates/record_store/src/lib.rs
+++ b/crates/record_store/src/lib.rs
@@ -10,17 +10,17 @@
 
 mod disk;
 mod memory;
+mod record;
 
 pub use disk::Folder;
 pub use memory::Memory;
 
-use deku::prelude::*;
+use deku::DekuError;
 use quick_error::quick_error;
+use record::{decode, encode};
 use std::collections::BTreeSet;
 use std::io;
-use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-const MAGIC: u32 = 0x52_54_52_31;
 /// Files of a ring: the newest record, the one being written, and a spare one.
 const FILES: u64 = 3;
 
@@ -59,17 +59,6 @@
     }
 }
 
-#[derive(DekuRead, DekuWrite)]
-#[deku(endian = "little")]
-struct Header {
-    magic: u32,
-    length: u32,
-    sequence: u64,
-    checksum: u64,
-}
-
-const HEADER: usize = 24;
-
 /// A ring of records.
 pub struct RecordStore<F> {
     files: F,
@@ -87,7 +76,7 @@
         let mut newest: Option<(u64, Vec<u8>)> = None;
         for place in 0..FILES {
             let Some(content) = files.read(&file_name(name, place))? else { continue };
-            let Some((sequence, record)) = record(&content) else { continue };
+            let Some((sequence, record)) = decode(&content) else { continue };
             if newest.as_ref().is_none_or(|(other, _)| *other < sequence) {
                 newest = Some((sequence, record.to_vec()));
             }
@@ -102,10 +91,7 @@
     /// Writes a record; once this returns it survives a power failure.
     pub fn append(&mut self, record: &[u8]) -> Result<(), StoreError> {
         let sequence = self.sequence + 1;
-        let length = u32::try_from(record.len()).map_err(|_| StoreError::TooLong(record.len()))?;
-        let checksum = xxh3_64_with_seed(record, sequence);
-        let mut bytes = Header { magic: MAGIC, length, sequence, checksum }.to_bytes()?;
-        bytes.extend_from_slice(record);
+        let bytes = encode(sequence, record)?;
         let place = sequence % FILES;
         // By whole rooms, so that a record that is a little longer each time doesn't make its file grow each time.
         let room = bytes.len().next_multiple_of(self.room.max(1));
@@ -123,10 +109,3 @@
 fn file_name(name: &str, place: u64) -> String {
     format!("{name}-{place}.ring")
 }
-
-fn record(content: &[u8]) -> Option<(u64, &[u8])> {
-    let (_, header) = Header::from_bytes((content, 0)).ok()?;
-    let record = content.get(HEADER..HEADER.checked_add(header.length as usize)?)?;
-    let whole = header.magic == MAGIC && header.checksum == xxh3_64_with_seed(record, header.sequence);
-    whole.then_some((header.sequence, record))
-}
