--- a/crates/controller/tests/virtual_time/mod.rs
+++ b/crates/controller/tests/virtual_time/mod.rs
@@ -408,12 +408,12 @@
     /// Members 0 and 2 of three alone acknowledge version 2, and member 2 ends with a disk that is put back to version 1.
     /// Member 1 is still cut off from both.
     pub async fn put_back_before_version_two(&mut self) {
-        let copy = self.disk(2).copy();
+        let copy = self.disk(2).snapshot();
         self.cut(0, 1, true);
         self.cut(1, 2, true);
         self.order(0, 1, 2).await;
         self.kill(2).await;
-        self.disk(2).put_back(&copy);
+        self.disk(2).restore(&copy);
     }
 
     /// From now on no write to a machine's disk ends, or they do again.
--- a/crates/record_store/src/disk.rs
+++ b/crates/record_store/src/disk.rs
@@ -1,14 +1,14 @@
-//! Files in a folder.
+//! Files in a folder: the implementation that serves.
 
 use crate::Files;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Seek, SeekFrom, Write};
 use std::path::PathBuf;
 
-/// Bytes by which a file grows at a time.
+/// Bytes by which a file grows at a time: bounds the memory that growth takes.
 const GROWTH: usize = 64 << 10;
 
-/// A folder on a disk.
+/// A folder on a disk, which must exist.
 #[derive(Clone, Debug)]
 pub struct Folder(pub PathBuf);
 
@@ -21,10 +21,10 @@
         }
     }
 
-    fn write(&self, name: &str, bytes: &[u8], room: usize) -> io::Result<()> {
+    fn write(&self, name: &str, bytes: &[u8], preallocated: usize) -> io::Result<()> {
         let path = self.0.join(name);
         let mut file = OpenOptions::new().create(true).truncate(false).write(true).open(path)?;
-        grow(&mut file, room.max(bytes.len()) as u64)?;
+        grow(&mut file, preallocated.max(bytes.len()) as u64)?;
         file.write_all(bytes)?;
         file.sync_data()
     }
--- a/crates/record_store/src/lib.rs
+++ b/crates/record_store/src/lib.rs
@@ -1,8 +1,11 @@
-//! Records in a ring of preallocated files. Each record goes whole into the next file, with a sequence number and a
-//! checksum, and counts once it is synced. The newest record is never overwritten: a torn write costs only a record
-//! that was not acknowledged.
+//! The newest record of a name, kept in a ring of preallocated files. Each record is written into the next file, with a
+//! sequence number and a checksum, and counts once it is synced. The newest record is never overwritten: a torn write costs
+//! only a record that was not acknowledged.
 //!
-//! Recovery reads all files of the ring, a fixed number, and takes the valid record with the highest sequence number.
+//! It is no journal: older records are overwritten in turn and never replayed. `runtrack-controller` keeps a member's
+//! promises, values, leaves and placements in one [`RecordStore`] each; what is in a record is theirs.
+//!
+//! Recovery reads all files of the ring, three, and takes the valid record with the highest sequence number.
 //! A record may exceed the preallocated length: its file then grows before anything in it is overwritten. Where the disk
 //! has no space for that, the write fails and the newest record is unaffected.
 //!
@@ -45,25 +48,36 @@
     }
 }
 
-/// Files by name: a folder, or memory for tests.
+/// Files by name: a folder, or memory for tests. `tests/contract.rs` has what every implementation must keep.
 pub trait Files {
-    /// The whole content of a file; none where it does not exist.
+    /// The complete content of a file; none where it does not exist.
+    ///
+    /// # Errors
+    /// Where the file exists and can't be read.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Writes from the start of a file, and returns once the content is synced. A file that is new or shorter than `room`
-    /// bytes is extended to that length first.
-    fn write(&self, name: &str, bytes: &[u8], room: usize) -> io::Result<()>;
+    /// Writes from the start of a file, and returns once the content is synced. A file that is new or shorter than
+    /// `preallocated` bytes is extended to that length first, so that a full disk fails before anything is overwritten.
+    ///
+    /// # Errors
+    /// Where the file can't be extended, written or synced; its content may then be torn.
+    fn write(&self, name: &str, bytes: &[u8], preallocated: usize) -> io::Result<()>;
     /// Syncs the folder, so that no file name is lost on power failure. Does nothing by default, for files that can't be
     /// lost.
+    ///
+    /// # Errors
+    /// Where the folder can't be synced.
     fn sync_names(&self) -> io::Result<()> {
         Ok(())
     }
 }
 
-/// A ring of records.
+/// The records of one name, of which the newest counts.
 pub struct RecordStore<F> {
     files: F,
     name: &'static str,
-    room: usize,
+    /// Length of a new file in bytes.
+    preallocated: usize,
+    /// Sequence number of the newest record; 0 before the first.
     sequence: u64,
     /// Indices of the files whose names this process has synced. An existing file may have been created by a process that
     /// was killed before it synced the name.
@@ -71,11 +85,18 @@
 }
 
 impl<F: Files> RecordStore<F> {
-    /// Opens the ring of this name with files of `room` bytes; returns it with its newest valid record.
-    pub fn open(files: F, name: &'static str, room: usize) -> Result<(Self, Option<Vec<u8>>), StoreError> {
+    /// Opens the store of this name, whose files are preallocated to so many bytes; returns it with its newest valid record.
+    ///
+    /// # Errors
+    /// Where a file exists and can't be read. A record that is torn or corrupted is no error: the one before it counts.
+    pub fn open(
+        files: F,
+        name: &'static str,
+        preallocated: usize,
+    ) -> Result<(Self, Option<Vec<u8>>), StoreError> {
         let mut newest: Option<(u64, Vec<u8>)> = None;
-        for place in 0..FILES {
-            let Some(content) = files.read(&file_name(name, place))? else { continue };
+        for index in 0..FILES {
+            let Some(content) = files.read(&file_name(name, index))? else { continue };
             let Some((sequence, record)) = decode(&content) else { continue };
             if newest.as_ref().is_none_or(|(other, _)| *other < sequence) {
                 newest = Some((sequence, record.to_vec()));
@@ -83,29 +104,35 @@
         }
         let sequence = newest.as_ref().map_or(0, |(sequence, _)| *sequence);
         Ok((
-            RecordStore { files, name, room, sequence, named: BTreeSet::new() },
+            RecordStore { files, name, preallocated, sequence, named: BTreeSet::new() },
             newest.map(|(_, record)| record),
         ))
     }
 
     /// Writes a record; once this returns it survives a power failure.
+    ///
+    /// # Errors
+    /// Where the record is too long, or the write or a sync fails. The newest record before it is unaffected, and the next
+    /// call takes the same file.
     pub fn append(&mut self, record: &[u8]) -> Result<(), StoreError> {
         let sequence = self.sequence + 1;
         let bytes = encode(sequence, record)?;
-        let place = sequence % FILES;
-        // By whole rooms, so that a record that is a little longer each time doesn't make its file grow each time.
-        let room = bytes.len().next_multiple_of(self.room.max(1));
-        self.files.write(&file_name(self.name, place), &bytes, room)?;
-        if !self.named.contains(&place) {
+        let index = sequence % FILES;
+        // In multiples, so that a record that is a little longer each time doesn't make its file grow each time.
+        let length = bytes.len().next_multiple_of(self.preallocated.max(1));
+        self.files.write(&file_name(self.name, index), &bytes, length)?;
+        // After the content, so that a name that survives a power failure never leads to a file without its record.
+        if !self.named.contains(&index) {
             self.files.sync_names()?;
-            self.named.insert(place);
+            self.named.insert(index);
         }
-        // A write that failed is tried again in the same file: the newest record stays where it is.
+        // Only now: a write that failed is retried in the same file, and the newest record stays where it is.
         self.sequence = sequence;
         Ok(())
     }
 }
 
-fn file_name(name: &str, place: u64) -> String {
-    format!("{name}-{place}.ring")
+/// The names are on deployed disks, and stay.
+fn file_name(name: &str, index: u64) -> String {
+    format!("{name}-{index}.ring")
 }
--- a/crates/record_store/src/memory.rs
+++ b/crates/record_store/src/memory.rs
@@ -1,4 +1,4 @@
-//! Files in memory with injected disk faults, for tests.
+//! Files in memory with injected disk faults, for tests and simulations.
 
 use crate::Files;
 use std::cell::{Cell, RefCell};
@@ -17,7 +17,7 @@
     full: Rc<Cell<bool>>,
     capacity: Rc<Cell<Option<usize>>>,
     torn_at: Rc<Cell<Option<usize>>>,
-    names_refused: Rc<Cell<bool>>,
+    names_sync_fails: Rc<Cell<bool>>,
 }
 
 impl Memory {
@@ -42,8 +42,8 @@
     }
 
     /// Makes the next sync of names fail, as if the process were killed before it.
-    pub fn refuse_next_sync_of_names(&self) {
-        self.names_refused.set(true);
+    pub fn fail_next_sync_of_names(&self) {
+        self.names_sync_fails.set(true);
     }
 
     /// Power failure: removes each file whose name was not synced.
@@ -53,7 +53,7 @@
     }
 
     /// Corrupts the byte at an offset of a file.
-    pub fn damage(&self, name: &str, at: usize) {
+    pub fn corrupt(&self, name: &str, at: usize) {
         if let Some(byte) = self.files.borrow_mut().get_mut(name).and_then(|file| file.get_mut(at)) {
             *byte ^= 0x40;
         }
@@ -66,14 +66,14 @@
         }
     }
 
-    /// A copy of all files, by name.
-    pub fn copy(&self) -> BTreeMap<String, Vec<u8>> {
+    /// A snapshot of all files, by name.
+    pub fn snapshot(&self) -> BTreeMap<String, Vec<u8>> {
         self.files.borrow().clone()
     }
 
-    /// Replaces all files by a copy.
-    pub fn put_back(&self, copy: &BTreeMap<String, Vec<u8>>) {
-        *self.files.borrow_mut() = copy.clone();
+    /// Replaces all files by those of a snapshot.
+    pub fn restore(&self, snapshot: &BTreeMap<String, Vec<u8>>) {
+        *self.files.borrow_mut() = snapshot.clone();
     }
 
     /// Removes all files.
@@ -84,11 +84,11 @@
 
     fn grow(&self, name: &str, length: usize) -> io::Result<()> {
         let others = self.bytes() - self.files.borrow().get(name).map_or(0, Vec::len);
-        let room = self.capacity.get().map_or(usize::MAX, |capacity| capacity.saturating_sub(others));
+        let available = self.capacity.get().map_or(usize::MAX, |capacity| capacity.saturating_sub(others));
         let mut files = self.files.borrow_mut();
         let file = files.entry(name.to_owned()).or_default();
         if file.len() < length {
-            file.resize(length.min(room).max(file.len()), 0);
+            file.resize(length.min(available).max(file.len()), 0);
         }
         if file.len() < length { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
@@ -99,11 +99,11 @@
         Ok(self.files.borrow().get(name).cloned())
     }
 
-    fn write(&self, name: &str, bytes: &[u8], room: usize) -> io::Result<()> {
+    fn write(&self, name: &str, bytes: &[u8], preallocated: usize) -> io::Result<()> {
         if self.full.get() {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        self.grow(name, room.max(bytes.len()))?;
+        self.grow(name, preallocated.max(bytes.len()))?;
         let mut files = self.files.borrow_mut();
         let file = files.entry(name.to_owned()).or_default();
         let torn = self.torn_at.take();
@@ -113,7 +113,7 @@
     }
 
     fn sync_names(&self) -> io::Result<()> {
-        if self.names_refused.take() {
+        if self.names_sync_fails.take() {
             return Err(io::ErrorKind::Interrupted.into());
         }
         *self.named.borrow_mut() = self.files.borrow().keys().cloned().collect();
--- a/crates/record_store/tests/contract.rs
+++ b/crates/record_store/tests/contract.rs
@@ -1,16 +1,16 @@
-//! What every store must keep, on a disk and in memory.
+//! The contract of every implementation of `Files`, on a disk and in memory.
 
 use runtrack_record_store::{Files, Folder, Memory, RecordStore};
 use std::path::PathBuf;
 
-const ROOM: usize = 4096;
+const PREALLOCATED: usize = 4096;
 
 /// A folder of this test run that goes away with it.
 struct Scratch(PathBuf);
 
 impl Scratch {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("ringstore-{name}-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("record-store-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path); // of a run that was killed
         std::fs::create_dir_all(&path).expect("a folder");
         Scratch(path)
@@ -24,27 +24,27 @@
 }
 
 fn newest<F: Files + Clone>(files: &F) -> Option<Vec<u8>> {
-    RecordStore::open(files.clone(), "value", ROOM).expect("it opens").1
+    RecordStore::open(files.clone(), "value", PREALLOCATED).expect("it opens").1
 }
 
 fn contract<F: Files + Clone>(files: F) {
     assert_eq!(newest(&files), None, "an empty disk has no record");
-    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut store, _) = RecordStore::open(files.clone(), "value", PREALLOCATED).expect("it opens");
     for number in 0..20u8 {
-        ring.append(&vec![number; 10 + number as usize]).expect("it is kept");
+        store.append(&vec![number; 10 + number as usize]).expect("the record is written");
         assert_eq!(newest(&files), Some(vec![number; 10 + number as usize]));
     }
-    ring.append(&[]).expect("an empty record is one too");
+    store.append(&[]).expect("an empty record is one too");
     assert_eq!(newest(&files), Some(Vec::new()));
-    let long = vec![7; 3 * ROOM];
-    ring.append(&long).expect("a record may outgrow its room");
+    let long = vec![7; 3 * PREALLOCATED];
+    store.append(&long).expect("a record may exceed the preallocated length");
     assert_eq!(newest(&files), Some(long));
-    let (mut again, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
-    again.append(b"after a restart").expect("it is kept");
+    let (mut again, _) = RecordStore::open(files.clone(), "value", PREALLOCATED).expect("it opens");
+    again.append(b"after a restart").expect("the record is written");
     assert_eq!(newest(&files).as_deref(), Some(b"after a restart".as_slice()));
-    let (mut other, none) = RecordStore::open(files.clone(), "promise", ROOM).expect("it opens");
-    assert_eq!(none, None, "rings of other names are apart");
-    other.append(b"promise").expect("it is kept");
+    let (mut other, none) = RecordStore::open(files.clone(), "promise", PREALLOCATED).expect("it opens");
+    assert_eq!(none, None, "stores of other names are apart");
+    other.append(b"promise").expect("the record is written");
     assert_eq!(newest(&files).as_deref(), Some(b"after a restart".as_slice()));
 }
 
@@ -63,17 +63,17 @@
 fn a_write_torn_anywhere_costs_only_itself() {
     for torn in 0..60 {
         let files = Memory::default();
-        let (mut ring, _) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
+        let (mut store, _) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
         for number in 0..5u8 {
-            ring.append(&[number; 30]).expect("it is kept");
+            store.append(&[number; 30]).expect("the record is written");
         }
         files.tear_next(torn);
-        let kept = ring.append(&[9; 30]).is_ok();
-        assert!(!kept, "the power is lost");
+        let kept = store.append(&[9; 30]).is_ok();
+        assert!(!kept, "the write is torn");
         let found = newest(&files).expect("a record");
         assert!(found == [4; 30] || (torn >= 54 && found == [9; 30]), "torn after {torn}: {found:?}");
         // The same process goes on, and the one before the torn one is never overwritten first.
-        ring.append(&[10; 30]).expect("it is kept");
+        store.append(&[10; 30]).expect("the record is written");
         assert_eq!(newest(&files), Some(vec![10; 30]));
     }
 }
@@ -81,29 +81,29 @@
 #[test]
 fn a_full_disk_refuses_writes_and_never_reading() {
     let files = Memory::default();
-    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
-    ring.append(b"before").expect("it is kept");
+    let (mut store, _) = RecordStore::open(files.clone(), "value", PREALLOCATED).expect("it opens");
+    store.append(b"before").expect("the record is written");
     files.set_full(true);
-    assert!(ring.append(b"while full").is_err());
+    assert!(store.append(b"while full").is_err());
     assert_eq!(newest(&files).as_deref(), Some(b"before".as_slice()));
     files.set_full(false);
-    ring.append(b"after").expect("it is kept");
+    store.append(b"after").expect("the record is written");
     assert_eq!(newest(&files).as_deref(), Some(b"after".as_slice()));
 }
 
 #[test]
-fn any_spoilt_byte_of_the_newest_record_is_noticed() {
-    let scratch = Scratch::new("spoilt");
+fn any_corrupted_byte_of_the_newest_record_is_detected() {
+    let scratch = Scratch::new("corrupted");
     let folder = Folder(scratch.0.clone());
-    let (mut ring, _) = RecordStore::open(folder.clone(), "value", 64).expect("it opens");
-    ring.append(b"the first").expect("it is kept");
-    ring.append(b"the second").expect("it is kept");
+    let (mut store, _) = RecordStore::open(folder.clone(), "value", 64).expect("it opens");
+    store.append(b"the first").expect("the record is written");
+    store.append(b"the second").expect("the record is written");
     let path = scratch.0.join("value-2.ring");
     let good = std::fs::read(&path).expect("the second record's file");
     for at in 0..24 + 10 {
         let mut bad = good.clone();
         bad[at] ^= 0x20;
-        std::fs::write(&path, bad).expect("it can be spoilt");
+        std::fs::write(&path, bad).expect("it can be corrupted");
         assert_eq!(newest(&folder).as_deref(), Some(b"the first".as_slice()), "byte {at}");
     }
 }
@@ -111,13 +111,13 @@
 #[test]
 fn the_name_of_a_file_that_a_killed_process_made_is_synced_before_a_record_in_it_counts() {
     let files = Memory::default();
-    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut store, _) = RecordStore::open(files.clone(), "value", PREALLOCATED).expect("it opens");
     // The process is killed once it has written the file, and before the folder is synced.
-    files.refuse_next_sync_of_names();
-    assert!(ring.append(b"not acknowledged").is_err());
-    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
+    files.fail_next_sync_of_names();
+    assert!(store.append(b"not acknowledged").is_err());
+    let (mut store, _) = RecordStore::open(files.clone(), "value", PREALLOCATED).expect("it opens");
     for record in [b"the first", b"a second ", b"the third"] {
-        ring.append(record).expect("it is kept");
+        store.append(record).expect("the record is written");
         files.lose_power();
         assert_eq!(newest(&files).as_deref(), Some(record.as_slice()));
     }
@@ -126,45 +126,47 @@
 #[test]
 fn a_name_whose_sync_failed_is_synced_by_the_next_write() {
     let files = Memory::default();
-    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
-    files.refuse_next_sync_of_names();
-    assert!(ring.append(b"refused").is_err());
-    ring.append(b"kept").expect("it is kept");
+    let (mut store, _) = RecordStore::open(files.clone(), "value", PREALLOCATED).expect("it opens");
+    files.fail_next_sync_of_names();
+    assert!(store.append(b"refused").is_err());
+    store.append(b"kept").expect("the record is written");
     files.lose_power();
     assert_eq!(newest(&files).as_deref(), Some(b"kept".as_slice()));
 }
 
 #[test]
-fn a_record_that_outgrows_its_room_on_a_full_disk_costs_only_itself() {
+fn a_record_that_outgrows_its_file_on_a_full_disk_costs_only_itself() {
     let files = Memory::default();
-    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut store, _) = RecordStore::open(files.clone(), "value", PREALLOCATED).expect("it opens");
     for number in 0..3u8 {
-        ring.append(&[number; 100]).expect("it is kept");
+        store.append(&[number; 100]).expect("the record is written");
     }
-    // Room for one more byte than the files have: a larger record must make its file grow, and that stops half-way.
-    files.set_capacity(Some(3 * ROOM + 1));
-    let large = vec![7; 2 * ROOM];
+    // Space for one more byte than the files have: a larger record must make its file grow, and that stops half-way.
+    files.set_capacity(Some(3 * PREALLOCATED + 1));
+    let large = vec![7; 2 * PREALLOCATED];
     for _ in 0..5 {
-        assert!(ring.append(&large).is_err());
+        assert!(store.append(&large).is_err());
         assert_eq!(newest(&files), Some(vec![2; 100]), "the newest record stays");
     }
-    ring.append(b"fits").expect("what fits into the room is kept on a full disk's preallocated files");
+    store
+        .append(b"fits")
+        .expect("what fits into the preallocated length is written on a full disk's preallocated files");
     assert_eq!(newest(&files).as_deref(), Some(b"fits".as_slice()));
     files.set_capacity(None);
-    ring.append(&large).expect("it is kept");
+    store.append(&large).expect("the record is written");
     assert_eq!(newest(&files), Some(large));
 }
 
 #[test]
-fn a_file_grows_by_whole_rooms() {
+fn a_file_grows_by_multiples_of_its_preallocated_length() {
     let files = Memory::default();
-    let (mut ring, _) = RecordStore::open(files.clone(), "value", ROOM).expect("it opens");
+    let (mut store, _) = RecordStore::open(files.clone(), "value", PREALLOCATED).expect("it opens");
     for extra in [1, 2, 500] {
-        ring.append(&vec![1; ROOM + extra]).expect("it is kept");
+        store.append(&vec![1; PREALLOCATED + extra]).expect("the record is written");
     }
     assert_eq!(
         files.bytes(),
-        3 * 2 * ROOM,
+        3 * 2 * PREALLOCATED,
         "a record that is a little longer each time needs no growth each time"
     );
 }
@@ -173,10 +175,10 @@
 fn the_longest_configuration_is_kept_and_found() {
     let scratch = Scratch::new("longest");
     let folder = Folder(scratch.0.clone());
-    let (mut ring, _) = RecordStore::open(folder.clone(), "value", 384 << 10).expect("it opens");
+    let (mut store, _) = RecordStore::open(folder.clone(), "value", 384 << 10).expect("it opens");
     for number in 0..4u8 {
         let long = vec![number; (8 << 20) + 20_000];
-        ring.append(&long).expect("it is kept");
+        store.append(&long).expect("the record is written");
         assert!(newest(&folder) == Some(long), "record {number}");
     }
 }
@@ -185,11 +187,11 @@
 fn a_record_that_was_synced_and_is_damaged_gives_way_to_the_one_before() {
     // No disk can tell this from a torn write: what a member has lost by it must be found out from the others.
     let files = Memory::default();
-    let (mut ring, _) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
+    let (mut store, _) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
     for number in 0..5u8 {
-        ring.append(&[number; 30]).expect("it is kept");
+        store.append(&[number; 30]).expect("the record is written");
     }
-    files.damage("value-2.ring", 40);
+    files.corrupt("value-2.ring", 40);
     assert_eq!(newest(&files), Some(vec![3; 30]));
     files.truncate("value-1.ring", 50);
     assert_eq!(newest(&files), Some(vec![2; 30]));
@@ -200,15 +202,15 @@
 #[test]
 fn an_older_copy_of_the_disk_is_recovered_as_it_was() {
     let files = Memory::default();
-    let (mut ring, _) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
-    ring.append(b"old").expect("it is kept");
-    let copy = files.copy();
+    let (mut store, _) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
+    store.append(b"old").expect("the record is written");
+    let snapshot = files.snapshot();
     for _ in 0..4 {
-        ring.append(b"new").expect("it is kept");
+        store.append(b"new").expect("the record is written");
     }
-    files.put_back(&copy);
-    let (mut ring, found) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
+    files.restore(&snapshot);
+    let (mut store, found) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
     assert_eq!(found.as_deref(), Some(b"old".as_slice()));
-    ring.append(b"later").expect("it is kept");
+    store.append(b"later").expect("the record is written");
     assert_eq!(newest(&files).as_deref(), Some(b"later".as_slice()));
 }
--- a/crates/record_store/tests/stored_bytes.rs
+++ b/crates/record_store/tests/stored_bytes.rs
@@ -35,7 +35,7 @@
         let file = format!("{NAME}-{index}.ring");
         let alone = Memory::default();
         let content = std::fs::read(fixture().join(&file)).expect("a file of the fixture");
-        alone.put_back(&[(file, content)].into());
+        alone.restore(&[(file, content)].into());
         assert_eq!(newest(alone).as_ref(), Some(expected), "file {index}");
     }
 }
@@ -43,11 +43,11 @@
 #[test]
 fn the_same_records_make_the_same_bytes() {
     let files = Memory::default();
-    let (mut ring, _) = RecordStore::open(files.clone(), NAME, PREALLOCATED).expect("the folder opens");
+    let (mut store, _) = RecordStore::open(files.clone(), NAME, PREALLOCATED).expect("the folder opens");
     for record in records() {
-        ring.append(&record).expect("the record is written");
+        store.append(&record).expect("the record is written");
     }
-    let written = files.copy();
+    let written = files.snapshot();
     assert_eq!(written.len(), 3);
     for (file, content) in written {
         let expected = std::fs::read(fixture().join(&file)).expect("a file of the fixture");
--- a/crates/register/tests/stored_bytes.rs
+++ b/crates/register/tests/stored_bytes.rs
@@ -104,7 +104,7 @@
     for record in value_records() {
         values.append(&record.to_bytes().expect("a record")).expect("the record is written");
     }
-    let written = files.copy();
+    let written = files.snapshot();
     assert_eq!(written.len(), 6);
     for (file, content) in written {
         let expected = std::fs::read(fixture().join(&file)).expect("a file of the fixture");
