--- a/crates/failure_detector/src/contact.rs
+++ b/crates/failure_detector/src/contact.rs
@@ -2,27 +2,29 @@
 //!
 //! A probe that was answered proves contact in both directions **as of the moment when it was sent**, not when its
 //! answer was read. A process that was paused therefore finds, when it resumes, that all its contact is outdated, also
-//! where answers wait in its buffers. Time is passed in as a [`Duration`] on a monotonic clock that runs on while the
-//! process is paused.
+//! where answers wait in its buffers. Dating from the reply would let such a process act on a membership that has changed
+//! meanwhile. Time is passed in as a [`Duration`] on a monotonic clock that runs on while the process is paused.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long proven contact lasts.
+/// The time-outs of the detector. `suspicion` must exceed `lease`, so that a probe or two may be late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContactTimes {
-    /// Contact that was proven within this time is current.
+    /// Contact that was proven within this time is current (a lease: Gray and Cheriton, 1989).
     pub lease: Duration,
-    /// A member without proven contact for longer than this is suspect.
+    /// A member without proven contact for longer than this is suspected.
     pub suspicion: Duration,
 }
 
+/// A probe without a reply so far.
 #[derive(Clone, Debug)]
 struct SentProbe<M> {
     to: M,
     sent_at: Duration,
 }
 
+/// What is known of one peer.
 #[derive(Clone, Debug)]
 struct Peer<M> {
     /// Start of the suspicion time where no newer contact is proven.
@@ -64,8 +66,8 @@
         }
     }
 
-    /// Notes the time. A process that has not done so for a whole lease was paused: it can't know whether the others were
-    /// silent, so that suspicion starts anew.
+    /// Notes the time. A process that has not done so for a full lease was paused: it can't know whether the others
+    /// could be reached, so that suspicion starts anew.
     fn observe(&mut self, now: Duration) {
         if now.saturating_sub(self.observed_at) > self.times.lease {
             for peer in self.peers.values_mut() {
--- a/crates/failure_detector/tests/contact.rs
+++ b/crates/failure_detector/tests/contact.rs
@@ -1,4 +1,4 @@
-//! Contact with a majority: what proves it, how long it lasts, and who counts as gone.
+//! Contact with a majority: what proves it, how long it lasts, and which members are suspected.
 
 use runtrack_failure_detector::{ContactTable, ContactTimes};
 use std::collections::BTreeSet;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_cut_in_one_direction_ends_contact_on_both_sides() {
+fn a_partition_in_one_direction_ends_contact_on_both_sides() {
     let mut table = table(&[A, B, C]);
     let sets = [set(&[A, B, C])];
     exchange(&mut table, B, 0, 5, &[]);
@@ -74,12 +74,12 @@
 }
 
 #[test]
-fn a_process_that_stood_still_has_no_contact_when_it_goes_on() {
+fn a_process_that_was_paused_has_no_contact_when_it_resumes() {
     let mut table = table(&[A, B, C]);
     let sets = [set(&[A, B, C])];
     exchange(&mut table, B, 0, 5, &[]);
     let waiting = table.probe(ms(250), &B);
-    // It is stopped until 20 s; the answer has lain in its buffer since.
+    // It is paused until 20 s; the answer has waited in its buffer since.
     assert!(!table.is_current(ms(20_000), &sets));
     table.on_reply(ms(20_001), &B, waiting, set(&[]));
     assert!(!table.is_current(ms(20_001), &sets), "the answer is to a probe from before");
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_process_that_stood_still_suspects_nobody_at_once() {
+fn a_process_that_was_paused_suspects_nobody_at_once() {
     let mut table = table(&[A, B, C]);
     exchange(&mut table, B, 0, 5, &[]);
     exchange(&mut table, C, 0, 5, &[B]);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn answers_that_pass_each_other_take_nothing_back() {
+fn an_answer_that_is_overtaken_never_lowers_what_is_known() {
     let mut table = table(&[A, B, C]);
     let sets = [set(&[A, B, C])];
     let first = table.probe(ms(0), &B);
@@ -179,27 +179,27 @@
 }
 
 /// Contact with `with` from `from` to `to` ms, each answer naming these as unreachable.
-fn keep_up(table: &mut ContactTable<Name>, with: Name, from: u64, to: u64, unreachable: &[Name]) {
+fn keep_in_contact(table: &mut ContactTable<Name>, with: Name, from: u64, to: u64, unreachable: &[Name]) {
     for at in (from..=to).step_by(250) {
         exchange(table, with, at, at + 1, unreachable);
     }
 }
 
 #[test]
-fn a_member_counts_as_gone_only_where_a_majority_says_so() {
+fn a_member_is_suspected_only_by_a_majority() {
     let all = set(&[A, B, C]);
     let mut table = table(&[A, B, C]);
-    keep_up(&mut table, B, 0, 2500, &[]);
+    keep_in_contact(&mut table, B, 0, 2500, &[]);
     assert_eq!(table.unreachable(ms(2501), &all), [C]);
     assert!(!table.is_suspected_by_majority(ms(2501), &all, &C), "B still reaches it");
-    keep_up(&mut table, B, 2750, 2750, &[C]);
+    keep_in_contact(&mut table, B, 2750, 2750, &[C]);
     assert!(table.is_suspected_by_majority(ms(2751), &all, &C));
     assert!(!table.is_suspected_by_majority(ms(2751), &all, &B));
-    assert!(!table.is_suspected_by_majority(ms(3551), &all, &C), "what B said is too old");
+    assert!(!table.is_suspected_by_majority(ms(3551), &all, &C), "B's report is too old");
 }
 
 #[test]
-fn the_word_of_others_alone_is_no_majority_of_three() {
+fn reports_of_one_peer_alone_are_no_majority_of_three() {
     let all = set(&[A, B, C]);
     let mut table = table(&[A, B, C]);
     for at in (0..5000).step_by(250) {
@@ -213,12 +213,12 @@
 fn a_member_does_not_vote_on_itself() {
     let all = set(&[A, B, C]);
     let mut table = table(&[A, B, C]);
-    keep_up(&mut table, C, 0, 2500, &[C]);
+    keep_in_contact(&mut table, C, 0, 2500, &[C]);
     assert!(!table.is_suspected_by_majority(ms(2501), &all, &C));
 }
 
 #[test]
-fn who_has_just_become_a_member_had_no_time_to_be_silent() {
+fn a_new_member_is_not_suspected_before_its_time_out() {
     let mut table = table(&[A, B]);
     for at in (0..=10_000).step_by(250) {
         table.watch(ms(at), &set(&[A, B]));
--- a/crates/hash_ring/src/lib.rs
+++ b/crates/hash_ring/src/lib.rs
@@ -8,25 +8,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Points of each member on the ring: enough that shares usually differ by a third at most.
+/// Points of each member on the ring (virtual nodes): enough that shares usually differ by a third at most.
 const POINTS: u64 = 32;
 
-/// Hash of a name.
+/// Hash of a name: 64 bits of xxh3. All processes must agree on it, so it must not change between versions.
 pub fn hash(name: &[u8]) -> u64 {
     xxh3_64_with_seed(name, 0)
 }
 
-/// Weight of a key at a member; the member with the highest weight owns the key.
+/// Weight of a key at a member, given as the [`hash`] of its name; the member with the highest weight owns the key.
 pub fn weight(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&key.to_le_bytes(), member)
 }
 
-/// The owner of a key among these members; none where there are none.
+/// The owner of a key among these members, each given as the [`hash`] of its name; none where there are none. Equal weights
+/// are decided by the hash, so that the order of the members does not matter.
 pub fn rendezvous(key: u64, members: impl IntoIterator<Item = u64>) -> Option<u64> {
     members.into_iter().max_by_key(|member| (weight(key, *member), *member))
 }
 
-/// A consistent-hashing ring of members.
+/// A ring of members for consistent hashing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HashRing<M> {
     points: BTreeMap<u64, M>,
@@ -38,9 +39,9 @@
     pub fn new(members: impl IntoIterator<Item = M>, name: impl Fn(&M) -> Vec<u8>) -> Self {
         let mut ring = HashRing { points: BTreeMap::new(), members: BTreeSet::new() };
         for member in members {
-            let place = hash(&name(&member));
+            let hashed_name = hash(&name(&member));
             for point in 0..POINTS {
-                ring.points.insert(weight(point, place), member.clone());
+                ring.points.insert(weight(point, hashed_name), member.clone());
             }
             ring.members.insert(member);
         }
--- a/crates/hash_ring/tests/hashing.rs
+++ b/crates/hash_ring/tests/hashing.rs
@@ -1,4 +1,4 @@
-//! Who owns what, and how little moves.
+//! Assignment by hashing: it is even, the same for all processes, and moves little when members change.
 
 use runtrack_hash_ring::{HashRing, hash, rendezvous, weight};
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
         assert_eq!(
             ring((0..7).rev()).successors(&key.to_le_bytes(), 3),
             watchers,
-            "whatever the order of coming"
+            "in whatever order the members are added"
         );
     }
 }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn only_the_share_of_who_leaves_moves() {
+fn only_the_share_of_a_member_that_leaves_moves() {
     let keys = 4000u64;
     let owners = |members: std::ops::Range<u64>, gone: Option<u64>| -> Vec<u64> {
         let members: Vec<u64> =
@@ -39,7 +39,7 @@
     let (before, after) = (owners(0..10, None), owners(0..10, Some(4)));
     let gone = hash(&4u64.to_le_bytes());
     for (before, after) in before.iter().zip(&after) {
-        assert!(before == after || *before == gone, "only keys of who left may move");
+        assert!(before == after || *before == gone, "only keys of the member that left may move");
     }
 }
 
--- a/crates/register/tests/adoption.rs
+++ b/crates/register/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! A member that learns what is committed keeps it on its own disk, whatever it has promised.
+//! A member that learns of a committed value writes it to its own disk, whatever it has promised.
 
 mod support;
 
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_member_that_missed_a_change_holds_it_through_the_loss_of_another_and_a_restart_of_all() {
+fn a_member_that_missed_a_change_has_it_through_the_loss_of_another_and_a_restart_of_all() {
     let mut cluster = Cluster::new(3);
     cluster.set_partitioned(2, true);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
@@ -106,11 +106,11 @@
     assert_eq!(cluster.submit(0, &request(1, 2)), Some(ConfigAnswer::Applied));
     let (ballot, value) = committed(&mut cluster, 0);
     cluster.set_partitioned(2, false);
-    // A round on top of version 2 has all promises, member 2's without the value, and then falls asleep.
+    // A round on top of version 2 has all promises, member 2's without the value, and then pauses.
     let mut paused = cluster.prepared(1, &request(2, 3));
     assert!(cluster.adopt(2, ballot, &value), "learnt under a ballot below the promise");
     assert!(matches!(cluster.wake(&mut paused), Some(Outcome::Committed(..))));
-    assert!(!cluster.adopt(2, ballot, &value), "told again late");
+    assert!(!cluster.adopt(2, ballot, &value), "a duplicate that arrives late");
     cluster.set_partitioned(0, true);
     assert_eq!(cluster.read(2).version, 3);
 }
--- a/crates/register/tests/amendments.rs
+++ b/crates/register/tests/amendments.rs
@@ -15,7 +15,7 @@
     )
 }
 
-fn whole(base: u64, version: u64, routes: &[&str]) -> ConfigRequest {
+fn complete(base: u64, version: u64, routes: &[&str]) -> ConfigRequest {
     let routes: Vec<String> = routes.iter().map(|name| route(name)).collect();
     let body =
         format!(r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#, routes.join(","));
@@ -40,7 +40,7 @@
 
 fn started() -> Cluster {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.submit(0, &whole(0, 1, &["a"])), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(0, &complete(0, 1, &["a"])), Some(ConfigAnswer::Applied));
     cluster
 }
 
@@ -60,10 +60,10 @@
 }
 
 #[test]
-fn of_an_amendment_and_a_whole_configuration_on_one_version_one_wins() {
+fn of_an_amendment_and_a_complete_configuration_on_one_version_one_wins() {
     for amendment_first in [true, false] {
         let mut cluster = started();
-        let (amendment, replacement) = (add(1, 2, "b"), whole(1, 2, &["c"]));
+        let (amendment, replacement) = (add(1, 2, "b"), complete(1, 2, &["c"]));
         let (first, second) =
             if amendment_first { (&amendment, &replacement) } else { (&replacement, &amendment) };
         assert_eq!(cluster.submit(0, first), Some(ConfigAnswer::Applied));
@@ -102,7 +102,7 @@
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &add(0, 1, "a")), Some(ConfigAnswer::Invalid(0)));
     assert_eq!(cluster.submit(0, &add(1, 2, "b")), Some(ConfigAnswer::Indeterminate));
-    assert_eq!(cluster.submit(1, &whole(0, 1, &["a"])), Some(ConfigAnswer::Applied));
+    assert_eq!(cluster.submit(1, &complete(0, 1, &["a"])), Some(ConfigAnswer::Applied));
     assert_eq!(cluster.submit(2, &add(1, 2, "b")), Some(ConfigAnswer::Applied));
 }
 
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_same_bytes_as_a_whole_configuration_are_another_request() {
+fn the_same_bytes_as_a_complete_configuration_are_another_request() {
     let body = br#"{"version":2,"routes":[],"services":[]}"#.to_vec();
     let mut cluster = started();
     assert_eq!(cluster.submit(0, &ConfigRequest::amend(1, 2, body.clone())), Some(ConfigAnswer::Applied));
@@ -133,18 +133,18 @@
     assert_ne!(amendment_digest(1, &body), legacy_request_digest(1, &body));
 }
 
-/// Members of the version before keep and hand on what an amendment makes: it is a value like any other, a whole
+/// Members of the version before keep and hand on what an amendment makes: it is a value like any other, a complete
 /// configuration with one more digest, in the same format.
 #[test]
 fn members_of_the_version_before_take_the_value_of_an_amendment() {
     let mut cluster = started();
     assert_eq!(cluster.submit(0, &add(1, 2, "b")), Some(ConfigAnswer::Applied));
     let value = cluster.read(0);
-    let whole = ConfigRequest::replace(1, 2, value.config.as_slice().to_vec());
+    let complete = ConfigRequest::replace(1, 2, value.config.as_slice().to_vec());
     let mut before = Cluster::new(3);
     let first = ConfigRequest::replace(0, 1, started().read(0).config.as_slice().to_vec());
     assert_eq!(before.submit(0, &first), Some(ConfigAnswer::Applied));
-    assert_eq!(before.submit(0, &whole), Some(ConfigAnswer::Applied));
+    assert_eq!(before.submit(0, &complete), Some(ConfigAnswer::Applied));
     let other = before.read(0);
     assert_eq!((value.version, value.sequence, &value.config), (2, other.sequence, &other.config));
     assert_eq!(value.applied.items().len(), other.applied.items().len());
--- a/crates/register/tests/idempotence.rs
+++ b/crates/register/tests/idempotence.rs
@@ -120,12 +120,12 @@
     let mut cluster = Cluster::new(3);
     apply_up_to(&mut cluster, 0, 600);
     let mut set = [member(0, 0), member(1, 0), member(2, 0)];
-    for place in 0..3u8 {
-        let new = member(10 + place, 7);
+    for index in 0..3u8 {
+        let new = member(10 + index, 7);
         cluster.add(new);
-        set[usize::from(place)] = new;
-        assert!(cluster.replace(0, &set), "member {place} is replaced");
-        cluster.set_partitioned(usize::from(place), true);
+        set[usize::from(index)] = new;
+        assert!(cluster.replace(0, &set), "member {index} is replaced");
+        cluster.set_partitioned(usize::from(index), true);
     }
     for at in 3..6 {
         assert_eq!(cluster.submit(at, &request(599, 600)), Some(ConfigAnswer::Applied));
@@ -139,24 +139,24 @@
 #[test]
 fn a_request_whose_answer_was_lost_half_way_is_confirmed_or_superseded_and_its_rival_gets_the_other_answer()
 {
-    // The first copy reaches one member alone, and its proposer falls silent; a rival under the same number comes to
+    // The first copy reaches one member alone, and its proposer hears no more; a rival under the same number comes to
     // another member, with and without the one that has accepted.
-    for cut in [None, Some(0)] {
+    for partitioned in [None, Some(0)] {
         let mut cluster = Cluster::new(3);
         assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
         let one = ConfigRequest::replace(1, 2, b"one".to_vec());
         let other = ConfigRequest::replace(1, 2, b"other".to_vec());
         cluster.submit_reaching(0, &one, &[0]);
-        if let Some(at) = cut {
+        if let Some(at) = partitioned {
             cluster.set_partitioned(at, true);
         }
         let first = cluster.submit(1, &other);
-        if let Some(at) = cut {
+        if let Some(at) = partitioned {
             cluster.set_partitioned(at, false);
         }
         let second = cluster.submit(2, &one);
         let (applied, refused) = (Some(ConfigAnswer::Applied), Some(ConfigAnswer::VersionMismatch(2)));
-        let expected = if cut.is_some() { (applied, refused) } else { (refused, applied) };
-        assert_eq!((first, second), expected, "cut: {cut:?}");
+        let expected = if partitioned.is_some() { (applied, refused) } else { (refused, applied) };
+        assert_eq!((first, second), expected, "partitioned: {partitioned:?}");
     }
 }
--- a/crates/register/tests/membership.rs
+++ b/crates/register/tests/membership.rs
@@ -19,7 +19,7 @@
 }
 
 /// Members 1 to `count`, all present, all with everything that is committed.
-fn whole(count: u8) -> MembershipView {
+fn complete_view(count: u8) -> MembershipView {
     let current: BTreeSet<Member> = (1..=count).map(|at| member(at, 0)).collect();
     MembershipView {
         present: current.iter().map(|member| (*member, holding(NEWEST))).collect(),
@@ -84,17 +84,29 @@
 
 #[test]
 fn nothing_changes_without_a_reason() {
-    assert_eq!(plan_membership(&whole(3)), MembershipPlan::Keep);
-    assert_eq!(plan_membership(&whole(4)), MembershipPlan::Keep, "one to spare is borne");
-    assert_eq!(plan_membership(&whole(3).lost(2)), MembershipPlan::Keep, "nobody is there to replace it");
-    assert_eq!(plan_membership(&whole(3).leaving(2)), MembershipPlan::Keep, "as many as are wanted");
-    assert_eq!(plan_membership(&whole(3).joining(2, 0, NEWEST)), MembershipPlan::Keep, "it is a member");
+    assert_eq!(plan_membership(&complete_view(3)), MembershipPlan::Keep);
+    assert_eq!(plan_membership(&complete_view(4)), MembershipPlan::Keep, "one to spare is borne");
+    assert_eq!(
+        plan_membership(&complete_view(3).lost(2)),
+        MembershipPlan::Keep,
+        "nobody is there to replace it"
+    );
+    assert_eq!(
+        plan_membership(&complete_view(3).leaving(2)),
+        MembershipPlan::Keep,
+        "as many as are wanted"
+    );
+    assert_eq!(
+        plan_membership(&complete_view(3).joining(2, 0, NEWEST)),
+        MembershipPlan::Keep,
+        "it is a member"
+    );
 }
 
 #[test]
 fn a_joining_member_takes_the_place_of_a_lost_one() {
     assert_eq!(
-        plan_membership(&whole(3).lost(2).joining(7, 70, NEWEST)),
+        plan_membership(&complete_view(3).lost(2).joining(7, 70, NEWEST)),
         change(&[(1, 0), (3, 0), (7, 70)])
     );
 }
@@ -103,39 +115,39 @@
 fn a_joining_member_counts_only_once_it_holds_the_committed_value() {
     let lacks = wait(WaitReason::JoiningMemberLacksValue(member(7, 70)));
     for accepted in [Ballot::default(), OLD, MEMBERSHIP] {
-        let view = whole(3).joining(7, 70, accepted);
+        let view = complete_view(3).joining(7, 70, accepted);
         assert_eq!(plan_membership(&view), lacks, "beside all the others");
         assert_eq!(plan_membership(&view.lost(2)), lacks, "in place of a lost one");
     }
-    let wiped = whole(3).absent(2).joining(2, 20, OLD);
+    let wiped = complete_view(3).absent(2).joining(2, 20, OLD);
     assert_eq!(plan_membership(&wiped), wait(WaitReason::JoiningMemberLacksValue(member(2, 20))));
 }
 
 #[test]
 fn a_joining_member_that_holds_it_does_not_wait_for_one_that_does_not() {
-    let view = whole(3).lost(2).joining(6, 60, OLD).joining(7, 70, NEWEST);
+    let view = complete_view(3).lost(2).joining(6, 60, OLD).joining(7, 70, NEWEST);
     assert_eq!(plan_membership(&view), change(&[(1, 0), (3, 0), (7, 70)]));
 }
 
 #[test]
 fn a_wiped_member_takes_the_place_of_its_former_incarnation_at_once() {
-    let view = whole(3).absent(2).joining(2, 20, NEWEST);
+    let view = complete_view(3).absent(2).joining(2, 20, NEWEST);
     assert_eq!(plan_membership(&view), change(&[(1, 0), (2, 20), (3, 0)]));
-    let another_lost = whole(3).absent(2).lost(3).joining(2, 20, NEWEST);
+    let another_lost = complete_view(3).absent(2).lost(3).joining(2, 20, NEWEST);
     assert_eq!(plan_membership(&another_lost), change(&[(1, 0), (2, 20), (3, 0)]), "its own place first");
 }
 
 #[test]
 fn an_unreachable_member_that_a_majority_does_not_suspect_is_waited_for() {
-    let view = whole(3).absent(2).joining(7, 70, NEWEST);
+    let view = complete_view(3).absent(2).joining(7, 70, NEWEST);
     assert_eq!(plan_membership(&view), wait(WaitReason::MemberUnreachable(member(2, 0))));
 }
 
 #[test]
 fn only_one_change_is_made_at_a_time() {
-    let view = whole(3).lost(2).lost(3).joining(6, 60, NEWEST).joining(7, 70, NEWEST);
+    let view = complete_view(3).lost(2).lost(3).joining(6, 60, NEWEST).joining(7, 70, NEWEST);
     assert_eq!(plan_membership(&view), change(&[(1, 0), (3, 0), (6, 60)]));
-    let two = whole(3).joining(6, 60, NEWEST).joining(7, 70, NEWEST);
+    let two = complete_view(3).joining(6, 60, NEWEST).joining(7, 70, NEWEST);
     assert_eq!(plan_membership(&two), change(&[(1, 0), (2, 0), (3, 0), (6, 60)]));
 }
 
@@ -143,10 +155,10 @@
 fn no_change_while_a_present_member_lacks_the_membership_value() {
     let lacks = wait(WaitReason::ReplicaMissing(member(3, 0)));
     for view in [
-        whole(3).lost(2).joining(7, 70, NEWEST),
-        whole(3).joining(7, 70, NEWEST),
-        whole(4).lost(2),
-        whole(4).leaving(2),
+        complete_view(3).lost(2).joining(7, 70, NEWEST),
+        complete_view(3).joining(7, 70, NEWEST),
+        complete_view(4).lost(2),
+        complete_view(4).leaving(2),
     ] {
         assert_eq!(plan_membership(&view.clone().lacking(3, OLD, false)), lacks);
         let holds = plan_membership(&view.clone().lacking(3, MEMBERSHIP, false));
@@ -161,16 +173,16 @@
 
 #[test]
 fn a_member_that_is_to_be_replaced_need_not_hold_anything() {
-    let view = whole(3).lacking(2, OLD, false).joining(2, 20, NEWEST);
+    let view = complete_view(3).lacking(2, OLD, false).joining(2, 20, NEWEST);
     assert_eq!(plan_membership(&view), change(&[(1, 0), (2, 20), (3, 0)]));
 }
 
 #[test]
 fn members_to_spare_go_when_they_are_lost_or_leave() {
-    assert_eq!(plan_membership(&whole(4).lost(2)), change(&[(1, 0), (3, 0), (4, 0)]));
-    assert_eq!(plan_membership(&whole(4).leaving(2)), change(&[(1, 0), (3, 0), (4, 0)]));
+    assert_eq!(plan_membership(&complete_view(4).lost(2)), change(&[(1, 0), (3, 0), (4, 0)]));
+    assert_eq!(plan_membership(&complete_view(4).leaving(2)), change(&[(1, 0), (3, 0), (4, 0)]));
     assert_eq!(
-        plan_membership(&whole(4).absent(2)),
+        plan_membership(&complete_view(4).absent(2)),
         MembershipPlan::Keep,
         "unreachable, but not suspected by a majority"
     );
@@ -178,9 +190,9 @@
 
 #[test]
 fn beyond_one_to_spare_nobody_joins() {
-    assert_eq!(plan_membership(&whole(4).joining(7, 70, NEWEST)), MembershipPlan::Keep);
+    assert_eq!(plan_membership(&complete_view(4).joining(7, 70, NEWEST)), MembershipPlan::Keep);
     assert_eq!(
-        plan_membership(&whole(4).lost(2).joining(7, 70, NEWEST)),
+        plan_membership(&complete_view(4).lost(2).joining(7, 70, NEWEST)),
         change(&[(1, 0), (3, 0), (4, 0), (7, 70)]),
         "but a lost one is replaced"
     );
@@ -188,7 +200,7 @@
 
 #[test]
 fn the_last_member_is_never_removed() {
-    let mut view = whole(1).leaving(1);
+    let mut view = complete_view(1).leaving(1);
     view.wanted = 0;
     assert_eq!(plan_membership(&view), MembershipPlan::Keep);
 }
--- a/crates/register/tests/model/actions.rs
+++ b/crates/register/tests/model/actions.rs
@@ -4,12 +4,12 @@
 //!
 //! * A message that is never delivered stands for one that is lost. A member that was restarted equals what it was
 //!   before, since all that it said is on disk: the search restarts every member in every state all the same and finds
-//!   states only where an error is planted.
+//!   new states only with a mutant.
 //! * A reply reaches its round in the step in which the member sends it. It touches that round alone, so it can be moved
 //!   forward over all steps of others; a reply that is lost or that comes too late is one whose round was given up
 //!   before ([`Action::Timeout`]), and a promise that is lost is a prepare that is lost, for a promise alone does
-//!   nothing but turn away lower ballots, as a loss of these does.
-//! * A prepare or an accept that a member would turn away is not delivered: it changes no member, and its round hears
+//!   nothing but reject lower ballots, as a loss of these does.
+//! * A prepare or an accept that a member would reject is not delivered: it changes no member, and its round hears
 //!   of a higher ballot, which is one more way to time out. For the same reason prepares end with their round.
 //! * A round begins when its first prepare is delivered. Until then nobody can tell.
 //! * Once a round is over, its value has no message under way, and it is not chosen, it is forgotten; once the value is
@@ -63,7 +63,7 @@
 pub enum ReadAs {
     /// The first members alone.
     Newcomer,
-    /// What its own reads have told it.
+    /// What it has learnt by its own reads.
     Itself,
     /// What a proposer knows.
     Proposer(u8),
@@ -233,14 +233,14 @@
     }
 }
 
-/// Whether a member answers a reader. An error lets one do so whose disk is an older one, before it has found out.
+/// Whether a member answers a reader. A mutant lets one do so whose disk is an older one, before it has found out.
 fn answers(machine: &Machine, state: &State, member: u8) -> bool {
     is_up(state, member) || has_unchecked_disk(machine, state, member)
 }
 
 fn has_unchecked_disk(machine: &Machine, state: &State, member: u8) -> bool {
-    let planted = machine.scenario.mutant == Mutant::InspectedBeforeDiskCheck;
-    planted && state.wiped && member == LEAVING
+    let is_mutant = machine.scenario.mutant == Mutant::InspectedBeforeDiskCheck;
+    is_mutant && state.wiped && member == LEAVING
 }
 
 fn promises(machine: &Machine, state: &State, member: u8, rank: u8, proposer: u8) -> bool {
@@ -249,7 +249,7 @@
     node != NONE && (full || machine.takes(node, ballot(machine, rank, proposer)))
 }
 
-/// Whether an error lets a proposer use a ballot again.
+/// Whether a mutant lets a proposer use a ballot again.
 fn reuses(machine: &Machine, state: &State, proposer: u8, rank: u8) -> bool {
     match machine.scenario.mutant {
         Mutant::BallotsShared => true,
@@ -399,7 +399,7 @@
     rules::on_inspection(machine, state)
 }
 
-/// A member whose disk was put back to what it was before the first request.
+/// A member whose disk was restored to what it was before the first request.
 fn older_node(machine: &mut Machine) -> u32 {
     let mut node = Node::new(machine.scenario.members[usize::from(LEAVING)].incarnation);
     if let Some(value) = machine.scenario.initial.clone() {
--- a/crates/register/tests/model/machine.rs
+++ b/crates/register/tests/model/machine.rs
@@ -231,7 +231,7 @@
         all.contains(&self.scenario.mutant) || self.nodes.get(node).acceptor.promised() <= ballot
     }
 
-    /// Whether a member says with this that it has accepted.
+    /// Whether a member states with this that it has accepted.
     pub fn is_acceptance(&self, reply: u32) -> bool {
         matches!(*self.replies.get(reply), RegisterReply::Accepted { .. })
     }
--- a/crates/register/tests/model/main.rs
+++ b/crates/register/tests/model/main.rs
@@ -1,5 +1,5 @@
-//! Every order of messages, losses and restarts within small bounds, over the code's own rounds and members: the rules
-//! hold in all of them, and an error that is planted is found by a shortest way.
+//! An exhaustive search: every interleaving of messages, losses and restarts within small bounds, over the code's own
+//! rounds and members. The rules hold in all of them, and each mutant breaks one by a shortest counterexample.
 #![allow(dead_code, reason = "the support modules serve several test files")]
 
 mod actions;
@@ -40,7 +40,7 @@
     if let Some(counterexample) = &report.counterexample {
         panic!("{}\n{}", counterexample.violation.0, counterexample.trace);
     }
-    assert!(report.whole, "not all states were met");
+    assert!(report.complete, "not all states were met");
 }
 
 /// Searches that CI makes.
@@ -100,12 +100,12 @@
 }
 
 #[test]
-fn every_order_within_the_bounds_keeps_the_rules() {
+fn every_interleaving_within_the_bounds_keeps_the_rules() {
     small().into_iter().for_each(holds);
 }
 
 #[test]
-fn every_order_within_larger_bounds_keeps_the_rules() {
+fn every_interleaving_within_larger_bounds_keeps_the_rules() {
     let which = std::env::var("REGISTER_MODEL").unwrap_or_default();
     if which == "reads" {
         reads().into_iter().for_each(holds);
@@ -113,7 +113,7 @@
     large().into_iter().filter(|scenario| which == "large" || which == scenario.name).for_each(holds);
 }
 
-/// Errors with a scenario that shows them.
+/// Mutants, each with a scenario that shows it.
 fn mutants() -> Vec<(Mutant, Scenario)> {
     let race = || Scenario { rounds: [2, 2], restarts: 1, ..scenario::race() };
     let replacement = || Scenario { rounds: [2, 2], ..scenario::replacement() };
@@ -160,7 +160,7 @@
     }
 }
 
-/// Errors that a race of two rounds can show, as far as one at each proposer does.
+/// Mutants that a race of two rounds can show, with one round at each proposer.
 const IN_A_RACE: [Mutant; 10] = [
     Mutant::None,
     Mutant::PromiseNotSynced,
--- a/crates/register/tests/model/rules.rs
+++ b/crates/register/tests/model/rules.rs
@@ -40,8 +40,8 @@
         return broken(format!("request {request} was refused and is chosen"));
     }
     let committed = machine.intern_committed(own, value);
-    if let Err(place) = state.chosen.binary_search(&committed) {
-        state.chosen.insert(place, committed);
+    if let Err(index) = state.chosen.binary_search(&committed) {
+        state.chosen.insert(index, committed);
     }
     Ok(())
 }
@@ -192,8 +192,8 @@
     Ok(())
 }
 
-/// The reader has heard another member: where that ends its read, it is told of nothing older than anybody was told of
-/// before it began, and of nothing that is not chosen.
+/// The reader has heard another member: where that ends its read, its answer is not older than any that was given
+/// before it began, and is chosen.
 pub fn on_inspection(machine: &mut Machine, state: &mut State) -> Result<(), Violation> {
     let end = machine.reading(state.reader.known, state.reader.answers).end;
     let value = match end {
@@ -261,7 +261,7 @@
     state.chosen.iter().any(brought)
 }
 
-/// Whoever asks a majority now must find all that anybody was told.
+/// A process that asks a majority now must find all that was answered to anybody.
 pub fn check_reads(machine: &mut Machine, state: &State) -> Result<(), Violation> {
     if state.seen == 0 {
         return Ok(());
--- a/crates/register/tests/model/scenario.rs
+++ b/crates/register/tests/model/scenario.rs
@@ -40,7 +40,7 @@
     pub restarts: u8,
     /// Quorum reads of a third process.
     pub reads: u8,
-    /// The member of index [`LEAVING`] may lose its disk once, or have an older copy of it put back; [`JOINING`] is its
+    /// The member of index [`LEAVING`] may lose its disk once, or have an older copy of it restored; [`JOINING`] is its
     /// new incarnation.
     pub wipe: bool,
     /// [`JOINING`] is there though nothing is written yet.
@@ -103,7 +103,7 @@
     }
 }
 
-/// Two requests, one on top of the other, at two proposers in two orders, with a table that holds one of them.
+/// Two requests, one on top of the other, at two proposers in opposite sequence, with a table of one entry.
 pub fn retries() -> Scenario {
     Scenario {
         purposes: vec![Purpose::Replace(request(0, 1)), Purpose::Replace(request(1, 2))],
@@ -171,7 +171,7 @@
     }
 }
 
-/// A member's disk is put back to what it was before the first request.
+/// A member's disk is restored to what it was before the first request.
 pub fn older_disk() -> Scenario {
     Scenario { name: "older disk", ..wipe() }
 }
@@ -207,7 +207,7 @@
         self
     }
 
-    /// The same with an error.
+    /// The same with a mutant.
     pub fn with(self, mutant: Mutant) -> Self {
         Scenario { mutant, ..self }
     }
@@ -228,8 +228,8 @@
         let any = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
         let fixed = [[0, 1, 2], [1, 0, 2]];
         let rows: &[[u8; 3]] = if self.initial.is_some() || self.wipe { &fixed } else { &any };
-        let whole = |row: &[u8; 3]| row.iter().copied().chain(FIRST_MEMBERS..=JOINING).collect();
-        rows.iter().map(whole).collect()
+        let extended = |row: &[u8; 3]| row.iter().copied().chain(FIRST_MEMBERS..=JOINING).collect();
+        rows.iter().map(extended).collect()
     }
 
     /// The members of a set as a mask.
--- a/crates/register/tests/model/search.rs
+++ b/crates/register/tests/model/search.rs
@@ -17,12 +17,12 @@
     pub states: usize,
     /// Steps to the farthest of them.
     pub depth: usize,
-    /// Steps that were tried.
+    /// Steps that were taken, also such that led to a known state.
     pub steps: u64,
     /// Different rounds, members and values in them.
     pub sizes: (usize, usize, usize),
     /// All states within the bounds were met.
-    pub whole: bool,
+    pub complete: bool,
     /// The shortest way to a violation.
     pub counterexample: Option<Counterexample>,
 }
@@ -46,7 +46,7 @@
     }
 
     fn write(&mut self, _: &[u8]) {
-        unreachable!("fingerprints are whole numbers")
+        unreachable!("fingerprints are integers")
     }
 
     fn write_u64(&mut self, number: u64) {
@@ -66,7 +66,7 @@
     /// Of all states that were met. Two states share one of 64 bits with a probability of about n^2 / 2^65.
     fingerprints: HashSet<u64, BuildHasherDefault<Unhashed>>,
     steps: Vec<Step>,
-    tried: u64,
+    taken: u64,
 }
 
 /// Searches a scenario, up to so many states.
@@ -75,7 +75,7 @@
         machine: Machine::new(scenario),
         fingerprints: HashSet::default(),
         steps: vec![Step { from: 0, action: Action::Wipe }], // of the first state, and not looked at
-        tried: 0,
+        taken: 0,
     };
     let start = initial(&mut search.machine);
     search.fingerprints.insert(FixedHasher::default().hash_one(&start));
@@ -87,8 +87,8 @@
         }
         depth += usize::from(!frontier.is_empty());
     }
-    let whole = frontier.is_empty();
-    search.report(depth, whole, None)
+    let complete = frontier.is_empty();
+    search.report(depth, complete, None)
 }
 
 impl Search {
@@ -97,7 +97,7 @@
         let mut next = Vec::new();
         for (state, from) in frontier {
             for action in enabled(&mut self.machine, &state) {
-                self.tried += 1;
+                self.taken += 1;
                 let after = apply(&mut self.machine, &state, action)
                     .map_err(|violation| (Step { from, action }, violation))?;
                 let Some(after) = after else { continue };
@@ -111,7 +111,7 @@
         Ok(next)
     }
 
-    fn report(mut self, depth: usize, whole: bool, found: Option<(Step, Violation)>) -> Report {
+    fn report(mut self, depth: usize, complete: bool, found: Option<(Step, Violation)>) -> Report {
         let counterexample = found.map(|(last, violation)| {
             let mut actions = vec![last.action];
             let mut at = last.from;
@@ -127,9 +127,9 @@
         Report {
             states: self.steps.len(),
             depth,
-            steps: self.tried,
+            steps: self.taken,
             sizes: self.machine.sizes(),
-            whole,
+            complete,
             counterexample,
         }
     }
--- a/crates/register/tests/model/state.rs
+++ b/crates/register/tests/model/state.rs
@@ -11,7 +11,7 @@
     /// Number of its ballot among all of the search.
     pub rank: u8,
     pub proposer: u8,
-    /// The code's own round, or [`NONE`] once its proposer has gone on.
+    /// The code's own round, or [`NONE`] once its proposer has given it up.
     pub attempt: u32,
     /// The value that it sent out, or [`NONE`].
     pub value: u32,
@@ -43,13 +43,13 @@
     pub sent: bool,
     /// Rounds left.
     pub rounds: u8,
-    /// Its ballots rise while it lives.
+    /// Its ballots rise until it restarts.
     pub rank: u8,
     /// The newest value that it knows to be committed, or [`NONE`].
     pub known: u32,
-    /// The highest sequence that anybody had been told of when its round began.
+    /// The highest sequence that had been answered to anybody when its round began.
     pub floor: u8,
-    /// What its request is to be told once the round ends well.
+    /// The answer to its request once the round has committed or read.
     pub answer: Answer,
 }
 
@@ -62,9 +62,9 @@
     pub begun: bool,
     /// What it takes for committed in this read, or [`NONE`].
     pub known: u32,
-    /// What its own reads have told it.
+    /// What it has learnt by its own reads.
     pub learned: u32,
-    /// The highest sequence that anybody had been told of when its read began.
+    /// The highest sequence that had been answered to anybody when its read began.
     pub floor: u8,
     /// The members' answers, or [`NONE`].
     pub answers: [u32; MAX_NODES],
@@ -80,7 +80,7 @@
     }
 }
 
-/// What a request is to be told.
+/// The answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Answer {
     Nothing,
@@ -88,7 +88,7 @@
     Refused,
 }
 
-/// The whole.
+/// One state of the search.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct State {
     /// The members with their disks, or [`NONE`] for one that is not there.
@@ -106,7 +106,7 @@
     /// Requests that were acknowledged and refused, as masks of purposes.
     pub acknowledged: u8,
     pub refused: u8,
-    /// The highest sequence that anybody was told of.
+    /// The highest sequence that was answered to anybody.
     pub seen: u8,
     pub restarts: u8,
     pub wiped: bool,
--- a/crates/register/tests/quorum_reads.rs
+++ b/crates/register/tests/quorum_reads.rs
@@ -1,4 +1,4 @@
-//! Quorum reads against members, each bad order forced.
+//! Quorum reads against members, each race forced.
 
 mod support;
 
@@ -19,7 +19,7 @@
     Ballot { round, boot: 1 }
 }
 
-/// The value after so many orders, under one set.
+/// The value after so many requests, under one set.
 fn value(version: u64, members: &[u8]) -> Value {
     let mut current: Option<Value> = None;
     for base in 0..version {
--- a/crates/register/tests/replica_table.rs
+++ b/crates/register/tests/replica_table.rs
@@ -1,4 +1,4 @@
-//! Who holds the committed value, as members change, fall behind and catch up.
+//! Which members have the committed value, as members change, fall behind and catch up.
 
 mod support;
 
@@ -29,11 +29,11 @@
     Value { sequence, sets: sets.iter().map(set).collect::<Vec<MemberSet>>().into(), ..value }
 }
 
-fn holding(members: &[(u8, u64)]) -> BTreeMap<Member, Ballot> {
+fn durable(members: &[(u8, u64)]) -> BTreeMap<Member, Ballot> {
     members.iter().map(|(at, round)| (member(*at, 0), ballot(*round))).collect()
 }
 
-fn whole(sequence: u64, after: u64) -> Vec<ReplicaEvent> {
+fn complete(sequence: u64, after: u64) -> Vec<ReplicaEvent> {
     vec![ReplicaEvent::Complete { sequence, after: at(after) }]
 }
 
@@ -41,44 +41,44 @@
 fn three() -> ReplicaTable {
     let mut table = ReplicaTable::new(WAIT);
     let events =
-        table.observe(at(0), ballot(5), &value(1, &[&[1, 2, 3]]), holding(&[(1, 5), (2, 5), (3, 5)]));
-    assert_eq!(events, whole(1, 0));
+        table.observe(at(0), ballot(5), &value(1, &[&[1, 2, 3]]), durable(&[(1, 5), (2, 5), (3, 5)]));
+    assert_eq!(events, complete(1, 0));
     table
 }
 
 #[test]
-fn copies_are_not_whole_beside_a_member_that_can_not_be_reached() {
+fn replicas_are_not_complete_beside_a_member_that_can_not_be_reached() {
     let mut table = three();
     let joined_beside_one_that_is_lost = value(3, &[&[1, 2, 3, 4]]);
-    let others = || holding(&[(1, 7), (2, 7), (4, 7)]);
+    let others = || durable(&[(1, 7), (2, 7), (4, 7)]);
     assert_eq!(table.observe(at(100), ballot(7), &joined_beside_one_that_is_lost, others()), []);
     assert!(!table.is_complete(ballot(7)), "two of four would be no majority");
     let removed = value(5, &[&[1, 2, 4]]);
-    let events = table.observe(at(900), ballot(9), &removed, holding(&[(1, 9), (2, 9), (4, 9)]));
-    assert_eq!(events, whole(5, 0));
+    let events = table.observe(at(900), ballot(9), &removed, durable(&[(1, 9), (2, 9), (4, 9)]));
+    assert_eq!(events, complete(5, 0));
 }
 
 #[test]
-fn copies_are_whole_once_all_members_can_be_reached_and_hold_the_value() {
+fn replicas_are_complete_once_all_members_can_be_reached_and_have_the_value() {
     let mut table = three();
     let changed = value(3, &[&[1, 2, 4]]);
-    assert_eq!(table.observe(at(100), ballot(7), &changed, holding(&[(1, 7), (2, 5), (4, 5)])), []);
+    assert_eq!(table.observe(at(100), ballot(7), &changed, durable(&[(1, 7), (2, 5), (4, 5)])), []);
     assert!(!table.is_complete(ballot(7)));
-    assert_eq!(table.observe(at(200), ballot(7), &changed, holding(&[(1, 7), (2, 7), (4, 5)])), []);
-    let events = table.observe(at(300), ballot(7), &changed, holding(&[(1, 7), (2, 7), (4, 7)]));
-    assert_eq!(events, whole(3, 200));
-    assert_eq!(table.observe(at(400), ballot(7), &changed, holding(&[(1, 7), (2, 7), (4, 7)])), [], "once");
+    assert_eq!(table.observe(at(200), ballot(7), &changed, durable(&[(1, 7), (2, 7), (4, 5)])), []);
+    let events = table.observe(at(300), ballot(7), &changed, durable(&[(1, 7), (2, 7), (4, 7)]));
+    assert_eq!(events, complete(3, 200));
+    assert_eq!(table.observe(at(400), ballot(7), &changed, durable(&[(1, 7), (2, 7), (4, 7)])), [], "once");
 }
 
 #[test]
 fn a_change_that_is_under_way_is_no_change_yet() {
     let mut table = three();
     let joint = value(2, &[&[1, 2, 3], &[1, 2, 4]]);
-    assert_eq!(table.observe(at(100), ballot(6), &joint, holding(&[(1, 6), (2, 6), (3, 6)])), []);
+    assert_eq!(table.observe(at(100), ballot(6), &joint, durable(&[(1, 6), (2, 6), (3, 6)])), []);
     assert_eq!(table.membership(), ballot(5));
-    table.observe(at(200), ballot(7), &value(3, &[&[1, 2, 4]]), holding(&[(1, 7), (2, 7)]));
+    table.observe(at(200), ballot(7), &value(3, &[&[1, 2, 4]]), durable(&[(1, 7), (2, 7)]));
     assert_eq!(table.membership(), ballot(7));
-    table.observe(at(300), ballot(8), &value(4, &[&[1, 2, 4]]), holding(&[(1, 8), (2, 8)]));
+    table.observe(at(300), ballot(8), &value(4, &[&[1, 2, 4]]), durable(&[(1, 8), (2, 8)]));
     assert_eq!(table.membership(), ballot(7), "a configuration changes no members");
 }
 
@@ -86,18 +86,18 @@
 fn a_member_that_is_back_is_watched_until_it_has_caught_up() {
     let mut table = three();
     let newest = value(9, &[&[1, 2, 3]]);
-    assert_eq!(table.observe(at(100), ballot(9), &newest, holding(&[(1, 9), (2, 9)])), []);
-    assert_eq!(table.observe(at(200), ballot(9), &newest, holding(&[(1, 9), (2, 9), (3, 5)])), []);
+    assert_eq!(table.observe(at(100), ballot(9), &newest, durable(&[(1, 9), (2, 9)])), []);
+    assert_eq!(table.observe(at(200), ballot(9), &newest, durable(&[(1, 9), (2, 9), (3, 5)])), []);
     let events =
-        table.observe(at(350), ballot(11), &value(11, &[&[1, 2, 3]]), holding(&[(1, 11), (2, 9), (3, 9)]));
-    assert_eq!(events, whole(9, 150), "of what was committed when it came back");
+        table.observe(at(350), ballot(11), &value(11, &[&[1, 2, 3]]), durable(&[(1, 11), (2, 9), (3, 9)]));
+    assert_eq!(events, complete(9, 150), "of what was committed when it came back");
 }
 
 #[test]
-fn a_copy_that_is_missing_is_waited_for_within_bounds_and_told_once() {
+fn a_replica_that_is_missing_is_waited_for_within_bounds_and_reported_once() {
     let mut table = three();
     let changed = value(3, &[&[1, 2, 3, 4]]);
-    let lacking = || holding(&[(1, 7), (2, 7), (3, 5), (4, 7)]);
+    let lacking = || durable(&[(1, 7), (2, 7), (3, 5), (4, 7)]);
     assert_eq!(table.observe(at(100), ballot(7), &changed, lacking()), []);
     assert_eq!(table.observe(at(1100), ballot(7), &changed, lacking()), []);
     assert!(!table.present(at(1100))[&member(3, 0)].overdue);
@@ -106,17 +106,17 @@
     assert!(table.present(at(1101))[&member(3, 0)].overdue);
     assert!(!table.present(at(1101))[&member(2, 0)].overdue);
     assert_eq!(table.observe(at(1200), ballot(7), &changed, lacking()), []);
-    let events = table.observe(at(1300), ballot(7), &changed, holding(&[(1, 7), (2, 7), (3, 7), (4, 7)]));
-    assert_eq!(events, whole(3, 1200), "repaired late, and said so");
+    let events = table.observe(at(1300), ballot(7), &changed, durable(&[(1, 7), (2, 7), (3, 7), (4, 7)]));
+    assert_eq!(events, complete(3, 1200), "repaired late, and reported");
 }
 
 #[test]
 fn the_wait_for_a_copy_counts_only_while_the_member_can_be_reached() {
     let mut table = three();
     let changed = value(3, &[&[1, 2, 3, 4]]);
-    table.observe(at(100), ballot(7), &changed, holding(&[(1, 7), (2, 7), (3, 5), (4, 7)]));
-    table.observe(at(200), ballot(7), &changed, holding(&[(1, 7), (2, 7), (4, 7)]));
-    table.observe(at(5000), ballot(7), &changed, holding(&[(1, 7), (2, 7), (3, 5), (4, 7)]));
+    table.observe(at(100), ballot(7), &changed, durable(&[(1, 7), (2, 7), (3, 5), (4, 7)]));
+    table.observe(at(200), ballot(7), &changed, durable(&[(1, 7), (2, 7), (4, 7)]));
+    table.observe(at(5000), ballot(7), &changed, durable(&[(1, 7), (2, 7), (3, 5), (4, 7)]));
     assert!(!table.present(at(5000))[&member(3, 0)].overdue);
 }
 
@@ -125,14 +125,14 @@
     let mut table = ReplicaTable::new(WAIT);
     assert_eq!(table.required(), Ballot::default());
     let set: &[&[u8]] = &[&[1, 2, 3]];
-    table.observe(at(0), ballot(5), &value(1, set), holding(&[]));
+    table.observe(at(0), ballot(5), &value(1, set), durable(&[]));
     assert_eq!(table.required(), ballot(5), "nothing older is known");
     for change in 1..=30 {
-        table.observe(at(100 * change), ballot(5 + change), &value(change, set), holding(&[]));
+        table.observe(at(100 * change), ballot(5 + change), &value(change, set), durable(&[]));
     }
     let lag = JOIN_LAG.as_millis() as u64 / 100;
     assert_eq!(table.required(), ballot(35 - lag), "while configurations change all the time");
-    table.observe(at(3000) + JOIN_LAG, ballot(35), &value(30, set), holding(&[]));
+    table.observe(at(3000) + JOIN_LAG, ballot(35), &value(30, set), durable(&[]));
     assert_eq!(table.required(), ballot(35), "then the newest one");
 }
 
@@ -149,6 +149,6 @@
     assert_eq!(table.required(), ballot(5));
     assert_eq!(table.membership(), ballot(5));
     let events =
-        table.observe(at(100), ballot(5), &value(1, &[&[1, 2, 3]]), holding(&[(1, 5), (2, 5), (3, 5)]));
-    assert_eq!(events, whole(1, 50));
+        table.observe(at(100), ballot(5), &value(1, &[&[1, 2, 3]]), durable(&[(1, 5), (2, 5), (3, 5)]));
+    assert_eq!(events, complete(1, 50));
 }
--- a/crates/register/tests/rounds.rs
+++ b/crates/register/tests/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of the register against its own members, each bad order forced.
+//! Rounds of the register against its own members, each race forced.
 
 mod support;
 
@@ -11,20 +11,20 @@
 use support::{Cluster, member, request};
 
 #[test]
-fn an_order_is_taken_once_and_acknowledged_again_after_others() {
+fn a_request_is_applied_once_and_acknowledged_again_after_others() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     assert_eq!(cluster.submit(1, &request(1, 5)), Some(ConfigAnswer::Applied));
     assert_eq!(
         cluster.submit(2, &request(0, 1)),
         Some(ConfigAnswer::Applied),
-        "the same order again, at another member"
+        "the same request again, at another member"
     );
     assert_eq!(cluster.read(0).version, 5);
 }
 
 #[test]
-fn of_two_orders_on_one_version_one_wins() {
+fn of_two_requests_on_one_version_one_wins() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     assert_eq!(cluster.submit(1, &request(1, 3)), Some(ConfigAnswer::Applied));
@@ -43,7 +43,7 @@
 fn a_value_at_a_minority_is_finished_or_superseded_and_a_refusal_stands() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
-    // Accepted by member 0 alone: its proposer then falls silent.
+    // Accepted by member 0 alone: its proposer then hears no more.
     let lost = request(1, 2);
     cluster.submit_reaching(0, &lost, &[0]);
     // Members 1 and 2 know nothing of it and take another order.
@@ -52,7 +52,7 @@
     cluster.set_partitioned(0, false);
     assert_eq!(cluster.submit(2, &lost), Some(ConfigAnswer::VersionMismatch(3)));
     for at in 0..3 {
-        assert_eq!(cluster.read(at).version, 3, "the refused order must never come into force");
+        assert_eq!(cluster.read(at).version, 3, "the rejected request must never come into force");
     }
 }
 
@@ -105,7 +105,7 @@
     );
     cluster.set_partitioned(1, true);
     cluster.set_partitioned(2, false);
-    assert_eq!(cluster.try_read(new), None, "the new one and the one that was replaced are none");
+    assert_eq!(cluster.read_if_any(new), None, "the new one and the one that was replaced are none");
 }
 
 #[test]
--- a/crates/register/tests/search.rs
+++ b/crates/register/tests/search.rs
@@ -51,7 +51,7 @@
     let Totals { acknowledged, refused, reads, restores, all_replaced, quorum_reads, .. } = totals;
     assert!(acknowledged > seeds && refused > seeds / 4 && reads > seeds, "the worlds do too little");
     assert!(quorum_reads > seeds, "hardly any quorum read is answered");
-    assert!(restores > seeds / 100, "hardly any older disk is put back");
+    assert!(restores > seeds / 100, "hardly any older disk is restored");
     assert!(all_replaced > seeds / 100, "hardly ever are all members replaced");
     let early = totals.changed_before_first_value;
     assert!(early > seeds / 100, "hardly ever do members change before the first value");
--- a/crates/register/tests/stored_bytes.rs
+++ b/crates/register/tests/stored_bytes.rs
@@ -26,7 +26,7 @@
 }
 
 fn set(members: &[(u8, u64)]) -> BTreeSet<Member> {
-    members.iter().map(|(place, incarnation)| member(*place, *incarnation)).collect()
+    members.iter().map(|(index, incarnation)| member(*index, *incarnation)).collect()
 }
 
 fn proposed(decision: Decision) -> Value {
--- a/crates/register/tests/support/attempt.rs
+++ b/crates/register/tests/support/attempt.rs
@@ -1,4 +1,4 @@
-//! One round on behalf of an operation, with the errors that can be planted in a proposer.
+//! One round on behalf of an operation, with the mutants of a proposer.
 
 use super::mutants::Mutant;
 use runtrack_message::{Ballot, Member, RegisterReply, RegisterRequest, RequestDigest, Value};
@@ -31,7 +31,7 @@
     pub changes_before_first_value: bool,
     /// Bound on the table of applied requests.
     pub max_applied: usize,
-    /// The error that is planted.
+    /// The mutant that is searched for.
     pub mutant: Mutant,
 }
 
@@ -40,7 +40,7 @@
 pub struct Decided {
     /// The value that was found.
     pub found: Option<Rc<Value>>,
-    /// What a request is to be told once the round has ended well.
+    /// The answer to a request once the round has committed or read.
     pub answer: Option<ConfigAnswer>,
 }
 
@@ -202,7 +202,7 @@
     )
 }
 
-/// Decides on the value that was found, and what a request is to be told.
+/// Decides on the value that was found, and on the answer to a request.
 pub fn decide(
     purpose: &Purpose,
     current: Option<&Value>,
--- a/crates/register/tests/support/checker.rs
+++ b/crates/register/tests/support/checker.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request as the operator knows it. Two with one version number may differ in their bodies: a request is told from
-/// all others by its place in [`History::requests`].
+/// A request as the operator knows it. Two with one version number may differ in their bodies: a request is identified
+/// by its index in [`History::requests`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Known {
     pub base: u64,
@@ -55,7 +55,7 @@
     acknowledged: BTreeSet<usize>,
     refused: BTreeSet<usize>,
     chosen: BTreeMap<u64, Option<usize>>,
-    /// The newest version that anybody had been told of when an operation began.
+    /// The newest version that had been answered to anybody when an operation began.
     began: BTreeMap<usize, u64>,
     newest_seen: u64,
     ended: bool,
--- a/crates/register/tests/support/mod.rs
+++ b/crates/register/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Members in memory whose messages arrive at once, unless they are cut off.
+//! Members in memory whose messages arrive at once, unless they are partitioned.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod attempt;
@@ -28,7 +28,7 @@
     PromiseRecord { incarnation: member.incarnation, promised: Ballot::default() }
 }
 
-/// An order by its versions.
+/// A request by its versions.
 pub fn request(base: u64, version: u64) -> ConfigRequest {
     ConfigRequest::replace(base, version, format!("config {version}").into_bytes())
 }
@@ -58,7 +58,7 @@
     }
 }
 
-/// A round that sleeps between its two halves.
+/// A round that is paused between its two phases.
 pub struct PausedRound {
     round: Round,
     accepts: Vec<Send>,
@@ -122,7 +122,7 @@
         self.restart(at);
     }
 
-    /// What the process at a place remembers of a member.
+    /// What the process at an index remembers of a member.
     pub fn remembered(&self, at: usize, member: &Member) -> Watermark {
         self.watermarks.get(&at).map(|seen| seen.of(member)).unwrap_or_default()
     }
@@ -168,7 +168,7 @@
         Ballot { round: self.rounds, boot: boot as u64 + 1 }
     }
 
-    /// A whole round; nothing where it falls silent.
+    /// A complete round; none where replies fail to come.
     pub fn round(
         &mut self,
         at: usize,
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Prepares for an order, and stops before it is sent out.
+    /// Prepares for a request, and pauses before it is proposed.
     pub fn prepared(&mut self, at: usize, request: &ConfigRequest) -> PausedRound {
         let first = self.view.clone();
         self.prepared_for(at, &mut |current| request.decide(current, &first).0)
@@ -253,7 +253,7 @@
         None
     }
 
-    /// An order whose accepts reach these members alone; its proposer hears nothing more.
+    /// A request whose accepts reach these members alone; its proposer hears nothing more.
     pub fn submit_reaching(&mut self, at: usize, request: &ConfigRequest, reached: &[usize]) {
         let paused = self.prepared(at, request);
         self.reach(paused, reached);
@@ -275,7 +275,7 @@
         }
     }
 
-    pub fn try_read(&mut self, at: usize) -> Option<Value> {
+    pub fn read_if_any(&mut self, at: usize) -> Option<Value> {
         match self.decide(at, &mut |_| Decision::Read)? {
             Outcome::Read(_, value) | Outcome::Committed(_, value) => Some((*value).clone()),
             _ => None,
@@ -283,7 +283,7 @@
     }
 
     pub fn read(&mut self, at: usize) -> Value {
-        self.try_read(at).expect("a value")
+        self.read_if_any(at).expect("a value")
     }
 
     /// The first half of a change of members.
--- a/crates/register/tests/support/mutants.rs
+++ b/crates/register/tests/support/mutants.rs
@@ -1,6 +1,6 @@
-//! Errors that are planted in members and proposers, to show that the checks can fail.
+//! Mutants: versions of members, proposers and readers with one fault each. A check that can't find one shows nothing.
 
-/// An error that is planted in the members or in the proposers.
+/// A fault in the members, the proposers or the readers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
     /// The code as it is.
@@ -11,7 +11,7 @@
     ValueNotSynced,
     /// A member that lost its disk goes on under its old incarnation.
     WipedMemberVotes,
-    /// A proposer that starts again uses the ballots of its life before.
+    /// A proposer that restarts uses the ballots of before again.
     BallotReused,
     /// A member accepts below what it has promised.
     PromiseForgotten,
@@ -37,7 +37,7 @@
     BaseAboveRefused,
     /// A change of members loses the table of applied requests.
     TableLostAtMembership,
-    /// Of the digest only so much is kept that two requests with one version number are taken for one.
+    /// The digest is truncated so far that two requests with one version number are taken for one.
     DigestTruncated,
     /// The second half of a change of members is written on a first half that may not be chosen.
     SecondHalfOnUnchosen,
@@ -45,7 +45,7 @@
     NewSetAlone,
     /// A member that takes a committed value lowers its promise to the ballot of that value.
     PromiseLoweredByAdopting,
-    /// A member whose disk was put back from an older copy goes on as if nothing had happened.
+    /// A member whose disk was restored from an older copy goes on as if nothing had happened.
     OlderDiskAccepted,
     /// A quorum read answers with the highest ballot that it found, whoever has it.
     HighestRead,
@@ -58,7 +58,7 @@
 }
 
 impl Mutant {
-    /// All errors, and the code as it is.
+    /// All mutants, and the code as it is.
     pub const ALL: [Mutant; 26] = [
         Mutant::None,
         Mutant::PromiseNotSynced,
--- a/crates/register/tests/support/read_attempt.rs
+++ b/crates/register/tests/support/read_attempt.rs
@@ -1,4 +1,4 @@
-//! One quorum read, with the errors that can be planted in a reader.
+//! One quorum read, with the mutants of a reader.
 
 use super::mutants::Mutant;
 use runtrack_message::{Ballot, InspectReply, Member, Value};
--- a/crates/register/tests/support/world/faults.rs
+++ b/crates/register/tests/support/world/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with members and processes, and the changes of members that mend it.
+//! Faults of members and processes, and the changes of members that repair them.
 
 use super::{Process, Voter, World};
 use crate::support::attempt::Purpose;
@@ -113,7 +113,7 @@
         self.wanted = Some(next);
     }
 
-    /// A member's disk is copied, or a copy is put back. The others then say what they remember of it.
+    /// A member's disk is copied, or a copy is restored. The others then report what they remember of it.
     pub(super) fn copy_or_restore(&mut self) {
         let at = self.some_voter();
         if self.rng.u32(..COPIES) == 0 || self.voters[at].copy.is_none() {
@@ -136,7 +136,7 @@
                 self.read_at_once();
                 self.take_new_incarnation(at);
             }
-            // Nobody remembers. The page says that this is not known; the world does without.
+            // Nobody remembers. The design states that this is not known; the world does without.
             _ => self.unknown_restores += 1,
         }
     }
@@ -186,7 +186,7 @@
         self.wanted = Some(next);
     }
 
-    /// Tries again to bring the members to what they should be; two processes may try at a time.
+    /// Retries the change to the members that there should be; two processes may attempt it at a time.
     pub(super) fn retry_change(&mut self) {
         if let Some(wanted) = self.wanted.clone().filter(|_| self.changes() < MAX_CHANGES) {
             let at = self.rng.usize(..self.processes.len());
@@ -204,12 +204,12 @@
     pub(super) fn gossip(&mut self) {
         let (from, to) = (self.rng.usize(..self.voters.len()), self.rng.usize(..self.processes.len()));
         if self.voters[from].up {
-            self.tell_members(from, to);
+            self.send_members(from, to);
         }
     }
 
-    /// The newest sets of members that the process of a member knows: told, or accepted on its own disk.
-    fn tell_members(&mut self, from: usize, to: usize) {
+    /// The newest sets of members that the process of a member knows: by gossip, or accepted on its own disk.
+    fn send_members(&mut self, from: usize, to: usize) {
         if let Some(accepted) = self.voters[from].node.acceptor.accepted() {
             let sets = sets_of(&accepted.value);
             self.processes[to].hear(accepted.value.sequence, &sets);
@@ -223,7 +223,7 @@
     pub(super) fn gossip_to_all(&mut self) {
         for from in 0..self.voters.len() {
             for to in 0..self.processes.len() {
-                self.tell_members(from, to);
+                self.send_members(from, to);
             }
         }
     }
--- a/crates/register/tests/support/world/mod.rs
+++ b/crates/register/tests/support/world/mod.rs
@@ -1,5 +1,5 @@
 //! A world of members, processes and operators whose messages are delivered in an order drawn from a seed, with losses,
-//! restarts, wipes, older disks and changes of members, and with errors that can be planted. It records a history; what
+//! restarts, wipes, older disks and changes of members, and with mutants. It records a history; what
 //! the history must be like is checked in `checker.rs`, which knows nothing of the register.
 
 mod faults;
@@ -90,7 +90,7 @@
     committed: Vec<(Ballot, Rc<Value>)>,
     /// Index of the next address.
     spare: u8,
-    /// Members that there should be; the change to them is tried until it is through.
+    /// Members that there should be; the change to them is retried until it is committed.
     wanted: Option<BTreeSet<Member>>,
     /// Older disks that were recognized, and such that nobody remembered anything of.
     restores: u64,
--- a/crates/register/tests/support/world/operations.rs
+++ b/crates/register/tests/support/world/operations.rs
@@ -135,7 +135,7 @@
         operation.attempts += 1;
         operation.idle = 0;
         if operation.attempts > MAX_ATTEMPTS {
-            self.operations.remove(&id); // nobody is told what came of it
+            self.operations.remove(&id); // its caller never learns the outcome
             return;
         }
         let process = &mut self.processes[operation.at];
--- a/crates/register/tests/support/world/profile.rs
+++ b/crates/register/tests/support/world/profile.rs
@@ -161,7 +161,7 @@
         };
     }
 
-    /// Disks are lost or put back one at a time, with all members up, while values stand at bare majorities.
+    /// Disks are lost or restored one at a time, with all members up, while values stand at bare majorities.
     fn lost_disks(&mut self, rng: &mut Rng) {
         self.rates.restore = rng.u32(10..60);
         self.rates.wipe = rng.u32(..20);
--- a/crates/register/tests/support/world/reads.rs
+++ b/crates/register/tests/support/world/reads.rs
@@ -18,9 +18,9 @@
 const MAX_READS: usize = 3;
 /// Steps after which a read is given up.
 const READ_STEPS: usize = 120;
-/// An error: a member with an older disk answers for so many steps before it finds that out.
+/// For a mutant: a member with an older disk answers for so many steps before it finds that out.
 const UNCHECKED_STEPS: usize = 100;
-/// A world with quorum reads is told from one without by this.
+/// Separates the draws of quorum reads from those of their world, which has the same seed.
 const SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
 enum Content {
@@ -59,7 +59,7 @@
     open: Vec<OpenRead>,
     packets: Vec<Packet>,
     unchecked: Vec<Unchecked>,
-    /// For that error: what was on the members' disks, a copy for each value.
+    /// For that mutant: what was on the members' disks, a copy for each value.
     copies: BTreeMap<Member, Vec<Disk>>,
     next: usize,
     /// Reads that were answered, and such that only a round could tell.
@@ -214,7 +214,7 @@
         }
     }
 
-    /// An error: a member whose disk is an older one answers readers before it has found out. The worst copy is one of
+    /// For a mutant: a member whose disk is an older one answers readers before it has found out. The worst copy is one of
     /// the value that another member has not got beyond.
     pub(super) fn leave_unchecked(&mut self, at: usize) {
         if self.terms.mutant != Mutant::InspectedBeforeDiskCheck {
--- a/crates/register/tests/watermarks.rs
+++ b/crates/register/tests/watermarks.rs
@@ -1,4 +1,4 @@
-//! A member that starts asks the others what they remember of it before it promises anything: a disk that was put back
+//! A member that starts asks the others what they remember of it before it promises anything: a disk that was restored
 //! from an older copy, or whose newest synced record is damaged, can't tell by itself.
 
 mod support;
@@ -132,8 +132,8 @@
     assert_eq!(check.verdict(START), DiskVerdict::Older(watermark(20, 19)));
 }
 
-/// Version 2 is acknowledged at members 1 and 2, then member 2's disk is put back to where it held version 1.
-fn put_back() -> Cluster {
+/// Version 2 is acknowledged at members 1 and 2, then member 2's disk is restored to where it had version 1.
+fn with_older_disk() -> Cluster {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     let copy = cluster.copy_disk(2);
@@ -147,20 +147,20 @@
 #[test]
 fn a_member_that_goes_on_with_an_older_disk_loses_what_was_acknowledged() {
     // What the check stands against: without it this happens every time.
-    let mut cluster = put_back();
+    let mut cluster = with_older_disk();
     cluster.set_partitioned(1, true);
     assert_eq!(cluster.read(0).version, 1, "version 2 was acknowledged");
 }
 
 #[test]
 fn a_member_with_an_older_disk_is_found_out_and_nothing_is_lost() {
-    let mut cluster = put_back();
+    let mut cluster = with_older_disk();
     let mut check = cluster.disk_check(2);
     for at in 0..2 {
         check.on_answer(member(at as u8, 0), cluster.remembered(at, &member(2, 0)));
     }
     assert!(matches!(check.verdict(START), DiskVerdict::Older(_)));
-    // It is silent under its old incarnation, and joins as another member.
+    // It answers no more under its old incarnation, and joins as another member.
     cluster.set_partitioned(2, true);
     cluster.add(member(2, 7));
     assert!(cluster.replace(0, &[member(0, 0), member(1, 0), member(2, 7)]));
@@ -183,7 +183,7 @@
 
 #[test]
 fn what_only_a_process_saw_that_has_ended_since_is_not_known() {
-    let mut cluster = put_back();
+    let mut cluster = with_older_disk();
     cluster.forget(1);
     let mut check = cluster.disk_check(2);
     for at in 0..2 {
