--- /dev/null
+++ b/crates/scale/tests/support/words.rs
@@ -0,0 +1,144 @@
+//! Words of Rust sources, as names and as prose.
+
+/// What a word of a source stands in.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Kind {
+    /// A part of an identifier: in code, between backticks of a comment, or written like one in prose.
+    Name,
+    /// A comment or a text.
+    Prose,
+}
+
+/// A word in lower case.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Word {
+    pub line: usize,
+    pub kind: Kind,
+    pub text: String,
+}
+
+/// What a letter of a source is in.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Context {
+    Code,
+    LineComment,
+    /// Between backticks of a comment.
+    CodeSpan,
+    /// So many block comments deep.
+    BlockComment(usize),
+    /// A string literal that ends with a quote and so many number signs; one without any has escapes.
+    Text {
+        raw: bool,
+        signs: usize,
+    },
+}
+
+/// All words of a source in their order. `snake_case`, `CamelCase` and `UPPER_CASE` names are taken apart.
+pub fn words(source: &str) -> Vec<Word> {
+    let mut reader = Reader { words: Vec::new(), line: 1, current: String::new(), kind: Kind::Name };
+    let letters: Vec<char> = source.chars().collect();
+    let mut context = Context::Code;
+    let mut at = 0;
+    while at < letters.len() {
+        let (next, taken) = step(context, &letters[at..]);
+        if next != context || taken > 1 {
+            reader.end_name();
+        }
+        for letter in &letters[at..at + taken] {
+            reader.take(*letter, if taken == 1 { kind_of(context) } else { Kind::Prose });
+        }
+        if taken > 1 {
+            reader.end_name();
+        }
+        context = next;
+        at += taken;
+    }
+    reader.end_name();
+    reader.words
+}
+
+fn kind_of(context: Context) -> Kind {
+    if matches!(context, Context::Code | Context::CodeSpan) { Kind::Name } else { Kind::Prose }
+}
+
+/// The context behind the next letters, and how many these are.
+fn step(context: Context, rest: &[char]) -> (Context, usize) {
+    match (context, rest) {
+        (Context::Code, ['/', '/', ..]) => (Context::LineComment, 2),
+        (Context::Code, ['/', '*', ..]) => (Context::BlockComment(1), 2),
+        (Context::Code, ['\'', '\\', _, '\'', ..]) => (Context::Code, 4),
+        (Context::Code, ['\'', _, '\'', ..]) => (Context::Code, 3),
+        (Context::Code, ['"', ..]) => (Context::Text { raw: false, signs: 0 }, 1),
+        (Context::Code, ['r', '#' | '"', ..]) => raw_text(rest).unwrap_or((Context::Code, 1)),
+        (Context::LineComment | Context::CodeSpan, ['\n', ..]) => (Context::Code, 1),
+        (Context::LineComment, ['`', ..]) => (Context::CodeSpan, 1),
+        (Context::CodeSpan, ['`', ..]) => (Context::LineComment, 1),
+        (Context::BlockComment(depth), ['/', '*', ..]) => (Context::BlockComment(depth + 1), 2),
+        (Context::BlockComment(1), ['*', '/', ..]) => (Context::Code, 2),
+        (Context::BlockComment(depth), ['*', '/', ..]) => (Context::BlockComment(depth - 1), 2),
+        (Context::Text { raw: false, .. }, ['\\', _, ..]) => (context, 2),
+        (Context::Text { signs, .. }, ['"', ..]) if rest[1..].starts_with(&vec!['#'; signs]) => {
+            (Context::Code, 1 + signs)
+        }
+        _ => (context, 1),
+    }
+}
+
+fn raw_text(rest: &[char]) -> Option<(Context, usize)> {
+    let signs = rest[1..].iter().take_while(|letter| **letter == '#').count();
+    (rest.get(1 + signs) == Some(&'"')).then_some((Context::Text { raw: true, signs }, 2 + signs))
+}
+
+struct Reader {
+    words: Vec<Word>,
+    line: usize,
+    current: String,
+    kind: Kind,
+}
+
+impl Reader {
+    fn take(&mut self, letter: char, kind: Kind) {
+        if letter.is_alphanumeric() || letter == '_' {
+            if self.current.is_empty() {
+                self.kind = kind;
+            }
+            self.current.push(letter);
+            return;
+        }
+        self.end_name();
+        self.line += usize::from(letter == '\n');
+    }
+
+    /// Takes apart the name that ends here. One in prose that is written like a name in code is one.
+    fn end_name(&mut self) {
+        let name = std::mem::take(&mut self.current);
+        let parts = parts_of(&name);
+        let kind = if parts.len() > 1 { Kind::Name } else { self.kind };
+        let line = self.line;
+        self.words.extend(parts.into_iter().map(|text| Word { line, kind, text }));
+    }
+}
+
+/// Where a capital follows a small letter, or begins the next word behind capitals, a part of a name begins.
+fn parts_of(name: &str) -> Vec<String> {
+    let mut parts = vec![String::new()];
+    let letters: Vec<char> = name.chars().collect();
+    for (at, letter) in letters.iter().enumerate() {
+        let previous = at.checked_sub(1).map(|at| letters[at]);
+        let is_next_small = letters.get(at + 1).is_some_and(|next| next.is_lowercase());
+        let begins = letter.is_uppercase()
+            && previous.is_some_and(|previous| {
+                previous.is_lowercase() || (previous.is_uppercase() && is_next_small)
+            });
+        if begins || *letter == '_' {
+            parts.push(String::new());
+        }
+        if *letter != '_'
+            && let Some(part) = parts.last_mut()
+        {
+            part.extend(letter.to_lowercase());
+        }
+    }
+    parts.retain(|part| !part.is_empty());
+    parts
+}
