--- a/crates/register/tests/model/main.rs
+++ b/crates/register/tests/model/main.rs
@@ -1,5 +1,5 @@
-//! Every order of messages, losses and restarts within small bounds, over the code's own rounds and members: the rules
-//! hold in all of them, and an error that is planted is found by a shortest way.
+//! An exhaustive search: every interleaving of messages, losses and restarts within small bounds, over the code's own
+//! rounds and members. The rules hold in all of them, and each mutant breaks one by a shortest counterexample.
 #![allow(dead_code, reason = "the support modules serve several test files")]
 
 mod actions;
@@ -40,7 +40,7 @@
     if let Some(counterexample) = &report.counterexample {
         panic!("{}\n{}", counterexample.violation.0, counterexample.trace);
     }
-    assert!(report.whole, "not all states were met");
+    assert!(report.complete, "not all states were met");
 }
 
 /// Searches that CI makes.
@@ -49,7 +49,7 @@
         Scenario { rounds: [2, 2], restarts: 0, ..scenario::race() },
         Scenario { rounds: [2, 1], restarts: 1, adopt: true, ..scenario::race() },
         Scenario { rounds: [2, 2], ..scenario::one_number() },
-        Scenario { rounds: [2, 2], ..scenario::repeats() },
+        Scenario { rounds: [2, 2], ..scenario::retries() },
         Scenario { rounds: [1, 2], ..scenario::replacement() },
         Scenario { rounds: [1, 2], ..scenario::wipe() },
         Scenario { rounds: [2, 1], ..scenario::late_copy() },
@@ -68,7 +68,7 @@
         Scenario { rounds: [3, 2], restarts: 0, ..scenario::race() },
         Scenario { rounds: [2, 2], restarts: 1, adopt: true, ..scenario::race() },
         Scenario { rounds: [3, 2], ..scenario::one_number() },
-        Scenario { rounds: [3, 2], ..scenario::repeats() },
+        Scenario { rounds: [3, 2], ..scenario::retries() },
         Scenario { rounds: [2, 2], ..scenario::late_copy() },
         Scenario { rounds: [1, 1], network: Network::Full, ..scenario::replacement() },
         Scenario { rounds: [2, 2], ..scenario::wipe() },
@@ -100,12 +100,12 @@
 }
 
 #[test]
-fn every_order_within_the_bounds_keeps_the_rules() {
+fn every_interleaving_within_the_bounds_keeps_the_rules() {
     small().into_iter().for_each(holds);
 }
 
 #[test]
-fn every_order_within_larger_bounds_keeps_the_rules() {
+fn every_interleaving_within_larger_bounds_keeps_the_rules() {
     let which = std::env::var("REGISTER_MODEL").unwrap_or_default();
     if which == "reads" {
         reads().into_iter().for_each(holds);
@@ -113,7 +113,7 @@
     large().into_iter().filter(|scenario| which == "large" || which == scenario.name).for_each(holds);
 }
 
-/// Errors with a scenario that shows them.
+/// Mutants, each with a scenario that shows it.
 fn mutants() -> Vec<(Mutant, Scenario)> {
     let race = || Scenario { rounds: [2, 2], restarts: 1, ..scenario::race() };
     let replacement = || Scenario { rounds: [2, 2], ..scenario::replacement() };
@@ -135,8 +135,8 @@
         (Mutant::AppliedForgotten, race()),
         (Mutant::BallotsShared, race()),
         (Mutant::TableLostAtMembership, replacement()),
-        (Mutant::FloorForgotten, scenario::repeats()),
-        (Mutant::BaseAboveRefused, scenario::repeats()),
+        (Mutant::FloorForgotten, scenario::retries()),
+        (Mutant::BaseAboveRefused, scenario::retries()),
         (Mutant::DigestTruncated, scenario::one_number()),
         (Mutant::SecondHalfOnUnchosen, replacement()),
         (Mutant::NewSetAlone, replacement()),
@@ -160,7 +160,7 @@
     }
 }
 
-/// Errors that a race of two rounds can show, as far as one at each proposer does.
+/// Mutants that a race of two rounds can show, with one round at each proposer.
 const IN_A_RACE: [Mutant; 10] = [
     Mutant::None,
     Mutant::PromiseNotSynced,
--- a/crates/register/tests/support/world/operations.rs
+++ b/crates/register/tests/support/world/operations.rs
@@ -36,7 +36,7 @@
         if self.operations.len() >= self.profile.max_operations {
             return;
         }
-        if !self.requests.is_empty() && self.rng.u32(..100) < self.profile.repeats {
+        if !self.requests.is_empty() && self.rng.u32(..100) < self.profile.retries {
             let request = self.some_request();
             return self.start_request_at(request);
         }
@@ -135,7 +135,7 @@
         operation.attempts += 1;
         operation.idle = 0;
         if operation.attempts > MAX_ATTEMPTS {
-            self.operations.remove(&id); // nobody is told what came of it
+            self.operations.remove(&id); // its caller never learns the outcome
             return;
         }
         let process = &mut self.processes[operation.at];
--- a/crates/register/tests/support/world/profile.rs
+++ b/crates/register/tests/support/world/profile.rs
@@ -33,7 +33,7 @@
     /// Requests that were applied before the world begins.
     pub applied_before: u64,
     /// Of a hundred requests so many are one that was sent before.
-    pub repeats: u32,
+    pub retries: u32,
     /// Of a hundred new requests so many have the version of another one and another body.
     pub same_version: u32,
     /// Of a hundred new requests so many have a successor at once, on a version that may never come into force.
@@ -73,7 +73,7 @@
             max_operations: rng.usize(2..5),
             max_applied: if rng.bool() { rng.usize(1..4) } else { MAX_APPLIED_REQUESTS },
             applied_before: 0,
-            repeats: rng.u32(20..60),
+            retries: rng.u32(20..60),
             same_version: rng.u32(..30),
             successors: rng.u32(..60),
             rivals: rng.u32(..100),
@@ -161,7 +161,7 @@
         };
     }
 
-    /// Disks are lost or put back one at a time, with all members up, while values stand at bare majorities.
+    /// Disks are lost or restored one at a time, with all members up, while values stand at bare majorities.
     fn lost_disks(&mut self, rng: &mut Rng) {
         self.rates.restore = rng.u32(10..60);
         self.rates.wipe = rng.u32(..20);
--- a/crates/scale/tests/modules.rs
+++ b/crates/scale/tests/modules.rs
@@ -8,13 +8,14 @@
 use support::Sources;
 
 /// The fleet's crates, as docs/ARCHITECTURE.md lists them.
-const FLEET: [&str; 11] = [
+const FLEET: [&str; 12] = [
     "message",
+    "failure_detector",
     "fleetconfig",
     "register",
-    "ring",
+    "hash_ring",
     "registry",
-    "ringstore",
+    "record_store",
     "link",
     "proxy",
     "agent",
