--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -18,31 +18,28 @@
 const MAX_UNEXECUTED: u32 = 3;
 
 impl Forwarder {
-    /// Whether a dispatched request may be sent to another endpoint. Takes a retry off the budget unless one was taken
-    /// before.
-    pub(crate) fn may_retry(&self, request: &RoutedRequest, attempts: &mut AttemptState) -> bool {
-        let acquired = std::mem::take(&mut attempts.retry_acquired);
+    /// Whether a dispatched request may be sent to another endpoint. Takes a retry off the budget.
+    pub(crate) fn may_retry(&self, request: &RoutedRequest, attempts: &AttemptState) -> bool {
         if attempts.dispatched >= request.max_tries || Instant::now() >= request.outgoing.deadline {
             return false;
         }
-        self.acquire_retry(request, acquired)
+        self.acquire_retry(request)
     }
 
     /// Whether a request that an endpoint has not run may be sent to another one. The route's `maxTries` bounds the
     /// endpoints that may have run a request; what was not run counts for the budget alone.
     fn may_retry_unexecuted(&self, request: &RoutedRequest, attempts: &mut AttemptState) -> bool {
         attempts.unexecuted += 1;
-        let acquired = std::mem::take(&mut attempts.retry_acquired);
         if attempts.unexecuted > MAX_UNEXECUTED || !request.outgoing.is_wanted() {
             return false;
         }
-        self.acquire_retry(request, acquired)
+        self.acquire_retry(request)
     }
 
-    /// Takes a retry off the budget unless one was taken before.
-    fn acquire_retry(&self, request: &RoutedRequest, acquired: bool) -> bool {
+    /// Takes a retry off the budget.
+    fn acquire_retry(&self, request: &RoutedRequest) -> bool {
         let now = self.state.now();
-        acquired || self.state.router().try_acquire_retry(now, service_key(&request.service))
+        self.state.router().try_acquire_retry(now, service_key(&request.service))
     }
 
     fn choose(&self, request: &RoutedRequest, attempts: &AttemptState) -> Option<Target> {
@@ -68,6 +65,7 @@
             let Some(target) = self.choose(request, attempts) else {
                 return Err(RequestError::after(request, attempts));
             };
+            attempts.tried.push(target.key);
             let mut in_flight = InFlight::new(&self.state, target.key, request.prompt);
             let sent = attempt(
                 &self.state,
@@ -78,7 +76,6 @@
                 after,
             )
             .await;
-            attempts.tried.push(target.key);
             let failed = match sent {
                 Ok(started) => {
                     attempts.dispatched += 1;
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -80,11 +80,11 @@
                 Ok(reply) if !reply.status().is_server_error() || !request.outgoing.idempotent => {
                     return reply;
                 }
-                Ok(reply) if !self.may_retry(&request, &mut attempts) => return reply,
+                Ok(reply) if !self.may_retry(&request, &attempts) => return reply,
                 Ok(_) => attempts.may_have_run = true,
                 Err(TruncatedResponse) => {
                     attempts.may_have_run = true;
-                    if !request.outgoing.idempotent || !self.may_retry(&request, &mut attempts) {
+                    if !request.outgoing.idempotent || !self.may_retry(&request, &attempts) {
                         return self.error_reply(RequestError::after(&request, &attempts));
                     }
                 }
--- a/crates/proxy/src/routed.rs
+++ b/crates/proxy/src/routed.rs
@@ -87,6 +87,7 @@
 /// State of the attempts of a request.
 #[derive(Clone, Default)]
 pub(crate) struct AttemptState {
+    /// Endpoints that it was or is being sent to.
     pub(crate) tried: Vec<EndpointId>,
     /// Endpoints that may have run the request.
     pub(crate) dispatched: u32,
@@ -94,8 +95,6 @@
     pub(crate) unexecuted: u32,
     pub(crate) may_have_run: bool,
     pub(crate) unconnected: usize,
-    /// The next retry has been taken off the budget already.
-    pub(crate) retry_acquired: bool,
 }
 
 /// The response was truncated before any of it was passed on.
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -8,7 +8,9 @@
 use crate::whole::reply_head;
 use bytes::Bytes;
 use http_body_util::Either;
+use hyper::body::Incoming;
 use hyper::header::HeaderValue;
+use std::pin::pin;
 use std::rc::Rc;
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at};
@@ -83,37 +85,44 @@
         sender: &StreamSender,
     ) -> Result<(), TruncatedResponse> {
         loop {
-            match self.relay_one(request, &mut active, &mut attempts, &mut passage, sender).await {
-                Ok(()) => {
-                    self.finish(request, active, Outcome::Ok);
-                    return Ok(());
-                }
-                Err(outcome) => active.in_flight.outcome = outcome,
-            }
+            let relayed = self.relay_one(request, &mut active, &mut attempts, &mut passage, sender).await;
+            let Err(interruption) = relayed else {
+                self.finish(request, active, Outcome::Ok);
+                return Ok(());
+            };
             self.connections.close_idle(active.in_flight.key);
-            drop(active);
-            active = self.resume(request, &mut attempts, &mut passage).await.ok_or(TruncatedResponse)?;
+            active = match interruption {
+                Interruption::TakenOver(other) => {
+                    active.in_flight.outcome = Outcome::TimedOut;
+                    *other
+                }
+                Interruption::Ended(outcome) => {
+                    active.in_flight.outcome = outcome;
+                    drop(active);
+                    self.resume(request, &mut attempts, &passage).await.ok_or(TruncatedResponse)?
+                }
+            };
+            passage.events.resume();
         }
     }
 
-    /// Resumes a stream at another endpoint, behind the last whole event that was passed on.
+    /// Asks another endpoint to resume a stream behind the last whole event that was passed on.
     async fn resume(
         &self,
         request: &RoutedRequest,
         attempts: &mut AttemptState,
-        passage: &mut Passage,
+        passage: &Passage,
     ) -> Option<ActiveResponse> {
-        attempts.may_have_run = true;
         let last = HeaderValue::from_str(passage.resumes_after()?).ok()?;
+        attempts.may_have_run = true;
         if !self.may_retry(request, attempts) {
             return None;
         }
-        passage.events.resume();
         let active = self.begin(request, attempts, Some(&last)).await.ok()?;
         active.started.response.status().is_success().then_some(active)
     }
 
-    /// Passes on what one endpoint sends; an error is the outcome of the attempt.
+    /// Passes on what one endpoint sends, until it ends or is interrupted.
     async fn relay_one(
         &self,
         request: &RoutedRequest,
@@ -121,19 +130,19 @@
         attempts: &mut AttemptState,
         passage: &mut Passage,
         sender: &StreamSender,
-    ) -> Result<(), Outcome> {
+    ) -> Result<(), Interruption> {
         while let Some(bytes) = self.next_of_stream(request, active, attempts, passage).await? {
             active.in_flight.on_response_started(); // where another endpoint goes on with a stream
             let ready = passage.ready(bytes);
             if passage.events.starts_over() {
-                return Err(Outcome::Reset);
+                return Err(Interruption::Ended(Outcome::Reset));
             }
             if let Some(ready) = ready {
                 send_in_time(request, sender, ready).await?;
             }
         }
         if passage.is_cut(active) {
-            return Err(Outcome::Reset);
+            return Err(Interruption::Ended(Outcome::Reset));
         }
         // The endpoint ended its response with this, even if it is no whole event.
         match passage.rest() {
@@ -142,41 +151,83 @@
         }
     }
 
-    /// The next bytes of a stream; none at its end. One that pauses for too long counts against its endpoint, and is
-    /// resumed at another one if that is allowed; otherwise it is waited for until the deadline.
+    /// The next bytes of a stream; none at its end. A pause that is too long counts against its endpoint.
     async fn next_of_stream(
         &self,
         request: &RoutedRequest,
         active: &mut ActiveResponse,
         attempts: &mut AttemptState,
         passage: &Passage,
-    ) -> Result<Option<Bytes>, Outcome> {
+    ) -> Result<Option<Bytes>, Interruption> {
         let (deadline, key) = (request.outgoing.deadline, active.in_flight.key);
         let body = active.started.response.body_mut();
-        let next = match timeout_at(deadline, timeout(request.silent_after, next_bytes(body))).await {
+        match timeout_at(deadline, timeout(request.silent_after, next_bytes(body))).await {
             // The endpoint was still at work at the deadline, which does not count against it.
-            Err(_) => return Err(Outcome::Cancelled),
-            Ok(Ok(next)) => next,
+            Err(_) => Err(Interruption::Ended(Outcome::Cancelled)),
+            Ok(Ok(next)) => received(next),
             Ok(Err(_)) => {
                 self.state.on_silence(key);
-                attempts.retry_acquired =
-                    passage.resumes_after().is_some() && self.may_retry(request, attempts);
-                if attempts.retry_acquired {
-                    return Err(Outcome::TimedOut);
+                self.next_after_pause(request, body, attempts, passage).await
+            }
+        }
+    }
+
+    /// Waits for the next bytes of a stream that has paused for too long, until the deadline. Meanwhile another endpoint is
+    /// asked to resume it, where that is allowed. The pause alone ends nothing: the paused attempt is kept until the other
+    /// endpoint has started its response, and goes on if its bytes are received first.
+    async fn next_after_pause(
+        &self,
+        request: &RoutedRequest,
+        body: &mut Incoming,
+        attempts: &mut AttemptState,
+        passage: &Passage,
+    ) -> Result<Option<Bytes>, Interruption> {
+        let tried = attempts.tried.len();
+        let mut declined = false;
+        let next = {
+            let mut taking_over = pin!(self.resume(request, attempts, passage));
+            loop {
+                tokio::select! {
+                    biased;
+                    next = timeout_at(request.outgoing.deadline, next_bytes(body)) => {
+                        if matches!(next, Ok(Some(Err(BodyAborted)))) && !declined {
+                            let other = taking_over.await.ok_or(Interruption::Ended(Outcome::Reset))?;
+                            return Err(Interruption::TakenOver(Box::new(other)));
+                        }
+                        break next;
+                    }
+                    other = &mut taking_over, if !declined => match other {
+                        Some(other) => return Err(Interruption::TakenOver(Box::new(other))),
+                        None => declined = true,
+                    },
                 }
-                timeout_at(deadline, next_bytes(body)).await.map_err(|_| Outcome::TimedOut)?
             }
         };
-        match next {
-            None => Ok(None),
-            Some(Ok(bytes)) => Ok(Some(bytes)),
-            Some(Err(BodyAborted)) => Err(Outcome::Reset),
+        if !declined && attempts.tried.len() > tried {
+            attempts.dispatched += 1; // the endpoint that was asked last may have begun to run it
         }
+        received(next.map_err(|_| Interruption::Ended(Outcome::TimedOut))?)
     }
 }
 
+/// Why an endpoint's part of a stream was not passed on to the end of the stream.
+enum Interruption {
+    /// The attempt ended with this outcome.
+    Ended(Outcome),
+    /// The endpoint has paused, and another one has resumed the stream.
+    TakenOver(Box<ActiveResponse>),
+}
+
+fn received(next: Option<Result<Bytes, BodyAborted>>) -> Result<Option<Bytes>, Interruption> {
+    next.transpose().map_err(|BodyAborted| Interruption::Ended(Outcome::Reset))
+}
+
 /// Sends bytes to a client, which may read slowly, until the deadline of its request.
-async fn send_in_time(request: &RoutedRequest, sender: &StreamSender, bytes: Bytes) -> Result<(), Outcome> {
+async fn send_in_time(
+    request: &RoutedRequest,
+    sender: &StreamSender,
+    bytes: Bytes,
+) -> Result<(), Interruption> {
     let sent = timeout_at(request.outgoing.deadline, sender.send(bytes)).await;
-    sent.ok().and_then(Result::ok).ok_or(Outcome::Cancelled)
+    sent.ok().and_then(Result::ok).ok_or(Interruption::Ended(Outcome::Cancelled))
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -397,6 +397,19 @@
         more: &str,
         mutant: Option<&str>,
     ) -> Self {
+        let fleet = Self::start_unconfigured(more, mutant).await;
+        fleet.configure(1, routes).await;
+        fleet
+            .gossip
+            .merge(stands.iter().map(|stand| stand.record(EndpointState::Ready, 1)).collect(), None);
+        if !stands.is_empty() {
+            fleet.logged("endpoints.ready", &format!("\"count\":{}", stands.len())).await;
+        }
+        fleet
+    }
+
+    /// A proxy that knows neither a configuration nor endpoints.
+    pub async fn start_unconfigured(more: &str, mutant: Option<&str>) -> Self {
         let ip = own_ip();
         let (front, ready) = (SocketAddrV4::new(ip, 8144), SocketAddrV4::new(ip, 8140));
         let logger = json_logger("agent-of-the-test", "test");
@@ -421,15 +434,25 @@
             .spawn()
             .expect("the proxy starts");
         let log = BufReader::new(child.stderr.take().expect("its log")).lines();
-        let fleet = Fleet { gossip, front, ready, child, settings, log: Mutex::new(log) };
-        fleet.configure(1, routes).await;
-        fleet
-            .gossip
-            .merge(stands.iter().map(|stand| stand.record(EndpointState::Ready, 1)).collect(), None);
-        if !stands.is_empty() {
-            fleet.logged("endpoints.ready", &format!("\"count\":{}", stands.len())).await;
-        }
-        fleet
+        Fleet { gossip, front, ready, child, settings, log: Mutex::new(log) }
+    }
+
+    /// Waits until the proxy accepts clients.
+    pub async fn listens(&self) {
+        let connected = async {
+            while TcpStream::connect(self.front).await.is_err() {
+                tokio::task::yield_now().await;
+            }
+        };
+        timeout(PATIENCE, connected).await.expect("the proxy listens");
+    }
+
+    /// Lets time pass by a request whose body does not come: it is refused at the time limit of its route.
+    pub async fn outlast(&self, path: &str) {
+        let mut client = RawClient::connect(self).await;
+        let complete = request(path, "outlast", "", "body");
+        client.write(&complete[..complete.len() - 1]).await;
+        client.read_until("HTTP/1.1 408").await;
     }
 
     /// Puts a configuration in force.
@@ -521,6 +544,11 @@
         self.signal(Signal::TERM);
     }
 
+    /// Sends the proxy SIGHUP.
+    pub fn hang_up(&self) {
+        self.signal(Signal::HUP);
+    }
+
     /// Stops the proxy's process, and waits until it stands still.
     pub async fn freeze(&self) {
         self.signal(Signal::STOP);
