--- a/crates/proxy/src/routed.rs
+++ b/crates/proxy/src/routed.rs
@@ -5,7 +5,7 @@
 use crate::outgoing::Outgoing;
 use crate::prompt::prompt_of;
 use bytes::Bytes;
-use hyper::header::HeaderMap;
+use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
 use runtrack_fleetconfig::{Route, RouteKind, Service};
 use runtrack_net::mutant;
@@ -69,10 +69,18 @@
     }
 }
 
-/// Time budget of a request: the client's, but at most the timeout of its route.
+/// Time budget of a request: the least that the client states, and at most the timeout of its route.
 pub(crate) fn time_budget(route: &Route, headers: &HeaderMap) -> Duration {
-    let told = headers.get(TIME_BUDGET).and_then(|value| value.to_str().ok()?.trim().parse().ok());
-    told.map_or(route.timeout, Duration::from_millis).min(route.timeout)
+    headers.get_all(TIME_BUDGET).iter().filter_map(milliseconds).fold(route.timeout, Duration::min)
+}
+
+/// A number of milliseconds, which may have a fraction. A negative one leaves no time; what is no number is none.
+fn milliseconds(value: &HeaderValue) -> Option<Duration> {
+    let number: f64 = value.to_str().ok()?.trim().parse().ok()?;
+    if number.is_nan() {
+        return None;
+    }
+    Some(Duration::try_from_secs_f64(number.max(0.0) / 1000.0).unwrap_or(Duration::MAX))
 }
 
 fn prompt_at(route: &Route, headers: &HeaderMap) -> Option<Prompt> {
