--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -6,9 +6,11 @@
 use std::mem::MaybeUninit;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
+use std::task::{Context, Poll, ready};
+use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
+use tokio::time::{Sleep, sleep};
 
 /// A client's connection, for the server that reads and writes it.
 pub struct ClientStream(Rc<RefCell<TcpStream>>);
@@ -35,6 +37,46 @@
     }
 }
 
+/// How often a client is looked for whose connection has bytes that the server does not read yet.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Waits until a client has left, also where it has sent bytes behind its request: with such bytes in its buffer the server
+/// does not watch the connection. To be polled by the task that serves the connection: there is one waker for reading.
+pub struct Departure {
+    client: Presence,
+    recheck: Option<Pin<Box<Sleep>>>,
+}
+
+impl Departure {
+    /// The departure of this client.
+    pub fn of(client: Presence) -> Self {
+        Departure { client, recheck: None }
+    }
+
+    fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<()> {
+        self.client.0.borrow().poll_read_ready(cx).map(|_| ()) // an error is found by looking
+    }
+}
+
+impl Future for Departure {
+    type Output = ();
+
+    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
+        loop {
+            if let Some(recheck) = &mut self.recheck {
+                ready!(recheck.as_mut().poll(cx));
+                self.recheck = None;
+            }
+            ready!(self.poll_readable(cx));
+            if self.client.has_left() {
+                return Poll::Ready(());
+            }
+            // What the server does not read keeps the connection readable.
+            self.recheck = Some(Box::pin(sleep(RECHECK_INTERVAL)));
+        }
+    }
+}
+
 impl AsyncRead for ClientStream {
     fn poll_read(
         self: Pin<&mut Self>,
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -1,6 +1,6 @@
 //! Handles a request from its head to its final response: routing, attempts, passing the response on.
 
-use crate::client::Presence;
+use crate::client::{Departure, Presence};
 use crate::pool::Connections;
 use crate::relay::{ReplyBody, whole};
 use crate::routed::{AttemptState, RequestError, RoutedRequest, TruncatedResponse, time_budget};
@@ -60,8 +60,11 @@
         };
         let now = self.state.now();
         self.state.router().arrived(now, service_key(&service.name));
-        let request = RoutedRequest::new(&route, &service, head, body, deadline, client);
-        self.serve(Rc::new(request)).await
+        let request = RoutedRequest::new(&route, &service, head, body, deadline, client.clone());
+        tokio::select! {
+            reply = self.serve(Rc::new(request)) => reply,
+            () = Departure::of(client) => client_left(),
+        }
     }
 
     async fn serve(self: Rc<Self>, request: Rc<RoutedRequest>) -> Reply {
@@ -124,6 +127,13 @@
     Err(text(status, why))
 }
 
+/// What ends a connection whose client has left. Nobody reads it; what runs on an endpoint ends with its attempt.
+fn client_left() -> Reply {
+    let mut reply = text(StatusCode::BAD_GATEWAY, "the client has left");
+    reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    reply
+}
+
 /// A response of the proxy itself.
 pub fn text(status: StatusCode, text: &'static str) -> Reply {
     let mut reply = Response::new(whole(Bytes::from_static(text.as_bytes())));
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,5 +1,6 @@
 //! Bodies of responses to clients.
 
+use crate::client::{Departure, Presence};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Either, Full};
 use hyper::body::{Body, Frame, SizeHint};
@@ -62,13 +63,30 @@
 pub struct Stream {
     bytes: Receiver<Bytes>,
     finished: Rc<Cell<bool>>,
+    departure: Option<Pin<Box<Departure>>>,
+}
+
+impl Stream {
+    /// Aborts the body once this client has left.
+    pub(crate) fn until_departure_of(mut self, client: Presence) -> Self {
+        self.departure = Some(Box::pin(Departure::of(client)));
+        self
+    }
+
+    fn poll_departure(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        match &mut self.departure {
+            Some(departure) => departure.as_mut().poll(cx),
+            None => Poll::Pending,
+        }
+    }
 }
 
 /// A streamed body and its sending half.
 pub fn stream() -> (StreamSender, Stream) {
     let (sender, receiver) = channel(MAX_BUFFERED_FRAMES);
     let finished = Rc::new(Cell::new(false));
-    (StreamSender { bytes: sender, finished: finished.clone() }, Stream { bytes: receiver, finished })
+    let stream = Stream { bytes: receiver, finished: finished.clone(), departure: None };
+    (StreamSender { bytes: sender, finished }, stream)
 }
 
 impl Body for Stream {
@@ -79,7 +97,9 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
-        let next = std::task::ready!(self.bytes.poll_recv(cx));
+        let Poll::Ready(next) = self.bytes.poll_recv(cx) else {
+            return self.poll_departure(cx).map(|()| Some(Err(BodyAborted)));
+        };
         Poll::Ready(match next {
             Some(bytes) => Some(Ok(Frame::data(bytes))),
             None if self.finished.get() || mutant("proxy_drop_is_end") => None,
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -51,6 +51,7 @@
     ) -> Reply {
         active.in_flight.on_response_started();
         let (sender, body) = stream();
+        let body = body.until_departure_of(request.outgoing.client.clone());
         let reply = reply_head(&active).map(|()| Either::Right(body));
         let _ = sender.try_send(first); // there is room for the first one
         spawn_local(self.relay(request.clone(), active, attempts.clone(), passage, sender));
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -327,13 +327,15 @@
 
     /// Leaves, once the other side's machine is known to have been told.
     pub async fn leave(mut self) {
-        const FIN_WAIT_2: &str = "05";
+        const NOT_TOLD: [&str; 2] = ["04", "0B"]; // FIN-WAIT-1 and CLOSING: the end has not been acknowledged
         let port = self.stream.local_addr().expect("an address").port();
         self.stream.shutdown().await.expect("it can be closed");
         let is_told = || {
             let sockets = std::fs::read_to_string("/proc/net/tcp").expect("a list of sockets");
-            sockets.lines().map(|line| line.split_whitespace().collect::<Vec<_>>()).any(|socket| {
-                socket.len() > 3 && socket[1].ends_with(&format!(":{port:04X}")) && socket[3] == FIN_WAIT_2
+            !sockets.lines().map(|line| line.split_whitespace().collect::<Vec<_>>()).any(|socket| {
+                socket.len() > 3
+                    && socket[1].ends_with(&format!(":{port:04X}"))
+                    && NOT_TOLD.contains(&socket[3])
             })
         };
         while !is_told() {
