--- /dev/null
+++ b/crates/controller/src/api/replies.rs
@@ -0,0 +1,34 @@
+//! Answers over HTTP: the status and the JSON body that each outcome gets.
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{CONTENT_TYPE, HeaderValue};
+use hyper::{Response, StatusCode};
+use miniserde::json;
+
+/// An answer, complete in memory.
+pub(super) type Reply = Response<Full<Bytes>>;
+
+/// An answer with a JSON body.
+pub(super) fn json_reply(status: StatusCode, body: Bytes) -> Reply {
+    let mut reply = Response::new(Full::new(body));
+    *reply.status_mut() = status;
+    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    reply
+}
+
+/// The answer to a call that was carried out and has nothing to say.
+pub(super) fn done() -> Reply {
+    json_reply(StatusCode::OK, Bytes::from_static(b"{}"))
+}
+
+/// The answer of a member that has no majority behind it: the caller is to go on to another one.
+pub(super) fn out_of_contact() -> Reply {
+    refusal(StatusCode::SERVICE_UNAVAILABLE, "no majority of the members can be reached")
+}
+
+/// A refusal, with its reason.
+pub(super) fn refusal(status: StatusCode, problem: &str) -> Reply {
+    let body = format!("{{\"error\":{}}}", json::to_string(&problem.to_owned()));
+    json_reply(status, body.into())
+}
--- a/crates/controller/tests/interfaces.rs
+++ b/crates/controller/tests/interfaces.rs
@@ -6,7 +6,8 @@
 
 const FILES: [&str; 2] =
     [include_str!("../../../api/operator.yaml"), include_str!("../../../api/endpoints.yaml")];
-const SOURCES: [&str; 2] = [include_str!("../src/api.rs"), include_str!("../../fleetconfig/src/wire.rs")];
+const SOURCES: [&str; 2] =
+    [include_str!("../src/api/wire.rs"), include_str!("../../fleetconfig/src/wire.rs")];
 
 fn files() -> Vec<Yaml> {
     FILES.iter().map(|file| YamlLoader::load_from_str(file).expect("it is YAML").remove(0)).collect()
