--- a/crates/controller/src/proposer/read.rs
+++ b/crates/controller/src/proposer/read.rs
@@ -1,16 +1,15 @@
 //! Reads of the register: a quorum read first, which writes nothing and waits for no turn, and a round where that does
 //! not settle it. The argument is in `docs/design/control-state.md`, section "Reads".
 
-use super::{Limits, Proposer};
-use crate::pending::PendingRequests;
-use runtrack_link::{Gossip, Session};
-use runtrack_message::{Ballot, CONTACT_WIRE_VERSION, InspectReply, Member, Message, Role, Value};
+use crate::proposer::Proposer;
+use crate::proposer::inspections::Replies;
+use crate::proposer::limits::Limits;
+use runtrack_message::{InspectReply, Value};
 use runtrack_net::mutant;
 use runtrack_register::{Decision, Inspection, Outcome, QuorumRead, ReadOutcome, ReadProgress};
-use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
+use tokio::sync::mpsc::unbounded_channel;
 use tokio::time::{Instant, sleep, timeout};
 
 /// A member answers a quorum read from memory: who has said nothing for so long has not got the request.
@@ -21,43 +20,6 @@
 /// No further quorum read begins after this: the rest of what a caller waits is for a round.
 const QUORUM_READ_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A member and its reply; nothing where it can't be reached.
-type Replied = (Member, Option<InspectReply>);
-type Replies = UnboundedSender<Replied>;
-
-/// Quorum reads that wait for replies.
-pub(super) struct Inspections {
-    pending: RefCell<PendingRequests<(Member, Replies)>>,
-}
-
-impl Inspections {
-    pub(super) fn new() -> Self {
-        Inspections { pending: RefCell::new(PendingRequests::starting_at(fastrand::u64(..))) }
-    }
-
-    /// A reply to a request of this number came over this session.
-    pub(super) fn replied(&self, session: usize, number: u64, reply: InspectReply) {
-        if let Some((from, replies)) = self.pending.borrow_mut().replied(session, number) {
-            let _ = replies.send((from, Some(reply))); // the read may be over
-        }
-    }
-
-    /// Asks another member; whether it can be reached.
-    fn send(&self, gossip: &Gossip, (to, request): &Inspection, replies: &Replies) -> bool {
-        let sessions = gossip.peers(Role::Controller);
-        let Some(session) = sessions.iter().find(|session| is_link_to(session, to)) else { return false };
-        let mut pending = self.pending.borrow_mut();
-        pending.retain(|(_, replies)| !replies.is_closed());
-        let number = pending.sent(session.key, (*to, replies.clone()));
-        session.send(&Message::Inspect(number, *request));
-        true
-    }
-}
-
-fn is_link_to(session: &Session, member: &Member) -> bool {
-    session.dialled == Some(member.address()) && session.peer_wire() >= CONTACT_WIRE_VERSION
-}
-
 impl Proposer {
     /// A reply to a quorum read came over this session.
     pub fn inspected(&self, session: usize, number: u64, reply: InspectReply) {
@@ -74,7 +36,7 @@
     }
 
     /// The newest value by a round, which settles what a minority has accepted as well.
-    async fn read_by_round(&self, limits: Limits) -> Result<Option<Rc<Value>>, ()> {
+    pub(super) async fn read_by_round(&self, limits: Limits) -> Result<Option<Rc<Value>>, ()> {
         match self.rounds(limits, &mut |_| Decision::Read).await {
             Some(Outcome::Read(_, value) | Outcome::Committed(_, value)) => Ok(Some(value)),
             Some(Outcome::Empty) => Ok(None),
@@ -82,17 +44,8 @@
         }
     }
 
-    /// Finds out what is chosen where this process may be behind what somebody has accepted under this ballot: a round is
-    /// only taken where it still is then.
-    pub(super) async fn catch_up(&self, accepted: Ballot, limits: Limits) -> Result<(), ()> {
-        if self.quorum_read().await.is_some() && !self.is_behind(accepted) {
-            return Ok(());
-        }
-        self.read_by_round(limits).await.map(|_| ())
-    }
-
     /// Quorum reads until one is settled; nothing where only a round can tell.
-    async fn quorum_read(&self) -> Option<Option<Rc<Value>>> {
+    pub(super) async fn quorum_read(&self) -> Option<Option<Rc<Value>>> {
         if mutant("reads-by-round") {
             return None;
         }
--- /dev/null
+++ b/crates/controller/src/proposer/rounds.rs
@@ -0,0 +1,110 @@
+//! Rounds one at a time: requests to the members and to this one, and tries until an outcome is certain.
+
+use crate::proposer::limits::Limits;
+use crate::proposer::timing::{backoff, leap, reply_timeout};
+use crate::proposer::{Proposer, Replies};
+use runtrack_message::{Ballot, Message, RegisterReply, RegisterRequest, Role, Value};
+use runtrack_register::{Decision, Outcome, Progress, Round, Send};
+use tokio::sync::mpsc::unbounded_channel;
+use tokio::time::{Instant, sleep, timeout, timeout_at};
+
+impl Proposer {
+    /// A reply to a request of this number came over this session.
+    pub fn replied(&self, session: usize, number: u64, reply: RegisterReply) {
+        if let Some((from, replies)) = self.pending.borrow_mut().replied(session, number) {
+            let _ = replies.send((from, reply)); // the round may be over
+        }
+    }
+
+    fn send(&self, sends: Vec<Send>, replies: &Replies) {
+        let sessions = self.gossip.peers(Role::Controller);
+        for (to, request) in sends {
+            if to == self.me {
+                self.ask_self(request, replies.clone());
+                continue;
+            }
+            let address = to.address();
+            let session = sessions.iter().find(|session| session.dialled == Some(address));
+            if let Some(session) = session {
+                let number = self.pending.borrow_mut().sent(session.key, (to, replies.clone()));
+                session.send(&Message::Request(number, request));
+            }
+        }
+    }
+
+    fn ask_self(&self, request: RegisterRequest, replies: Replies) {
+        let me = self.me;
+        self.member.ask(request, move |reply| {
+            let _ = replies.send((me, reply)); // the round may be over
+        });
+    }
+
+    /// One round; nothing where it fell silent.
+    async fn round(&self, decide: &mut dyn FnMut(Option<&Value>) -> Decision) -> Option<Outcome> {
+        let ballot = Ballot { round: self.round.get() + 1, boot: self.boot };
+        self.round.set(ballot.round);
+        let (mut round, sends) = Round::new(ballot, self.sets(), self.known());
+        let (replies, mut came) = unbounded_channel();
+        self.pending.borrow_mut().clear(); // of a round that was given up half-way
+        self.send(sends, &replies);
+        let outcome = loop {
+            let Ok(Some((from, reply))) =
+                timeout(reply_timeout(round.outrun_by().is_some(), self.member.write_time()), came.recv())
+                    .await
+            else {
+                break round.outrun_by().map(Outcome::Preempted);
+            };
+            match round.reply(from, reply, decide) {
+                Progress::Send(sends) => self.send(sends, &replies),
+                Progress::Done(outcome) => break Some(outcome),
+            }
+        };
+        if let Some(outcome) = &outcome {
+            self.take_outcome(outcome);
+        }
+        outcome
+    }
+
+    /// Takes note of what a round has found.
+    fn take_outcome(&self, outcome: &Outcome) {
+        match outcome {
+            Outcome::Read(ballot, value)
+            | Outcome::Committed(ballot, value)
+            | Outcome::MembershipCommitted(ballot, value) => self.take_chosen(*ballot, value.clone()),
+            Outcome::Empty => self.informed.set(true),
+            Outcome::Preempted(highest) => self.round.set(self.round.get().max(highest.round)),
+        }
+    }
+
+    /// Rounds until one comes to an end that is certain, or time is up.
+    pub async fn decide(
+        &self,
+        until: Instant,
+        decide: &mut dyn FnMut(Option<&Value>) -> Decision,
+    ) -> Option<Outcome> {
+        self.rounds(Limits::until(until), decide).await
+    }
+
+    pub(super) async fn rounds(
+        &self,
+        limits: Limits,
+        decide: &mut dyn FnMut(Option<&Value>) -> Decision,
+    ) -> Option<Outcome> {
+        let _turn = timeout_at(limits.last_round, self.turn.lock()).await.ok()?;
+        for tries in 1.. {
+            match timeout_at(limits.until, self.round(decide)).await.ok()? {
+                Some(Outcome::Preempted(_)) if limits.gives_way => return None,
+                Some(Outcome::Preempted(_)) => {
+                    self.round.set(self.round.get() + leap(tries));
+                    sleep(backoff(tries, self.member.write_time())).await;
+                }
+                Some(Outcome::MembershipCommitted(..)) | None => {}
+                Some(outcome) => return Some(outcome),
+            }
+            if Instant::now() >= limits.last_round {
+                break;
+            }
+        }
+        None
+    }
+}
