--- /dev/null
+++ b/crates/controller/src/membership/coordinator.rs
@@ -0,0 +1,86 @@
+//! The duty of changing the membership: who has it, what it sees, and what it does.
+
+use crate::membership::Membership;
+use runtrack_message::{Ballot, Member};
+use runtrack_net::mutant;
+use runtrack_register::{MembershipPlan, MembershipView, PresentMember, WaitReason, plan_membership};
+use runtrack_ring::{hash, rendezvous};
+use slog::info;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The duty of changing the membership, as a key of rendezvous hashing.
+const COORDINATOR: &[u8] = b"membership";
+
+impl Membership {
+    fn is_suspect(&self, member: &Member) -> bool {
+        if mutant("one-watcher-is-enough") {
+            return *member != self.me && !self.contact.reaches(member);
+        }
+        *member != self.me && self.contact.suspected_by_majority(member)
+    }
+
+    /// Whether this process has the duty: one of those that are not lost, the same one for all who see the same.
+    pub(super) fn is_coordinator(&self, members: &BTreeSet<Member>) -> bool {
+        let alive = members
+            .iter()
+            .filter(|member| !self.is_suspect(member) && !self.requests.borrow().supersede(member));
+        let names = alive.map(|member| hash(member.address().to_string().as_bytes()));
+        rendezvous(hash(COORDINATOR), names) == Some(hash(self.me.address().to_string().as_bytes()))
+    }
+
+    /// What the plan is made from.
+    fn view(&self, current: BTreeSet<Member>) -> MembershipView {
+        let copies = self.copies.table();
+        let mut present = copies.present(self.gossip.now());
+        if mutant("two-changes-at-a-time") {
+            present.values_mut().for_each(|member: &mut PresentMember| member.overdue = true);
+        }
+        let requests = self.requests.borrow();
+        let mut joining: BTreeMap<Member, Ballot> = requests
+            .joining()
+            .filter_map(|member| Some((*member, self.copies.accepted_by(member)?)))
+            .collect();
+        if mutant("joining-member-counts-at-once") {
+            joining.values_mut().for_each(|accepted| *accepted = copies.required());
+        }
+        MembershipView {
+            wanted: self.wanted,
+            membership: copies.membership(),
+            required: copies.required(),
+            present,
+            suspects: current.iter().filter(|member| self.is_suspect(member)).copied().collect(),
+            joining,
+            leaving: requests.leaving(),
+            current,
+        }
+    }
+
+    /// Does what is due, as the one that has the duty.
+    pub(super) async fn coordinate(&self, members: BTreeSet<Member>, is_joint: bool) {
+        if is_joint {
+            return self.change(&members, &members).await;
+        }
+        let plan = plan_membership(&self.view(members.clone()));
+        let waiting = match &plan {
+            MembershipPlan::Wait(reason) => Some(*reason),
+            MembershipPlan::Keep | MembershipPlan::Change(_) => None,
+        };
+        if let Some(reason) = waiting.filter(|reason| self.waiting.get() != Some(*reason)) {
+            let (what, member) = describe(reason);
+            info!(self.gossip.logger(), "membership.waiting"; "for" => what, "member" => member.address().to_string());
+        }
+        self.waiting.set(waiting);
+        if let MembershipPlan::Change(next) = plan {
+            self.change(&members, &next).await;
+        }
+    }
+}
+
+/// A reason to wait, as the log names it.
+fn describe(reason: WaitReason) -> (&'static str, Member) {
+    match reason {
+        WaitReason::JoiningMemberLacksValue(member) => ("joining_member_lacks_value", member),
+        WaitReason::MemberUnreachable(member) => ("member_unreachable", member),
+        WaitReason::CopyMissing(member) => ("copy_missing", member),
+    }
+}
--- /dev/null
+++ b/crates/controller/src/membership/settings.rs
@@ -0,0 +1,18 @@
+//! What the settings say about the membership.
+
+use runtrack_message::Member;
+use runtrack_register::MembershipTimes;
+use std::collections::BTreeSet;
+use std::net::SocketAddrV4;
+
+/// What the settings say about the membership.
+pub struct MembershipSettings {
+    /// Where to look for members.
+    pub seeds: BTreeSet<SocketAddrV4>,
+    /// Members before the first value.
+    pub first: BTreeSet<Member>,
+    /// Members that are wanted: as many as bear the loss that is to be borne.
+    pub wanted: usize,
+    /// How long to wait for what.
+    pub times: MembershipTimes,
+}
