--- a/crates/controller/src/api/config.rs
+++ b/crates/controller/src/api/config.rs
@@ -1,11 +1,13 @@
 //! The operator's calls: replacing, amending and reading the configuration.
 
 use crate::api::Api;
-use crate::api::replies::{Reply, done, json_reply, out_of_contact, refusal};
-use crate::proposer::ConfigOutcome;
+use crate::api::body::{base_version, read_body};
+use crate::api::replies::{Reply, done, json_reply, out_of_contact, refusal, refused_body};
+use crate::proposer::{ConfigOutcome, ReadError};
 use bytes::Bytes;
-use hyper::StatusCode;
-use runtrack_fleetconfig::{Amendment, ConfigError, FleetConfig};
+use hyper::body::Incoming;
+use hyper::{Request, StatusCode};
+use runtrack_fleetconfig::{Amendment, ConfigError, FleetConfig, MAX_CONFIG};
 use runtrack_net::mutant;
 use runtrack_register::{ConfigAnswer, ConfigChange, ConfigRequest};
 use slog::info;
@@ -33,7 +35,7 @@
                 json_reply(StatusCode::OK, Bytes::copy_from_slice(value.config.as_slice()))
             }
             Ok(_) => refusal(StatusCode::NOT_FOUND, "there is no configuration yet"),
-            Err(()) => out_of_contact(),
+            Err(ReadError::Indeterminate) => out_of_contact(),
         }
     }
 
@@ -47,36 +49,49 @@
         }
     }
 
+    /// An operator replaces or amends the configuration.
     pub(super) async fn change_config(
         self: Rc<Self>,
         change: ConfigChange,
-        base: u64,
-        body: Bytes,
+        request: Request<Incoming>,
     ) -> Reply {
-        let request = match config_request(change, base, &body) {
-            Ok(request) => request,
+        let (head, body) = request.into_parts();
+        let body = match read_body(body, MAX_CONFIG).await {
+            Ok(body) => body,
+            Err(problem) => return refused_body(&problem),
+        };
+        let Some(base) = base_version(&head.headers) else {
+            return refusal(StatusCode::BAD_REQUEST, "X-Base-Version: is missing or no number");
+        };
+        match config_request(change, base, &body) {
+            Ok(request) => self.propose(change, request).await,
             Err(problem) => {
                 info!(self.gossip.logger(), "config_change.invalid";
                     "change" => ?change, "base" => base, "problem" => %problem);
-                return refusal(StatusCode::BAD_REQUEST, &problem.to_string());
+                refusal(StatusCode::BAD_REQUEST, &problem.to_string())
             }
-        };
+        }
+    }
+
+    /// Puts a valid request through, and answers in time whatever has come of it.
+    async fn propose(self: Rc<Self>, change: ConfigChange, request: ConfigRequest) -> Reply {
         if !self.contact.is_current() {
             return out_of_contact();
         }
         // It goes on where the caller has gone or was told that its outcome is not known: what has begun should end.
         let (this, ordered) = (self.clone(), request.clone());
         let changing = spawn_local(async move { this.proposer.change_config(&ordered).await });
-        let limit = ANSWER_TIMEOUT + ANSWER_ALLOWANCE_PER_BYTE * body.len() as u32;
+        let limit = ANSWER_TIMEOUT + ANSWER_ALLOWANCE_PER_BYTE * request.body.len() as u32;
         let outcome = match self.within(limit, changing).await {
             Some(Ok(outcome)) => outcome,
             Some(Err(_)) | None => self.unknown(),
         };
         info!(self.gossip.logger(), "config_change.answered";
-            "change" => ?change, "base" => base, "version" => request.version, "answer" => ?outcome);
+            "change" => ?change, "base" => request.base, "version" => request.version, "answer" => ?outcome);
         self.config_reply(&request, outcome)
     }
 
+    /// The answer to an outcome.
     fn config_reply(&self, request: &ConfigRequest, outcome: ConfigOutcome) -> Reply {
         match outcome {
             ConfigOutcome::Definite(ConfigAnswer::Applied) => done(),
--- a/crates/controller/src/api/endpoint_calls.rs
+++ b/crates/controller/src/api/endpoint_calls.rs
@@ -1,25 +1,46 @@
 //! The endpoints' calls: heartbeats and deregistrations.
 
 use crate::api::Api;
-use crate::api::replies::{Reply, done, out_of_contact, refusal};
+use crate::api::body::read_body;
+use crate::api::operations::endpoint_call;
+use crate::api::replies::{Reply, done, out_of_contact, refusal, refused_body};
 use crate::api::wire::{deregistration_call_seq, gone_record, heartbeat_record};
-use hyper::StatusCode;
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::{Request, StatusCode};
 use runtrack_message::{Endpoint, EndpointState};
 
+/// Bytes of an endpoint's call at most.
+const MAX_CALL: usize = 64 << 10;
+
+/// What a call carries: the endpoint's id and the body.
+struct Carried {
+    id: String,
+    body: Bytes,
+}
+
 impl Api {
     /// An endpoint says that it is there, ready or draining.
-    pub(super) async fn heartbeat(&self, id: &str, body: &[u8]) -> Reply {
-        let Some(record) = heartbeat_record(id, body) else {
-            return refusal(StatusCode::BAD_REQUEST, "the heartbeat can't be read");
+    pub(super) async fn heartbeat(&self, request: Request<Incoming>) -> Reply {
+        let call = match read_call(request).await {
+            Ok(call) => call,
+            Err(reply) => return reply,
         };
-        self.acknowledge(record).await
+        match heartbeat_record(&call.id, &call.body) {
+            Some(record) => self.acknowledge(record).await,
+            None => refusal(StatusCode::BAD_REQUEST, "the heartbeat can't be read"),
+        }
     }
 
     /// An endpoint has ended.
-    pub(super) async fn deregister(&self, id: &str, body: &[u8]) -> Reply {
-        let known = self.gossip.replica().registry().get(runtrack_registry::key_of(id)).cloned();
-        let record = known.unwrap_or_else(|| gone_record(id));
-        let call_seq = deregistration_call_seq(body).unwrap_or(record.call_seq + 1);
+    pub(super) async fn deregister(&self, request: Request<Incoming>) -> Reply {
+        let call = match read_call(request).await {
+            Ok(call) => call,
+            Err(reply) => return reply,
+        };
+        let known = self.gossip.replica().registry().get(runtrack_registry::key_of(&call.id)).cloned();
+        let record = known.unwrap_or_else(|| gone_record(&call.id));
+        let call_seq = deregistration_call_seq(&call.body).unwrap_or(record.call_seq + 1);
         self.acknowledge(Endpoint { state: EndpointState::Gone, call_seq, ..record }).await
     }
 
@@ -27,3 +48,12 @@
         if self.endpoints.called(record).await { done() } else { out_of_contact() }
     }
 }
+
+/// Reads a call within bounds; the refusal where that fails.
+async fn read_call(request: Request<Incoming>) -> Result<Carried, Reply> {
+    let (head, body) = request.into_parts();
+    let body = read_body(body, MAX_CALL).await.map_err(|problem| refused_body(&problem))?;
+    let call = endpoint_call(head.uri.path());
+    let (id, _) = call.ok_or_else(|| refusal(StatusCode::BAD_REQUEST, "no endpoint"))?;
+    Ok(Carried { id: id.to_owned(), body })
+}
--- a/crates/controller/src/api/operations.rs
+++ b/crates/controller/src/api/operations.rs
@@ -3,9 +3,24 @@
 use hyper::Method;
 use runtrack_register::ConfigChange;
 
+/// What an operation does.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OperationKind {
+    /// The operator changes the configuration.
+    ChangeConfig(ConfigChange),
+    /// The operator reads the configuration.
+    ReadConfig,
+    /// An endpoint says that it is there.
+    Heartbeat,
+    /// An endpoint has ended.
+    Deregister,
+}
+
 /// An operation of the outer interfaces, as `api/*.yaml` describe it. Every answer is held against this table where
 /// debug assertions are on, and the table against the files by a test.
 pub struct Operation {
+    /// What it does.
+    pub kind: OperationKind,
     /// Method.
     pub method: Method,
     /// Path, with `{id}` for an endpoint's id.
@@ -16,25 +31,42 @@
 
 /// All operations of the outer interfaces.
 pub const OPERATIONS: [Operation; 5] = [
-    Operation { method: Method::POST, path: REPLACE, statuses: &[200, 400, 408, 409, 412, 413, 503] },
-    Operation { method: Method::POST, path: AMEND, statuses: &[200, 400, 408, 409, 412, 413, 503] },
-    Operation { method: Method::GET, path: READ, statuses: &[200, 404, 503] },
     Operation {
+        kind: OperationKind::ChangeConfig(ConfigChange::Replace),
+        method: Method::POST,
+        path: "/runtrack/config/replace",
+        statuses: CHANGE_STATUSES,
+    },
+    Operation {
+        kind: OperationKind::ChangeConfig(ConfigChange::Amend),
+        method: Method::POST,
+        path: "/runtrack/config/amend",
+        statuses: CHANGE_STATUSES,
+    },
+    Operation {
+        kind: OperationKind::ReadConfig,
+        method: Method::GET,
+        path: "/runtrack/config/read",
+        statuses: &[200, 404, 503],
+    },
+    Operation {
+        kind: OperationKind::Heartbeat,
         method: Method::POST,
         path: "/runtrack/instances/{id}/heartbeat",
         statuses: &[200, 400, 408, 413, 503],
     },
     Operation {
+        kind: OperationKind::Deregister,
         method: Method::POST,
         path: "/runtrack/instances/{id}/deregister",
         statuses: &[200, 408, 413, 503],
     },
 ];
 
+/// The statuses of a change of the configuration.
+const CHANGE_STATUSES: &[u16] = &[200, 400, 408, 409, 412, 413, 503];
+/// What the paths of endpoints' calls begin with.
 const INSTANCES: &str = "/runtrack/instances/";
-const REPLACE: &str = "/runtrack/config/replace";
-const AMEND: &str = "/runtrack/config/amend";
-pub(super) const READ: &str = "/runtrack/config/read";
 
 impl Operation {
     /// Whether a request to this path means this operation.
@@ -50,16 +82,7 @@
     }
 }
 
-/// What a path changes in the configuration.
-pub(super) fn config_change(path: &str) -> Option<ConfigChange> {
-    match path {
-        REPLACE => Some(ConfigChange::Replace),
-        AMEND => Some(ConfigChange::Amend),
-        _ => None,
-    }
-}
-
-/// An endpoint's id and what it calls for.
+/// An endpoint's id and what it calls for, as its path says.
 pub(super) fn endpoint_call(path: &str) -> Option<(&str, &str)> {
     path.strip_prefix(INSTANCES)?.split_once('/').filter(|(id, _)| !id.is_empty())
 }
--- a/crates/controller/src/api/replies.rs
+++ b/crates/controller/src/api/replies.rs
@@ -1,5 +1,6 @@
 //! Answers over HTTP: the status and the JSON body that each outcome gets.
 
+use crate::api::body::BodyError;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -32,3 +33,12 @@
     let body = format!("{{\"error\":{}}}", json::to_string(&problem.to_owned()));
     json_reply(status, body.into())
 }
+
+/// The refusal of a body that can't be used.
+pub(super) fn refused_body(problem: &BodyError) -> Reply {
+    let status = match problem {
+        BodyError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+        BodyError::Incomplete => StatusCode::REQUEST_TIMEOUT,
+    };
+    refusal(status, &problem.to_string())
+}
--- /dev/null
+++ b/crates/controller/src/disk/rings.rs
@@ -0,0 +1,106 @@
+//! The rings of files that hold a member's records, and their recovery.
+
+use crate::disk::Record;
+use deku::prelude::*;
+use runtrack_message::{Message, PrefixPlacements, decode};
+use runtrack_register::{Acceptor, Recovery, recover};
+use runtrack_registry::{LEAVE_GENERATIONS, LeaveRecord, MAX_LEAVE_RECORD};
+use runtrack_ringstore::{Files, Ring, StoreError};
+
+/// Room of a promise's file.
+const PROMISE_ROOM: usize = 4 << 10;
+/// Room of a value's file: a configuration of a thousand routes.
+const VALUE_ROOM: usize = 384 << 10;
+/// Room of a file of leaves: a whole generation and the ring's own head, so that no file ever grows.
+const LEAVE_ROOM: usize = MAX_LEAVE_RECORD + 64;
+/// Rings of leaves, one for each generation that is kept.
+const LEAVE_RINGS: [&str; LEAVE_GENERATIONS as usize] = [
+    "leaves-0",
+    "leaves-1",
+    "leaves-2",
+    "leaves-3",
+    "leaves-4",
+    "leaves-5",
+    "leaves-6",
+    "leaves-7",
+    "leaves-8",
+    "leaves-9",
+    "leaves-10",
+    "leaves-11",
+    "leaves-12",
+    "leaves-13",
+    "leaves-14",
+    "leaves-15",
+];
+/// Room of a file of placements: some six thousand of them.
+const PLACEMENT_ROOM: usize = 128 << 10;
+
+/// The rings of promises, of values and of leaves.
+pub struct Rings<F> {
+    promises: Ring<F>,
+    values: Ring<F>,
+    leaves: Vec<Ring<F>>,
+    placements: Ring<F>,
+    recovered: Vec<LeaveRecord>,
+    recovered_placements: PrefixPlacements,
+}
+
+impl<F: Files + Clone> Rings<F> {
+    /// Opens the rings and recovers the member that is in them; one that is not there is made, of this incarnation,
+    /// and one whose records can't be read comes back under an incarnation of its own.
+    pub fn open(files: F, incarnation: impl FnOnce() -> u64) -> Result<(Self, Acceptor), StoreError> {
+        let (promises, promise) = Ring::open(files.clone(), "promise", PROMISE_ROOM)?;
+        let (values, value) = Ring::open(files.clone(), "value", VALUE_ROOM)?;
+        let acceptor = match recover(promise.as_deref(), value.as_deref()) {
+            Recovery::Member(acceptor) => acceptor,
+            Recovery::Empty => Acceptor::new(incarnation()),
+            Recovery::Damaged => Acceptor::new(fastrand::u64(1..)),
+        };
+        let (leaves, recovered) = open_leaves(&files)?;
+        let (placements, newest) = Ring::open(files, "placements", PLACEMENT_ROOM)?;
+        let recovered_placements = newest.and_then(|record| read_placements(&record)).unwrap_or_default();
+        Ok((Rings { promises, values, leaves, placements, recovered, recovered_placements }, acceptor))
+    }
+
+    /// The leaves that were there when the rings were opened.
+    pub fn recovered_leaves(&self) -> &[LeaveRecord] {
+        &self.recovered
+    }
+
+    /// The placements that were there when the rings were opened.
+    pub fn recovered_placements(&self) -> &PrefixPlacements {
+        &self.recovered_placements
+    }
+
+    /// Writes a record; once this returns it is there after any loss of power.
+    pub fn write(&mut self, record: &Record) -> Result<(), StoreError> {
+        match record {
+            Record::Promise(promise) => self.promises.append(&promise.to_bytes()?),
+            Record::Value(value) => self.values.append(&value.to_bytes()?),
+            Record::Leaves(leaves) => self.leaves[leaves.slot()].append(&leaves.to_bytes()?),
+            Record::Placements(placements) => {
+                self.placements.append(&Message::Placements(placements.clone()).to_bytes()?)
+            }
+        }
+    }
+}
+
+/// Placements as they are kept: as the message that carries them.
+fn read_placements(record: &[u8]) -> Option<PrefixPlacements> {
+    match decode(record).ok()? {
+        Message::Placements(placements) => Some(placements),
+        _ => None,
+    }
+}
+
+/// The rings of leaves, and the newest record of each that can be read.
+fn open_leaves<F: Files + Clone>(files: &F) -> Result<(Vec<Ring<F>>, Vec<LeaveRecord>), StoreError> {
+    let mut rings = Vec::new();
+    let mut records = Vec::new();
+    for name in LEAVE_RINGS {
+        let (ring, newest) = Ring::open(files.clone(), name, LEAVE_ROOM)?;
+        rings.push(ring);
+        records.extend(newest.and_then(|record| LeaveRecord::read(&record).ok()));
+    }
+    Ok((rings, records))
+}
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod disk;
 mod disk_guard;
 mod endpoints;
+mod error;
 mod leave_sync;
 mod leaves;
 mod member;
@@ -20,6 +21,8 @@
 pub mod request_queue;
 pub mod tally;
 
+pub use error::ControllerError;
+
 use crate::api::Api;
 use crate::disk::{Disk, DiskThread, MemberDisk, Record};
 use crate::parts::{Parts, Routing};
@@ -41,7 +44,7 @@
 const REFUSED_PAUSE: Duration = Duration::from_millis(300);
 
 /// Runs a control member until SIGTERM.
-pub async fn run(node: Node, signals: Signals) -> Result<(), String> {
+pub async fn run(node: Node, signals: Signals) -> Result<(), ControllerError> {
     let environment = Environment::system("controller", &node);
     let (disk, acceptor) = DiskThread::open(&node, &environment.logger)?;
     run_in(environment, Rc::new(disk), acceptor, node, signals.events()).await
@@ -54,14 +57,13 @@
     if first_boot && node.seed_members().contains(&node.member_address()) { 0 } else { fastrand::u64(1..) }
 }
 
-/// Leaves a new incarnation on a disk that was found to be an older copy, and says why the process ends: it comes back
-/// as another member.
-async fn take_new_incarnation(disk: &dyn MemberDisk) -> String {
+/// Leaves a new incarnation on a disk that was found to be an older copy: the process ends, and comes back as another
+/// member.
+async fn take_new_incarnation(disk: &dyn MemberDisk) {
     let record = PromiseRecord { incarnation: fastrand::u64(1..), promised: Ballot::default() };
     while disk.persist(Record::Promise(record.clone())).await.is_err() {
         sleep(REFUSED_PAUSE).await;
     }
-    "the disk was an older copy; its next start is as another member".to_owned()
 }
 
 /// Runs the control member that was recovered from its disk, in an environment, until it is told to end.
@@ -71,9 +73,9 @@
     acceptor: Acceptor,
     node: Node,
     mut events: ProcessEvents,
-) -> Result<(), String> {
+) -> Result<(), ControllerError> {
     let logger = environment.logger.clone();
-    let control = node.control.ok_or("listen.control: is missing")?;
+    let control = node.control.ok_or(ControllerError::NoControlAddress)?;
     let me = Member::new(node.member_address(), acceptor.incarnation());
     info!(logger, "controller.start"; "member" => %me.address(), "incarnation" => me.incarnation,
         "first_boot" => node.first_boot, "recovered" => acceptor.accepted().is_some());
@@ -85,14 +87,15 @@
     routing.set(parts.clone());
     listen(gossip.clone(), node.peer)
         .await
-        .map_err(|error| format!("listen.peer: {}: {error}", node.peer))?;
+        .map_err(|error| ControllerError::ListenPeer(node.peer, error))?;
     let api =
         Api::new(gossip.clone(), parts.proposer.clone(), parts.endpoints.clone(), parts.contact.clone());
-    let calls = api.listen(control).map_err(|error| format!("listen: {control}: {error}"))?;
+    let calls = api.listen(control).map_err(|error| ControllerError::ListenControl(control, error))?;
     spawn_local(gossip.run());
     parts.spawn(&node);
     if until_terminated(&parts, &mut events, &logger).await == End::OlderDisk {
-        return Err(take_new_incarnation(disk.as_ref()).await);
+        take_new_incarnation(disk.as_ref()).await;
+        return Err(ControllerError::OlderDisk);
     }
     info!(logger, "controller.terminate");
     calls.abort();
--- a/crates/controller/src/membership/settings.rs
+++ b/crates/controller/src/membership/settings.rs
@@ -1,5 +1,6 @@
 //! What the settings say about the membership.
 
+use runtrack_fleetconfig::Node;
 use runtrack_message::Member;
 use runtrack_register::MembershipTimes;
 use std::collections::BTreeSet;
@@ -16,3 +17,15 @@
     /// How long to wait for what.
     pub times: MembershipTimes,
 }
+
+impl MembershipSettings {
+    /// Those of a node with these seeds.
+    pub fn new(
+        node: &Node,
+        seeds: BTreeSet<SocketAddrV4>,
+        first: BTreeSet<Member>,
+        times: MembershipTimes,
+    ) -> Self {
+        MembershipSettings { seeds, first, wanted: 2 * node.tolerance.machines as usize + 1, times }
+    }
+}
--- a/crates/controller/src/parts.rs
+++ b/crates/controller/src/parts.rs
@@ -55,8 +55,6 @@
             first.clone(),
             times.suspicion,
         );
-        let settings =
-            MembershipSettings { seeds, first, wanted: 2 * node.tolerance.machines as usize + 1, times };
         let leave_sync = LeaveSync::new(gossip.clone(), contact.clone(), leaves.clone());
         let membership = Membership::new(
             gossip.clone(),
@@ -64,7 +62,7 @@
             member.clone(),
             contact.clone(),
             leave_sync.clone(),
-            settings,
+            MembershipSettings::new(node, seeds, first, times),
         );
         Rc::new(Parts {
             endpoints: Endpoints::new(gossip.clone(), contact.clone(), leaves.clone()),
--- a/crates/controller/src/proposer.rs
+++ b/crates/controller/src/proposer.rs
@@ -14,6 +14,7 @@
 mod timing;
 
 pub use change::ConfigOutcome;
+pub use read::ReadError;
 
 use crate::member::MemberTask;
 use crate::pending::PendingRequests;
--- a/crates/controller/src/proposer/catch_up.rs
+++ b/crates/controller/src/proposer/catch_up.rs
@@ -2,6 +2,7 @@
 
 use crate::proposer::Proposer;
 use crate::proposer::limits::Limits;
+use crate::proposer::read::ReadError;
 use crate::proposer::timing::at_least_writes;
 use runtrack_message::Ballot;
 use slog::info;
@@ -20,7 +21,7 @@
 impl Proposer {
     /// Finds out what is chosen where this process may be behind what somebody has accepted under this ballot: a round is
     /// only taken where it still is then.
-    async fn catch_up(&self, accepted: Ballot, limits: Limits) -> Result<(), ()> {
+    async fn catch_up(&self, accepted: Ballot, limits: Limits) -> Result<(), ReadError> {
         if self.quorum_read().await.is_some() && !self.is_behind(accepted) {
             return Ok(());
         }
--- a/crates/controller/src/proposer/read.rs
+++ b/crates/controller/src/proposer/read.rs
@@ -4,6 +4,7 @@
 use crate::proposer::Proposer;
 use crate::proposer::inspections::Replies;
 use crate::proposer::limits::Limits;
+use quick_error::quick_error;
 use runtrack_message::{InspectReply, Value};
 use runtrack_net::mutant;
 use runtrack_register::{Decision, Inspection, Outcome, QuorumRead, ReadOutcome, ReadProgress};
@@ -20,14 +21,25 @@
 /// No further quorum read begins after this: the rest of what a caller waits is for a round.
 const QUORUM_READ_TIMEOUT: Duration = Duration::from_millis(250);
 
+quick_error! {
+    /// The register can't be read.
+    #[derive(Debug)]
+    pub enum ReadError {
+        /// What is chosen can't be known now.
+        Indeterminate {
+            display("what is chosen can't be known now")
+        }
+    }
+}
+
 impl Proposer {
     /// A reply to a quorum read came over this session.
     pub fn inspected(&self, session: usize, number: u64, reply: InspectReply) {
         self.inspections.replied(session, number, reply);
     }
 
-    /// The newest value, as of a moment after this call; `Err` where that can't be known now.
-    pub async fn read(&self) -> Result<Option<Rc<Value>>, ()> {
+    /// The newest value, as of a moment after this call; none where nothing was ever written.
+    pub async fn read(&self) -> Result<Option<Rc<Value>>, ReadError> {
         let limits = Limits::of_request();
         match self.quorum_read().await {
             Some(found) => Ok(found),
@@ -36,11 +48,11 @@
     }
 
     /// The newest value by a round, which settles what a minority has accepted as well.
-    pub(super) async fn read_by_round(&self, limits: Limits) -> Result<Option<Rc<Value>>, ()> {
+    pub(super) async fn read_by_round(&self, limits: Limits) -> Result<Option<Rc<Value>>, ReadError> {
         match self.rounds(limits, &mut |_| Decision::Read).await {
             Some(Outcome::Read(_, value) | Outcome::Committed(_, value)) => Ok(Some(value)),
             Some(Outcome::Empty) => Ok(None),
-            _ => Err(()),
+            _ => Err(ReadError::Indeterminate),
         }
     }
 
--- a/crates/controller/src/proposer/rounds.rs
+++ b/crates/controller/src/proposer/rounds.rs
@@ -48,10 +48,8 @@
         self.pending.borrow_mut().clear(); // of a round that was given up half-way
         self.send(sends, &replies);
         let outcome = loop {
-            let Ok(Some((from, reply))) =
-                timeout(reply_timeout(round.outrun_by().is_some(), self.member.write_time()), came.recv())
-                    .await
-            else {
+            let reply_timeout = reply_timeout(round.outrun_by().is_some(), self.member.write_time());
+            let Ok(Some((from, reply))) = timeout(reply_timeout, came.recv()).await else {
                 break round.outrun_by().map(Outcome::Preempted);
             };
             match round.reply(from, reply, decide) {
--- a/crates/controller/tests/virtual_time/mod.rs
+++ b/crates/controller/tests/virtual_time/mod.rs
@@ -7,8 +7,8 @@
 
 use late::Late;
 use operator::Operator;
-use runtrack_controller::disk::{MemberDisk, Persisting, Record, Rings};
-use runtrack_controller::{new_incarnation, run_in};
+use runtrack_controller::disk::{MemberDisk, Persisting, Record, Rings, WriteError};
+use runtrack_controller::{ControllerError, new_incarnation, run_in};
 use runtrack_fleetconfig::Node;
 use runtrack_link::{Dials, Environment, Gossip, ProcessEvent};
 use runtrack_message::{Hello, Member, PrefixPlacements, Role, WIRE_VERSION};
@@ -195,11 +195,11 @@
             }
             if matches!(record, Record::Leaves(_)) {
                 if refuses_leaves.get() {
-                    return Err("it takes no leaves".to_owned());
+                    return Err(WriteError::Refused("it takes no leaves"));
                 }
                 leave_writes.set(leave_writes.get() + 1);
             }
-            rings.write(&record).map_err(|error| error.to_string())
+            Ok(rings.write(&record)?)
         })
     }
 
@@ -660,7 +660,7 @@
 
 /// Runs a process's tasks while it is not frozen.
 async fn unless_frozen(
-    process: impl Future<Output = Result<(), String>>,
+    process: impl Future<Output = Result<(), ControllerError>>,
     frozen: Rc<Cell<bool>>,
     thaw: Rc<RefCell<Option<Waker>>>,
 ) {
--- a/crates/sim/src/fleet/disk.rs
+++ b/crates/sim/src/fleet/disk.rs
@@ -3,7 +3,7 @@
 use crate::fleet::script::DiskFault;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use runtrack_controller::disk::{MemberDisk, Persisting, Record, Rings};
+use runtrack_controller::disk::{MemberDisk, Persisting, Record, Rings, WriteError};
 use runtrack_message::{PrefixPlacements, Value};
 use runtrack_register::Acceptor;
 use runtrack_registry::LeaveRecord;
@@ -251,9 +251,9 @@
             let takes = disk.write_time().await;
             let record = disk.writing.take();
             let Some(record) = record.filter(|_| takes) else {
-                return Err("the disk is full".to_owned());
+                return Err(WriteError::Refused("the disk is full"));
             };
-            rings.write(&record).map_err(|error| error.to_string())?;
+            rings.write(&record)?;
             disk.show_written(&record);
             disk.copy();
             Ok(())
--- a/crates/sim/src/fleet/host.rs
+++ b/crates/sim/src/fleet/host.rs
@@ -222,7 +222,8 @@
         Program::Controller(core) => {
             let node = world.core_settings(core, first_boot)?;
             let (disk, acceptor) = disk.mount(|| runtrack_controller::new_incarnation(&node))?;
-            runtrack_controller::run_in(environment, disk, acceptor, node, events).await
+            let running = runtrack_controller::run_in(environment, disk, acceptor, node, events);
+            running.await.map_err(|error| error.to_string())
         }
         Program::Agent(agent) => {
             let node = world.agent_settings(agent)?;
