--- a/crates/controller/benches/copies.rs
+++ b/crates/controller/benches/copies.rs
@@ -32,7 +32,7 @@
 }
 
 /// Time until all these disks hold a configuration; nothing where they don't.
-fn until_whole(cluster: &Cluster, machines: &[usize], version: u64, since: Instant) -> String {
+fn until_complete(cluster: &Cluster, machines: &[usize], version: u64, since: Instant) -> String {
     while since.elapsed() < GIVE_UP {
         if machines.iter().all(|machine| cluster.holds(*machine, &config(version))) {
             return format!("{:.0} ms", millis(since.elapsed()));
@@ -42,9 +42,10 @@
     format!("not within {} s", GIVE_UP.as_secs())
 }
 
-fn orders(cluster: &Cluster, machine: usize, from: u64, count: u64) -> Vec<Duration> {
-    let order = |version: u64| timed(|| assert_eq!(cluster.order(machine, version - 1, version), 200));
-    (from + 1..=from + count).map(order).collect()
+fn replace_configs(cluster: &Cluster, machine: usize, from: u64, count: u64) -> Vec<Duration> {
+    let replace =
+        |version: u64| timed(|| assert_eq!(cluster.replace_config(machine, version - 1, version), 200));
+    (from + 1..=from + count).map(replace).collect()
 }
 
 /// A change, a bare sync and a bare call in turn: the disk and the machine are the same to all three.
@@ -52,7 +53,7 @@
     let record = vec![7; 2048];
     let (mut changes, mut syncs, mut calls) = (Vec::new(), Vec::new(), Vec::new());
     for version in from + 1..=from + CHANGES {
-        changes.extend(orders(cluster, 0, version - 1, 1));
+        changes.extend(replace_configs(cluster, 0, version - 1, 1));
         syncs.push(timed(|| ring.append(&record).expect("room")));
         calls.push(timed(|| cluster.call(0, "GET", "/nowhere", "", "")));
     }
@@ -68,7 +69,7 @@
 
 fn acknowledged_change() {
     let cluster = Cluster::started("bench-change", 3);
-    orders(&cluster, 0, 0, 10);
+    replace_configs(&cluster, 0, 0, 10);
     let bare = cluster.folder().join("bare");
     std::fs::create_dir_all(&bare).expect("a folder");
     let (mut ring, _) = Ring::open(Folder(bare), "bare", VALUE_ROOM).expect("a ring");
@@ -81,63 +82,63 @@
 fn without_writes_after_a_loss() {
     for lost in [1, 2] {
         let mut cluster = Cluster::started("bench-loss", 3);
-        orders(&cluster, 0, 0, 50);
+        replace_configs(&cluster, 0, 0, 50);
         cluster.kill(lost);
-        let longest = orders(&cluster, 0, 50, CHANGES).into_iter().max().unwrap_or_default();
+        let longest = replace_configs(&cluster, 0, 50, CHANGES).into_iter().max().unwrap_or_default();
         println!("longest change after member {lost} is lost: {:.1} ms", millis(longest));
     }
 }
 
-fn whole_after_a_replacement() {
+fn complete_after_a_replacement() {
     let mut cluster = Cluster::started("bench-replaced", 4);
-    orders(&cluster, 0, 0, 5);
+    replace_configs(&cluster, 0, 0, 5);
     cluster.kill(2);
     let start = Instant::now();
     cluster.start(3, false);
-    println!("whole copies after a replacement: {}", until_whole(&cluster, &[0, 1, 3], 5, start));
+    println!("complete copies after a replacement: {}", until_complete(&cluster, &[0, 1, 3], 5, start));
     cluster.logged(3, "member.joined", "");
     println!("it counts as a member after {:.0} ms", millis(start.elapsed()));
 }
 
-fn whole_after_a_wipe() {
+fn complete_after_a_wipe() {
     let mut cluster = Cluster::started("bench-wiped", 3);
-    orders(&cluster, 0, 0, 5);
+    replace_configs(&cluster, 0, 0, 5);
     cluster.kill(2);
     cluster.wipe(2);
     let start = Instant::now();
     cluster.start(2, false);
-    println!("whole copies after a wipe: {}", until_whole(&cluster, &[0, 1, 2], 5, start));
+    println!("complete copies after a wipe: {}", until_complete(&cluster, &[0, 1, 2], 5, start));
     cluster.logged(2, "member.joined", "");
     println!("it counts as a member after {:.0} ms", millis(start.elapsed()));
 }
 
-fn whole_after_a_freeze() {
+fn complete_after_a_freeze() {
     let cluster = Cluster::started("bench-frozen", 3);
-    orders(&cluster, 0, 0, 5);
+    replace_configs(&cluster, 0, 0, 5);
     cluster.freeze(2, true);
     sleep(Duration::from_secs(2)); // until its links are given up: what is sent meanwhile is lost
-    orders(&cluster, 0, 5, 5);
+    replace_configs(&cluster, 0, 5, 5);
     let start = Instant::now();
     cluster.freeze(2, false);
     println!(
-        "whole copies after a freeze through changes: {}",
-        until_whole(&cluster, &[0, 1, 2], 10, start)
+        "complete copies after a freeze through changes: {}",
+        until_complete(&cluster, &[0, 1, 2], 10, start)
     );
 }
 
 fn current_after_a_restart() {
     for changes in [10, 100, 1000] {
         let mut cluster = Cluster::started("bench-restart", 3);
-        orders(&cluster, 0, 0, 5);
+        replace_configs(&cluster, 0, 0, 5);
         cluster.kill(2);
-        orders(&cluster, 0, 5, changes);
+        replace_configs(&cluster, 0, 5, changes);
         let start = Instant::now();
         cluster.start(2, false);
         cluster.logged(2, "config.taken", &format!("\"version\":{}", 5 + changes));
         let current = start.elapsed();
-        let whole = until_whole(&cluster, &[0, 1, 2], 5 + changes, start);
+        let complete = until_complete(&cluster, &[0, 1, 2], 5 + changes, start);
         println!(
-            "restart after {changes} changes: current after {:.0} ms, on its disk after {whole}",
+            "restart after {changes} changes: current after {:.0} ms, on its disk after {complete}",
             millis(current)
         );
     }
@@ -146,8 +147,8 @@
 fn main() {
     acknowledged_change();
     without_writes_after_a_loss();
-    whole_after_a_replacement();
-    whole_after_a_wipe();
-    whole_after_a_freeze();
+    complete_after_a_replacement();
+    complete_after_a_wipe();
+    complete_after_a_freeze();
     current_after_a_restart();
 }
--- a/crates/controller/benches/losses.rs
+++ b/crates/controller/benches/losses.rs
@@ -26,7 +26,7 @@
     figures.get()
 }
 
-/// The rows of losses whose name holds this, on a few threads.
+/// The rows of losses whose name contains this, on a few threads.
 fn rows(wanted: &str, row: impl Fn(Loss) -> Row + Sync) -> Vec<String> {
     let losses: Vec<Loss> =
         LOSSES.into_iter().filter(|loss| format!("{loss:?}").contains(wanted)).collect();
@@ -65,7 +65,7 @@
     let moments = (0..number(4, 1000) as u64).step_by(number(3, 13));
     let moments: Vec<Duration> = moments.map(Duration::from_millis).collect();
     println!("{trial:?} and others, at {} moments; median and maximum in ms", moments.len());
-    println!("{:14} without changes  one change   whole copies   the same at rest", "");
+    println!("{:14} without changes  one change   all copies     the same at rest", "");
     let wanted = arguments.get(5).map(String::as_str).unwrap_or_default();
     let row = |loss| Row::measure(Trial { loss, ..trial }, &moments, figures);
     rows(wanted, row).iter().for_each(|line| println!("{line}"));
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -32,7 +32,7 @@
 }
 
 impl Api {
-    /// Serves with these.
+    /// Serves with these components.
     pub fn new(
         gossip: Rc<Gossip>,
         proposer: Rc<Proposer>,
--- a/crates/controller/src/api/config.rs
+++ b/crates/controller/src/api/config.rs
@@ -78,13 +78,13 @@
         if !self.contact.is_current() {
             return out_of_contact();
         }
-        // It goes on where the caller has gone or was told that its outcome is not known: what has begun should end.
-        let (this, ordered) = (self.clone(), request.clone());
-        let changing = spawn_local(async move { this.proposer.change_config(&ordered).await });
+        // It goes on where the caller has gone or was answered that its outcome is not known: what has begun should end.
+        let (this, proposed) = (self.clone(), request.clone());
+        let changing = spawn_local(async move { this.proposer.change_config(&proposed).await });
         let limit = ANSWER_TIMEOUT + ANSWER_ALLOWANCE_PER_BYTE * request.body.len() as u32;
         let outcome = match self.within(limit, changing).await {
             Some(Ok(outcome)) => outcome,
-            Some(Err(_)) | None => self.unknown(),
+            Some(Err(_)) | None => self.outcome_at_timeout(),
         };
         info!(self.gossip.logger(), "config_change.answered";
             "change" => ?change, "base" => request.base, "version" => request.version, "answer" => ?outcome);
@@ -123,8 +123,8 @@
         }
     }
 
-    /// What a caller is told of a request that has not come to its end in time.
-    fn unknown(&self) -> ConfigOutcome {
+    /// The outcome for a caller whose request has not ended in time.
+    fn outcome_at_timeout(&self) -> ConfigOutcome {
         if mutant("answered-before-committed") {
             return ConfigOutcome::Definite(ConfigAnswer::Applied);
         }
--- a/crates/controller/src/api/endpoint_calls.rs
+++ b/crates/controller/src/api/endpoint_calls.rs
@@ -13,8 +13,8 @@
 /// Bytes of an endpoint's call at most.
 const MAX_CALL: usize = 64 << 10;
 
-/// What a call carries: the endpoint's id and the body.
-struct Carried {
+/// The endpoint's id and the body of a call.
+struct EndpointCall {
     id: String,
     body: Bytes,
 }
@@ -45,15 +45,15 @@
     }
 
     async fn acknowledge(&self, record: Endpoint) -> Reply {
-        if self.endpoints.called(record).await { done() } else { out_of_contact() }
+        if self.endpoints.on_call(record).await { done() } else { out_of_contact() }
     }
 }
 
 /// Reads a call within bounds; the refusal where that fails.
-async fn read_call(request: Request<Incoming>) -> Result<Carried, Reply> {
+async fn read_call(request: Request<Incoming>) -> Result<EndpointCall, Reply> {
     let (head, body) = request.into_parts();
     let body = read_body(body, MAX_CALL).await.map_err(|problem| refused_body(&problem))?;
     let call = endpoint_call(head.uri.path());
     let (id, _) = call.ok_or_else(|| refusal(StatusCode::BAD_REQUEST, "no endpoint"))?;
-    Ok(Carried { id: id.to_owned(), body })
+    Ok(EndpointCall { id: id.to_owned(), body })
 }
--- a/crates/controller/src/api/operations.rs
+++ b/crates/controller/src/api/operations.rs
@@ -21,11 +21,11 @@
 pub struct Operation {
     /// What it does.
     pub kind: OperationKind,
-    /// Method.
+    /// Method (RFC 9110, section 9).
     pub method: Method,
-    /// Path, with `{id}` for an endpoint's id.
+    /// Path, with `{id}` for an endpoint's id, which is not empty and has no slash.
     pub path: &'static str,
-    /// The statuses that it answers.
+    /// The statuses that it answers (RFC 9110, section 15).
     pub statuses: &'static [u16],
 }
 
--- a/crates/controller/src/api/server.rs
+++ b/crates/controller/src/api/server.rs
@@ -20,7 +20,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 impl Api {
-    /// Takes calls until the task is aborted.
+    /// Accepts connections at an address until the task is aborted; fails where it can't be listened on.
     pub fn listen(self: Rc<Self>, at: SocketAddrV4) -> io::Result<JoinHandle<()>> {
         let listener = self.gossip.network().listen(at.into())?;
         Ok(spawn_local(async move {
--- a/crates/controller/src/parts.rs
+++ b/crates/controller/src/components.rs
@@ -1,4 +1,4 @@
-//! The parts of a control member and which messages go to which of them.
+//! The components of a control member and which messages go to which of them.
 
 use crate::backlog::Backlogs;
 use crate::contact::MajorityContact;
@@ -21,13 +21,18 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// The parts of a control member, each with its own state.
-pub(crate) struct Parts {
+/// The components of a control member, each with its own state.
+pub(crate) struct Components {
+    /// Rounds and reads of the register.
     pub(crate) proposer: Rc<Proposer>,
+    /// Who the members are.
     pub(crate) membership: Rc<Membership>,
+    /// Endpoints' calls.
     pub(crate) endpoints: Rc<Endpoints>,
+    /// Contact with a majority.
     pub(crate) contact: Rc<MajorityContact>,
-    pub(crate) guard: Rc<DiskGuard>,
+    /// The check of this member's disk.
+    pub(crate) disk_guard: Rc<DiskGuard>,
     member: Rc<MemberTask>,
     leaves: Rc<Leaves>,
     leave_sync: Rc<LeaveSync>,
@@ -35,8 +40,8 @@
     placements: Rc<PlacementHub>,
 }
 
-impl Parts {
-    /// The parts of a member that was recovered from this disk.
+impl Components {
+    /// The components of a member that was recovered from this disk.
     pub(crate) fn new(gossip: &Rc<Gossip>, disk: Disk, acceptor: Acceptor, node: &Node) -> Rc<Self> {
         let me = gossip.me().member;
         let seeds = node.seed_members();
@@ -64,9 +69,9 @@
             leave_sync.clone(),
             MembershipSettings::new(node, seeds, first, times),
         );
-        Rc::new(Parts {
+        Rc::new(Components {
             endpoints: Endpoints::new(gossip.clone(), contact.clone(), leaves.clone()),
-            guard: DiskGuard::new(gossip.clone(), proposer.clone(), member.clone(), me, own),
+            disk_guard: DiskGuard::new(gossip.clone(), proposer.clone(), member.clone(), me, own),
             backlogs: Backlogs::new(gossip.clone(), node.link_mbps),
             placements,
             proposer,
@@ -78,7 +83,7 @@
         })
     }
 
-    /// Starts what the parts do by themselves, for as long as the process runs.
+    /// Starts what the components do by themselves, for as long as the process runs.
     pub(crate) fn spawn(&self, node: &Node) {
         spawn_local(self.backlogs.clone().run());
         spawn_local(self.placements.clone().run());
@@ -92,7 +97,7 @@
         match message {
             Message::Request(number, request) => {
                 if mutant("told-before-committed") {
-                    tell_accepted(gossip, &request);
+                    announce_accepted(gossip, &request);
                 }
                 let session = session.clone();
                 self.member.ask(request, move |reply| session.send(&Message::Reply(number, reply)));
@@ -116,12 +121,12 @@
             }
             Message::Confirmed(number) => {
                 self.leave_sync.on_confirmed(number, session);
-                self.endpoints.confirmed(number, session);
+                self.endpoints.on_confirmed(number, session);
             }
             Message::Probe(number) => self.contact.on_probe(session, number),
             Message::ProbeReply(reply) => self.contact.on_reply(session, reply),
-            Message::HeartbeatRelay(keys) => self.endpoints.relayed(keys.items()),
-            Message::OwnBacklog(part) => self.backlogs.told(session, part),
+            Message::HeartbeatRelay(keys) => self.endpoints.on_heartbeat_relay(keys.items()),
+            Message::OwnBacklog(report) => self.backlogs.on_report(session, report),
             Message::Placements(placements) => self.placements.on_placements(session, placements),
             Message::FetchPlacements => self.placements.send_all(session),
             _ => {}
@@ -132,76 +137,76 @@
     fn confirm(&self, number: u64, records: Vec<Endpoint>, session: &Rc<Session>) {
         let (leaves, session) = (self.leaves.clone(), session.clone());
         spawn_local(async move {
-            if leaves.keep(&records).await {
+            if leaves.persist(&records).await {
                 session.send(&Message::Confirmed(number));
             }
         });
     }
 
-    /// What a message says of the speaker's disk, or of this process's.
-    fn note_disk(&self, session: &Session, message: &Message) {
+    /// Passes on what a message says of its sender's disk, or of this process's.
+    fn note_watermarks(&self, session: &Session, message: &Message) {
         match message {
-            Message::Reply(_, reply) => self.guard.on_register_reply(session, reply),
-            Message::InspectReply(_, reply) => self.guard.on_inspect_reply(session, reply),
-            Message::ProbeReply(reply) => self.guard.on_accepted(session, reply.accepted),
-            Message::Watermark(member) => self.guard.on_question(session, *member),
-            Message::WatermarkReply(answer) => self.guard.on_answer(session, answer),
+            Message::Reply(_, reply) => self.disk_guard.on_register_reply(session, reply),
+            Message::InspectReply(_, reply) => self.disk_guard.on_inspect_reply(session, reply),
+            Message::ProbeReply(reply) => self.disk_guard.on_accepted(session, reply.accepted),
+            Message::Watermark(member) => self.disk_guard.on_watermark_request(session, *member),
+            Message::WatermarkReply(answer) => self.disk_guard.on_watermark_reply(session, answer),
             _ => {}
         }
     }
 }
 
-/// Hands messages to the parts, once they are there.
+/// Hands messages to the components, once these are made.
 #[derive(Clone, Default)]
-pub(crate) struct Routing(Rc<OnceCell<Rc<Parts>>>);
+pub(crate) struct MessageRouter(Rc<OnceCell<Rc<Components>>>);
 
-impl Routing {
+impl MessageRouter {
     /// From now on messages go to these.
-    pub(crate) fn set(&self, parts: Rc<Parts>) {
-        let _ = self.0.set(parts); // called once, right after the parts are made
+    pub(crate) fn set(&self, components: Rc<Components>) {
+        let _ = self.0.set(components); // called once, right after the components are made
     }
 }
 
-impl MessageHandler for Routing {
+impl MessageHandler for MessageRouter {
     fn on_message(&self, gossip: &Rc<Gossip>, session: &Rc<Session>, message: Message) {
-        if let Some(parts) = self.0.get() {
-            parts.note_disk(session, &message);
-            parts.on_message(gossip, session, message);
+        if let Some(components) = self.0.get() {
+            components.note_watermarks(session, &message);
+            components.on_message(gossip, session, message);
         }
     }
 
     fn on_connect(&self, _: &Rc<Gossip>, session: &Rc<Session>) {
         let role = session.peer.borrow().as_ref().map(|peer| peer.role);
-        let Some(parts) = self.0.get() else { return };
+        let Some(components) = self.0.get() else { return };
         match role {
             Some(Role::Agent) => {
-                parts.contact.on_agent_connect(session);
-                parts.endpoints.greet(session);
+                components.contact.on_agent_connect(session);
+                components.endpoints.on_agent_connect(session);
             }
             Some(Role::Controller) => {
-                parts.contact.probe(session);
-                parts.placements.fetch_from(session);
+                components.contact.probe(session);
+                components.placements.fetch_from(session);
             }
             Some(Role::Proxy) | None => {}
         }
     }
 
     fn on_merged(&self, records: &[Endpoint]) {
-        if let Some(parts) = self.0.get() {
-            parts.leaves.note(records);
-            parts.placements.forget_gone(records);
+        if let Some(components) = self.0.get() {
+            components.leaves.note(records);
+            components.placements.forget_gone(records);
         }
     }
 
     fn on_disconnect(&self, _: &Rc<Gossip>, session: &Rc<Session>) {
-        if let Some(parts) = self.0.get() {
-            parts.backlogs.forget(session);
+        if let Some(components) = self.0.get() {
+            components.backlogs.forget(session);
         }
     }
 }
 
-/// A planted error: what this member is asked to accept is told to agents, whether it is committed or not.
-fn tell_accepted(gossip: &Gossip, request: &RegisterRequest) {
+/// Mutant: what this member is asked to accept is announced to agents, whether it is committed or not.
+fn announce_accepted(gossip: &Gossip, request: &RegisterRequest) {
     if let RegisterRequest::Accept { value, .. } = request {
         gossip.take_config(value.version, value.config.as_slice().to_vec());
     }
--- a/crates/controller/src/tally.rs
+++ b/crates/controller/src/confirmation_tracker.rs
@@ -1,23 +1,23 @@
-//! Who has confirmed a record, free of I/O.
+//! Which members have confirmed a record. No I/O and no clock.
 
 use runtrack_message::Member;
 use runtrack_net::mutant;
 use runtrack_register::has_majority;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A link, by its place among all that this process has had: one that came up again is another one.
+/// Number of a link among all that this process has had: one that came up again has another number.
 pub type SessionKey = usize;
 
 /// Who was asked for one record on which link, and on which links it was confirmed.
 #[derive(Clone, Debug, Default)]
-pub struct ConfirmationTally {
+pub struct ConfirmationTracker {
     asked: BTreeMap<SessionKey, Member>,
     confirmed: BTreeSet<SessionKey>,
     /// This process has the record on its own disk.
-    kept: bool,
+    is_on_own_disk: bool,
 }
 
-impl ConfirmationTally {
+impl ConfirmationTracker {
     /// Notes that a member is asked on a link; whether it has not been before.
     pub fn ask(&mut self, link: SessionKey, member: Member) -> bool {
         self.asked.insert(link, member).is_none()
@@ -28,9 +28,9 @@
         self.confirmed.insert(link);
     }
 
-    /// The write to this process's own disk has ended; `kept` where the record is there.
-    pub fn on_own_write(&mut self, kept: bool) {
-        self.kept |= kept;
+    /// The write to this process's own disk has ended; `written` where the record is there.
+    pub fn on_own_write(&mut self, written: bool) {
+        self.is_on_own_disk |= written;
     }
 
     /// Whether a majority of each set has the record: `me` once it is on the own disk, and those that confirmed on a link
@@ -43,9 +43,9 @@
         sets: &[BTreeSet<Member>],
     ) -> bool {
         let confirmed = self.asked.iter().filter(|(link, _)| self.confirmed.contains(link));
-        let still_there = confirmed.filter(|(link, member)| links.get(link) == Some(member));
-        let own = self.kept.then_some(me);
-        let members: BTreeSet<Member> = still_there.map(|(_, member)| *member).chain(own).collect();
+        let still_linked = confirmed.filter(|(link, member)| links.get(link) == Some(member));
+        let own = self.is_on_own_disk.then_some(me);
+        let members: BTreeSet<Member> = still_linked.map(|(_, member)| *member).chain(own).collect();
         let has = |member: &Member| {
             let address = member.address();
             members.contains(member)
--- a/crates/controller/src/confirmations.rs
+++ b/crates/controller/src/confirmations.rs
@@ -1,8 +1,8 @@
 //! Records that a majority of the members must have on disk before an endpoint is answered.
 
+use crate::confirmation_tracker::{ConfirmationTracker, SessionKey};
 use crate::contact::MajorityContact;
 use crate::leaves::Leaves;
-use crate::tally::{ConfirmationTally, SessionKey};
 use runtrack_link::{Gossip, Session};
 use runtrack_message::{Endpoint, Member, Message, Role};
 use runtrack_net::mutant;
@@ -14,10 +14,10 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{Instant, timeout_at};
 
-/// An endpoint waits a second for its acknowledgement.
+/// A confirmation fails after this time: an endpoint waits a second for its acknowledgement.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Confirmations that are waited for.
+/// Pending confirmations.
 pub struct Confirmations {
     gossip: Rc<Gossip>,
     contact: Rc<MajorityContact>,
@@ -30,17 +30,17 @@
 struct Confirmation {
     number: u64,
     record: Endpoint,
-    tally: ConfirmationTally,
+    tracker: ConfirmationTracker,
 }
 
-/// What a confirmation that is waited for has come to.
+/// An event that a pending confirmation waits for.
 enum Progress {
     /// It was confirmed on a link.
     Confirmed(SessionKey),
     /// The write to the own disk has ended.
     OwnWriteEnded {
         /// The record is there.
-        kept: bool,
+        written: bool,
     },
     /// Members, or links to them, may be others than before.
     MembersChanged,
@@ -70,12 +70,12 @@
     pub async fn confirm(&self, record: Endpoint) -> bool {
         let number = self.next_number.get();
         self.next_number.set(number.wrapping_add(1));
-        let (confirms, came) = unbounded_channel();
+        let (confirms, confirmed) = unbounded_channel();
         self.waiting.borrow_mut().insert(number, confirms);
-        let confirmation = Confirmation { number, record, tally: ConfirmationTally::default() };
+        let confirmation = Confirmation { number, record, tracker: ConfirmationTracker::default() };
         let done = tokio::select! {
             biased;
-            done = self.wait(confirmation, came) => done,
+            done = self.wait(confirmation, confirmed) => done,
             () = self.contact.lost() => mutant("confirmed-when-contact-is-lost"),
         };
         self.waiting.borrow_mut().remove(&number);
@@ -84,34 +84,38 @@
 
     /// Asks members until enough of those in force have confirmed, or time is up. Who is in force is looked at anew
     /// with each confirmation and with each change of what this process knows.
-    async fn wait(&self, mut confirmation: Confirmation, mut came: UnboundedReceiver<SessionKey>) -> bool {
-        let until = Instant::now() + CONFIRM_TIMEOUT;
+    async fn wait(
+        &self,
+        mut confirmation: Confirmation,
+        mut confirmed: UnboundedReceiver<SessionKey>,
+    ) -> bool {
+        let deadline = Instant::now() + CONFIRM_TIMEOUT;
         let own = [confirmation.record.clone()];
-        let mut own_write = pin!(self.leaves.keep(&own));
+        let mut own_write = pin!(self.leaves.persist(&own));
         let mut writing = true;
         let mut changes = self.gossip.changes();
         loop {
             let sets = self.contact.sets();
             if mutant("confirmed-when-asked") {
-                self.links().into_keys().for_each(|link| confirmation.tally.on_confirmed(link));
+                self.links().into_keys().for_each(|link| confirmation.tracker.on_confirmed(link));
             }
-            if confirmation.tally.has_majorities(self.gossip.me().member, &self.links(), &sets) {
+            if confirmation.tracker.has_majorities(self.gossip.me().member, &self.links(), &sets) {
                 return true;
             }
             self.ask(&mut confirmation, &sets);
-            let next = timeout_at(until, async {
+            let next = timeout_at(deadline, async {
                 tokio::select! {
                     biased;
-                    from = came.recv() => from.map_or(Progress::MembersChanged, Progress::Confirmed),
-                    kept = &mut own_write, if writing => Progress::OwnWriteEnded { kept },
+                    from = confirmed.recv() => from.map_or(Progress::MembersChanged, Progress::Confirmed),
+                    written = &mut own_write, if writing => Progress::OwnWriteEnded { written },
                     _ = changes.changed() => Progress::MembersChanged,
                 }
             });
             match next.await {
-                Ok(Progress::Confirmed(link)) => confirmation.tally.on_confirmed(link),
-                Ok(Progress::OwnWriteEnded { kept }) => {
+                Ok(Progress::Confirmed(link)) => confirmation.tracker.on_confirmed(link),
+                Ok(Progress::OwnWriteEnded { written }) => {
                     writing = false;
-                    confirmation.tally.on_own_write(kept);
+                    confirmation.tracker.on_own_write(written);
                 }
                 Ok(Progress::MembersChanged) => {}
                 Err(_) => return false,
@@ -125,7 +129,7 @@
         for session in self.gossip.peers(Role::Controller) {
             let Some(member) = session.dialled_member() else { continue };
             let is_member = sets.iter().any(|set| set.contains(&member));
-            if is_member && confirmation.tally.ask(session.key, member) {
+            if is_member && confirmation.tracker.ask(session.key, member) {
                 session.send(&message);
             }
         }
--- a/crates/controller/src/contact.rs
+++ b/crates/controller/src/contact.rs
@@ -18,10 +18,11 @@
 use tokio::sync::Notify;
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-/// Each other controller is probed this often.
+/// Interval at which each other controller is probed.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(250);
-/// Contact that was proven within this time is current.
+/// Contact that was proven within this time is current, counted from the sending of the probe.
 pub const CONTACT_LEASE: Duration = Duration::from_millis(800);
+
 /// Whom this controller is in contact with.
 pub struct MajorityContact {
     gossip: Rc<Gossip>,
@@ -30,10 +31,10 @@
     /// Members before the first value.
     first: BTreeSet<Member>,
     table: RefCell<ContactTable<Member>>,
-    /// What others have on disk, as they said last.
+    /// Ballots that others have on disk, by their last replies.
     accepted: RefCell<BTreeMap<Member, Ballot>>,
-    /// What agents were told last.
-    told: Cell<bool>,
+    /// What agents were notified of last.
+    reported: Cell<bool>,
     proven: Notify,
 }
 
@@ -55,7 +56,7 @@
             first,
             table: RefCell::new(table),
             accepted: RefCell::default(),
-            told: Cell::new(false),
+            reported: Cell::new(false),
             proven: Notify::new(),
         })
     }
@@ -66,10 +67,10 @@
         let accepted = self.member.accepted().map(|accepted| (accepted.ballot, accepted.value));
         let newest = known.into_iter().chain(accepted).max_by_key(|(ballot, _)| *ballot);
         let replica = self.gossip.replica();
-        let told = replica.members();
+        let announced = replica.members();
         match newest {
-            Some((_, value)) if value.sequence >= told.sequence => sets_of(&value),
-            _ if told.sequence > 0 => vec![told.set.clone()],
+            Some((_, value)) if value.sequence >= announced.sequence => sets_of(&value),
+            _ if announced.sequence > 0 => vec![announced.set.clone()],
             _ => vec![self.first.clone()],
         }
     }
@@ -150,7 +151,7 @@
         self.proven.notify_one();
     }
 
-    /// A planted error: contact counts as of now, whenever it was asked for.
+    /// Mutants: contact counts as of now, whenever it was asked for.
     fn prove_without_asking(&self, from: &Member) {
         let now = self.gossip.now();
         let mut table = self.table.borrow_mut();
@@ -158,7 +159,7 @@
         table.on_reply(now, from, number, BTreeSet::new());
     }
 
-    /// Tells a new agent whether this process is in contact.
+    /// Notifies a new agent whether this process is in contact.
     pub fn on_agent_connect(&self, session: &Session) {
         if session.peer_wire() >= CONTACT_WIRE_VERSION {
             session.send(&Message::MajorityContact(self.is_current()));
@@ -188,13 +189,13 @@
         sessions.iter().for_each(|session| self.probe(session));
     }
 
-    /// Tells the log and the agents where contact was lost or is back.
-    fn tell_changes(&self) {
+    /// Notifies the log and the agents where contact was lost or is back.
+    fn report_changes(&self) {
         let current = self.is_current();
-        if self.told.replace(current) == current {
+        if self.reported.replace(current) == current {
             return;
         }
-        // Endpoints that called others meanwhile were not heard of here.
+        // Heartbeats that others received meanwhile were not relayed to this process.
         self.gossip.interrupt_heartbeats();
         if current {
             info!(self.gossip.logger(), "contact.majority");
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Probes the other controllers and tells of changes, for as long as the process runs.
+    /// Probes the other controllers and reports changes, for as long as the process runs.
     pub async fn run(self: Rc<Self>) {
         let mut ticks = interval(PROBE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -217,9 +218,9 @@
                 biased;
                 _ = ticks.tick() => self.probe_all(),
                 () = self.proven.notified() => {}
-                () = self.lost(), if self.told.get() => {}
+                () = self.lost(), if self.reported.get() => {}
             }
-            self.tell_changes();
+            self.report_changes();
         }
     }
 }
--- a/crates/controller/src/copies.rs
+++ b/crates/controller/src/copies.rs
@@ -1,4 +1,4 @@
-//! The copies of the committed value at the members: who holds it, as far as probes show.
+//! The copies of the committed value at the members: which have it on disk, as far as probes show.
 
 use crate::contact::MajorityContact;
 use crate::member::MemberTask;
@@ -14,10 +14,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A leaving member looks so often whether the others hold what is committed.
+/// Interval at which a leaving member checks whether the others have what is committed.
 const COPY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Who holds the committed value.
+/// Which members have the committed value.
 pub struct Copies {
     gossip: Rc<Gossip>,
     proposer: Rc<Proposer>,
@@ -51,17 +51,17 @@
         self.contact.peer_accepted(member).filter(|_| self.contact.reaches(member))
     }
 
-    fn holding(&self, members: &BTreeSet<Member>) -> BTreeMap<Member, Ballot> {
+    fn accepted_at(&self, members: &BTreeSet<Member>) -> BTreeMap<Member, Ballot> {
         members.iter().filter_map(|member| Some((*member, self.accepted_by(member)?))).collect()
     }
 
-    /// Looks at what the members hold of the newest committed value.
+    /// Checks which members have the newest committed value.
     pub fn observe(&self, ballot: Ballot, value: &Value) {
-        let holding = self.holding(&members_of(value));
-        let events = self.table.borrow_mut().observe(self.gossip.now(), ballot, value, holding);
+        let accepted = self.accepted_at(&members_of(value));
+        let events = self.table.borrow_mut().observe(self.gossip.now(), ballot, value, accepted);
         for event in events {
             match event {
-                CopyEvent::Whole { sequence, after } => info!(self.gossip.logger(), "copies.whole";
+                CopyEvent::Whole { sequence, after } => info!(self.gossip.logger(), "copies.complete";
                     "sequence" => sequence, "after_ms" => after.as_millis() as u64),
                 CopyEvent::Missing { member } => warn!(self.gossip.logger(), "copies.missing";
                     "members" => member.address().to_string()),
@@ -73,18 +73,18 @@
     fn lacking(&self) -> Vec<String> {
         let Some((committed, value)) = self.proposer.known() else { return Vec::new() };
         let me = self.gossip.me().member;
-        let holding = self.holding(&members_of(&value));
-        let lacking = holding.iter().filter(|(member, held)| **member != me && **held < committed);
+        let accepted = self.accepted_at(&members_of(&value));
+        let lacking = accepted.iter().filter(|(member, ballot)| **member != me && **ballot < committed);
         lacking.map(|(member, _)| member.address().to_string()).collect()
     }
 
-    /// Tells the log who lacks what is committed.
+    /// Logs who lacks what is committed.
     pub fn log_missing(&self) {
         warn!(self.gossip.logger(), "copies.missing"; "members" => self.lacking().join(" "));
     }
 
-    /// Waits until the other members that can be reached hold what is committed.
-    pub async fn handed_over(&self) {
+    /// Waits until the other members that can be reached have what is committed.
+    pub async fn wait_until_complete(&self) {
         if mutant("leaving-member-goes-at-once") || self.lacking().is_empty() {
             return;
         }
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -28,7 +28,7 @@
     Value(Box<ValueRecord>),
     /// Endpoints that leave.
     Leaves(LeaveRecord),
-    /// Where prefixes of prompts are. Only a help: nothing is lost with it but time.
+    /// Where prefixes of prompts are. A hint alone: nothing is lost with it but time.
     Placements(PrefixPlacements),
 }
 
@@ -52,8 +52,8 @@
 pub(crate) struct Disk(pub(crate) Rc<dyn MemberDisk>);
 
 impl Disk {
-    /// Keeps what an acceptor of this incarnation must not forget; whether it is kept.
-    pub async fn keep(&self, incarnation: u64, durable: Durable) -> bool {
+    /// Writes what an acceptor of this incarnation must not forget; whether it is durable.
+    pub async fn persist(&self, incarnation: u64, durable: Durable) -> bool {
         let record = match durable {
             Durable::Promise(promised) => Record::Promise(PromiseRecord { incarnation, promised }),
             Durable::Value(accepted) => Record::Value(Box::new(ValueRecord {
--- a/crates/controller/src/disk/rings.rs
+++ b/crates/controller/src/disk/rings.rs
@@ -7,11 +7,11 @@
 use runtrack_registry::{LEAVE_GENERATIONS, LeaveRecord, MAX_LEAVE_RECORD};
 use runtrack_ringstore::{Files, Ring, StoreError};
 
-/// Room of a promise's file.
+/// Bytes of a file of promises.
 const PROMISE_ROOM: usize = 4 << 10;
-/// Room of a value's file: a configuration of a thousand routes.
+/// Bytes of a file of values, which grows by as many where a value is longer: a configuration of a thousand routes.
 const VALUE_ROOM: usize = 384 << 10;
-/// Room of a file of leaves: a whole generation and the ring's own head, so that no file ever grows.
+/// Bytes of a file of leaves: a complete generation and the ring's own head, so that no file ever grows.
 const LEAVE_ROOM: usize = MAX_LEAVE_RECORD + 64;
 /// Rings of leaves, one for each generation that is kept.
 const LEAVE_RINGS: [&str; LEAVE_GENERATIONS as usize] = [
@@ -32,7 +32,7 @@
     "leaves-14",
     "leaves-15",
 ];
-/// Room of a file of placements: some six thousand of them.
+/// Bytes of a file of placements: some six thousand of them.
 const PLACEMENT_ROOM: usize = 128 << 10;
 
 /// The rings of promises, of values and of leaves.
@@ -47,7 +47,7 @@
 
 impl<F: Files + Clone> Rings<F> {
     /// Opens the rings and recovers the member that is in them; one that is not there is made, of this incarnation,
-    /// and one whose records can't be read comes back under an incarnation of its own.
+    /// and one whose records can't be read comes back under an incarnation of its own. Fails where files can't be read.
     pub fn open(files: F, incarnation: impl FnOnce() -> u64) -> Result<(Self, Acceptor), StoreError> {
         let (promises, promise) = Ring::open(files.clone(), "promise", PROMISE_ROOM)?;
         let (values, value) = Ring::open(files.clone(), "value", VALUE_ROOM)?;
@@ -72,7 +72,8 @@
         &self.recovered_placements
     }
 
-    /// Writes a record; once this returns it is there after any loss of power.
+    /// Writes a record; once this returns it is there after any loss of power. Where it fails it may be there or not, and the
+    /// record before it still is.
     pub fn write(&mut self, record: &Record) -> Result<(), StoreError> {
         match record {
             Record::Promise(promise) => self.promises.append(&promise.to_bytes()?),
--- a/crates/controller/src/disk/thread.rs
+++ b/crates/controller/src/disk/thread.rs
@@ -30,7 +30,7 @@
 }
 
 impl DiskThread {
-    /// Opens the folder of the settings and recovers the member that is in it.
+    /// Opens the folder of the settings and recovers the member that is in it; fails where there is none, or it can't be used.
     pub fn open(node: &Node, logger: &Logger) -> Result<(DiskThread, Acceptor), DiskError> {
         let folder = PathBuf::from(node.data_dir.as_deref().ok_or(DiskError::NoFolder)?);
         let (rings, acceptor) = Rings::open(Folder(folder.clone()), || new_incarnation(node))
--- a/crates/controller/src/disk_guard.rs
+++ b/crates/controller/src/disk_guard.rs
@@ -17,8 +17,8 @@
 use std::time::Duration;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-/// How often members that have not answered are asked.
-const QUESTION_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which members that have not answered are asked.
+const QUERY_INTERVAL: Duration = Duration::from_millis(50);
 /// Where more members are remembered than this, those are forgotten that are neither in force nor connected.
 const MAX_REMEMBERED_MEMBERS: usize = 64;
 
@@ -55,13 +55,13 @@
     }
 
     /// A member asks what is remembered of it.
-    pub fn on_question(&self, session: &Session, member: Member) {
+    pub fn on_watermark_request(&self, session: &Session, member: Member) {
         let remembered = self.watermarks.borrow().of(&member);
         session.send(&Message::WatermarkReply(WatermarkReply { member, remembered }));
     }
 
-    /// Its answer.
-    pub fn on_answer(&self, session: &Session, answer: &WatermarkReply) {
+    /// A member says what it remembers of this one.
+    pub fn on_watermark_reply(&self, session: &Session, answer: &WatermarkReply) {
         if let Some(from) = controller_of(session).filter(|_| answer.member == self.me) {
             self.check.borrow_mut().on_answer(from, answer.remembered);
         }
@@ -104,11 +104,11 @@
     /// Asks until it is known whether the disk is the newest, and lets the member take part then; returns only where
     /// the disk is an older one.
     pub async fn run(&self) {
-        let mut ticks = interval(QUESTION_INTERVAL);
+        let mut ticks = interval(QUERY_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            let verdict = self.ask();
+            let verdict = self.query();
             match verdict {
                 DiskVerdict::Waiting => continue,
                 DiskVerdict::Older(seen) if !mutant("older-disk-goes-on") => {
@@ -127,7 +127,7 @@
     }
 
     /// Asks those who have not answered; what is known so far.
-    fn ask(&self) -> DiskVerdict {
+    fn query(&self) -> DiskVerdict {
         let mut check = self.check.borrow_mut();
         check.set_sets(self.proposer.sets());
         let unanswered = check.unanswered();
--- a/crates/controller/src/endpoints.rs
+++ b/crates/controller/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints' calls: who is there, who leaves, and who has fallen silent.
+//! Endpoints' calls: heartbeats, leaves, and who has stalled.
 
 use crate::confirmations::Confirmations;
 use crate::contact::MajorityContact;
@@ -14,18 +14,18 @@
 use std::time::Duration;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// An endpoint that has missed so many heartbeats, while others were heard, is silent.
-const SILENT_BEATS: u32 = 3;
+/// An endpoint that has missed this many heartbeats, while others were heard, counts as stalled.
+const MISSED_HEARTBEATS: u32 = 3;
 
-/// Takes endpoints' calls.
+/// Handles endpoints' calls.
 pub struct Endpoints {
     gossip: Rc<Gossip>,
     contact: Rc<MajorityContact>,
     confirmations: Confirmations,
-    /// Endpoints that were heard here since the last report.
+    /// Endpoints whose heartbeats came here since the last relay.
     heard: RefCell<BTreeSet<u64>>,
-    /// Who is silent, as agents were told last.
-    told: RefCell<Vec<u64>>,
+    /// Who has stalled, as agents were notified last.
+    reported: RefCell<Vec<u64>>,
 }
 
 impl Endpoints {
@@ -37,15 +37,15 @@
             contact,
             confirmations,
             heard: RefCell::default(),
-            told: RefCell::default(),
+            reported: RefCell::default(),
         })
     }
 
-    /// Takes a call; whether it may be acknowledged. Nothing is while this process is not in contact with a majority:
+    /// Handles a call; whether it may be acknowledged. Nothing is while this process is not in contact with a majority:
     /// the endpoint is to call a member that others hear. One that leaves is acknowledged once a majority of the
     /// members have it on disk, so that every proxy in touch hears of it whichever members it is linked to. What the call says is
-    /// taken and told on in any case.
-    pub async fn called(&self, record: Endpoint) -> bool {
+    /// merged and forwarded in any case.
+    pub async fn on_call(&self, record: Endpoint) -> bool {
         let id = record.id.as_string();
         let key = key_of(&id);
         let leaving = record.state != EndpointState::Ready;
@@ -59,29 +59,31 @@
     }
 
     /// A member has the record of this number on its disk.
-    pub fn confirmed(&self, number: u64, session: &Session) {
+    pub fn on_confirmed(&self, number: u64, session: &Session) {
         self.confirmations.on_confirmed(number, session);
     }
 
-    /// Another member heard of these.
-    pub fn relayed(&self, keys: &[u64]) {
+    /// Another member has received heartbeats of these.
+    pub fn on_heartbeat_relay(&self, keys: &[u64]) {
         self.gossip.note_heartbeats(keys);
     }
 
     /// Endpoints that no member has heard of for too long; nobody while this process is not in contact.
-    fn silent(&self) -> Vec<u64> {
+    fn stalled(&self) -> Vec<u64> {
         if !self.contact.is_current() && !mutant("suspects-out-of-contact") {
             return Vec::new();
         }
         let replica = self.gossip.replica();
         let ready = replica.registry().iter().filter(|(_, record)| record.state == EndpointState::Ready);
-        let mut silent: Vec<u64> =
-            ready.map(|(key, _)| key).filter(|key| self.gossip.is_suspect(*key, SILENT_BEATS)).collect();
-        silent.sort_unstable();
-        silent
+        let mut stalled: Vec<u64> = ready
+            .map(|(key, _)| key)
+            .filter(|key| self.gossip.is_suspect(*key, MISSED_HEARTBEATS))
+            .collect();
+        stalled.sort_unstable();
+        stalled
     }
 
-    /// Tells members what was heard here, and agents what was not heard anywhere.
+    /// Relays heartbeats to the other members, and notifies agents of who has stalled, for as long as the process runs.
     pub async fn run(self: Rc<Self>, heartbeat: Duration) {
         let mut ticks = interval(heartbeat / 2);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -91,16 +93,16 @@
             if !heard.is_empty() {
                 self.gossip.broadcast_to(Role::Controller, &Message::HeartbeatRelay(heard.into()));
             }
-            let silent = self.silent();
-            if *self.told.borrow() != silent {
-                self.gossip.broadcast_to(Role::Agent, &Message::Suspects(silent.clone().into()));
-                *self.told.borrow_mut() = silent;
+            let stalled = self.stalled();
+            if *self.reported.borrow() != stalled {
+                self.gossip.broadcast_to(Role::Agent, &Message::Suspects(stalled.clone().into()));
+                *self.reported.borrow_mut() = stalled;
             }
         }
     }
 
-    /// Tells a new agent who is silent.
-    pub fn greet(&self, session: &Session) {
-        session.send(&Message::Suspects(self.told.borrow().clone().into()));
+    /// Notifies a new agent of who has stalled.
+    pub fn on_agent_connect(&self, session: &Session) {
+        session.send(&Message::Suspects(self.reported.borrow().clone().into()));
     }
 }
--- a/crates/controller/src/leave_sync.rs
+++ b/crates/controller/src/leave_sync.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Whom this process has compared its leaves with.
+/// The members that this process has compared its leaves with.
 pub(crate) struct LeaveSync {
     gossip: Rc<Gossip>,
     contact: Rc<MajorityContact>,
--- a/crates/controller/src/leaves.rs
+++ b/crates/controller/src/leaves.rs
@@ -13,13 +13,13 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Wait before a disk that refused is tried again.
-const REFUSED_PAUSE: Duration = Duration::from_millis(300);
+/// Backoff after a write that the disk refused.
+const REFUSED_BACKOFF: Duration = Duration::from_millis(300);
 /// An endpoint waits a second for its acknowledgement: who waits for the disk gives up before that, so that a stalled disk
 /// does not gather those who wait.
-const KEEP_TIMEOUT: Duration = Duration::from_millis(800);
+const PERSIST_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The leaves that this member keeps.
+/// The leaves that this member stores.
 pub(crate) struct Leaves {
     table: RefCell<LeaveTable>,
     noted: Notify,
@@ -44,17 +44,17 @@
     /// Takes note of those among these endpoints that leave; they go to disk soon.
     pub fn note(&self, endpoints: &[Endpoint]) {
         let mut table = self.table.borrow_mut();
-        let mut news = false;
+        let mut changed = false;
         for endpoint in endpoints {
-            news |= table.note(endpoint);
+            changed |= table.note(endpoint);
         }
-        if news {
+        if changed {
             self.noted.notify_one();
         }
     }
 
     /// Waits until these are on disk; whether they are in time.
-    pub async fn keep(&self, endpoints: &[Endpoint]) -> bool {
+    pub async fn persist(&self, endpoints: &[Endpoint]) -> bool {
         self.note(endpoints);
         let change = endpoints.iter().map(|endpoint| self.table.borrow().change_of(endpoint)).max();
         let change = change.unwrap_or(0);
@@ -67,7 +67,7 @@
             }
             true
         };
-        mutant("leave-confirmed-before-durable") || timeout(KEEP_TIMEOUT, durable).await.unwrap_or(false)
+        mutant("leave-confirmed-before-durable") || timeout(PERSIST_TIMEOUT, durable).await.unwrap_or(false)
     }
 
     /// The last change of the table.
@@ -88,7 +88,7 @@
                 None => self.noted.notified().await,
                 Some(batch) => {
                     if !self.write(&disk, batch).await {
-                        sleep(REFUSED_PAUSE).await;
+                        sleep(REFUSED_BACKOFF).await;
                     }
                 }
             }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,8 +1,15 @@
 //! A control member: the operator's API and the endpoints' on one side, links to agents and other members on the
 //! other, the register and its disk within.
+//!
+//! `api` serves HTTP; `components` hands messages of the links on. The register: `member` answers rounds (CASPaxos: Rystsov,
+//! 2018), `proposer` begins them, `membership` and `copies` change the members one at a time, `disk` and `disk_guard` keep
+//! what must not be forgotten. Beside it: `contact` with a majority, `endpoints` with `confirmations` and `leaves`, `backlog`
+//! and `placements` for the proxies. The guarantees are in `docs/design/control-state.md`.
 
 pub mod api;
 mod backlog;
+mod components;
+pub mod confirmation_tracker;
 mod confirmations;
 mod contact;
 mod copies;
@@ -14,18 +21,16 @@
 mod leaves;
 mod member;
 mod membership;
-mod parts;
 pub mod pending;
 mod placements;
 mod proposer;
 pub mod request_queue;
-pub mod tally;
 
 pub use error::ControllerError;
 
 use crate::api::Api;
+use crate::components::{Components, MessageRouter};
 use crate::disk::{Disk, DiskThread, MemberDisk, Record};
-use crate::parts::{Parts, Routing};
 use runtrack_fleetconfig::Node;
 use runtrack_link::{Environment, Gossip, Logger, ProcessEvent, ProcessEvents, Signals, listen};
 use runtrack_message::{Ballot, Hello, Member, Role, WIRE_VERSION};
@@ -38,12 +43,13 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Calls that are under way at SIGTERM get so long.
-const LAST_CALLS: Duration = Duration::from_millis(300);
-/// Wait before a disk that refused is tried again.
-const REFUSED_PAUSE: Duration = Duration::from_millis(300);
+/// Calls in flight at the end of a graceful shutdown get this long.
+const SHUTDOWN_DRAIN: Duration = Duration::from_millis(300);
+/// Backoff after a write that the disk refused.
+const REFUSED_BACKOFF: Duration = Duration::from_millis(300);
 
-/// Runs a control member until SIGTERM.
+/// Runs a control member until SIGTERM. Fails where its settings or its disk can't be used, an address can't be listened on,
+/// or its disk turns out to be an older copy.
 pub async fn run(node: Node, signals: Signals) -> Result<(), ControllerError> {
     let environment = Environment::system("controller", &node);
     let (disk, acceptor) = DiskThread::open(&node, &environment.logger)?;
@@ -62,11 +68,12 @@
 async fn take_new_incarnation(disk: &dyn MemberDisk) {
     let record = PromiseRecord { incarnation: fastrand::u64(1..), promised: Ballot::default() };
     while disk.persist(Record::Promise(record.clone())).await.is_err() {
-        sleep(REFUSED_PAUSE).await;
+        sleep(REFUSED_BACKOFF).await;
     }
 }
 
-/// Runs the control member that was recovered from its disk, in an environment, until it is told to end.
+/// Runs the control member that was recovered from its disk, in an environment, until [`ProcessEvent::Terminate`]. Fails as
+/// [`run`] does, but for the opening of the disk.
 pub async fn run_in(
     environment: Environment,
     disk: Rc<dyn MemberDisk>,
@@ -81,26 +88,30 @@
         "first_boot" => node.first_boot, "recovered" => acceptor.accepted().is_some());
     let hello =
         Hello { wire: WIRE_VERSION, role: Role::Controller, node: node.name.as_str().into(), member: me };
-    let routing = Routing::default();
-    let gossip = Gossip::new_in(environment, hello, node.heartbeat, Box::new(routing.clone()));
-    let parts = Parts::new(&gossip, Disk(disk.clone()), acceptor, &node);
-    routing.set(parts.clone());
+    let router = MessageRouter::default();
+    let gossip = Gossip::new_in(environment, hello, node.heartbeat, Box::new(router.clone()));
+    let components = Components::new(&gossip, Disk(disk.clone()), acceptor, &node);
+    router.set(components.clone());
     listen(gossip.clone(), node.peer)
         .await
         .map_err(|error| ControllerError::ListenPeer(node.peer, error))?;
-    let api =
-        Api::new(gossip.clone(), parts.proposer.clone(), parts.endpoints.clone(), parts.contact.clone());
-    let calls = api.listen(control).map_err(|error| ControllerError::ListenControl(control, error))?;
+    let api = Api::new(
+        gossip.clone(),
+        components.proposer.clone(),
+        components.endpoints.clone(),
+        components.contact.clone(),
+    );
+    let api_task = api.listen(control).map_err(|error| ControllerError::ListenControl(control, error))?;
     spawn_local(gossip.run());
-    parts.spawn(&node);
-    if until_terminated(&parts, &mut events, &logger).await == End::OlderDisk {
+    components.spawn(&node);
+    if until_terminated(&components, &mut events, &logger).await == End::OlderDisk {
         take_new_incarnation(disk.as_ref()).await;
         return Err(ControllerError::OlderDisk);
     }
     info!(logger, "controller.terminate");
-    calls.abort();
-    parts.membership.leave().await;
-    sleep(LAST_CALLS).await;
+    api_task.abort();
+    components.membership.leave().await;
+    sleep(SHUTDOWN_DRAIN).await;
     info!(logger, "controller.end");
     Ok(())
 }
@@ -108,15 +119,15 @@
 /// Why a control member ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
-    /// It was told to.
+    /// It was asked to: SIGTERM.
     Terminated,
     /// Its disk is an older copy.
     OlderDisk,
 }
 
-/// Heeds the events of the process until it is to end.
-async fn until_terminated(parts: &Parts, events: &mut ProcessEvents, logger: &Logger) -> End {
-    let mut older_disk = pin!(parts.guard.run());
+/// Handles the events of the process until it is to end.
+async fn until_terminated(components: &Components, events: &mut ProcessEvents, logger: &Logger) -> End {
+    let mut older_disk = pin!(components.disk_guard.run());
     loop {
         let event = tokio::select! {
             biased;
@@ -124,7 +135,7 @@
             () = &mut older_disk => return End::OlderDisk,
         };
         match event {
-            Some(ProcessEvent::Settings(Ok(node))) => parts.membership.set_seeds(node.seed_members()),
+            Some(ProcessEvent::Settings(Ok(node))) => components.membership.set_seeds(node.seed_members()),
             Some(ProcessEvent::Settings(Err(problem))) => {
                 info!(logger, "settings.refused"; "problem" => problem);
             }
--- a/crates/controller/src/member.rs
+++ b/crates/controller/src/member.rs
@@ -14,28 +14,28 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Wait before a disk that refused is tried again.
-const REFUSED_PAUSE: Duration = Duration::from_millis(300);
+/// Backoff after a write that the disk refused.
+const REFUSED_BACKOFF: Duration = Duration::from_millis(300);
 
 type Reply = Box<dyn FnOnce(RegisterReply)>;
 
 /// A request and what its reply goes to.
-struct Asked {
+struct QueuedRequest {
     request: RegisterRequest,
     reply: Reply,
 }
 
 /// The member, its queue and what it has to copy.
 pub struct MemberTask {
-    born: Instant,
+    started_at: Instant,
     acceptor: RefCell<Acceptor>,
     /// What it has accepted and has on disk; what the acceptor says may still be on its way there.
     durable_accepted: RefCell<Option<Accepted>>,
     /// Its incarnation is on disk.
     durable: Cell<bool>,
-    /// The others have said whether its disk is the newest: before that it takes no part.
+    /// The check of its disk is over: before that it takes no part.
     released: Cell<bool>,
-    queue: RefCell<RequestQueue<Asked>>,
+    queue: RefCell<RequestQueue<QueuedRequest>>,
     /// The newest value that is known to be committed, where it may not be on disk yet.
     committed: RefCell<Option<Accepted>>,
     wake: Notify,
@@ -48,7 +48,7 @@
     pub fn start(acceptor: Acceptor, disk: Disk, logger: Logger) -> Rc<Self> {
         let on_disk = acceptor.accepted().cloned();
         let task = Rc::new(MemberTask {
-            born: Instant::now(),
+            started_at: Instant::now(),
             acceptor: RefCell::new(acceptor),
             durable_accepted: RefCell::new(on_disk),
             durable: Cell::new(false),
@@ -64,8 +64,8 @@
 
     /// Asks this member; a reply comes once it may, or never.
     pub fn ask(&self, request: RegisterRequest, reply: impl FnOnce(RegisterReply) + 'static) {
-        let asked = Asked { request, reply: Box::new(reply) };
-        self.queue.borrow_mut().push(self.born.elapsed(), asked);
+        let queued = QueuedRequest { request, reply: Box::new(reply) };
+        self.queue.borrow_mut().push(self.started_at.elapsed(), queued);
         self.wake.notify_one();
     }
 
@@ -128,8 +128,8 @@
     async fn run(self: Rc<Self>, disk: Disk, logger: Logger) {
         let (incarnation, promised) =
             (self.acceptor.borrow().incarnation(), self.acceptor.borrow().promised());
-        while !disk.keep(incarnation, Durable::Promise(promised)).await {
-            sleep(REFUSED_PAUSE).await;
+        while !disk.persist(incarnation, Durable::Promise(promised)).await {
+            sleep(REFUSED_BACKOFF).await;
         }
         self.durable.set(true);
         while !self.released.get() {
@@ -138,11 +138,11 @@
         let mut retry = Instant::now();
         loop {
             if Instant::now() >= retry && !self.copy_committed(&disk, &logger).await {
-                retry = Instant::now() + REFUSED_PAUSE;
+                retry = Instant::now() + REFUSED_BACKOFF;
             }
-            let asked = self.queue.borrow_mut().pop(self.born.elapsed());
-            match asked {
-                Some(asked) => self.answer(asked, &disk, &logger).await,
+            let queued = self.queue.borrow_mut().pop(self.started_at.elapsed());
+            match queued {
+                Some(queued) => self.answer(queued, &disk, &logger).await,
                 None => self.idle(retry).await,
             }
         }
@@ -162,48 +162,48 @@
         let Some(committed) = self.committed.borrow().clone() else { return true };
         let before = self.acceptor.borrow().clone();
         let durable = self.acceptor.borrow_mut().adopt_committed(committed.ballot, committed.value.clone());
-        let kept = match durable {
+        let persisted = match durable {
             Some(durable) => {
-                let kept = self.keep(before, durable, disk, logger).await;
-                if kept {
+                let persisted = self.persist(before, durable, disk, logger).await;
+                if persisted {
                     info!(logger, "value.copied"; "sequence" => committed.value.sequence);
                 }
-                kept
+                persisted
             }
             None => true,
         };
         let mut due = self.committed.borrow_mut();
-        if kept && due.as_ref().is_some_and(|newest| newest.ballot == committed.ballot) {
+        if persisted && due.as_ref().is_some_and(|newest| newest.ballot == committed.ballot) {
             *due = None;
         }
-        kept
+        persisted
     }
 
-    async fn answer(&self, asked: Asked, disk: &Disk, logger: &Logger) {
+    async fn answer(&self, queued: QueuedRequest, disk: &Disk, logger: &Logger) {
         let before = self.acceptor.borrow().clone();
-        let (answer, durable) = self.acceptor.borrow_mut().handle(&asked.request);
-        let kept = match durable {
-            Some(durable) => self.keep(before, durable, disk, logger).await,
+        let (answer, durable) = self.acceptor.borrow_mut().handle(&queued.request);
+        let persisted = match durable {
+            Some(durable) => self.persist(before, durable, disk, logger).await,
             None => true,
         };
-        if kept {
-            (asked.reply)(answer);
+        if persisted {
+            (queued.reply)(answer);
         }
     }
 
-    /// Keeps what must not be forgotten, or puts the acceptor back as it was; whether it is kept.
-    async fn keep(&self, before: Acceptor, durable: Durable, disk: &Disk, logger: &Logger) -> bool {
+    /// Writes what must not be forgotten, or puts the acceptor back as it was; whether it is durable.
+    async fn persist(&self, before: Acceptor, durable: Durable, disk: &Disk, logger: &Logger) -> bool {
         let accepted = match &durable {
             Durable::Value(accepted) => Some(accepted.clone()),
             Durable::Promise(_) => None,
         };
         let began = Instant::now();
-        let kept = disk.keep(before.incarnation(), durable).await;
+        let persisted = disk.persist(before.incarnation(), durable).await;
         let [_, last] = self.write_times.get();
         self.write_times.set([last, began.elapsed()]);
-        if !kept {
+        if !persisted {
             // What is not on disk was never promised: the others are a majority without this member.
-            info!(logger, "member.silent"; "promised" => before.promised().round);
+            info!(logger, "member.stalled"; "promised" => before.promised().round);
             *self.acceptor.borrow_mut() = before;
             return false;
         }
--- a/crates/controller/src/membership.rs
+++ b/crates/controller/src/membership.rs
@@ -1,11 +1,11 @@
 //! Who the members are: dialling them, taking in who asks to join, replacing who is lost, leaving at the end.
 //!
 //! What comes next is decided by [`plan_membership`]; this shell gathers what it needs to know and carries the change
-//! out. One member has the duty, named by rendezvous hashing over those that are not suspected. Two that take
+//! out. One member is the coordinator, named by rendezvous hashing over those that are not suspected. Two that take
 //! themselves for it do no harm: a change names the set that it was planned on, and the register takes it on no other.
 //!
 //! This file holds the state and the loop. `requests` remembers who asked to join or to leave, `dialling` keeps links up,
-//! `joining` and `leaving` are this process's own way in and out, `coordinator` is the duty, `change` carries one change
+//! `joining` and `leaving` are this process's own way in and out, `coordinator` decides on changes, `change` carries one
 //! through the register.
 //!
 //! [`plan_membership`]: runtrack_register::plan_membership
@@ -39,8 +39,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-/// How often the membership is looked at.
-const TICK: Duration = Duration::from_millis(200);
+/// Interval at which the membership is checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Who the members are, and who wants to be.
 pub struct Membership {
@@ -58,12 +58,13 @@
     requests: RefCell<MembershipRequests>,
     copies: Copies,
     dials: Dials,
-    asked: Cell<Option<Instant>>,
-    /// What a change waits for, as the log was told last.
+    /// When this process asked to join last.
+    asked_to_join_at: Cell<Option<Instant>>,
+    /// What a change waits for, as logged last.
     waiting: Cell<Option<WaitReason>>,
     /// This process is about to end, and asks for nothing any more.
-    ending: Cell<bool>,
-    /// It is a member and has said so in the log.
+    shutting_down: Cell<bool>,
+    /// It is a member, and that is logged.
     joined: Cell<bool>,
     wake: Notify,
 }
@@ -99,9 +100,9 @@
             copies,
             leave_timeout: settings.times.leave,
             requests: RefCell::default(),
-            asked: Cell::new(None),
+            asked_to_join_at: Cell::new(None),
             waiting: Cell::new(None),
-            ending: Cell::new(false),
+            shutting_down: Cell::new(false),
             joined: Cell::new(false),
             wake: Notify::new(),
         })
@@ -118,7 +119,7 @@
 
     /// Looks after the membership for as long as the process runs.
     pub async fn run(self: Rc<Self>) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -135,9 +136,9 @@
     /// The newest value that is known to be committed, or what there is before the first one; nothing while it is not known
     /// whether there is one.
     fn newest(&self) -> Option<(Ballot, Rc<Value>)> {
-        let nothing_told = self.gossip.replica().members().sequence == 0;
+        let nothing_announced = self.gossip.replica().members().sequence == 0;
         let nothing_written =
-            nothing_told && self.proposer.is_informed() && !mutant("members-wait-for-a-value");
+            nothing_announced && self.proposer.is_informed() && !mutant("members-wait-for-a-value");
         let initial = || nothing_written.then(|| (Ballot::default(), self.initial.clone()));
         self.proposer.known().or_else(initial)
     }
--- a/crates/controller/src/membership/change.rs
+++ b/crates/controller/src/membership/change.rs
@@ -8,23 +8,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A change of the membership gets so long.
+/// Time-out of a change of the membership.
 const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Membership {
     /// Carries one change through: the joint sets, then the new one alone. Where the members are others than those that
     /// it was planned on, nothing is changed; where another change is under way, that is finished.
     pub(super) async fn change(&self, planned_on: &BTreeSet<Member>, next: &BTreeSet<Member>) {
-        let until = Instant::now() + MEMBERSHIP_CHANGE_TIMEOUT;
+        let deadline = Instant::now() + MEMBERSHIP_CHANGE_TIMEOUT;
         let mut begin = |current: Option<&Value>| match current.unwrap_or(&self.initial) {
             value if is_joint(value) || members_of(value) == *planned_on => replace_members(value, next),
             _ => Decision::Read,
         };
-        let outcome = self.proposer.decide(until, &mut begin).await;
+        let outcome = self.proposer.decide(deadline, &mut begin).await;
         let Some(Outcome::Committed(_, value)) = outcome else { return };
         if is_joint(&value) {
             let finish = |current: Option<&Value>| current.map_or(Decision::Read, finish_membership);
-            self.proposer.decide(until, &mut { finish }).await;
+            self.proposer.decide(deadline, &mut { finish }).await;
         }
         let names: Vec<String> =
             members_of(&value).iter().map(|member| member.address().to_string()).collect();
--- a/crates/controller/src/membership/coordinator.rs
+++ b/crates/controller/src/membership/coordinator.rs
@@ -1,4 +1,4 @@
-//! The duty of changing the membership: who has it, what it sees, and what it does.
+//! The coordinator, the one member that changes the membership: who it is, what it sees, and what it does.
 
 use crate::membership::Membership;
 use runtrack_message::{Ballot, Member};
@@ -8,10 +8,11 @@
 use slog::info;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The duty of changing the membership, as a key of rendezvous hashing.
-const COORDINATOR: &[u8] = b"membership";
+/// Key of rendezvous hashing for the coordinator.
+const COORDINATOR_KEY: &[u8] = b"membership";
 
 impl Membership {
+    /// Whether a majority of the members has lost contact with a member.
     fn is_suspect(&self, member: &Member) -> bool {
         if mutant("one-watcher-is-enough") {
             return *member != self.me && !self.contact.reaches(member);
@@ -19,13 +20,13 @@
         *member != self.me && self.contact.suspected_by_majority(member)
     }
 
-    /// Whether this process has the duty: one of those that are not lost, the same one for all who see the same.
+    /// Whether this process is the coordinator: one of those that are not lost, the same one for all who see the same.
     pub(super) fn is_coordinator(&self, members: &BTreeSet<Member>) -> bool {
         let alive = members
             .iter()
-            .filter(|member| !self.is_suspect(member) && !self.requests.borrow().supersede(member));
+            .filter(|member| !self.is_suspect(member) && !self.requests.borrow().supersedes(member));
         let names = alive.map(|member| hash(member.address().to_string().as_bytes()));
-        rendezvous(hash(COORDINATOR), names) == Some(hash(self.me.address().to_string().as_bytes()))
+        rendezvous(hash(COORDINATOR_KEY), names) == Some(hash(self.me.address().to_string().as_bytes()))
     }
 
     /// What the plan is made from.
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Does what is due, as the one that has the duty.
+    /// Makes the change that is due, as the coordinator.
     pub(super) async fn coordinate(&self, members: BTreeSet<Member>, is_joint: bool) {
         if is_joint {
             return self.change(&members, &members).await;
--- a/crates/controller/src/membership/joining.rs
+++ b/crates/controller/src/membership/joining.rs
@@ -21,11 +21,12 @@
     /// Asks the members to take this process in, where it is ready and has not just asked.
     pub(super) fn request_to_join(&self) {
         self.leave_sync.ask();
-        let unable = self.ending.get() || !self.member.is_durable() || !self.leave_sync.is_complete();
-        if unable || self.asked.get().is_some_and(|at| at.elapsed() < JOIN_REQUEST_INTERVAL) {
+        let unable =
+            self.shutting_down.get() || !self.member.is_durable() || !self.leave_sync.is_complete();
+        if unable || self.asked_to_join_at.get().is_some_and(|at| at.elapsed() < JOIN_REQUEST_INTERVAL) {
             return;
         }
-        self.asked.set(Some(Instant::now()));
+        self.asked_to_join_at.set(Some(Instant::now()));
         self.gossip.broadcast_to(Role::Controller, &Message::Join(self.me));
     }
 }
--- a/crates/controller/src/membership/leaving.rs
+++ b/crates/controller/src/membership/leaving.rs
@@ -14,14 +14,14 @@
     /// Hands over before the process ends: the others that can be reached hold what is committed, and where they bear
     /// the loss without it, it leaves the register.
     pub async fn leave(&self) {
-        self.ending.set(true);
+        self.shutting_down.set(true);
         if timeout(self.leave_timeout, self.hand_over()).await.is_err() {
             self.copies.log_missing();
         }
     }
 
     async fn hand_over(&self) {
-        self.copies.handed_over().await;
+        self.copies.wait_until_complete().await;
         let members = self.members();
         if !members.contains(&self.me) || members.len() <= self.wanted {
             return;
@@ -30,6 +30,6 @@
         self.on_leave_request(self.me);
         let next: BTreeSet<Member> = members.iter().filter(|member| **member != self.me).copied().collect();
         self.change(&members, &next).await;
-        self.copies.handed_over().await;
+        self.copies.wait_until_complete().await;
     }
 }
--- a/crates/controller/src/membership/requests.rs
+++ b/crates/controller/src/membership/requests.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request to join counts for this long.
+/// A request to join that is not repeated is dropped after this time.
 const JOIN_REQUEST_LIFETIME: Duration = Duration::from_millis(1500);
-/// Who has said that it leaves is not taken in again for this long. After that it is another process at the address.
+/// A member that leaves is not taken in again for this long. After that it is another process at the address.
 const LEAVE_REQUEST_LIFETIME: Duration = Duration::from_millis(3000);
 
 /// Requests of other processes, and of this one at its end, with the time of the last one of each.
@@ -51,7 +51,7 @@
     }
 
     /// Whether another incarnation asks to join from a member's address: the member is lost with its disk.
-    pub fn supersede(&self, member: &Member) -> bool {
+    pub fn supersedes(&self, member: &Member) -> bool {
         self.joining().any(|other| other.address() == member.address() && other != member)
     }
 }
--- a/crates/controller/src/membership/settings.rs
+++ b/crates/controller/src/membership/settings.rs
@@ -12,9 +12,9 @@
     pub seeds: BTreeSet<SocketAddrV4>,
     /// Members before the first value.
     pub first: BTreeSet<Member>,
-    /// Members that are wanted: as many as bear the loss that is to be borne.
+    /// Members that are wanted: `2 x tolerance + 1`, of which a majority is left after that many losses.
     pub wanted: usize,
-    /// How long to wait for what.
+    /// How long to wait for lost members, copies and a graceful shutdown.
     pub times: MembershipTimes,
 }
 
--- a/crates/controller/src/placements.rs
+++ b/crates/controller/src/placements.rs
@@ -1,5 +1,5 @@
-//! Where proxies have placed prefixes of prompts: collected from their agents, told to all of them in batches, and told
-//! whole to an agent whose proxy has just started.
+//! Where proxies have placed prefixes of prompts: collected from their agents, sent to all of them in batches, and sent
+//! completely to an agent whose proxy has just started.
 
 use crate::disk::{Disk, Record};
 use runtrack_link::{Gossip, Session};
@@ -18,7 +18,7 @@
 use weirwharf::EndpointId;
 use weirwharf::fleet::PrefixIndex;
 
-/// Least time between two batches.
+/// Shortest interval between two batches.
 const BATCH_INTERVAL: Duration = Duration::from_millis(60);
 /// Bytes a second that each agent is sent in the long run.
 const BYTES_PER_SECOND: f64 = 2000.0;
@@ -28,13 +28,13 @@
 const MAX_QUEUED: usize = 16_384;
 
 /// Shortest interval between two writes of the index to disk.
-const KEEP_INTERVAL: Duration = Duration::from_secs(3);
+const WRITE_INTERVAL: Duration = Duration::from_secs(3);
 /// Bytes a second that the index may take of the disk in the long run.
-const KEPT_BYTES_PER_SECOND: f64 = 40_000.0;
+const WRITTEN_BYTES_PER_SECOND: f64 = 40_000.0;
 /// Most placements that are written: the record stays within the length of a frame.
-const MAX_KEPT: usize = MAX_LIST as usize;
-/// After this time all placements in use have been reported, again where it was done before.
-const HISTORY: Duration = Duration::from_secs(40);
+const MAX_WRITTEN: usize = MAX_LIST as usize;
+/// Time after which all placements in use have been reported, again where they were reported before.
+const COMPLETE_AFTER: Duration = Duration::from_secs(40);
 
 /// Collects and distributes placements.
 pub(crate) struct PlacementHub {
@@ -68,7 +68,7 @@
         hub
     }
 
-    /// An agent reports its proxy's placements, or another controller passes on what agents reported to it.
+    /// An agent reports its proxy's placements, or another controller forwards what agents reported to it.
     pub(crate) fn on_placements(&self, session: &Session, placements: PrefixPlacements) {
         self.learn(&placements);
         if session.has_role(Role::Agent) {
@@ -105,8 +105,8 @@
 
     /// Sends all placements to an agent or to another controller.
     pub(crate) fn send_all(&self, session: &Session) {
-        for part in self.all().chunks(MAX_LIST as usize) {
-            session.send(&Message::Placements(part.to_vec().into()));
+        for chunk in self.all().chunks(MAX_LIST as usize) {
+            session.send(&Message::Placements(chunk.to_vec().into()));
         }
         session.send(&Message::PlacementsComplete(self.is_complete.get()));
     }
@@ -119,37 +119,37 @@
         }
     }
 
-    /// Writes the index to disk now and then, for as long as the process runs: it is known again after a loss of power.
-    async fn keep(self: Rc<Self>) {
-        let mut interval = KEEP_INTERVAL;
+    /// Writes the index to disk at intervals, for as long as the process runs: it is known again after a loss of power.
+    async fn write_periodically(self: Rc<Self>) {
+        let mut interval = WRITE_INTERVAL;
         loop {
             sleep(interval).await;
             if !self.changed.replace(false) {
                 continue;
             }
             let mut all = self.all();
-            all.truncate(MAX_KEPT);
+            all.truncate(MAX_WRITTEN);
             let bytes = (all.len() * PLACEMENT_BYTES) as f64;
-            interval = KEEP_INTERVAL.max(Duration::from_secs_f64(bytes / KEPT_BYTES_PER_SECOND));
+            interval = WRITE_INTERVAL.max(Duration::from_secs_f64(bytes / WRITTEN_BYTES_PER_SECOND));
             let _ = self.disk.0.persist(Record::Placements(all.into())).await; // the next write holds more
         }
     }
 
-    /// Tells agents once all placements in use have been heard of.
+    /// Notifies agents once all placements in use have been heard of.
     async fn complete(self: Rc<Self>) {
         if self.is_complete.get() {
             return;
         }
-        sleep(HISTORY).await;
+        sleep(COMPLETE_AFTER).await;
         self.is_complete.set(true);
         let message = Message::PlacementsComplete(true);
         self.gossip.broadcast_since(Role::Agent, PLACEMENT_WIRE_VERSION, &message);
     }
 
-    /// Tells agents and other controllers of new placements, for as long as the process runs.
+    /// Sends new placements to agents and other controllers, for as long as the process runs.
     pub(crate) async fn run(self: Rc<Self>) {
         spawn_local(self.clone().complete());
-        spawn_local(self.clone().keep());
+        spawn_local(self.clone().write_periodically());
         let mut allowance = BURST_BYTES;
         let mut refilled_at = Instant::now();
         loop {
--- a/crates/controller/src/proposer.rs
+++ b/crates/controller/src/proposer.rs
@@ -1,7 +1,7 @@
 //! Rounds of the register on behalf of the operator, of readers and of the membership.
 //!
 //! `rounds` runs one after another, asks members and waits as `timing` says; `change` puts an operator's change through
-//! them, `read` answers a read without one where it can (`inspections` asks for it), `chosen` learns and tells what was
+//! them, `read` answers a read without one where it can (`inspections` asks for it), `chosen` learns and announces what was
 //! chosen, and `catch_up` finds it out where this process is behind.
 
 mod catch_up;
@@ -41,17 +41,19 @@
     boot: u64,
     round: Cell<u64>,
     known: RefCell<Option<(Ballot, Rc<Value>)>>,
-    /// A round has come to its end since the start: what is chosen is known.
+    /// A round has ended since the start: what is chosen is known.
     informed: Cell<bool>,
     /// Who was asked, and where the replies go.
     pending: RefCell<PendingRequests<(Member, Replies)>>,
     inspections: Inspections,
     /// The newest ballot under which another controller says that it has a value.
     newest_elsewhere: Cell<Ballot>,
-    /// Ballots up to this one were elsewhere before a round of this process came to its end: they are accounted for.
-    settled: Cell<Ballot>,
+    /// Ballots up to this one were elsewhere before a round of this process ended.
+    accounted_for: Cell<Ballot>,
+    /// Held by the operation whose rounds run.
     turn: Mutex<()>,
-    unsettled: Notify,
+    /// Notified where this process may be behind.
+    wake: Notify,
 }
 
 impl Proposer {
@@ -74,9 +76,9 @@
             pending: RefCell::new(PendingRequests::starting_at(fastrand::u64(..))),
             inspections: Inspections::new(),
             newest_elsewhere: Cell::default(),
-            settled: Cell::default(),
+            accounted_for: Cell::default(),
             turn: Mutex::new(()),
-            unsettled: Notify::new(),
+            wake: Notify::new(),
         })
     }
 
--- a/crates/controller/src/proposer/change.rs
+++ b/crates/controller/src/proposer/change.rs
@@ -6,24 +6,24 @@
 use runtrack_net::mutant;
 use runtrack_register::{ConfigAnswer, ConfigRequest, Outcome};
 
-/// What came of an order.
+/// The outcome of an operator's change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigOutcome {
-    /// It is certain.
+    /// It is certain, and may be answered.
     Definite(ConfigAnswer),
-    /// It may or may not come into force.
+    /// It may or may not come into force: a caller gets no clear answer.
     Indeterminate,
 }
 
 impl Proposer {
-    /// Puts an operator's order through.
-    pub async fn change_config(&self, order: &ConfigRequest) -> ConfigOutcome {
+    /// Proposes an operator's change, in rounds until its outcome is certain or time is up.
+    pub async fn change_config(&self, request: &ConfigRequest) -> ConfigOutcome {
         let first = vec![self.first.clone()];
         let mut answer = None;
         let outcome = self
             .rounds(Limits::of_request(), &mut |current| {
-                let planted = planted_value(current, order);
-                let (decision, found) = order.decide(planted.as_ref().or(current), &first);
+                let mutated = mutated_value(current, request);
+                let (decision, found) = request.decide(mutated.as_ref().or(current), &first);
                 answer = Some(found);
                 decision
             })
@@ -39,17 +39,16 @@
     }
 }
 
-/// Planted errors: what a round makes of the value that it found.
-fn planted_value(current: Option<&Value>, order: &ConfigRequest) -> Option<Value> {
-    let is_planted =
-        ["repeat-forgotten", "base-not-checked", "amendment-loses-items"].into_iter().any(mutant);
-    let mut value = current.filter(|_| is_planted)?.clone();
+/// Mutants: another value than the one that a round found.
+fn mutated_value(current: Option<&Value>, request: &ConfigRequest) -> Option<Value> {
+    let is_on = ["repeat-forgotten", "base-not-checked", "amendment-loses-items"].into_iter().any(mutant);
+    let mut value = current.filter(|_| is_on)?.clone();
     if mutant("repeat-forgotten") {
         value.applied = Vec::new().into();
     } else if mutant("amendment-loses-items") {
         value.config = br#"{"version":1,"routes":[],"services":[{"name":"s"}]}"#.to_vec().into();
-    } else if value.version < order.version {
-        value.version = order.base;
+    } else if value.version < request.version {
+        value.version = request.base;
     }
     Some(value)
 }
--- a/crates/controller/src/proposer/chosen.rs
+++ b/crates/controller/src/proposer/chosen.rs
@@ -1,4 +1,4 @@
-//! What is chosen, as far as this process knows: learning it, telling the others, and whether it is behind.
+//! What is chosen, as far as this process knows: learning it, notifying the others, and whether this process is behind.
 
 use crate::proposer::Proposer;
 use runtrack_message::{Ballot, Member, Message, Role, Value};
@@ -9,8 +9,8 @@
 
 impl Proposer {
     /// Another controller says under which ballot it has a value on disk. Where that is newer than what is known here,
-    /// a round finds out what is chosen: the same value may have been accepted again under a higher ballot, and word of
-    /// that is told once and may be lost.
+    /// a round finds out what is chosen: the same value may have been accepted again under a higher ballot, and the
+    /// notice of that is sent once and may be lost.
     pub fn on_peer_accepted(&self, ballot: Ballot) {
         self.newest_elsewhere.set(self.newest_elsewhere.get().max(ballot));
     }
@@ -19,16 +19,16 @@
     pub(super) fn newest_accepted(&self) -> Ballot {
         let accepted = self.member.accepted().map(|accepted| accepted.ballot).unwrap_or_default();
         let elsewhere = self.newest_elsewhere.get();
-        if elsewhere > self.settled.get() { accepted.max(elsewhere) } else { accepted }
+        if elsewhere > self.accounted_for.get() { accepted.max(elsewhere) } else { accepted }
     }
 
-    /// Whether this ballot, or what others say, is newer than what is known here.
+    /// Whether this ballot, or what others announce, is newer than what is known here.
     pub(super) fn is_behind(&self, accepted: Ballot) -> bool {
-        let told = self.gossip.replica().members().sequence;
+        let announced = self.gossip.replica().members().sequence;
         let known = self.known.borrow();
         let (ballot, sequence) =
             known.as_ref().map_or_else(Default::default, |(ballot, value)| (*ballot, value.sequence));
-        accepted > ballot || sequence < told
+        accepted > ballot || sequence < announced
     }
 
     /// Another member says that the value of this ballot is chosen.
@@ -41,11 +41,11 @@
             Some(accepted) if accepted.ballot == ballot || mutant("commit-of-any-ballot") => {
                 self.learn(ballot, accepted.value);
             }
-            _ => self.unsettled.notify_one(),
+            _ => self.wake.notify_one(),
         }
     }
 
-    /// This process has found out that a value is chosen: the others are told.
+    /// This process has found out that a value is chosen: the others are notified.
     pub(super) fn take_chosen(&self, ballot: Ballot, value: Rc<Value>) {
         let before = self.known.borrow().as_ref().map(|(known, _)| *known);
         self.learn(ballot, value);
@@ -55,6 +55,7 @@
         self.informed.set(true);
     }
 
+    /// Takes a chosen value that is newer than what is known: for its disk, the members and the configuration.
     fn learn(&self, ballot: Ballot, value: Rc<Value>) {
         let newer = self.known.borrow().as_ref().is_none_or(|(known, _)| *known < ballot);
         if !newer {
@@ -69,14 +70,14 @@
         }
     }
 
-    /// The sets of members to begin with: of what is told to be chosen, or of what this member has accepted, whichever
-    /// is newer. After the end of all processes there is nobody to tell.
+    /// The sets of members to begin with: of what is announced as chosen, or of what this member has accepted, whichever
+    /// is newer. After the end of all processes nobody announces anything.
     pub fn sets(&self) -> Vec<BTreeSet<Member>> {
         let replica = self.gossip.replica();
-        let told = replica.members();
+        let announced = replica.members();
         match self.member.accepted() {
-            Some(accepted) if accepted.value.sequence > told.sequence => sets_of(&accepted.value),
-            _ if told.sequence > 0 => vec![told.set.clone()],
+            Some(accepted) if accepted.value.sequence > announced.sequence => sets_of(&accepted.value),
+            _ if announced.sequence > 0 => vec![announced.set.clone()],
             _ => vec![self.first.clone()],
         }
     }
--- a/crates/controller/src/proposer/inspections.rs
+++ b/crates/controller/src/proposer/inspections.rs
@@ -7,7 +7,7 @@
 use std::cell::RefCell;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// A member and its reply; nothing where it can't be reached.
+/// A member and its reply; no reply where it can't be reached.
 pub(super) type Replied = (Member, Option<InspectReply>);
 /// Where the replies to one quorum read go.
 pub(super) type Replies = UnboundedSender<Replied>;
--- a/crates/controller/src/proposer/read.rs
+++ b/crates/controller/src/proposer/read.rs
@@ -1,5 +1,5 @@
 //! Reads of the register: a quorum read first, which writes nothing and waits for no turn, and a round where that does
-//! not settle it. The argument is in `docs/design/control-state.md`, section "Reads".
+//! not tell. The argument is in `docs/design/control-state/reads.md`.
 
 use crate::proposer::Proposer;
 use crate::proposer::inspections::Replies;
@@ -13,9 +13,10 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A member answers a quorum read from memory: who has said nothing for so long has not got the request.
+/// How long a quorum read waits for the next reply. Members answer from memory: one that has not replied by then has not
+/// received the request.
 const INSPECTION_TIMEOUT: Duration = Duration::from_millis(100);
-/// Wait before a quorum read that settled nothing is taken again. A value that is on its way to the members' disks is on a
+/// Wait before a quorum read that found nothing certain is repeated. A value that is on its way to the members' disks is on a
 /// majority of them soon, and a round would only preempt it.
 const INSPECTION_PAUSE: Duration = Duration::from_millis(10);
 /// No further quorum read begins after this: the rest of what a caller waits is for a round.
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The newest value by a round, which settles what a minority has accepted as well.
+    /// The newest value by a round, which also commits or supersedes what a minority has accepted.
     pub(super) async fn read_by_round(&self, limits: Limits) -> Result<Option<Rc<Value>>, ReadError> {
         match self.rounds(limits, &mut |_| Decision::Read).await {
             Some(Outcome::Read(_, value) | Outcome::Committed(_, value)) => Ok(Some(value)),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Quorum reads until one is settled; nothing where only a round can tell.
+    /// Quorum reads until one is certain; nothing where a round is needed.
     pub(super) async fn quorum_read(&self) -> Option<Option<Rc<Value>>> {
         if mutant("reads-by-round") {
             return None;
@@ -79,13 +80,13 @@
         None
     }
 
-    /// One quorum read; nothing where it fell silent.
+    /// One quorum read; nothing where it timed out.
     async fn inspect_once(&self) -> Option<ReadOutcome> {
         let (mut read, inspections) = QuorumRead::new(self.sets(), self.known());
-        let (replies, mut came) = unbounded_channel();
+        let (replies, mut received) = unbounded_channel();
         self.send_inspections(&inspections, &replies);
         loop {
-            let (from, reply) = timeout(INSPECTION_TIMEOUT, came.recv()).await.ok()??;
+            let (from, reply) = timeout(INSPECTION_TIMEOUT, received.recv()).await.ok()??;
             let progress = match reply {
                 Some(reply) => read.reply(from, reply),
                 None => read.unreachable(from),
--- a/crates/controller/src/proposer/rounds.rs
+++ b/crates/controller/src/proposer/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds one at a time: requests to the members and to this one, and tries until an outcome is certain.
+//! Rounds one at a time: requests to the members and to this one, and retries until an outcome is certain.
 
 use crate::proposer::limits::Limits;
 use crate::proposer::timing::{backoff, leap, reply_timeout};
@@ -16,6 +16,7 @@
         }
     }
 
+    /// Sends the requests of a round to its members.
     fn send(&self, sends: Vec<Send>, replies: &Replies) {
         let sessions = self.gossip.peers(Role::Controller);
         for (to, request) in sends {
@@ -32,6 +33,7 @@
         }
     }
 
+    /// Submits a request to this process's own member.
     fn ask_self(&self, request: RegisterRequest, replies: Replies) {
         let me = self.me;
         self.member.ask(request, move |reply| {
@@ -39,17 +41,17 @@
         });
     }
 
-    /// One round; nothing where it fell silent.
+    /// One round; nothing where it timed out.
     async fn round(&self, decide: &mut dyn FnMut(Option<&Value>) -> Decision) -> Option<Outcome> {
         let ballot = Ballot { round: self.round.get() + 1, boot: self.boot };
         self.round.set(ballot.round);
         let (mut round, sends) = Round::new(ballot, self.sets(), self.known());
-        let (replies, mut came) = unbounded_channel();
+        let (replies, mut received) = unbounded_channel();
         self.pending.borrow_mut().clear(); // of a round that was given up half-way
         self.send(sends, &replies);
         let outcome = loop {
             let reply_timeout = reply_timeout(round.outrun_by().is_some(), self.member.write_time());
-            let Ok(Some((from, reply))) = timeout(reply_timeout, came.recv()).await else {
+            let Ok(Some((from, reply))) = timeout(reply_timeout, received.recv()).await else {
                 break round.outrun_by().map(Outcome::Preempted);
             };
             match round.reply(from, reply, decide) {
@@ -63,7 +65,7 @@
         outcome
     }
 
-    /// Takes note of what a round has found.
+    /// Learns from the outcome of a round.
     fn take_outcome(&self, outcome: &Outcome) {
         match outcome {
             Outcome::Read(ballot, value)
@@ -74,32 +76,33 @@
         }
     }
 
-    /// Rounds until one comes to an end that is certain, or time is up.
+    /// Rounds until the outcome of one is certain, or the deadline is over.
     pub async fn decide(
         &self,
-        until: Instant,
+        deadline: Instant,
         decide: &mut dyn FnMut(Option<&Value>) -> Decision,
     ) -> Option<Outcome> {
-        self.rounds(Limits::until(until), decide).await
+        self.rounds(Limits::until(deadline), decide).await
     }
 
+    /// Rounds within limits, after those of other operations of this process: until the outcome of one is certain.
     pub(super) async fn rounds(
         &self,
         limits: Limits,
         decide: &mut dyn FnMut(Option<&Value>) -> Decision,
     ) -> Option<Outcome> {
-        let _turn = timeout_at(limits.last_round, self.turn.lock()).await.ok()?;
-        for tries in 1.. {
-            match timeout_at(limits.until, self.round(decide)).await.ok()? {
-                Some(Outcome::Preempted(_)) if limits.gives_way => return None,
+        let _turn = timeout_at(limits.last_start, self.turn.lock()).await.ok()?;
+        for attempt in 1.. {
+            match timeout_at(limits.deadline, self.round(decide)).await.ok()? {
+                Some(Outcome::Preempted(_)) if limits.yields_when_preempted => return None,
                 Some(Outcome::Preempted(_)) => {
-                    self.round.set(self.round.get() + leap(tries));
-                    sleep(backoff(tries, self.member.write_time())).await;
+                    self.round.set(self.round.get() + leap(attempt));
+                    sleep(backoff(attempt, self.member.write_time())).await;
                 }
                 Some(Outcome::MembershipCommitted(..)) | None => {}
                 Some(outcome) => return Some(outcome),
             }
-            if Instant::now() >= limits.last_round {
+            if Instant::now() >= limits.last_start {
                 break;
             }
         }
--- a/crates/controller/src/proposer/timing.rs
+++ b/crates/controller/src/proposer/timing.rs
@@ -2,21 +2,24 @@
 
 use std::time::Duration;
 
-/// A round that hears nothing new for so long is given up: some reply is lost, and another round asks again.
+/// A round that receives no reply for this long is given up: some reply is lost, and another round asks again.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(450);
-/// Where disks are slow a round waits for so many writes, up to a bound: given up sooner it would only ask for more
-/// writes, and never be done with any.
+/// Where disks are slow a round waits for this many writes, up to [`MAX_ROUND_TIMEOUT`]: given up sooner it would only ask
+/// for more writes, and never complete any.
 const ROUND_TIMEOUT_WRITES: u32 = 3;
+/// Upper bound of the time-out of a round on slow disks.
 const MAX_ROUND_TIMEOUT: Duration = Duration::from_millis(1800);
-/// A round that a member refused for a higher ballot waits for so long only, or for a write: where another member is lost, no
+/// A round that a member refused for a higher ballot waits this long only, or for a write: where another member is lost, no
 /// majority is left for it.
 const OUTRUN_TIMEOUT: Duration = Duration::from_millis(30);
-/// Wait after a round that a higher ballot got in the way of, or a write where that takes longer: the other round has writes
-/// to wait for. Times the tries so far, and up to as much more.
+/// Backoff after a round that a higher ballot preempted, or a write where that takes longer: the other round has writes to
+/// wait for. Multiplied by the attempts so far, and up to as much more at random.
 const ROUND_BACKOFF: Duration = Duration::from_millis(8);
+/// Upper bound of the backoff, before its random addition.
 const MAX_ROUND_BACKOFF: Duration = ROUND_TIMEOUT;
+/// Preemptions after which the backoff grows no more.
 const MAX_BACKOFF_STEPS: u32 = 8;
-/// A proposer that was preempted leaps over so many rounds of others at most, as a power of two.
+/// A proposer that was preempted leaps over at most two to this power of others' rounds.
 const MAX_LEAP_STEPS: u32 = 10;
 
 /// A wait, or a longer one where this member's disk is slow: the others' disks may well be alike.
@@ -33,15 +36,15 @@
     }
 }
 
-/// How long a proposer waits that was preempted for so many times.
-pub(super) fn backoff(tries: u32, write_time: Duration) -> Duration {
+/// How long a proposer waits after this many attempts; the random part keeps two from meeting again.
+pub(super) fn backoff(attempts: u32, write_time: Duration) -> Duration {
     let step = ROUND_BACKOFF.max(write_time);
-    let least = (step * tries.min(MAX_BACKOFF_STEPS)).min(MAX_ROUND_BACKOFF);
+    let least = (step * attempts.min(MAX_BACKOFF_STEPS)).min(MAX_ROUND_BACKOFF);
     least.mul_f64(1.0 + fastrand::f64())
 }
 
-/// Rounds of others that a proposer leaps over that was preempted for so many times: theirs go on while it waits, and a
+/// How many rounds of others a proposer leaps over after this many attempts: theirs go on while it waits, and a
 /// ballot just above theirs of now would be too low then.
-pub(super) fn leap(tries: u32) -> u64 {
-    1 << tries.min(MAX_LEAP_STEPS)
+pub(super) fn leap(attempts: u32) -> u64 {
+    1 << attempts.min(MAX_LEAP_STEPS)
 }
--- a/crates/controller/src/request_queue.rs
+++ b/crates/controller/src/request_queue.rs
@@ -6,12 +6,12 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Requests that wait at most; of more, the oldest are dropped.
+/// Most requests that wait; of more, the oldest are dropped.
 pub const MAX_QUEUED_REQUESTS: usize = 64;
 /// A request that has waited for longer is dropped: the round that it belongs to is over.
 pub const REQUEST_LIFETIME: Duration = Duration::from_millis(2000);
 
-/// Requests in the order of their coming.
+/// Requests, oldest first.
 #[derive(Debug)]
 pub struct RequestQueue<T> {
     waiting: VecDeque<(Duration, T)>,
@@ -24,7 +24,7 @@
 }
 
 impl<T> RequestQueue<T> {
-    /// Takes a request that came at this time.
+    /// Takes a request that came at this time, which is counted from the member's start.
     pub fn push(&mut self, now: Duration, request: T) {
         if self.waiting.len() == MAX_QUEUED_REQUESTS {
             self.waiting.pop_front();
@@ -32,10 +32,10 @@
         self.waiting.push_back((now, request));
     }
 
-    /// The oldest request that somebody still waits for.
+    /// The oldest request that somebody still waits for at this time.
     pub fn pop(&mut self, now: Duration) -> Option<T> {
-        while let Some((came, request)) = self.waiting.pop_front() {
-            if now.saturating_sub(came) <= REQUEST_LIFETIME {
+        while let Some((received_at, request)) = self.waiting.pop_front() {
+            if now.saturating_sub(received_at) <= REQUEST_LIFETIME {
                 return Some(request);
             }
         }
--- a/crates/controller/tests/amendments.rs
+++ b/crates/controller/tests/amendments.rs
@@ -28,7 +28,7 @@
 #[test]
 fn an_amendment_is_read_back_as_a_whole_configuration_at_every_member() {
     let cluster = Cluster::started("amend", 3);
-    assert_eq!(cluster.order(0, 0, 3), 200);
+    assert_eq!(cluster.replace_config(0, 0, 3), 200);
     assert_eq!(amend(&cluster, 1, 3, &add(5, "added")).0, 200);
     for machine in 0..3 {
         let read = cluster.read(machine);
@@ -38,8 +38,12 @@
     assert_eq!(amend(&cluster, 2, 3, &add(5, "added")).0, 200, "the same once more, to another member");
     assert_eq!(amend(&cluster, 2, 3, &add(5, "other")).0, 412, "another one under its number");
     assert_eq!(amend(&cluster, 0, 5, &add(4, "other")).0, 409);
-    assert_eq!(cluster.order(0, 3, 6), 412, "a whole configuration on top of what it has replaced");
-    assert_eq!(cluster.order(0, 5, 6), 200);
+    assert_eq!(
+        cluster.replace_config(0, 3, 6),
+        412,
+        "a whole configuration on top of what it has replaced"
+    );
+    assert_eq!(cluster.replace_config(0, 5, 6), 200);
     assert_eq!(cluster.read(1), config(6));
     assert_eq!(amend(&cluster, 1, 3, &add(5, "added")).0, 200, "after another change");
 }
@@ -47,7 +51,7 @@
 #[test]
 fn an_amendment_that_does_not_fit_is_refused_with_its_place() {
     let cluster = Cluster::started("amend-invalid", 3);
-    assert_eq!(cluster.order(0, 0, 3), 200);
+    assert_eq!(cluster.replace_config(0, 0, 3), 200);
     let cases = [
         (r#"{"version":5,"remove":{"routes":["nothing"]}}"#, r#"there is no \"nothing\""#),
         (r#"{"version":5,"upsert":{"routes":[{"name":"x"}]}}"#, "can't be read"),
@@ -68,7 +72,7 @@
 #[test]
 fn an_amendment_is_confirmed_after_all_were_killed_and_a_member_was_replaced() {
     let mut cluster = Cluster::started("amend-killed", 4);
-    assert_eq!(cluster.order(0, 0, 3), 200);
+    assert_eq!(cluster.replace_config(0, 0, 3), 200);
     assert_eq!(amend(&cluster, 0, 3, &add(5, "added")).0, 200);
     for machine in 0..3 {
         cluster.kill(machine);
--- a/crates/controller/tests/behind.rs
+++ b/crates/controller/tests/behind.rs
@@ -82,7 +82,7 @@
         for machine in 0..PLAYED {
             world.logged(machine, "contact.majority", "").await;
         }
-        world.order(0, 0, 1).await;
+        world.replace_config(0, 0, 1).await;
         sleep(LONG).await;
 
         played.prepares.set(0);
--- a/crates/controller/tests/confirmations.rs
+++ b/crates/controller/tests/confirmations.rs
@@ -1,6 +1,6 @@
 //! Who counts as having confirmed that an endpoint leaves.
 
-use runtrack_controller::tally::ConfirmationTally;
+use runtrack_controller::confirmation_tracker::ConfirmationTracker;
 use runtrack_message::Member;
 use runtrack_net::plant;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,20 +19,20 @@
 }
 
 /// This member has the record on disk; the second member was asked on link 4 and has confirmed.
-fn confirmed_by_the_second() -> ConfirmationTally {
-    let mut tally = ConfirmationTally::default();
-    tally.on_own_write(true);
-    assert!(tally.ask(4, member(2, 0)));
-    assert!(!tally.ask(4, member(2, 0)), "once on each link");
-    tally.on_confirmed(4);
-    tally
+fn confirmed_by_the_second() -> ConfirmationTracker {
+    let mut tracker = ConfirmationTracker::default();
+    tracker.on_own_write(true);
+    assert!(tracker.ask(4, member(2, 0)));
+    assert!(!tracker.ask(4, member(2, 0)), "once on each link");
+    tracker.on_confirmed(4);
+    tracker
 }
 
 #[test]
 fn this_member_and_one_other_are_a_majority_of_three() {
     let (one, two, three) = (member(1, 0), member(2, 0), member(3, 0));
     let sets = [set(&[one, two, three])];
-    let mut alone = ConfirmationTally::default();
+    let mut alone = ConfirmationTracker::default();
     alone.on_own_write(true);
     assert!(!alone.has_majorities(one, &links(&[(4, two)]), &sets));
     assert!(confirmed_by_the_second().has_majorities(one, &links(&[(4, two)]), &sets));
@@ -47,35 +47,38 @@
 fn this_member_counts_once_the_record_is_on_its_own_disk() {
     let (one, two, three) = (member(1, 0), member(2, 0), member(3, 0));
     let sets = [set(&[one, two, three])];
-    let mut tally = ConfirmationTally::default();
-    tally.ask(4, two);
-    tally.on_confirmed(4);
-    tally.on_own_write(false);
-    assert!(!tally.has_majorities(one, &links(&[(4, two)]), &sets), "its disk has refused");
-    tally.ask(5, three);
-    tally.on_confirmed(5);
-    assert!(tally.has_majorities(one, &links(&[(4, two), (5, three)]), &sets), "the others are a majority");
+    let mut tracker = ConfirmationTracker::default();
+    tracker.ask(4, two);
+    tracker.on_confirmed(4);
+    tracker.on_own_write(false);
+    assert!(!tracker.has_majorities(one, &links(&[(4, two)]), &sets), "its disk has refused");
+    tracker.ask(5, three);
+    tracker.on_confirmed(5);
+    assert!(
+        tracker.has_majorities(one, &links(&[(4, two), (5, three)]), &sets),
+        "the others are a majority"
+    );
 }
 
 #[test]
 fn who_was_not_asked_on_a_link_does_not_confirm_on_it() {
     let (one, two, three) = (member(1, 0), member(2, 0), member(3, 0));
-    let mut tally = ConfirmationTally::default();
-    tally.on_own_write(true);
-    tally.ask(4, two);
-    tally.on_confirmed(5);
-    assert!(!tally.has_majorities(one, &links(&[(4, two), (5, three)]), &[set(&[one, two, three])]));
+    let mut tracker = ConfirmationTracker::default();
+    tracker.on_own_write(true);
+    tracker.ask(4, two);
+    tracker.on_confirmed(5);
+    assert!(!tracker.has_majorities(one, &links(&[(4, two), (5, three)]), &[set(&[one, two, three])]));
 }
 
 #[test]
 fn a_member_whose_link_came_up_again_has_not_confirmed() {
     let (one, two, three) = (member(1, 0), member(2, 0), member(3, 0));
     let sets = [set(&[one, two, three])];
-    let mut tally = confirmed_by_the_second();
-    assert!(!tally.has_majorities(one, &links(&[(5, two)]), &sets), "it may have started again");
-    assert!(tally.ask(5, two), "it is asked again");
-    tally.on_confirmed(5);
-    assert!(tally.has_majorities(one, &links(&[(5, two)]), &sets));
+    let mut tracker = confirmed_by_the_second();
+    assert!(!tracker.has_majorities(one, &links(&[(5, two)]), &sets), "it may have started again");
+    assert!(tracker.ask(5, two), "it is asked again");
+    tracker.on_confirmed(5);
+    assert!(tracker.has_majorities(one, &links(&[(5, two)]), &sets));
 }
 
 /// What one confirmation was for is no longer in force: another incarnation has taken the member's place.
@@ -103,11 +106,11 @@
     let replaced = [set(&[one, member(4, 9), member(3, 0)])];
     assert!(!confirmed_by_the_second().has_majorities(one, &links(&[(4, two)]), &replaced));
     let joint = [set(&[one, two, member(3, 0)]), set(&[one, member(4, 9), member(3, 0)])];
-    let mut tally = confirmed_by_the_second();
-    assert!(!tally.has_majorities(one, &links(&[(4, two)]), &joint), "a majority of each");
-    tally.ask(6, member(4, 9));
-    tally.on_confirmed(6);
-    assert!(tally.has_majorities(one, &links(&[(4, two), (6, member(4, 9))]), &joint));
+    let mut tracker = confirmed_by_the_second();
+    assert!(!tracker.has_majorities(one, &links(&[(4, two)]), &joint), "a majority of each");
+    tracker.ask(6, member(4, 9));
+    tracker.on_confirmed(6);
+    assert!(tracker.has_majorities(one, &links(&[(4, two), (6, member(4, 9))]), &joint));
 }
 
 #[test]
--- a/crates/controller/tests/contact.rs
+++ b/crates/controller/tests/contact.rs
@@ -32,7 +32,7 @@
 /// Three members of which the last two are stopped; the first one has noticed.
 fn cut_off(name: &str) -> Cluster {
     let cluster = Cluster::started(name, 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.freeze(1, true);
     cluster.freeze(2, true);
     cluster.logged(0, "contact.lost", "");
@@ -63,7 +63,7 @@
     }
     thaw(&cluster);
     assert_eq!(cluster.read(0), config(1), "what was answered 503 at once did not begin");
-    assert_eq!(cluster.order(0, 1, 2), 200);
+    assert_eq!(cluster.replace_config(0, 1, 2), 200);
     let path = "/runtrack/instances/i-2/heartbeat";
     cluster.acknowledged(0, path, &heartbeat("ready", 1));
     cluster.acknowledged(0, path, &heartbeat("draining", 2));
@@ -80,7 +80,7 @@
 #[test]
 fn a_read_under_way_is_answered_when_contact_is_lost() {
     let cluster = Cluster::started("under-way-read", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.freeze(1, true);
     cluster.freeze(2, true);
     let (got, took) = timed(&cluster, "GET", READ, "", "");
@@ -92,7 +92,7 @@
 #[test]
 fn a_replace_under_way_is_answered_when_contact_is_lost_and_acknowledged_when_it_comes_again() {
     let cluster = Cluster::started("under-way-replace", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.freeze(1, true);
     cluster.freeze(2, true);
     let (got, took) = timed(&cluster, "POST", REPLACE, "X-Base-Version: 1\r\n", &config(2));
@@ -101,14 +101,14 @@
     assert!(took < ANSWER_UNDER_WAY, "{took:?}");
     cluster.freeze(1, false);
     cluster.freeze(2, false);
-    assert_eq!(cluster.order(2, 1, 2), 200, "whether it came into force meanwhile or not");
+    assert_eq!(cluster.replace_config(2, 1, 2), 200, "whether it came into force meanwhile or not");
     assert_eq!(cluster.read(1), config(2));
 }
 
 #[test]
 fn an_endpoint_that_leaves_under_way_gets_no_acknowledgement() {
     let cluster = Cluster::started("under-way-leave", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.freeze(1, true);
     cluster.freeze(2, true);
     let (got, took) = timed(&cluster, "POST", HEARTBEAT, "", &heartbeat("draining", 1));
@@ -122,7 +122,7 @@
 #[test]
 fn a_member_that_stood_still_is_out_of_contact_when_it_goes_on() {
     let cluster = Cluster::started("stood-still", 3);
-    assert_eq!(cluster.order(2, 0, 1), 200);
+    assert_eq!(cluster.replace_config(2, 0, 1), 200);
     cluster.logged(0, "contact.majority", "");
     cluster.freeze(0, true);
     // Twice the other two lose each other: that takes longer than contact lasts.
@@ -166,7 +166,7 @@
 #[test]
 fn an_endpoint_that_leaves_is_not_forgotten_where_all_members_restart_at_once() {
     let mut cluster = Cluster::started("all-restart", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let tasks = LocalSet::new();
     let witness = tasks.block_on(&runtime, async { agent(&cluster, "edge-1", &[0, 1]) });
--- a/crates/controller/tests/copies.rs
+++ b/crates/controller/tests/copies.rs
@@ -1,5 +1,5 @@
-//! Copies of the committed value at real controllers: repaired, awaited by those who join and leave, whole before the next
-//! change of members. Each scenario fails where the error that it is about is planted.
+//! Copies of the committed value at real controllers: repaired, awaited by those who join and leave, complete before the next
+//! change of members. Each scenario fails with the mutant that it is about.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use support::{Cluster, config};
 
-/// An event that is missing because of a planted error is waited for so long.
+/// An event that is missing because of a mutant is waited for so long.
 const MUTANT_PATIENCE: Duration = Duration::from_secs(6);
 
 fn cluster(name: &str, machines: usize, mutant: Option<&'static str>) -> Cluster {
@@ -24,12 +24,12 @@
 fn behind(name: &str, mutant: Option<&'static str>) -> Cluster {
     let mut cluster = cluster(name, 3, mutant);
     cluster.first_boot();
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.logged(2, "config.taken", "\"version\":1");
-    cluster.logged(0, "copies.whole", ""); // it reaches both
+    cluster.logged(0, "copies.complete", ""); // it reaches both
     cluster.refuse_values(2);
-    assert_eq!(cluster.order(0, 1, 2), 200, "two of three are a majority");
-    cluster.logged(2, "register.settled", "\"sequence\":2");
+    assert_eq!(cluster.replace_config(0, 1, 2), 200, "two of three are a majority");
+    cluster.logged(2, "register.caught_up", "\"sequence\":2");
     cluster
 }
 
@@ -42,7 +42,7 @@
 fn a_joining_member_waits_for_its_copy(mutant: Option<&'static str>) {
     let mut cluster = cluster("joining", 4, mutant);
     cluster.first_boot();
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.refuse_values(3);
     cluster.start(3, false);
     cluster.logged_at_any(&[0, 1, 2], "membership.waiting", "joining_member_lacks_value");
@@ -71,8 +71,8 @@
     cluster.settings.tolerance = 2;
     cluster.settings.settle_s = settle_s;
     cluster.first_boot();
-    assert_eq!(cluster.order(0, 0, 1), 200);
-    cluster.logged(0, "copies.whole", ""); // that it has heard of the value is not enough
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
+    cluster.logged(0, "copies.complete", ""); // that it has heard of the value is not enough
     cluster.refuse_values(4);
     for machine in [3, 2] {
         cluster.kill(machine);
@@ -90,7 +90,7 @@
     cluster.logged_at_any(&[0, 1, 3, 4], "membership.waiting", "copy_missing");
     cluster.take_values(4);
     cluster.logged(2, "member.joined", "");
-    assert_eq!(cluster.order(2, 1, 2), 200);
+    assert_eq!(cluster.replace_config(2, 1, 2), 200);
 }
 
 #[test]
@@ -121,15 +121,15 @@
 }
 
 #[test]
-fn each_planted_error_is_found() {
+fn each_mutant_is_found() {
     type Scenario = fn(Option<&'static str>);
-    let planted: [(&'static str, Scenario); 4] = [
+    let mutants: [(&'static str, Scenario); 4] = [
         ("copies-never-repaired", a_missed_value_is_copied),
         ("joining-member-counts-at-once", a_joining_member_waits_for_its_copy),
         ("leaving-member-goes-at-once", a_leaving_member_waits_for_the_others),
         ("two-changes-at-a-time", the_next_change_waits_for_the_copies_of_the_one_before),
     ];
-    for (mutant, scenario) in planted {
+    for (mutant, scenario) in mutants {
         let outcome = catch_unwind(AssertUnwindSafe(|| scenario(Some(mutant))));
         assert!(outcome.is_err(), "{mutant} is not found");
     }
@@ -138,12 +138,16 @@
 #[test]
 fn a_stalled_disk_at_one_member_holds_nobody_up() {
     let cluster = Cluster::started("stalled", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.logged(2, "config.taken", "\"version\":1");
     cluster.stall_values(2);
     for version in 2..=20 {
         let machine = version as usize % 3;
-        assert_eq!(cluster.order(machine, version - 1, version), 200, "also at the one with that disk");
+        assert_eq!(
+            cluster.replace_config(machine, version - 1, version),
+            200,
+            "also at the one with that disk"
+        );
     }
     for machine in 0..3 {
         assert_eq!(cluster.read(machine), config(20));
@@ -153,11 +157,11 @@
 #[test]
 fn the_oldest_disk_that_starts_first_does_not_lead() {
     let mut cluster = Cluster::started("oldest", 4);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.kill(2);
     cluster.start(3, false);
     cluster.logged(3, "member.joined", "");
-    assert_eq!(cluster.order(0, 1, 2), 200);
+    assert_eq!(cluster.replace_config(0, 1, 2), 200);
     for machine in [0, 1, 3] {
         cluster.kill(machine);
     }
@@ -177,16 +181,16 @@
 #[test]
 fn members_whose_seeds_have_all_been_replaced_find_each_other_after_the_end_of_all() {
     let mut cluster = Cluster::started("all-replaced", 6);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     for (old, new) in [(0, 3), (1, 4), (2, 5)] {
         cluster.kill(old);
         cluster.set_seeds(&[2, 3]);
         cluster.start(new, false);
         cluster.logged(new, "member.joined", "");
-        cluster.logged(new, "copies.whole", "");
+        cluster.logged(new, "copies.complete", "");
     }
     cluster.set_seeds(&[0, 1, 2]);
-    assert_eq!(cluster.order(3, 1, 2), 200);
+    assert_eq!(cluster.replace_config(3, 1, 2), 200);
     for machine in [3, 4, 5] {
         cluster.kill(machine);
     }
@@ -194,23 +198,23 @@
         cluster.start(machine, false);
     }
     assert_eq!(cluster.read(4), config(2), "nobody but their own disks names the members");
-    assert_eq!(cluster.order(5, 2, 3), 200);
+    assert_eq!(cluster.replace_config(5, 2, 3), 200);
 }
 
 #[test]
 fn a_disk_put_back_from_an_older_copy_leads_nobody() {
     let mut cluster = Cluster::started("restored", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.logged(2, "config.taken", "\"version\":1");
     cluster.kill(2);
     cluster.save_disk(2);
     cluster.start(2, false);
     for version in 2..=5 {
-        assert_eq!(cluster.order(2, version - 1, version), 200);
+        assert_eq!(cluster.replace_config(2, version - 1, version), 200);
     }
     // Member 0 goes on with member 2 alone, so it has seen what that one has on disk.
     cluster.kill(1);
-    assert_eq!(cluster.order(0, 5, 6), 200);
+    assert_eq!(cluster.replace_config(0, 5, 6), 200);
     cluster.start(1, false);
     cluster.kill(2);
     cluster.restore_disk(2);
@@ -219,13 +223,13 @@
     cluster.ended(2);
     cluster.start(2, false);
     assert_eq!(cluster.read(2), config(6));
-    assert_eq!(cluster.order(2, 1, 7), 412);
+    assert_eq!(cluster.replace_config(2, 1, 7), 412);
 }
 
 #[test]
 fn seeds_that_are_gone_or_exchanged_are_no_obstacle() {
     let mut cluster = Cluster::started("seeds", 6);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.kill(2);
     cluster.start(3, false);
     cluster.logged(3, "member.joined", "");
--- a/crates/controller/tests/cut_off.rs
+++ b/crates/controller/tests/cut_off.rs
@@ -23,13 +23,13 @@
 const READ: &str = "/runtrack/config/read";
 const REPLACE: &str = "/runtrack/config/replace";
 
-fn heartbeat(state: &str, call_seq: u64) -> String {
+fn heartbeat_body(state: &str, call_seq: u64) -> String {
     format!(r#"{{"service":"s","address":"10.0.0.1:8080","state":"{state}","callSeq":{call_seq}}}"#)
 }
 
-async fn beat(world: &World, machine: usize, id: &str, state: &str, call_seq: u64) -> u16 {
+async fn heartbeat(world: &World, machine: usize, id: &str, state: &str, call_seq: u64) -> u16 {
     let path = format!("/runtrack/instances/{id}/heartbeat");
-    world.timed(machine, "POST", &path, "", &heartbeat(state, call_seq)).await.0
+    world.timed(machine, "POST", &path, "", &heartbeat_body(state, call_seq)).await.0
 }
 
 /// Three members in contact, with a configuration.
@@ -39,7 +39,7 @@
 
 type Heard = Rc<RefCell<Vec<Message>>>;
 
-/// An agent linked to one controller; all that it is told.
+/// An agent linked to one controller; all that it receives.
 async fn agent_at(world: &World, machine: usize) -> Heard {
     let heard = Heard::default();
     spawn_local(listen(world.dial_link(machine).await, heard.clone()));
@@ -69,12 +69,12 @@
     }
 }
 
-fn told_contact(heard: &Heard) -> Vec<bool> {
-    let told = |message: &Message| match message {
+fn reported_contact(heard: &Heard) -> Vec<bool> {
+    let reported = |message: &Message| match message {
         Message::MajorityContact(current) => Some(*current),
         _ => None,
     };
-    heard.borrow().iter().filter_map(told).collect()
+    heard.borrow().iter().filter_map(reported).collect()
 }
 
 fn suspects_told(heard: &Heard) -> usize {
@@ -90,8 +90,8 @@
     let calls = [
         ("GET", READ, "", String::new()),
         ("POST", REPLACE, "X-Base-Version: 1\r\n", r#"{"version":2,"routes":[],"services":[]}"#.to_owned()),
-        ("POST", "/runtrack/instances/i-1/heartbeat", "", heartbeat("ready", 1)),
-        ("POST", "/runtrack/instances/i-1/heartbeat", "", heartbeat("draining", 2)),
+        ("POST", "/runtrack/instances/i-1/heartbeat", "", heartbeat_body("ready", 1)),
+        ("POST", "/runtrack/instances/i-1/heartbeat", "", heartbeat_body("draining", 2)),
         ("POST", "/runtrack/instances/i-1/deregister", "", String::new()),
     ];
     for (method, path, headers, body) in &calls {
@@ -105,7 +105,7 @@
     let mut world = three().await;
     let heard = agent_at(&world, 0).await;
     sleep(PING_INTERVAL).await;
-    assert_eq!(told_contact(&heard), [true], "told on connect");
+    assert_eq!(reported_contact(&heard), [true], "reported on connect");
     world.cut(0, 1, true);
     world.cut(0, 2, true);
     let (status, took) = world.timed(0, "GET", READ, "", "").await;
@@ -113,18 +113,18 @@
     assert!(took <= ANSWER_UNDER_WAY, "{took:?}");
     world.logged(0, "contact.lost", "").await;
     refuses_all(&world).await;
-    assert_eq!(told_contact(&heard), [true, false], "told on change");
-    world.order(1, 1, 3).await;
-    assert_eq!(beat(&world, 2, "i-3", "draining", 1).await, 200, "the others go on");
+    assert_eq!(reported_contact(&heard), [true, false], "reported on change");
+    world.replace_config(1, 1, 3).await;
+    assert_eq!(heartbeat(&world, 2, "i-3", "draining", 1).await, 200, "the others go on");
     world.cut(0, 1, false);
     world.logged(0, "contact.majority", "").await;
     sleep(CLEAR_ANSWER).await;
-    assert_eq!(told_contact(&heard), [true, false, true], "told when it is back");
+    assert_eq!(reported_contact(&heard), [true, false, true], "reported when it is back");
     assert_eq!(world.timed(0, "GET", READ, "", "").await.0, 200);
-    assert_eq!(beat(&world, 0, "i-4", "ready", 1).await, 200);
+    assert_eq!(heartbeat(&world, 0, "i-4", "ready", 1).await, 200);
 }
 
-/// What the first member says is lost, and what it is told arrives; or the other way round.
+/// What the first member says is lost, and what it is sent arrives; or the other way round.
 async fn cut_in_one_direction(its_words_are_lost: bool) {
     let world = three().await;
     for other in [1, 2] {
@@ -158,23 +158,23 @@
 async fn names_nobody_while_cut_off() {
     let world = three().await;
     let heard = agent_at(&world, 0).await;
-    assert_eq!(beat(&world, 1, "i-far", "ready", 1).await, 200);
-    assert_eq!(beat(&world, 0, "i-near", "ready", 1).await, 200);
+    assert_eq!(heartbeat(&world, 1, "i-far", "ready", 1).await, 200);
+    assert_eq!(heartbeat(&world, 0, "i-near", "ready", 1).await, 200);
     sleep(PING_INTERVAL).await;
     world.cut(0, 1, true);
     world.cut(0, 2, true);
     for call_seq in 2..12 {
         sleep(Duration::from_millis(1200)).await;
-        beat(&world, 0, "i-near", "ready", call_seq).await;
-        assert_eq!(beat(&world, 1, "i-far", "ready", call_seq).await, 200);
+        heartbeat(&world, 0, "i-near", "ready", call_seq).await;
+        assert_eq!(heartbeat(&world, 1, "i-far", "ready", call_seq).await, 200);
     }
     assert_eq!(suspects_told(&heard), 0, "it does not hear who calls the others");
     world.cut(0, 1, false);
     world.cut(0, 2, false);
     for call_seq in 12..18 {
         sleep(Duration::from_millis(1200)).await;
-        beat(&world, 0, "i-near", "ready", call_seq).await;
-        beat(&world, 1, "i-far", "ready", call_seq).await;
+        heartbeat(&world, 0, "i-near", "ready", call_seq).await;
+        heartbeat(&world, 1, "i-far", "ready", call_seq).await;
     }
     assert_eq!(suspects_told(&heard), 0, "nor has it heard them when it is back");
 }
--- a/crates/controller/tests/disk_check.rs
+++ b/crates/controller/tests/disk_check.rs
@@ -58,7 +58,7 @@
         world.start(0, false);
         world.logged(2, "member.joined", "").await;
         assert_eq!(world.clear_answer(1, 1, 3, LONG).await, Some(412));
-        world.order(2, 2, 3).await;
+        world.replace_config(2, 2, 3).await;
         assert!(world.lines(0, "disk.older").is_empty());
     });
 }
@@ -89,7 +89,7 @@
         for machine in 0..3 {
             world.start(machine, false);
         }
-        world.order(0, 1, 2).await;
+        world.replace_config(0, 1, 2).await;
         println!("first change acknowledged after {} ms", since.elapsed().as_millis());
         assert!(since.elapsed() < START_BOUND, "{:?}", since.elapsed());
         for machine in 0..3 {
@@ -103,7 +103,7 @@
     world.start(2, false);
     world.logged(2, "disk.checked", "\"known\":true").await;
     world.kill(0).await;
-    world.order(1, version, version + 1).await;
+    world.replace_config(1, version, version + 1).await;
     assert!(world.lines(2, "disk.older").is_empty());
 }
 
@@ -111,9 +111,9 @@
 fn a_member_that_restarts_with_its_current_disk_serves() {
     run(async {
         let mut world = three().await;
-        world.order(1, 1, 2).await;
+        world.replace_config(1, 1, 2).await;
         world.kill(2).await;
-        world.order(1, 2, 3).await;
+        world.replace_config(1, 2, 3).await;
         serves_after_a_restart(world, 3).await;
     });
 }
@@ -125,7 +125,7 @@
         run(async move {
             let mut world = three().await;
             world.slow_disk(2, SLOW);
-            world.order(0, 1, 2).await;
+            world.replace_config(0, 1, 2).await;
             sleep(SLOW * writes_before + SLOW / 2).await;
             world.kill(2).await;
             world.slow_disk(2, Duration::ZERO);
--- a/crates/controller/tests/growth.rs
+++ b/crates/controller/tests/growth.rs
@@ -25,7 +25,7 @@
     world
 }
 
-/// Two of the seeds are lost before the first configuration. What becomes of an order then.
+/// Two of the seeds are lost before the first configuration. What becomes of a change then.
 async fn answer_after_two_losses() -> Option<u16> {
     let mut world = five().await;
     sleep(LONG).await;
@@ -63,9 +63,9 @@
         }
         assert!(agent.config().is_none(), "agents get nothing");
         assert_eq!(world.clear_answer(4, 1, 2, LONG).await, None, "nobody knows of a version 1");
-        world.order(3, 0, 1).await;
+        world.replace_config(3, 0, 1).await;
         assert_eq!(world.clear_answer(0, 0, 2, LONG).await, Some(412));
-        world.order(1, 1, 2).await;
+        world.replace_config(1, 1, 2).await;
     });
 }
 
@@ -84,6 +84,6 @@
         world.start(2, false);
         world.logged(2, "member.joined", "").await;
         world.kill(0).await;
-        world.order(1, 0, 1).await;
+        world.replace_config(1, 0, 1).await;
     });
 }
--- a/crates/controller/tests/leaves.rs
+++ b/crates/controller/tests/leaves.rs
@@ -49,7 +49,7 @@
     timeout(LONG, waits).await.is_ok()
 }
 
-/// An agent knows an endpoint as ready and falls asleep, the endpoint leaves and is told that this is known, and all
+/// An agent knows an endpoint as ready and falls asleep, the endpoint leaves and its leave is acknowledged, and all
 /// machines of the control plane lose their power at once. Whether the agent hears of it when all are back.
 async fn is_remembered_after_a_loss_of_power() -> bool {
     let mut world = World::with_three_members(3, SETTLE_S).await;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn each_planted_error_is_found() {
+fn each_mutant_is_found() {
     for error in ["leave-confirmed-before-durable", "leaves-not-read"] {
         run(async {
             plant(Some(error));
--- a/crates/controller/tests/loss_measurement/mod.rs
+++ b/crates/controller/tests/loss_measurement/mod.rs
@@ -1,6 +1,6 @@
 //! What operators notice of the loss of a member: three or five real controllers in virtual time, with links and disks that
 //! take their time, and an operator who sends changes to each member in turn, all the time.
-#![allow(dead_code, reason = "the test and the bench use a part each")]
+#![allow(dead_code, reason = "the test and the bench use some of it each")]
 
 use crate::virtual_time::World;
 use crate::virtual_time::operator::Change;
@@ -23,7 +23,7 @@
 /// And for so long after the member is back.
 const AFTER: Duration = Duration::from_millis(3000);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Copies that are not whole by then are said not to be.
+/// Copies that are not complete by then are said not to be.
 const GIVE_UP: Duration = Duration::from_secs(10);
 
 /// What befalls a member.
@@ -33,7 +33,7 @@
     Killed,
     /// Its machine loses power: nobody hears of it.
     Power,
-    /// Its process stands still for less time than links bear silence.
+    /// Its process stands still for less time than links bear without a byte.
     FrozenShortly,
     /// Its process stands still.
     Frozen,
@@ -155,11 +155,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
     /// The longest time without an acknowledged change.
-    pub silence: Duration,
+    pub unanswered: Duration,
     /// The longest time from when a change was first sent to a member that nothing befalls until it was acknowledged.
     pub change: Duration,
     /// From the end of the loss until all members hold the newest value.
-    pub whole: Duration,
+    pub complete: Duration,
 }
 
 /// Who sends changes to each member in turn, and what was acknowledged.
@@ -211,17 +211,17 @@
             sent.map(|(at, _)| change.acknowledged - *at)
         };
         Figures {
-            silence: changes.windows(2).map(gap).max().unwrap_or_default(),
+            unanswered: changes.windows(2).map(gap).max().unwrap_or_default(),
             change: changes.iter().filter_map(took).max().unwrap_or_default(),
-            whole: Duration::ZERO,
+            complete: Duration::ZERO,
         }
     }
 }
 
 /// Time until all these disks hold this version or a newer one.
-async fn until_whole(world: &World, members: &[usize], version: u64) -> Duration {
+async fn until_complete(world: &World, members: &[usize], version: u64) -> Duration {
     let began = Instant::now();
-    let holds = |member: &usize| world.version_on_disk(*member).is_some_and(|held| held >= version);
+    let holds = |member: &usize| world.version_on_disk(*member).is_some_and(|found| found >= version);
     while began.elapsed() < GIVE_UP && !members.iter().all(holds) {
         sleep(POLL_INTERVAL).await;
     }
@@ -247,10 +247,10 @@
         writer.stop().await;
     }
     loss.end(&mut world, lost, &others, write);
-    let whole = until_whole(&world, &loss.members_after(members, lost), writer.newest()).await;
+    let complete = until_complete(&world, &loss.members_after(members, lost), writer.newest()).await;
     sleep(AFTER).await;
     writer.stop().await;
-    Figures { whole, ..writer.figures(lost) }
+    Figures { complete, ..writer.figures(lost) }
 }
 
 /// Median and maximum.
@@ -281,13 +281,13 @@
     /// What was lost.
     pub loss: Loss,
     /// Time without an acknowledged change.
-    pub silence: Spread,
+    pub unanswered: Spread,
     /// Time that a change took at members that nothing befell.
     pub change: Spread,
-    /// Time until copies were whole, while changes went on.
-    pub whole: Spread,
+    /// Time until copies were complete, while changes went on.
+    pub complete: Spread,
     /// The same without changes.
-    pub whole_at_rest: Spread,
+    pub complete_at_rest: Spread,
 }
 
 impl Row {
@@ -302,17 +302,17 @@
             |all: &[Figures], time: fn(&Figures) -> Duration| Spread::of(all.iter().map(time).collect());
         Row {
             loss: like.loss,
-            silence: spread(&busy, |figures| figures.silence),
+            unanswered: spread(&busy, |figures| figures.unanswered),
             change: spread(&busy, |figures| figures.change),
-            whole: spread(&busy, |figures| figures.whole),
-            whole_at_rest: spread(&quiet, |figures| figures.whole),
+            complete: spread(&busy, |figures| figures.complete),
+            complete_at_rest: spread(&quiet, |figures| figures.complete),
         }
     }
 }
 
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Row { loss, silence, change, whole, whole_at_rest } = self;
-        write!(f, "{:14} {silence}   {change}   {whole}   {whole_at_rest}", format!("{loss:?}"))
+        let Row { loss, unanswered, change, complete, complete_at_rest } = self;
+        write!(f, "{:14} {unanswered}   {change}   {complete}   {complete_at_rest}", format!("{loss:?}"))
     }
 }
--- a/crates/controller/tests/losses.rs
+++ b/crates/controller/tests/losses.rs
@@ -41,7 +41,7 @@
 /// change.
 async fn copied_after_a_freeze() -> Duration {
     let world = World::with_three_members(3, 4.0).await;
-    world.order(0, 1, 2).await;
+    world.replace_config(0, 1, 2).await;
     sleep(Duration::from_secs(3)).await;
     world.slow_disk(2, WRITE);
     assert_eq!(world.clear_answer(0, 1, 3, WRITE).await, Some(412), "a round without a value of its own");
@@ -49,7 +49,7 @@
     world.freeze(2, true);
     world.slow_disk(2, Duration::ZERO);
     sleep(Duration::from_secs(3)).await;
-    world.order(0, 2, 3).await;
+    world.replace_config(0, 2, 3).await;
 
     world.freeze(2, false);
     let thawed = Instant::now();
--- a/crates/controller/tests/older_disk.rs
+++ b/crates/controller/tests/older_disk.rs
@@ -8,14 +8,14 @@
 /// Three members, of which the third is down with a disk that lacks version 2, and member 0 knows that it had it.
 fn put_back(name: &str) -> Cluster {
     let mut cluster = Cluster::started(name, 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.kill(2);
     cluster.save_disk(2);
     cluster.start(2, false);
     cluster.logged(2, "disk.checked", "");
     // Members 0 and 2 alone take version 2, so member 0 has seen that member 2 has it on disk.
     cluster.kill(1);
-    assert_eq!(cluster.order(0, 1, 2), 200);
+    assert_eq!(cluster.replace_config(0, 1, 2), 200);
     cluster.start(1, false);
     cluster.kill(2);
     cluster.restore_disk(2);
@@ -32,11 +32,11 @@
     cluster.logged(2, "member.joined", "");
     cluster.kill(0);
     assert_eq!(cluster.read(2), config(2), "what was acknowledged is there without member 0");
-    assert_eq!(cluster.order(1, 2, 3), 200);
+    assert_eq!(cluster.replace_config(1, 2, 3), 200);
 }
 
 #[test]
-fn the_planted_error_lets_an_older_disk_go_on() {
+fn the_mutant_lets_an_older_disk_go_on() {
     let mut cluster = put_back("mutant");
     cluster.start_with_mutant(2, false, Some("older-disk-goes-on"));
     cluster.logged(2, "disk.checked", "");
@@ -45,7 +45,7 @@
 #[test]
 fn where_all_start_at_once_nothing_is_known_and_all_go_on() {
     let mut cluster = Cluster::started("at-once", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     for machine in 0..3 {
         cluster.kill(machine);
     }
@@ -53,7 +53,7 @@
     for machine in 0..3 {
         cluster.start(machine, false);
     }
-    assert_eq!(cluster.order(0, 1, 2), 200);
+    assert_eq!(cluster.replace_config(0, 1, 2), 200);
     println!("first change acknowledged after {} ms", since.elapsed().as_millis());
     for machine in 0..3 {
         cluster.logged(machine, "disk.checked", "\"known\":false");
@@ -64,12 +64,12 @@
 #[test]
 fn two_of_three_that_start_without_the_third_wait_for_it_only_for_a_moment() {
     let mut cluster = Cluster::started("two", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     for machine in 0..3 {
         cluster.kill(machine);
     }
     cluster.start(0, false);
     cluster.start(1, false);
     assert_eq!(cluster.read(0), config(1));
-    assert_eq!(cluster.order(1, 1, 2), 200);
+    assert_eq!(cluster.replace_config(1, 1, 2), 200);
 }
--- a/crates/controller/tests/placements.rs
+++ b/crates/controller/tests/placements.rs
@@ -1,4 +1,4 @@
-//! Placements of prefixes, in virtual time: what one agent reports reaches the others, is told whole to who asks, and is
+//! Placements of prefixes, in virtual time: what one agent reports reaches the others, is sent completely to who asks, and is
 //! there again after a loss of power.
 
 mod virtual_time;
@@ -81,16 +81,16 @@
     session.send(&Message::FetchPlacements);
 }
 
-/// What an agent is told that asks after all members have lost power and started again.
-async fn told_after_loss_of_power(world: &mut World) -> Heard {
+/// What an agent receives that asks after all members have lost power and started again.
+async fn received_after_loss_of_power(world: &mut World) -> Heard {
     for machine in 0..3 {
         world.lose_power(machine).await;
     }
     (0..3).for_each(|machine| world.start(machine, false));
-    let (late, told) = agent(world, &[1], WIRE_VERSION).await;
+    let (late, received) = agent(world, &[1], WIRE_VERSION).await;
     fetch(&late);
     sleep(SOON).await;
-    told
+    received
 }
 
 #[test]
@@ -103,12 +103,12 @@
         report(&reporter, [3]);
         sleep(SOON).await;
         assert_eq!(heard.prefixes(), [1, 2, 3]);
-        let (late, told) = agent(&world, &[1], WIRE_VERSION).await;
-        assert!(told.prefixes().is_empty(), "nobody tells it unasked");
+        let (late, received) = agent(&world, &[1], WIRE_VERSION).await;
+        assert!(received.prefixes().is_empty(), "nobody sends it unasked");
         fetch(&late);
         sleep(SOON).await;
-        assert_eq!(told.prefixes(), [1, 2, 3], "another member has heard of them too");
-        assert_eq!(told.complete.get(), Some(true), "since the first boot");
+        assert_eq!(received.prefixes(), [1, 2, 3], "another member has heard of them too");
+        assert_eq!(received.complete.get(), Some(true), "since the first boot");
     });
 }
 
@@ -119,9 +119,9 @@
         let (reporter, _) = agent(&world, &[0], WIRE_VERSION).await;
         report(&reporter, 1..=500);
         sleep(KEPT).await;
-        let told = told_after_loss_of_power(&mut world).await;
-        assert_eq!(told.prefixes().len(), 500);
-        assert_eq!(told.complete.get(), Some(true));
+        let received = received_after_loss_of_power(&mut world).await;
+        assert_eq!(received.prefixes().len(), 500);
+        assert_eq!(received.complete.get(), Some(true));
     });
 }
 
@@ -129,10 +129,10 @@
 fn a_member_that_has_forgotten_them_says_so_until_they_were_reported_again() {
     run(async {
         let mut world = World::with_three_members(3, SETTLE_S).await;
-        let told = told_after_loss_of_power(&mut world).await;
-        assert_eq!(told.complete.get(), Some(false));
+        let received = received_after_loss_of_power(&mut world).await;
+        assert_eq!(received.complete.get(), Some(false));
         sleep(LONG).await;
-        assert_eq!(told.complete.get(), Some(true), "all that are in use were reported meanwhile");
+        assert_eq!(received.complete.get(), Some(true), "all that are in use were reported meanwhile");
     });
 }
 
--- a/crates/controller/tests/processes.rs
+++ b/crates/controller/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Real controllers: orders, losses, wipes and replacements.
+//! Real controllers: changes of the configuration, losses, wipes and replacements.
 
 mod support;
 
@@ -6,15 +6,19 @@
 
 #[test]
 fn an_order_is_acknowledged_and_read_back_at_every_member() {
-    let cluster = Cluster::started("order", 3);
-    assert_eq!(cluster.order(0, 0, 3), 200);
+    let cluster = Cluster::started("replace", 3);
+    assert_eq!(cluster.replace_config(0, 0, 3), 200);
     for machine in 0..3 {
         assert_eq!(cluster.read(machine), config(3));
     }
-    assert_eq!(cluster.order(1, 3, 5), 200);
-    assert_eq!(cluster.order(2, 0, 3), 200, "the same order again, to another member, after another one");
-    assert_eq!(cluster.order(2, 3, 6), 412);
-    assert_eq!(cluster.order(0, 5, 4), 409);
+    assert_eq!(cluster.replace_config(1, 3, 5), 200);
+    assert_eq!(
+        cluster.replace_config(2, 0, 3),
+        200,
+        "the same change again, to another member, after another one"
+    );
+    assert_eq!(cluster.replace_config(2, 3, 6), 412);
+    assert_eq!(cluster.replace_config(0, 5, 4), 409);
     assert_eq!(cluster.read(2), config(5));
 }
 
@@ -32,28 +36,28 @@
     assert_eq!(cluster.call(0, "POST", "/runtrack/config/read", "", "").status, 405);
     assert_eq!(cluster.call(0, "GET", "/nowhere", "", "").status, 404);
     assert_eq!(cluster.call(0, "POST", "/nowhere", "", "").status, 404);
-    assert_eq!(cluster.order(0, 0, 3), 200, "nothing of it came into force");
+    assert_eq!(cluster.replace_config(0, 0, 3), 200, "nothing of it came into force");
 }
 
 #[test]
 fn one_member_lost_is_borne_and_two_are_not() {
     let mut cluster = Cluster::started("lost", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.kill(2);
-    assert_eq!(cluster.order(0, 1, 2), 200);
+    assert_eq!(cluster.replace_config(0, 1, 2), 200);
     cluster.kill(1);
     let got = cluster.call(0, "POST", "/runtrack/config/replace", "X-Base-Version: 2\r\n", &config(3));
     assert_eq!(got.status, 503, "no clear answer, and no promise either");
     cluster.start(1, false);
-    // It may have come into force, or not: the same order is acknowledged either way.
-    assert_eq!(cluster.order(1, 2, 3), 200);
+    // It may have come into force, or not: the same change is acknowledged either way.
+    assert_eq!(cluster.replace_config(1, 2, 3), 200);
     assert_eq!(cluster.read(0), config(3));
 }
 
 #[test]
 fn all_killed_at_once_come_back_with_what_was_acknowledged() {
     let mut cluster = Cluster::started("killed", 3);
-    assert_eq!(cluster.order(0, 0, 7), 200);
+    assert_eq!(cluster.replace_config(0, 0, 7), 200);
     for machine in 0..3 {
         cluster.kill(machine);
     }
@@ -66,33 +70,33 @@
 #[test]
 fn a_member_that_lost_its_disk_takes_its_place_as_another_one() {
     let mut cluster = Cluster::started("wiped", 3);
-    assert_eq!(cluster.order(0, 0, 7), 200);
+    assert_eq!(cluster.replace_config(0, 0, 7), 200);
     cluster.kill(0);
     cluster.wipe(0);
     cluster.start(0, false);
     cluster.logged(0, "member.joined", "");
     assert_eq!(cluster.read(0), config(7));
     cluster.kill(1);
-    assert_eq!(cluster.order(0, 7, 8), 200, "the wiped one and one other are a majority");
+    assert_eq!(cluster.replace_config(0, 7, 8), 200, "the wiped one and one other are a majority");
 }
 
 #[test]
 fn a_replaced_member_and_then_the_end_of_all_lose_nothing() {
     let mut cluster = Cluster::started("replaced", 4);
-    assert_eq!(cluster.order(0, 0, 3), 200);
+    assert_eq!(cluster.replace_config(0, 0, 3), 200);
     cluster.kill(2);
     cluster.start(3, false);
     let members = [0, 1, 3].map(|machine| cluster.member(machine)).join(" ");
     cluster.logged(3, "members.known", &members);
     // Only now both halves of the change are through, and the next loss may be borne.
     cluster.logged(3, "member.joined", "");
-    assert_eq!(cluster.order(3, 3, 4), 200);
+    assert_eq!(cluster.replace_config(3, 3, 4), 200);
     // The seeds are out of date now: one is gone for good, another one loses its disk.
     cluster.kill(1);
     cluster.wipe(1);
     cluster.start(1, false);
     cluster.logged(1, "member.joined", "");
-    assert_eq!(cluster.order(1, 4, 5), 200);
+    assert_eq!(cluster.replace_config(1, 4, 5), 200);
     for machine in [0, 1, 3] {
         cluster.kill(machine);
     }
@@ -105,11 +109,11 @@
 #[test]
 fn a_member_frozen_through_changes_answers_with_the_newest() {
     let cluster = Cluster::started("frozen", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     assert_eq!(cluster.read(2), config(1));
     cluster.freeze(2, true);
-    assert_eq!(cluster.order(0, 1, 2), 200);
-    assert_eq!(cluster.order(1, 2, 3), 200);
+    assert_eq!(cluster.replace_config(0, 1, 2), 200);
+    assert_eq!(cluster.replace_config(1, 2, 3), 200);
     cluster.freeze(2, false);
     assert_eq!(cluster.read(2), config(3));
 }
@@ -117,7 +121,7 @@
 #[test]
 fn one_that_leaves_is_acknowledged_once_a_majority_knows() {
     let mut cluster = Cluster::started("leaves", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     let path = "/runtrack/instances/i-1/heartbeat";
     cluster.acknowledged(0, path, &heartbeat("ready", 1));
     cluster.acknowledged(0, path, &heartbeat("draining", 2));
--- a/crates/controller/tests/quorum_reads.rs
+++ b/crates/controller/tests/quorum_reads.rs
@@ -127,7 +127,7 @@
     let world = three().await;
     (0..3).for_each(|machine| world.slow_disk(machine, disk));
     // The first one finds out how slow the disks are.
-    world.order(0, 1, 2).await;
+    world.replace_config(0, 1, 2).await;
     let pause = READER_PAUSE.max(disk / 10);
     let reads = async {
         tokio::join!(
@@ -193,7 +193,7 @@
 async fn what_was_read_outlasts_a_loss_of_power() {
     let mut world = three().await;
     (0..3).for_each(|machine| world.slow_disk(machine, SLOW));
-    world.order(0, 1, 2).await; // finds out how slow the disks are
+    world.replace_config(0, 1, 2).await; // finds out how slow the disks are
     sleep(LONG).await;
     let before_end_of_accept = SLOW * 3 / 2;
     let read = async {
@@ -201,7 +201,7 @@
         world.read(1).await
     };
     let (_, read) = tokio::join!(world.clear_answer(0, 2, 3, before_end_of_accept + READ_BOUND), read);
-    let Some((200, told)) = read else { panic!("{read:?}") };
+    let Some((200, read_version)) = read else { panic!("{read:?}") };
     for machine in 0..3 {
         world.kill(machine).await;
         world.slow_disk(machine, Duration::ZERO);
@@ -214,7 +214,10 @@
     }
     sleep(LONG).await;
     let now = world.read(1).await;
-    assert!(now.is_some_and(|(_, version)| version >= told), "{told} was read before, and {now:?} after");
+    assert!(
+        now.is_some_and(|(_, version)| version >= read_version),
+        "{read_version} was read before, and {now:?} after"
+    );
 }
 
 #[test]
--- a/crates/controller/tests/slow_disks.rs
+++ b/crates/controller/tests/slow_disks.rs
@@ -15,7 +15,7 @@
         let world = World::with_three_members(3, SETTLE_S).await;
         (0..3).for_each(|machine| world.slow_disk(machine, SLOW));
         for version in 2..=4 {
-            world.order(version as usize % 3, version - 1, version).await;
+            world.replace_config(version as usize % 3, version - 1, version).await;
         }
     });
 }
--- a/crates/controller/tests/support/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! Built controllers on loopback, each with an address and a folder of its own.
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses some of it")]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpStream};
@@ -26,7 +26,7 @@
     nodes: Vec<Node>,
     /// What the settings say beside addresses.
     pub settings: Settings,
-    /// An error that is planted in all processes.
+    /// A mutant that all processes run with.
     pub mutant: Option<&'static str>,
     /// How long an event in a log is waited for.
     pub patience: Duration,
@@ -168,7 +168,7 @@
     pub fn holds(&self, machine: usize, body: &str) -> bool {
         value_files().any(|file| {
             let content = std::fs::read(self.disk(machine).join(file)).unwrap_or_default();
-            content.windows(body.len()).any(|part| part == body.as_bytes())
+            content.windows(body.len()).any(|window| window == body.as_bytes())
         })
     }
 
@@ -214,7 +214,7 @@
         self.start_with_mutant(machine, first_boot, self.mutant);
     }
 
-    /// Starts a machine's process, with an error planted in it if one is named.
+    /// Starts a machine's process, with a mutant if one is named.
     pub fn start_with_mutant(&mut self, machine: usize, first_boot: bool, mutant: Option<&str>) {
         self.write_settings(machine, first_boot);
         let mut child = Command::new(env!("CARGO_BIN_EXE_runtrack-controller"))
@@ -252,10 +252,10 @@
     fn signal(&self, machine: usize, signal: rustix::process::Signal) {
         let process = self.nodes[machine].process.as_ref().expect("it runs");
         let pid = rustix::process::Pid::from_raw(process.child.id() as i32).expect("a process");
-        rustix::process::kill_process(pid, signal).expect("it can be told");
+        rustix::process::kill_process(pid, signal).expect("it can be signalled");
     }
 
-    /// The machines that processes are told of as seeds, from their next start on.
+    /// The machines that settings name as seeds, from their next start on.
     pub fn set_seeds(&mut self, seeds: &[usize]) {
         self.seeds = seeds.to_vec();
     }
@@ -350,8 +350,8 @@
         self.try_call(machine, method, path, headers, body).expect("an answer")
     }
 
-    /// Sends an order as operators do: again and again, unchanged, until there is a clear answer.
-    pub fn order(&self, machine: usize, base: u64, version: u64) -> u16 {
+    /// Replaces the configuration as operators do: again and again, unchanged, until there is a clear answer.
+    pub fn replace_config(&self, machine: usize, base: u64, version: u64) -> u16 {
         let until = Instant::now() + PATIENCE;
         loop {
             let headers = format!("X-Base-Version: {base}\r\n");
@@ -359,7 +359,7 @@
                 self.try_call(machine, "POST", "/runtrack/config/replace", &headers, &config(version));
             match got {
                 Some(got) if got.status < 500 => return got.status,
-                _ => assert!(Instant::now() < until, "no clear answer to an order: {got:?}"),
+                _ => assert!(Instant::now() < until, "no clear answer to a change: {got:?}"),
             }
         }
     }
--- a/crates/controller/tests/suspicion.rs
+++ b/crates/controller/tests/suspicion.rs
@@ -24,7 +24,7 @@
 async fn one_watcher_is_not_enough(cut: (usize, usize)) {
     let world = three_and_one_to_join(&[cut]).await;
     sleep(LONG).await;
-    // A further member may join beside them, where who has the duty reaches all three.
+    // A further member may join beside them, where the coordinator reaches all three.
     for line in (0..4).flat_map(|machine| world.lines(machine, "members.changed")) {
         assert!((0..3).all(|machine| line.contains(&world.member(machine))), "with {cut:?}: {line}");
     }
@@ -45,7 +45,7 @@
     run(async {
         let mut world = three_and_one_to_join(&[(2, 0), (2, 1), (2, 3)]).await;
         world.logged(3, "member.joined", "").await;
-        world.logged(3, "copies.whole", "").await;
+        world.logged(3, "copies.complete", "").await;
     });
 }
 
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_coordinator_that_was_frozen_replaces_nobody_on_the_strength_of_old_times() {
-    // Whoever has the duty is among them.
+    // The coordinator is among them.
     for frozen in [&[0][..], &[1], &[2], &[3], &[0, 1, 2, 3]] {
         for long in [Duration::from_millis(900), LONG] {
             run(frozen_and_thawed(frozen, long));
--- a/crates/controller/tests/virtual_time/mod.rs
+++ b/crates/controller/tests/virtual_time/mod.rs
@@ -1,6 +1,6 @@
 //! Controllers in one thread and in virtual time: links in memory that can be cut, disks in memory that can be made to
 //! refuse, processes that can be frozen.
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses some of it")]
 
 mod late;
 pub mod operator;
@@ -71,7 +71,7 @@
         cx: &mut Context<'_>,
         out: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // A link that was cut is not mended: both sides find it silent and dial anew.
+        // A link that was cut stays cut: both sides find it stalled and dial anew.
         if self.cut.get() { Poll::Pending } else { Pin::new(&mut self.stream).poll_read(cx, out) }
     }
 }
@@ -212,7 +212,7 @@
     }
 }
 
-/// Log lines of one process, and word of each new one.
+/// Log lines of one process, and a notice of each new one.
 #[derive(Clone, Default)]
 struct Lines {
     written: Arc<sync::Mutex<Vec<u8>>>,
@@ -314,7 +314,7 @@
         for machine in 0..SEEDS {
             world.logged(machine, "contact.majority", "").await;
         }
-        world.order(0, 0, 1).await;
+        world.replace_config(0, 0, 1).await;
         for machine in SEEDS..members {
             world.start(machine, false);
             world.logged(machine, "member.joined", "").await;
@@ -336,7 +336,7 @@
         for machine in 0..3 {
             world.logged(machine, "contact.majority", "").await;
         }
-        world.order(0, 0, 1).await;
+        world.replace_config(0, 0, 1).await;
         world
     }
 
@@ -376,11 +376,11 @@
         let network = Rc::new(Wired { machine, wires: self.wires.clone() });
         let state = &mut self.machines[machine];
         let environment = Environment { network, logger: state.lines.logger() };
-        let (events, told) = unbounded_channel();
+        let (events, received) = unbounded_channel();
         state.events = Some(events);
         let process = async move {
             // With its main task all others end.
-            LocalSet::new().run_until(run_in(environment, disk, acceptor, node, told)).await
+            LocalSet::new().run_until(run_in(environment, disk, acceptor, node, received)).await
         };
         let process = unless_frozen(process, state.frozen.clone(), state.thaw.clone());
         state.process = Some(spawn_local(process));
@@ -411,7 +411,7 @@
         let copy = self.disk(2).copy();
         self.cut(0, 1, true);
         self.cut(1, 2, true);
-        self.order(0, 1, 2).await;
+        self.replace_config(0, 1, 2).await;
         self.kill(2).await;
         self.disk(2).put_back(&copy);
     }
@@ -539,7 +539,7 @@
         answer.split(' ').nth(1)?.parse().ok()
     }
 
-    /// One call over HTTP; the whole answer, once there is one.
+    /// One call over HTTP; the complete answer, once there is one.
     async fn answer(&self, machine: usize, request: String) -> Option<String> {
         let network = Wired { machine: OPERATOR, wires: self.wires.clone() };
         let mut connection = network.connect(address(machine, CONTROL).into()).await.ok()?;
@@ -566,7 +566,7 @@
     }
 
     /// Sends a configuration until it is acknowledged.
-    pub async fn order(&self, machine: usize, base: u64, version: u64) {
+    pub async fn replace_config(&self, machine: usize, base: u64, version: u64) {
         assert_eq!(self.clear_answer(machine, base, version, PATIENCE).await, Some(200));
     }
 
@@ -678,7 +678,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-/// Whether a scenario fails with this error planted.
+/// Whether a scenario fails with this mutant.
 pub fn finds(mutant: &str, scenario: impl FnOnce()) -> bool {
     plant(Some(mutant));
     let found = catch_unwind(AssertUnwindSafe(scenario)).is_err();
--- a/crates/controller/tests/virtual_time/operator.rs
+++ b/crates/controller/tests/virtual_time/operator.rs
@@ -7,8 +7,8 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// An answer is waited for so long, and a microsecond more for each byte of the body.
-const SILENCE: Duration = Duration::from_millis(1000);
-const SILENCE_PER_BYTE: Duration = Duration::from_micros(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
+const ANSWER_TIMEOUT_PER_BYTE: Duration = Duration::from_micros(1);
 /// Wait after a call without a clear answer, and after a change.
 const PAUSE: Duration = Duration::from_millis(10);
 /// Bytes of the path of each route of a large configuration.
@@ -67,12 +67,12 @@
             version - 1,
             body.len()
         );
-        let silence = SILENCE + SILENCE_PER_BYTE * body.len() as u32;
+        let answer_timeout = ANSWER_TIMEOUT + ANSWER_TIMEOUT_PER_BYTE * body.len() as u32;
         let mut calls = Vec::new();
         for place in first.. {
             let machine = members[place % members.len()];
             calls.push((Instant::now(), machine));
-            let status = timeout(silence, self.call(machine, &request)).await.ok().flatten();
+            let status = timeout(answer_timeout, self.call(machine, &request)).await.ok().flatten();
             match status {
                 Some(200) => break,
                 Some(status) if status != 503 => panic!("version {version} at {machine}: {status}"),
