--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,131 +1,33 @@
 //! A control member: the operator's API and the endpoints' on one side, links to agents and other members on the
 //! other, the register and its disk within.
+//!
+//! `api` serves HTTP; `components` hands messages of the links on. The register: `member` answers rounds (CASPaxos: Rystsov,
+//! 2018), `proposer` begins them, `membership` and `copies` change the members one at a time, `disk` and `disk_guard` keep
+//! what must not be forgotten. Beside it: `contact` with a majority, `endpoints` with `confirmations` and `leaves`, `backlog`
+//! and `placements` for the proxies. The guarantees are in `docs/design/control-state.md`.
 
 pub mod api;
 mod backlog;
+mod components;
+pub mod confirmation_tracker;
 mod confirmations;
 mod contact;
 mod copies;
 pub mod disk;
 mod disk_guard;
 mod endpoints;
+mod error;
+mod incarnation;
 mod leave_sync;
 mod leaves;
 mod member;
 mod membership;
-mod parts;
 pub mod pending;
 mod placements;
 mod proposer;
 pub mod request_queue;
-pub mod tally;
+mod run;
 
-use crate::api::Api;
-use crate::disk::{Disk, DiskThread, MemberDisk, Record};
-use crate::parts::{Parts, Routing};
-use runtrack_fleetconfig::Node;
-use runtrack_link::{Environment, Gossip, Logger, ProcessEvent, ProcessEvents, Signals, listen};
-use runtrack_message::{Ballot, Hello, Member, Role, WIRE_VERSION};
-use runtrack_net::mutant;
-use runtrack_register::{Acceptor, PromiseRecord};
-use slog::info;
-use std::pin::pin;
-use std::rc::Rc;
-use std::time::Duration;
-use tokio::task::spawn_local;
-use tokio::time::sleep;
-
-/// Calls that are under way at SIGTERM get so long.
-const LAST_CALLS: Duration = Duration::from_millis(300);
-/// Wait before a disk that refused is tried again.
-const REFUSED_PAUSE: Duration = Duration::from_millis(300);
-
-/// Runs a control member until SIGTERM.
-pub async fn run(node: Node, signals: Signals) -> Result<(), String> {
-    let environment = Environment::system("controller", &node);
-    let (disk, acceptor) = DiskThread::open(&node, &environment.logger)?;
-    run_in(environment, Rc::new(disk), acceptor, node, signals.events()).await
-}
-
-/// The incarnation of a member whose disk holds none: the first one where the whole system starts for the first time and
-/// this is one of its first members, a new one otherwise.
-pub fn new_incarnation(node: &Node) -> u64 {
-    let first_boot = node.first_boot || mutant("wiped-member-votes");
-    if first_boot && node.seed_members().contains(&node.member_address()) { 0 } else { fastrand::u64(1..) }
-}
-
-/// Leaves a new incarnation on a disk that was found to be an older copy, and says why the process ends: it comes back
-/// as another member.
-async fn take_new_incarnation(disk: &dyn MemberDisk) -> String {
-    let record = PromiseRecord { incarnation: fastrand::u64(1..), promised: Ballot::default() };
-    while disk.persist(Record::Promise(record.clone())).await.is_err() {
-        sleep(REFUSED_PAUSE).await;
-    }
-    "the disk was an older copy; its next start is as another member".to_owned()
-}
-
-/// Runs the control member that was recovered from its disk, in an environment, until it is told to end.
-pub async fn run_in(
-    environment: Environment,
-    disk: Rc<dyn MemberDisk>,
-    acceptor: Acceptor,
-    node: Node,
-    mut events: ProcessEvents,
-) -> Result<(), String> {
-    let logger = environment.logger.clone();
-    let control = node.control.ok_or("listen.control: is missing")?;
-    let me = Member::new(node.member_address(), acceptor.incarnation());
-    info!(logger, "controller.start"; "member" => %me.address(), "incarnation" => me.incarnation,
-        "first_boot" => node.first_boot, "recovered" => acceptor.accepted().is_some());
-    let hello =
-        Hello { wire: WIRE_VERSION, role: Role::Controller, node: node.name.as_str().into(), member: me };
-    let routing = Routing::default();
-    let gossip = Gossip::new_in(environment, hello, node.heartbeat, Box::new(routing.clone()));
-    let parts = Parts::new(&gossip, Disk(disk.clone()), acceptor, &node);
-    routing.set(parts.clone());
-    listen(gossip.clone(), node.peer)
-        .await
-        .map_err(|error| format!("listen.peer: {}: {error}", node.peer))?;
-    let api =
-        Api::new(gossip.clone(), parts.proposer.clone(), parts.endpoints.clone(), parts.contact.clone());
-    let calls = api.listen(control).map_err(|error| format!("listen: {control}: {error}"))?;
-    spawn_local(gossip.run());
-    parts.spawn(&node);
-    if until_terminated(&parts, &mut events, &logger).await == End::OlderDisk {
-        return Err(take_new_incarnation(disk.as_ref()).await);
-    }
-    info!(logger, "controller.terminate");
-    calls.abort();
-    parts.membership.leave().await;
-    sleep(LAST_CALLS).await;
-    info!(logger, "controller.end");
-    Ok(())
-}
-
-/// Why a control member ends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
-    /// It was told to.
-    Terminated,
-    /// Its disk is an older copy.
-    OlderDisk,
-}
-
-/// Heeds the events of the process until it is to end.
-async fn until_terminated(parts: &Parts, events: &mut ProcessEvents, logger: &Logger) -> End {
-    let mut older_disk = pin!(parts.guard.run());
-    loop {
-        let event = tokio::select! {
-            biased;
-            event = events.recv() => event,
-            () = &mut older_disk => return End::OlderDisk,
-        };
-        match event {
-            Some(ProcessEvent::Settings(Ok(node))) => parts.membership.set_seeds(node.seed_members()),
-            Some(ProcessEvent::Settings(Err(problem))) => {
-                info!(logger, "settings.refused"; "problem" => problem);
-            }
-            Some(ProcessEvent::Terminate) | None => return End::Terminated,
-        }
-    }
-}
+pub use error::ControllerError;
+pub use incarnation::new_incarnation;
+pub use run::{run, run_in};
--- a/crates/controller/src/proposer/read.rs
+++ b/crates/controller/src/proposer/read.rs
@@ -1,61 +1,36 @@
 //! Reads of the register: a quorum read first, which writes nothing and waits for no turn, and a round where that does
-//! not settle it. The argument is in `docs/design/control-state.md`, section "Reads".
+//! not tell. The argument is in `docs/design/control-state/reads.md`.
 
-use super::{Limits, Proposer};
-use crate::pending::PendingRequests;
-use runtrack_link::{Gossip, Session};
-use runtrack_message::{Ballot, CONTACT_WIRE_VERSION, InspectReply, Member, Message, Role, Value};
+use crate::proposer::Proposer;
+use crate::proposer::inspections::Replies;
+use crate::proposer::limits::Limits;
+use quick_error::quick_error;
+use runtrack_message::{InspectReply, Value};
 use runtrack_net::mutant;
 use runtrack_register::{Decision, Inspection, Outcome, QuorumRead, ReadOutcome, ReadProgress};
-use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
+use tokio::sync::mpsc::unbounded_channel;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A member answers a quorum read from memory: who has said nothing for so long has not got the request.
+/// How long a quorum read waits for the next reply. Members answer from memory: one that has not replied by then has not
+/// received the request.
 const INSPECTION_TIMEOUT: Duration = Duration::from_millis(100);
-/// Wait before a quorum read that settled nothing is taken again. A value that is on its way to the members' disks is on a
+/// Wait before a quorum read that found nothing certain is repeated. A value that is on its way to the members' disks is on a
 /// majority of them soon, and a round would only preempt it.
 const INSPECTION_PAUSE: Duration = Duration::from_millis(10);
 /// No further quorum read begins after this: the rest of what a caller waits is for a round.
 const QUORUM_READ_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A member and its reply; nothing where it can't be reached.
-type Replied = (Member, Option<InspectReply>);
-type Replies = UnboundedSender<Replied>;
-
-/// Quorum reads that wait for replies.
-pub(super) struct Inspections {
-    pending: RefCell<PendingRequests<(Member, Replies)>>,
-}
-
-impl Inspections {
-    pub(super) fn new() -> Self {
-        Inspections { pending: RefCell::new(PendingRequests::starting_at(fastrand::u64(..))) }
-    }
-
-    /// A reply to a request of this number came over this session.
-    pub(super) fn replied(&self, session: usize, number: u64, reply: InspectReply) {
-        if let Some((from, replies)) = self.pending.borrow_mut().replied(session, number) {
-            let _ = replies.send((from, Some(reply))); // the read may be over
+quick_error! {
+    /// The register can't be read.
+    #[derive(Debug)]
+    pub enum ReadError {
+        /// What is chosen can't be known now.
+        Indeterminate {
+            display("what is chosen can't be known now")
         }
     }
-
-    /// Asks another member; whether it can be reached.
-    fn send(&self, gossip: &Gossip, (to, request): &Inspection, replies: &Replies) -> bool {
-        let sessions = gossip.peers(Role::Controller);
-        let Some(session) = sessions.iter().find(|session| is_link_to(session, to)) else { return false };
-        let mut pending = self.pending.borrow_mut();
-        pending.retain(|(_, replies)| !replies.is_closed());
-        let number = pending.sent(session.key, (*to, replies.clone()));
-        session.send(&Message::Inspect(number, *request));
-        true
-    }
-}
-
-fn is_link_to(session: &Session, member: &Member) -> bool {
-    session.dialled == Some(member.address()) && session.peer_wire() >= CONTACT_WIRE_VERSION
 }
 
 impl Proposer {
@@ -64,8 +39,8 @@
         self.inspections.replied(session, number, reply);
     }
 
-    /// The newest value, as of a moment after this call; `Err` where that can't be known now.
-    pub async fn read(&self) -> Result<Option<Rc<Value>>, ()> {
+    /// The newest value, as of a moment after this call; none where nothing was ever written.
+    pub async fn read(&self) -> Result<Option<Rc<Value>>, ReadError> {
         let limits = Limits::of_request();
         match self.quorum_read().await {
             Some(found) => Ok(found),
@@ -73,26 +48,17 @@
         }
     }
 
-    /// The newest value by a round, which settles what a minority has accepted as well.
-    async fn read_by_round(&self, limits: Limits) -> Result<Option<Rc<Value>>, ()> {
+    /// The newest value by a round, which also commits or supersedes what a minority has accepted.
+    pub(super) async fn read_by_round(&self, limits: Limits) -> Result<Option<Rc<Value>>, ReadError> {
         match self.rounds(limits, &mut |_| Decision::Read).await {
             Some(Outcome::Read(_, value) | Outcome::Committed(_, value)) => Ok(Some(value)),
             Some(Outcome::Empty) => Ok(None),
-            _ => Err(()),
-        }
-    }
-
-    /// Finds out what is chosen where this process may be behind what somebody has accepted under this ballot: a round is
-    /// only taken where it still is then.
-    pub(super) async fn catch_up(&self, accepted: Ballot, limits: Limits) -> Result<(), ()> {
-        if self.quorum_read().await.is_some() && !self.is_behind(accepted) {
-            return Ok(());
+            _ => Err(ReadError::Indeterminate),
         }
-        self.read_by_round(limits).await.map(|_| ())
     }
 
-    /// Quorum reads until one is settled; nothing where only a round can tell.
-    async fn quorum_read(&self) -> Option<Option<Rc<Value>>> {
+    /// Quorum reads until one is certain; nothing where a round is needed.
+    pub(super) async fn quorum_read(&self) -> Option<Option<Rc<Value>>> {
         if mutant("reads-by-round") {
             return None;
         }
@@ -114,13 +80,13 @@
         None
     }
 
-    /// One quorum read; nothing where it fell silent.
+    /// One quorum read; nothing where it timed out.
     async fn inspect_once(&self) -> Option<ReadOutcome> {
         let (mut read, inspections) = QuorumRead::new(self.sets(), self.known());
-        let (replies, mut came) = unbounded_channel();
+        let (replies, mut received) = unbounded_channel();
         self.send_inspections(&inspections, &replies);
         loop {
-            let (from, reply) = timeout(INSPECTION_TIMEOUT, came.recv()).await.ok()??;
+            let (from, reply) = timeout(INSPECTION_TIMEOUT, received.recv()).await.ok()??;
             let progress = match reply {
                 Some(reply) => read.reply(from, reply),
                 None => read.unreachable(from),
