--- a/crates/register/tests/model/actions.rs
+++ b/crates/register/tests/model/actions.rs
@@ -19,17 +19,11 @@
 //!
 //! `Network::Full` does without the second and the third, for small searches that show that the verdicts agree.
 
-use crate::machine::{Machine, Request};
-use crate::rules::{self, Violation};
-use crate::scenario::{JOINING, LEAVING, Network};
-use crate::state::{Answer, MAX_NODES, NONE, Proposer, Reader, Reply, Slot, State};
+use crate::machine::Machine;
+use crate::scenario::{LEAVING, Network};
+use crate::state::{MAX_NODES, NONE, State};
 use crate::support::mutants::Mutant;
-use crate::support::node::Node;
 use runtrack_message::Ballot;
-use std::rc::Rc;
-
-/// Of the value that is chosen before anything else.
-const INITIAL_BALLOT: Ballot = Ballot { round: 0, boot: 1 };
 
 /// One step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,59 +69,6 @@
     Ballot { round: u64::from(rank), boot }
 }
 
-/// The first state.
-pub fn initial(machine: &mut Machine) -> State {
-    let mut nodes = [NONE; MAX_NODES];
-    for (at, member) in machine.scenario.members.clone().into_iter().enumerate() {
-        let mut node = Node::new(member.incarnation);
-        let is_first = machine.scenario.first.contains(&member);
-        let value = machine.scenario.initial.clone().map(Rc::new);
-        let has_it = machine.scenario.initial_at & (1 << at) != 0;
-        if has_it && let Some(value) = &value {
-            node.adopt(INITIAL_BALLOT, value, Mutant::None);
-        }
-        let is_there = value.is_some() || machine.scenario.grows;
-        let joins_at_start = is_there && !machine.scenario.wipe;
-        if is_first || joins_at_start {
-            nodes[at] = machine.intern_node(node);
-        }
-    }
-    let chosen = machine.scenario.initial.clone().map(|value| machine.intern_value(value));
-    let chosen: Vec<u32> =
-        chosen.map(|value| machine.intern_committed(INITIAL_BALLOT, value)).into_iter().collect();
-    let proposer = |rounds| Proposer {
-        operation: 0,
-        begun: false,
-        sent: false,
-        rounds,
-        rank: 0,
-        known: NONE,
-        floor: 0,
-        answer: Answer::Nothing,
-    };
-    State {
-        nodes,
-        proposers: machine.scenario.rounds.map(proposer),
-        reader: Reader {
-            reads: machine.scenario.reads,
-            begun: false,
-            known: NONE,
-            learned: NONE,
-            floor: 0,
-            answers: [NONE; MAX_NODES],
-        },
-        slots: Vec::new(),
-        replies: Vec::new(),
-        chosen,
-        used: 0,
-        acknowledged: 0,
-        refused: 0,
-        seen: 0,
-        restarts: machine.scenario.restarts,
-        wiped: false,
-    }
-}
-
 /// All that can happen in a state.
 pub fn enabled(machine: &mut Machine, state: &State) -> Vec<Action> {
     let mut actions = Vec::new();
@@ -170,11 +111,11 @@
     actions
 }
 
-fn is_up(state: &State, member: u8) -> bool {
+pub fn is_up(state: &State, member: u8) -> bool {
     state.nodes[usize::from(member)] != NONE
 }
 
-fn bits(mask: u8) -> impl Iterator<Item = u8> {
+pub fn bits(mask: u8) -> impl Iterator<Item = u8> {
     (0..MAX_NODES as u8).filter(move |at| mask & (1 << at) != 0)
 }
 
@@ -225,7 +166,7 @@
     }
 }
 
-fn known_as(state: &State, as_who: ReadAs) -> u32 {
+pub fn known_as(state: &State, as_who: ReadAs) -> u32 {
     match as_who {
         ReadAs::Newcomer => NONE,
         ReadAs::Itself => state.reader.learned,
@@ -238,7 +179,7 @@
     is_up(state, member) || has_unchecked_disk(machine, state, member)
 }
 
-fn has_unchecked_disk(machine: &Machine, state: &State, member: u8) -> bool {
+pub fn has_unchecked_disk(machine: &Machine, state: &State, member: u8) -> bool {
     let is_mutant = machine.scenario.mutant == Mutant::InspectedBeforeDiskCheck;
     is_mutant && state.wiped && member == LEAVING
 }
@@ -260,212 +201,3 @@
         _ => false,
     }
 }
-
-/// The state after a step, or the rule that it breaks; nothing where the step changes nothing.
-pub fn apply(machine: &mut Machine, state: &State, action: Action) -> Result<Option<State>, Violation> {
-    let mut next = state.clone();
-    match action {
-        Action::Begin { proposer, operation, rank, member } => {
-            begin(machine, &mut next, proposer, operation, rank);
-            prepare(machine, &mut next, rank, proposer, member)?;
-        }
-        Action::Prepare { rank, proposer, member } => prepare(machine, &mut next, rank, proposer, member)?,
-        Action::Accept { rank, proposer, member } => accept(machine, &mut next, rank, proposer, member)?,
-        Action::Reply { at } => {
-            let reply = next.replies.remove(usize::from(at));
-            take_reply(machine, &mut next, &reply)?;
-        }
-        Action::Timeout { proposer } => next.give_up(proposer),
-        Action::RestartProposer { proposer } => restart_proposer(machine, &mut next, proposer),
-        Action::RestartMember { member } => {
-            let node = &mut next.nodes[usize::from(member)];
-            *node = machine.restart(*node);
-        }
-        Action::BeginRead { as_who, member } => {
-            begin_read(&mut next, as_who);
-            inspect(machine, &mut next, member)?;
-        }
-        Action::Inspect { member } => inspect(machine, &mut next, member)?,
-        Action::Wipe => wipe(machine, &mut next),
-        Action::Adopt { member, committed } => adopt(machine, &mut next, member, committed),
-    }
-    normalize(machine, &mut next);
-    rules::check_reads(machine, &next)?;
-    Ok((next != *state).then_some(next))
-}
-
-fn begin(machine: &mut Machine, state: &mut State, proposer: u8, operation: u8, rank: u8) {
-    state.give_up(proposer);
-    let seen = state.seen;
-    let own = &mut state.proposers[usize::from(proposer)];
-    if own.operation != operation {
-        own.operation = operation;
-        own.sent = false;
-    }
-    own.begun = true;
-    own.rounds -= 1;
-    own.rank = rank;
-    own.floor = seen;
-    own.answer = Answer::Nothing;
-    let known = own.known;
-    state.used |= 1 << rank;
-    let (attempt, prepares) = machine.begin(ballot(machine, rank, proposer), known);
-    state.slots.push(Slot { rank, proposer, attempt, value: NONE, prepares, accepts: 0, votes: 0 });
-}
-
-fn position(state: &State, rank: u8, proposer: u8, wanted: impl Fn(&Slot) -> bool) -> usize {
-    let is = |slot: &Slot| slot.rank == rank && slot.proposer == proposer && wanted(slot);
-    state.slots.iter().position(is).expect("the round of the message")
-}
-
-fn prepare(
-    machine: &mut Machine,
-    state: &mut State,
-    rank: u8,
-    proposer: u8,
-    member: u8,
-) -> Result<(), Violation> {
-    let at = position(state, rank, proposer, |slot| slot.prepares & (1 << member) != 0);
-    state.slots[at].prepares &= !(1 << member);
-    let known =
-        if state.slots[at].attempt == NONE { NONE } else { state.proposers[usize::from(proposer)].known };
-    let request = Request::Prepare { ballot: ballot(machine, rank, proposer), known };
-    let node = &mut state.nodes[usize::from(member)];
-    let (after, reply) = machine.handle(*node, member, request);
-    *node = after;
-    answer(machine, state, Reply { rank, proposer, member, reply })
-}
-
-fn accept(
-    machine: &mut Machine,
-    state: &mut State,
-    rank: u8,
-    proposer: u8,
-    member: u8,
-) -> Result<(), Violation> {
-    let at = position(state, rank, proposer, |slot| slot.accepts & (1 << member) != 0);
-    state.slots[at].accepts &= !(1 << member);
-    let value = state.slots[at].value;
-    let request = Request::Accept { ballot: ballot(machine, rank, proposer), value };
-    let node = &mut state.nodes[usize::from(member)];
-    let (after, reply) = machine.handle(*node, member, request);
-    *node = after;
-    if machine.is_acceptance(reply) {
-        state.slots[at].votes |= 1 << member;
-        rules::note_vote(machine, state, at)?;
-    }
-    answer(machine, state, Reply { rank, proposer, member, reply })
-}
-
-fn answer(machine: &mut Machine, state: &mut State, reply: Reply) -> Result<(), Violation> {
-    if machine.scenario.network == Network::Reduced {
-        return take_reply(machine, state, &reply);
-    }
-    state.replies.push(reply);
-    Ok(())
-}
-
-fn take_reply(machine: &mut Machine, state: &mut State, reply: &Reply) -> Result<(), Violation> {
-    let Some(at) = state.live(reply.proposer).filter(|at| state.slots[*at].rank == reply.rank) else {
-        return Ok(());
-    };
-    rules::on_reply(machine, state, at, reply)
-}
-
-fn begin_read(state: &mut State, as_who: ReadAs) {
-    let known = known_as(state, as_who);
-    state.reader.reads -= 1;
-    state.reader.begun = true;
-    state.reader.known = known;
-    state.reader.floor = state.seen;
-}
-
-fn inspect(machine: &mut Machine, state: &mut State, member: u8) -> Result<(), Violation> {
-    let at = usize::from(member);
-    let known = state.reader.known;
-    let node =
-        if has_unchecked_disk(machine, state, member) { older_node(machine) } else { state.nodes[at] };
-    let mut answer = machine.inspect(node, member, known);
-    if machine.scenario.mutant == Mutant::UnsyncedReported {
-        let written = |slot: &&Slot| slot.accepts & (1 << member) != 0;
-        let newest = state.slots.iter().filter(written).max_by_key(|slot| slot.rank);
-        if let Some(slot) = newest {
-            let ballot = ballot(machine, slot.rank, slot.proposer);
-            let writing = machine.inspect_while_writing(node, member, known, ballot, slot.value);
-            answer = writing.unwrap_or(answer);
-        }
-    }
-    state.reader.answers[at] = answer;
-    rules::on_inspection(machine, state)
-}
-
-/// A member whose disk was restored to what it was before the first request.
-fn older_node(machine: &mut Machine) -> u32 {
-    let mut node = Node::new(machine.scenario.members[usize::from(LEAVING)].incarnation);
-    if let Some(value) = machine.scenario.initial.clone() {
-        node.adopt(INITIAL_BALLOT, &Rc::new(value), Mutant::None);
-    }
-    machine.intern_node(node)
-}
-
-fn restart_proposer(machine: &Machine, state: &mut State, proposer: u8) {
-    state.give_up(proposer);
-    state.restarts -= 1;
-    let own = &mut state.proposers[usize::from(proposer)];
-    own.operation += u8::from(own.begun);
-    own.begun = false;
-    own.sent = false;
-    own.known = NONE;
-    own.answer = Answer::Nothing;
-    own.rank = if machine.scenario.mutant == Mutant::BallotReused { own.rank - 1 } else { 0 };
-}
-
-fn wipe(machine: &mut Machine, state: &mut State) {
-    state.wiped = true;
-    let mutant = machine.scenario.mutant;
-    let stays = matches!(mutant, Mutant::WipedMemberVotes | Mutant::OlderDiskAccepted);
-    let at = usize::from(if stays { LEAVING } else { JOINING });
-    let empty = Node::new(machine.scenario.members[at].incarnation);
-    let is_older = mutant == Mutant::OlderDiskAccepted;
-    let node = if is_older { older_node(machine) } else { machine.intern_node(empty) };
-    state.nodes[usize::from(LEAVING)] = NONE;
-    state.nodes[at] = node;
-}
-
-fn adopt(machine: &mut Machine, state: &mut State, member: u8, committed: u32) {
-    let value = machine.value_of(committed);
-    let ballot = machine.committed(committed).0;
-    let node = &mut state.nodes[usize::from(member)];
-    *node = machine.handle(*node, member, Request::Adopt { ballot, value }).0;
-}
-
-/// Forgets what can make no difference any more.
-fn normalize(machine: &mut Machine, state: &mut State) {
-    let full = machine.scenario.network == Network::Full;
-    for at in 0..state.slots.len() {
-        let mut slot = state.slots[at].clone();
-        if !full && (slot.attempt == NONE || slot.value != NONE) {
-            slot.prepares = 0;
-        }
-        if !full {
-            let own = ballot(machine, slot.rank, slot.proposer);
-            let reachable: u8 = bits(slot.prepares | slot.accepts)
-                .filter(|at| is_up(state, *at) && machine.takes(state.nodes[usize::from(*at)], own))
-                .map(|at| 1 << at)
-                .sum();
-            slot.prepares &= reachable;
-            slot.accepts &= reachable;
-        }
-        state.slots[at] = slot;
-    }
-    let under_way = |slot: &Slot| slot.prepares != 0 || slot.accepts != 0;
-    state.slots.retain(|slot| slot.attempt != NONE || under_way(slot));
-    let slots = &state.slots;
-    state.replies.retain(|reply| {
-        slots
-            .iter()
-            .any(|slot| slot.attempt != NONE && slot.rank == reply.rank && slot.proposer == reply.proposer)
-    });
-    state.slots.sort_unstable();
-    state.replies.sort_unstable();
-}
--- a/crates/register/tests/model/main.rs
+++ b/crates/register/tests/model/main.rs
@@ -4,12 +4,14 @@
 
 mod actions;
 mod audit;
+mod initial;
 mod intern;
 mod machine;
 mod rules;
 mod scenario;
 mod search;
 mod state;
+mod steps;
 #[path = "../support/mod.rs"]
 mod support;
 mod trace;
--- a/crates/register/tests/model/search.rs
+++ b/crates/register/tests/model/search.rs
@@ -1,11 +1,13 @@
 //! Breadth first over all states: the first violation that is found is one of the shortest.
 
-use crate::actions::{Action, apply, enabled, initial};
+use crate::actions::{Action, enabled};
+use crate::initial::initial;
 use crate::intern::FixedHasher;
 use crate::machine::Machine;
 use crate::rules::Violation;
 use crate::scenario::Scenario;
 use crate::state::{MAX_NODES, State};
+use crate::steps::apply;
 use crate::trace;
 use std::collections::HashSet;
 use std::hash::{BuildHasher, BuildHasherDefault, Hasher};
--- a/crates/register/tests/model/trace.rs
+++ b/crates/register/tests/model/trace.rs
@@ -1,9 +1,11 @@
 //! A counterexample, one line a step, with the members under the names that they had at the start.
 
-use crate::actions::{Action, apply, initial};
+use crate::actions::Action;
+use crate::initial::initial;
 use crate::machine::Machine;
 use crate::search::canonical;
 use crate::state::{MAX_NODES, State};
+use crate::steps::apply;
 use crate::support::attempt::Purpose;
 use std::fmt::Write;
 
