--- a/crates/register/src/replicas.rs
+++ b/crates/register/src/replicas.rs
@@ -79,17 +79,11 @@
         value: &Value,
         durable: BTreeMap<Member, Ballot>,
     ) -> Vec<ReplicaEvent> {
-        let set = members_of(value);
         let is_written = ballot > Ballot::default();
-        // With the first value its members come into force, also where they are the same as before it.
-        let is_first = is_written && self.membership == Ballot::default();
-        let changed = !is_joint(value) && (is_first || set != self.set);
-        let returned = durable.keys().any(|member| !self.reached.contains_key(member));
-        if changed {
-            self.set = set;
-            self.membership = ballot;
-        }
-        if is_written && (changed || returned) {
+        // Before `reached` is replaced: a member that has come back is one that was not in it.
+        let has_returned = durable.keys().any(|member| !self.reached.contains_key(member));
+        let has_changed = self.note_set(ballot, value);
+        if is_written && (has_changed || has_returned) {
             self.target = Some(Target { ballot, sequence: value.sequence, since: now });
         }
         self.reached = durable;
@@ -101,6 +95,19 @@
         events
     }
 
+    /// Notes the set of a value; whether it came into force with it. Joint sets are not in force.
+    fn note_set(&mut self, ballot: Ballot, value: &Value) -> bool {
+        let set = members_of(value);
+        // With the first value its members come into force, also where they are the same as before it.
+        let is_first = ballot > Ballot::default() && self.membership == Ballot::default();
+        let has_changed = !is_joint(value) && (is_first || set != self.set);
+        if has_changed {
+            self.set = set;
+            self.membership = ballot;
+        }
+        has_changed
+    }
+
     fn note_committed(&mut self, now: Duration, ballot: Ballot) {
         if self.recent.back().is_none_or(|(_, newest)| *newest < ballot) {
             self.recent.push_back((now, ballot));
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -166,49 +166,73 @@
             return self.on_rejection(from); // it claims that this proposer has a value which it lacks
         }
         self.promises.insert(from, accepted);
+        self.note_found(accepted, value);
+        let sends = self.ask_newest_sets();
+        // A set whose members had all been asked before needs no further request, and may have its majority by now.
+        let has_promised = |member: &Member| self.promises.contains_key(member);
+        if !sends.is_empty() || !self.sets.iter().all(|set| has_majority(set, has_promised)) {
+            return Progress::Send(sends);
+        }
+        self.decide_on_newest(decide)
+    }
+
+    fn note_found(&mut self, accepted: Ballot, value: Option<Rc<Value>>) {
         if let Some(value) = value
             && self.newest.as_ref().is_none_or(|(newest, _)| *newest < accepted)
         {
             self.newest = Some((accepted, value));
         }
-        // A value with other sets: their members may have accepted a newer one, so that nothing may be decided before a
-        // majority of them has promised too.
+    }
+
+    /// Where the newest value has other sets, their members may have accepted a newer one, so that nothing may be decided
+    /// before a majority of them has promised too.
+    fn ask_newest_sets(&mut self) -> Vec<Send> {
         let named = self.newest.as_ref().map(|(_, value)| sets_of(value)).unwrap_or_default();
-        let unasked: Vec<_> = named.into_iter().filter(|set| !self.sets.contains(set)).collect();
-        let sends = self.ask(unasked);
-        // A set whose members had all been asked before needs no further request, and may have its majority by now.
-        if !sends.is_empty()
-            || !self.sets.iter().all(|set| has_majority(set, |m| self.promises.contains_key(m)))
+        let unasked = named.into_iter().filter(|set| !self.sets.contains(set)).collect();
+        self.ask(unasked)
+    }
+
+    /// All promises that are needed have come: decides, once.
+    fn decide_on_newest(&mut self, decide: &mut dyn FnMut(Option<&Value>) -> Decision) -> Progress {
+        let is_chosen = self.is_newest_chosen();
+        // The new set alone must never be written on top of joint sets that may not be chosen: it would count as chosen
+        // at a majority of the new set, while the old one could still choose something else.
+        if let Some((_, found)) = &self.newest
+            && is_joint(found)
+            && !is_chosen
         {
-            return Progress::Send(sends);
+            let found = found.clone();
+            return self.begin_accept_phase(found, Origin::FoundJoint);
+        }
+        let decision = decide(self.newest.as_ref().map(|(_, value)| &**value));
+        match (decision, self.newest.clone()) {
+            (Decision::Propose(value), _) => self.begin_accept_phase(Rc::new(value), Origin::Own),
+            (Decision::Read, None) => Progress::Done(Outcome::Empty),
+            (Decision::Read, Some((ballot, value))) if is_chosen => {
+                Progress::Done(Outcome::Read(ballot, value))
+            }
+            (Decision::Read, Some((_, value))) => self.begin_accept_phase(value, Origin::Found),
         }
-        self.begin_accept_phase(decide)
     }
 
-    fn begin_accept_phase(&mut self, decide: &mut dyn FnMut(Option<&Value>) -> Decision) -> Progress {
-        let chosen = self.newest.as_ref().is_some_and(|(ballot, value)| {
+    /// Whether the promises show that a majority of each of its sets has accepted the newest value under one ballot.
+    fn is_newest_chosen(&self) -> bool {
+        self.newest.as_ref().is_some_and(|(ballot, value)| {
             let accepted = |member: &Member| self.promises.get(member) == Some(ballot);
             sets_of(value).iter().all(|set| has_majority(set, accepted))
-        });
-        let (value, origin) = match &self.newest {
-            // The new set alone must never be written on top of joint sets that may not be chosen: it would count as
-            // chosen at a majority of the new set, while the old one could still choose something else.
-            Some((_, found)) if is_joint(found) && !chosen => (found.clone(), Origin::FoundJoint),
-            found => match (decide(found.as_ref().map(|(_, value)| &**value)), found) {
-                (Decision::Read, None) => return Progress::Done(Outcome::Empty),
-                (Decision::Read, Some((ballot, value))) if chosen => {
-                    return Progress::Done(Outcome::Read(*ballot, value.clone()));
-                }
-                (Decision::Read, Some((_, value))) => (value.clone(), Origin::Found),
-                (Decision::Propose(value), _) => (Rc::new(value), Origin::Own),
-            },
-        };
+        })
+    }
+
+    /// Proposes a value to the members of its own sets, not of those that were asked: the sets of a value are those that
+    /// choose it.
+    fn begin_accept_phase(&mut self, value: Rc<Value>, origin: Origin) -> Progress {
         let sets = sets_of(&value);
         let members: BTreeSet<Member> = sets.iter().flatten().copied().collect();
         let accept = |m: Member| {
             (m, RegisterRequest::Accept { to: m.incarnation, ballot: self.ballot, value: (*value).clone() })
         };
         let sends = members.into_iter().map(accept).collect();
+        // Rejections of the first phase say nothing about the second.
         self.rejected.clear();
         self.phase = Phase::Accepting { value, origin, sets, accepted: BTreeSet::new() };
         Progress::Send(sends)
--- a/crates/register/tests/model/steps.rs
+++ b/crates/register/tests/model/steps.rs
@@ -79,9 +79,7 @@
     let known =
         if state.slots[at].attempt == NONE { NONE } else { state.proposers[usize::from(proposer)].known };
     let request = Request::Prepare { ballot: ballot(machine, rank, proposer), known };
-    let node = &mut state.nodes[usize::from(member)];
-    let (after, reply) = machine.handle(*node, member, request);
-    *node = after;
+    let reply = handle(machine, state, member, request);
     answer(machine, state, Reply { rank, proposer, member, reply })
 }
 
@@ -96,9 +94,7 @@
     state.slots[at].accepts &= !(1 << member);
     let value = state.slots[at].value;
     let request = Request::Accept { ballot: ballot(machine, rank, proposer), value };
-    let node = &mut state.nodes[usize::from(member)];
-    let (after, reply) = machine.handle(*node, member, request);
-    *node = after;
+    let reply = handle(machine, state, member, request);
     if machine.is_acceptance(reply) {
         state.slots[at].votes |= 1 << member;
         rules::note_vote(machine, state, at)?;
@@ -106,6 +102,14 @@
     answer(machine, state, Reply { rank, proposer, member, reply })
 }
 
+/// A member takes a request; its reply.
+fn handle(machine: &mut Machine, state: &mut State, member: u8, request: Request) -> u32 {
+    let node = &mut state.nodes[usize::from(member)];
+    let (after, reply) = machine.handle(*node, member, request);
+    *node = after;
+    reply
+}
+
 fn answer(machine: &mut Machine, state: &mut State, reply: Reply) -> Result<(), Violation> {
     if machine.scenario.network == Network::Reduced {
         return take_reply(machine, state, &reply);
@@ -184,8 +188,7 @@
 fn adopt(machine: &mut Machine, state: &mut State, member: u8, committed: u32) {
     let value = machine.value_of(committed);
     let ballot = machine.committed(committed).0;
-    let node = &mut state.nodes[usize::from(member)];
-    *node = machine.handle(*node, member, Request::Adopt { ballot, value }).0;
+    handle(machine, state, member, Request::Adopt { ballot, value });
 }
 
 /// Forgets what can make no difference any more.
--- a/crates/register/tests/model/trace.rs
+++ b/crates/register/tests/model/trace.rs
@@ -42,12 +42,9 @@
     let name = |member: u8| format!("member {}", names[usize::from(member)]);
     match action {
         Action::Begin { proposer, operation, rank, member } => {
-            let purpose = machine.scenario.scripts[usize::from(proposer)][usize::from(operation)];
-            let purpose = purpose_text(&machine.scenario.purposes[usize::from(purpose)]);
-            format!(
-                "proposer {proposer} begins round {rank} to {purpose}; {} takes its prepare",
-                name(member)
-            )
+            let purpose = purpose_of(machine, proposer, operation);
+            let name = name(member);
+            format!("proposer {proposer} begins round {rank} to {purpose}; {name} takes its prepare")
         }
         Action::Prepare { rank, member, .. } => {
             format!("{} takes the prepare of round {rank}", name(member))
@@ -55,12 +52,8 @@
         Action::Accept { rank, member, .. } => format!("{} takes the accept of round {rank}", name(member)),
         Action::Reply { at } => {
             let reply = &state.replies[usize::from(at)];
-            format!(
-                "the reply of {} to round {} arrives: {:?}",
-                name(reply.member),
-                reply.rank,
-                kind(machine, reply.reply)
-            )
+            let (name, kind) = (name(reply.member), kind(machine, reply.reply));
+            format!("the reply of {name} to round {} arrives: {kind:?}", reply.rank)
         }
         Action::Timeout { proposer } => format!("proposer {proposer} gives its round up"),
         Action::RestartProposer { proposer } => format!("proposer {proposer} restarts"),
@@ -71,15 +64,17 @@
         Action::Inspect { member } => format!("{} answers the reader", name(member)),
         Action::Wipe => "member 2 loses its disk".into(),
         Action::Adopt { member, committed } => {
-            format!(
-                "{} hears that sequence {} is committed",
-                name(member),
-                machine.committed(committed).1.sequence
-            )
+            let sequence = machine.committed(committed).1.sequence;
+            format!("{} hears that sequence {sequence} is committed", name(member))
         }
     }
 }
 
+fn purpose_of(machine: &Machine, proposer: u8, operation: u8) -> String {
+    let purpose = machine.scenario.scripts[usize::from(proposer)][usize::from(operation)];
+    purpose_text(&machine.scenario.purposes[usize::from(purpose)])
+}
+
 fn kind(machine: &Machine, reply: u32) -> String {
     let text = format!("{:?}", machine.reply(reply));
     text.split([' ', '{']).next().unwrap_or_default().to_string()
