--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -3,7 +3,8 @@
 use crate::client::{Departure, Presence};
 use crate::pool::Connections;
 use crate::relay::{ReplyBody, whole};
-use crate::routed::{AttemptState, RequestError, RoutedRequest, TruncatedResponse, time_budget};
+use crate::retry::{AttemptState, Failure, RequestError};
+use crate::routed::{RoutedRequest, TruncatedResponse, time_budget};
 use crate::state::{State, service_key};
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -80,15 +81,12 @@
                 self.clone().pass_on_whole(&request, active, &attempts).await
             };
             match passed_on {
-                Ok(reply) if !reply.status().is_server_error() || !request.outgoing.idempotent => {
-                    return reply;
-                }
-                Ok(reply) if !self.may_retry(&request, &attempts) => return reply,
-                Ok(_) => attempts.may_have_run = true,
-                Err(TruncatedResponse) => {
-                    attempts.may_have_run = true;
-                    if !request.outgoing.idempotent || !self.may_retry(&request, &attempts) {
-                        return self.error_reply(RequestError::after(&request, &attempts));
+                Ok(reply) if !reply.status().is_server_error() => return reply,
+                passed_on => {
+                    if !attempts.may_retry(&self.state, &request, Failure::BadResponse) {
+                        return passed_on.unwrap_or_else(|TruncatedResponse| {
+                            self.error_reply(RequestError::after(&request, &attempts))
+                        });
                     }
                 }
             }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -20,6 +20,7 @@
 mod pool;
 mod prompt;
 mod relay;
+mod retry;
 mod routed;
 mod state;
 mod streaming;
--- a/crates/proxy/src/routed.rs
+++ b/crates/proxy/src/routed.rs
@@ -1,4 +1,4 @@
-//! A request with the settings of its route, and the state of its attempts.
+//! A request with the settings of its route.
 
 use crate::client::Presence;
 use crate::headers::{ATTEMPT_ID, PROMPT_PREFIX, TIME_BUDGET, remove_hop_headers};
@@ -8,10 +8,8 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
 use runtrack_fleetconfig::{Route, RouteKind, Service};
-use runtrack_net::mutant;
 use std::time::Duration;
 use tokio::time::Instant;
-use weirwharf::EndpointId;
 use weirwharf::fleet::Prompt;
 
 /// A stream that sends nothing for this many of the longest pauses that its route allows, and for [`MIN_SILENCE`] at
@@ -92,40 +90,5 @@
     route.pause.map_or(MIN_SILENCE, |pause| (pause * SILENT_PAUSES).max(MIN_SILENCE))
 }
 
-/// State of the attempts of a request.
-#[derive(Clone, Default)]
-pub(crate) struct AttemptState {
-    /// Endpoints that it was or is being sent to.
-    pub(crate) tried: Vec<EndpointId>,
-    /// Endpoints that may have run the request.
-    pub(crate) dispatched: u32,
-    /// Endpoints that have stated that they did not run it.
-    pub(crate) unexecuted: u32,
-    pub(crate) may_have_run: bool,
-    pub(crate) unconnected: usize,
-}
-
 /// The response was truncated before any of it was passed on.
 pub(crate) struct TruncatedResponse;
-
-/// Why a request was given up.
-pub(crate) enum RequestError {
-    /// It never ran.
-    Refused,
-    /// Its deadline has passed, and it may have run.
-    TimedOut,
-    /// It may have run.
-    Failed,
-}
-
-impl RequestError {
-    /// Why a request is given up now, after these attempts.
-    pub(crate) fn after(request: &RoutedRequest, attempts: &AttemptState) -> Self {
-        match attempts.may_have_run {
-            _ if mutant("proxy_refuses_what_was_sent") => RequestError::Refused,
-            false => RequestError::Refused,
-            true if Instant::now() >= request.outgoing.deadline => RequestError::TimedOut,
-            true => RequestError::Failed,
-        }
-    }
-}
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -4,7 +4,8 @@
 use crate::in_flight::ActiveResponse;
 use crate::passage::Passage;
 use crate::relay::{BodyAborted, StreamSender, next_bytes, stream, whole};
-use crate::routed::{AttemptState, RoutedRequest, TruncatedResponse};
+use crate::retry::{AttemptState, Failure};
+use crate::routed::{RoutedRequest, TruncatedResponse};
 use crate::whole::reply_head;
 use bytes::Bytes;
 use http_body_util::Either;
@@ -115,8 +116,7 @@
         passage: &Passage,
     ) -> Option<ActiveResponse> {
         let last = HeaderValue::from_str(passage.resumes_after()?).ok()?;
-        attempts.may_have_run = true;
-        if !self.may_retry(request, attempts) {
+        if !attempts.may_retry(&self.state, request, Failure::BadResponse) {
             return None;
         }
         let active = self.begin(request, attempts, Some(&last)).await.ok()?;
@@ -183,7 +183,7 @@
         attempts: &mut AttemptState,
         passage: &Passage,
     ) -> Result<Option<Bytes>, Interruption> {
-        let tried = attempts.tried.len();
+        let tried = attempts.tried().len();
         let mut declined = false;
         let next = {
             let mut taking_over = pin!(self.resume(request, attempts, passage));
@@ -204,8 +204,8 @@
                 }
             }
         };
-        if !declined && attempts.tried.len() > tried {
-            attempts.dispatched += 1; // the endpoint that was asked last may have begun to run it
+        if !declined && attempts.tried().len() > tried {
+            attempts.on_abandoned();
         }
         received(next.map_err(|_| Interruption::Ended(Outcome::TimedOut))?)
     }
