--- a/crates/proxy/tests/endings.rs
+++ b/crates/proxy/tests/endings.rs
@@ -14,7 +14,7 @@
 /// Time limit of the routes here, in milliseconds.
 const TIMEOUT: u32 = 500;
 /// When a request that has reached its route's time limit must have been answered: the time limit of the route `clock`.
-const LATEST: u32 = TIMEOUT + 500;
+const LATEST: u32 = TIMEOUT + 250;
 
 fn short_routes() -> Vec<String> {
     vec![
