--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,9 +1,9 @@
 //! One attempt: sends a request to one endpoint and waits for the head of the response.
 
 use crate::headers::{LAST_EVENT_ID, PRIORITY, TARGET, TIME_BUDGET};
-use crate::judge::{Judgement, judge};
 use crate::outgoing::Outgoing;
 use crate::pool::{Connection, Connections, NoConnection};
+use crate::response_class::{ResponseClass, classify};
 use crate::state::{State, Target};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -124,14 +124,14 @@
     response: Response<Incoming>,
     connection: Connection,
 ) -> Result<ResponseStarted, AttemptError> {
-    match judge(outgoing, &target.id, &response) {
-        Judgement::Answer => {
+    match classify(outgoing, &target.id, &response) {
+        ResponseClass::Valid => {
             let headers = response.headers();
             let ends_with_connection =
                 !headers.contains_key(CONTENT_LENGTH) && !headers.contains_key(TRANSFER_ENCODING);
             Ok(ResponseStarted { response, connection, ends_with_connection })
         }
-        Judgement::NeverRan => Err(AttemptError::sent(Outcome::Full)),
-        Judgement::Unknown(outcome) => Err(AttemptError::sent(outcome)),
+        ResponseClass::NotExecuted => Err(AttemptError::sent(Outcome::Full)),
+        ResponseClass::Unknown(outcome) => Err(AttemptError::sent(outcome)),
     }
 }
--- a/crates/proxy/src/whole.rs
+++ b/crates/proxy/src/complete.rs
@@ -1,12 +1,12 @@
-//! Responses that are received completely before they are passed on.
+//! Responses that are received completely before they are forwarded.
 
 use crate::attempt::ResponseStarted;
 use crate::forward::{Forwarder, Reply};
 use crate::headers::{closes, keep_alive, remove_hop_headers};
 use crate::in_flight::ActiveResponse;
-use crate::passage::Passage;
 use crate::pool::Reuse;
-use crate::relay::{BodyAborted, next_bytes, whole};
+use crate::reply_body::{BodyAborted, full_body, next_bytes};
+use crate::response_relay::ResponseRelay;
 use crate::retry::AttemptState;
 use crate::routed::{RoutedRequest, TruncatedResponse};
 use bytes::{Bytes, BytesMut};
@@ -15,12 +15,12 @@
 use tokio::time::timeout_at;
 use weirwharf::Outcome;
 
-/// Size in bytes up to which a response is buffered; a larger one is passed on as it is received.
-const MAX_WHOLE: usize = 256 << 10;
+/// Size in bytes up to which a response is buffered; a larger one is forwarded as it is received.
+const MAX_BUFFERED_BODY: usize = 256 << 10;
 
 impl Forwarder {
-    /// Receives a response completely before passing it on, so that a truncated one can be retried or fails cleanly.
-    pub(crate) async fn pass_on_whole(
+    /// Receives a response completely before forwarding it, so that a truncated one can be retried or fails cleanly.
+    pub(crate) async fn forward_complete(
         self: Rc<Self>,
         request: &Rc<RoutedRequest>,
         mut active: ActiveResponse,
@@ -29,17 +29,23 @@
         let mut read = BytesMut::new();
         while let Some(bytes) = self.next_in_time(request, &mut active).await? {
             read.extend_from_slice(&bytes);
-            if read.len() > MAX_WHOLE {
-                return Ok(self.relay_from(request, active, attempts, Passage::of_bytes(), read.freeze()));
+            if read.len() > MAX_BUFFERED_BODY {
+                return Ok(self.relay_from(
+                    request,
+                    active,
+                    attempts,
+                    ResponseRelay::for_bytes(),
+                    read.freeze(),
+                ));
             }
         }
         let head = reply_head(&active);
         let failed = active.started.response.status().is_server_error();
         self.finish(request, active, if failed { Outcome::Error } else { Outcome::Ok });
-        Ok(head.map(|()| whole(read.freeze())))
+        Ok(head.map(|()| full_body(read.freeze())))
     }
 
-    /// The next bytes of a response of which nothing has been passed on; none at its end.
+    /// The next bytes of a response of which nothing has been forwarded; none at its end.
     pub(crate) async fn next_in_time(
         &self,
         request: &RoutedRequest,
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -1,43 +1,43 @@
-//! Tracks the events of a stream (`text/event-stream`), so that it can be resumed behind the last whole one.
+//! Tracks the events of a stream (`text/event-stream`), so that it can be resumed behind the last complete one.
 
-/// Maximum size in bytes of an event that is held back; a stream with a larger one is passed on but can't be resumed.
+/// Maximum size in bytes of an event that is held back; a stream with a larger one is forwarded but can't be resumed.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 /// Number of last bytes that show whether a blank line has just ended.
 const TAIL_BYTES: usize = 3;
 
-/// Holds an event back until it is whole, and tracks the id of the last whole one.
+/// Holds an event back until it is complete, and tracks the id of the last complete one.
 #[derive(Debug, Default)]
 pub struct EventTracker {
     partial: Vec<u8>,
-    /// The last bytes of a stream that is passed on as it is received.
+    /// The last bytes of a stream that is forwarded as it is received.
     tail: Vec<u8>,
     last_id: Option<String>,
-    /// Part of an event was passed on: only the same endpoint can continue it.
-    passed_in_parts: bool,
+    /// Part of an event was forwarded: only the same endpoint can continue it.
+    forwarded_in_parts: bool,
     /// The id behind which another endpoint is to resume, until its first event is received.
     resumed_after: Option<u64>,
     starts_over: bool,
 }
 
 impl EventTracker {
-    /// Adds received bytes; returns those of the events that are whole now, if any.
+    /// Adds received bytes; returns those of the events that are complete now, if any.
     pub fn take(&mut self, bytes: &[u8]) -> Option<Vec<u8>> {
         let from = self.partial.len().saturating_sub(TAIL_BYTES);
         self.partial.extend_from_slice(bytes);
         let end = last_blank_line(&self.partial, from);
         if end.is_none() && self.partial.len() > MAX_EVENT_BYTES {
-            self.passed_in_parts = true;
+            self.forwarded_in_parts = true;
             return Some(std::mem::take(&mut self.partial));
         }
         let end = end?;
         let rest = self.partial.split_off(end);
-        let whole = std::mem::replace(&mut self.partial, rest);
-        self.note(&whole);
-        Some(whole)
+        let complete = std::mem::replace(&mut self.partial, rest);
+        self.note(&complete);
+        Some(complete)
     }
 
-    /// Tracks bytes that are passed on as they are received.
-    pub fn pass(&mut self, bytes: &[u8]) {
+    /// Tracks bytes that are forwarded as they are received.
+    pub fn observe(&mut self, bytes: &[u8]) {
         self.tail.extend_from_slice(&bytes[bytes.len().saturating_sub(TAIL_BYTES)..]);
         self.tail.drain(..self.tail.len().saturating_sub(TAIL_BYTES));
     }
@@ -52,7 +52,7 @@
         !self.partial.is_empty() || (!self.tail.is_empty() && !ends_blank(&self.tail))
     }
 
-    /// Another endpoint resumes behind the last whole event: the part of the next one is discarded and sent again.
+    /// Another endpoint resumes behind the last complete event: the part of the next one is discarded and sent again.
     pub fn resume(&mut self) {
         self.partial.clear();
         self.resumed_after = self.last_id.as_ref().and_then(|id| id.parse().ok());
@@ -63,9 +63,9 @@
         self.starts_over
     }
 
-    /// The id of the last whole event, if the stream can be resumed behind it.
+    /// The id of the last complete event, if the stream can be resumed behind it.
     pub fn last_id(&self) -> Option<&str> {
-        self.last_id.as_deref().filter(|_| !self.passed_in_parts && !self.starts_over)
+        self.last_id.as_deref().filter(|_| !self.forwarded_in_parts && !self.starts_over)
     }
 
     fn note(&mut self, events: &[u8]) {
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -1,8 +1,8 @@
-//! Handles a request from its head to its final response: routing, attempts, passing the response on.
+//! Handles a request from its head to its final response: routing, attempts, forwarding the response.
 
 use crate::client::{Departure, Presence};
 use crate::pool::Connections;
-use crate::relay::{ReplyBody, whole};
+use crate::reply_body::{ReplyBody, full_body};
 use crate::retry::{AttemptState, Failure, RequestError};
 use crate::routed::{RoutedRequest, TruncatedResponse, time_budget};
 use crate::state::{State, service_key};
@@ -55,7 +55,7 @@
         };
         let (route, service) = (routed.route.clone(), routed.service.clone());
         let deadline = came + time_budget(&route, &head.headers);
-        let body = match whole_body(body, table.config().limits.body_bytes, deadline).await {
+        let body = match complete_body(body, table.config().limits.body_bytes, deadline).await {
             Ok(body) => body,
             Err(reply) => return reply,
         };
@@ -75,16 +75,16 @@
                 Ok(active) => active,
                 Err(error_reply) => return self.error_reply(error_reply),
             };
-            let passed_on = if request.streaming && active.started.response.status().is_success() {
-                self.clone().pass_on_stream(&request, active, &attempts).await
+            let forwarded = if request.streaming && active.started.response.status().is_success() {
+                self.clone().forward_stream(&request, active, &attempts).await
             } else {
-                self.clone().pass_on_whole(&request, active, &attempts).await
+                self.clone().forward_complete(&request, active, &attempts).await
             };
-            match passed_on {
+            match forwarded {
                 Ok(reply) if !reply.status().is_server_error() => return reply,
-                passed_on => {
+                forwarded => {
                     if !attempts.may_retry(&self.state, &request, Failure::BadResponse) {
-                        return passed_on.unwrap_or_else(|TruncatedResponse| {
+                        return forwarded.unwrap_or_else(|TruncatedResponse| {
                             self.error_reply(RequestError::after(&request, &attempts))
                         });
                     }
@@ -113,7 +113,7 @@
 }
 
 /// Receives a request's body; an error is the response where it is not complete, in time and within the limit.
-async fn whole_body(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, Reply> {
+async fn complete_body(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, Reply> {
     let (status, why) = match timeout_at(deadline, Limited::new(body, most).collect()).await {
         Ok(Ok(body)) => return Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
@@ -134,7 +134,7 @@
 
 /// A response of the proxy itself.
 pub fn text(status: StatusCode, text: &'static str) -> Reply {
-    let mut reply = Response::new(whole(Bytes::from_static(text.as_bytes())));
+    let mut reply = Response::new(full_body(Bytes::from_static(text.as_bytes())));
     *reply.status_mut() = status;
     reply
 }
--- a/crates/proxy/src/in_flight.rs
+++ b/crates/proxy/src/in_flight.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// A response that is being passed on, and its accounting.
+/// A response that is being forwarded, and its accounting.
 pub(crate) struct ActiveResponse {
     pub(crate) started: ResponseStarted,
     pub(crate) in_flight: InFlight,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,32 +3,32 @@
 //!
 //! Routes, endpoints and the size of the fleet come from the agent of the machine (`runtrack_link::Gossip`). Load balancing
 //! is left to `weirwharf::fleet`; the proxy itself guarantees what must hold whichever endpoint is selected: a request that
-//! is not idempotent runs once at most, a request is refused only if it never ran, and a truncated response is passed on
+//! is not idempotent runs once at most, a request is refused only if it never ran, and a truncated response is forwarded
 //! as truncated.
 
 mod attempt;
 mod attempts;
 mod client;
+mod complete;
 mod events;
 mod forward;
 mod headers;
 mod in_flight;
 mod ingress;
-mod judge;
 mod outgoing;
-mod passage;
 mod pool;
 mod prompt;
-mod relay;
+mod reply_body;
+mod response_class;
+mod response_relay;
 mod retry;
 mod routed;
 mod state;
 mod streaming;
-mod whole;
 
 pub use events::EventTracker;
 pub use prompt::prompt_of;
-pub use relay::{BodyAborted, ClientGone, Stream, StreamSender, stream};
+pub use reply_body::{BodyAborted, ClientGone, Stream, StreamSender, stream};
 
 use crate::forward::Forwarder;
 use crate::ingress::IngressServer;
--- a/crates/proxy/src/outgoing.rs
+++ b/crates/proxy/src/outgoing.rs
@@ -16,7 +16,7 @@
     pub uri: Uri,
     /// Headers, without hop-by-hop ones.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
     /// `X-Attempt-Id`: the client's id of its attempt, which the response must repeat.
     pub id: Option<HeaderValue>,
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/reply_body.rs
@@ -116,7 +116,7 @@
 pub type ReplyBody = Either<Full<Bytes>, Stream>;
 
 /// A body whose bytes are all known.
-pub fn whole(bytes: Bytes) -> ReplyBody {
+pub fn full_body(bytes: Bytes) -> ReplyBody {
     Either::Left(Full::new(bytes))
 }
 
--- a/crates/proxy/src/judge.rs
+++ b/crates/proxy/src/response_class.rs
@@ -9,34 +9,34 @@
 
 /// Class of a response head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
-    /// The endpoint's response to this request, to be passed on.
-    Answer,
+pub enum ResponseClass {
+    /// The endpoint's response to this request, to be forwarded.
+    Valid,
     /// The endpoint states that the request has not run there and never will.
-    NeverRan,
+    NotExecuted,
     /// Neither: whether the request ran is unknown.
     Unknown(Outcome),
 }
 
 /// Classifies the head received in response to a request. `endpoint` is the id of the endpoint it was sent to.
-pub fn judge<B>(outgoing: &Outgoing, endpoint: &str, response: &Response<B>) -> Judgement {
+pub fn classify<B>(outgoing: &Outgoing, endpoint: &str, response: &Response<B>) -> ResponseClass {
     let (status, headers) = (response.status(), response.headers());
     if !carries_id_of(outgoing, headers) || !is_final(status) || is_encoded(headers) {
-        return Judgement::Unknown(Outcome::Reset);
+        return ResponseClass::Unknown(Outcome::Reset);
     }
     if status.is_success() {
         let sealed = has_seal(headers) && !headers.contains_key(NOT_EXECUTED);
         return match sealed && !names_another(endpoint, headers) {
-            true => Judgement::Answer,
-            false => Judgement::Unknown(Outcome::Reset),
+            true => ResponseClass::Valid,
+            false => ResponseClass::Unknown(Outcome::Reset),
         };
     }
     if headers.contains_key(NOT_EXECUTED) || status == StatusCode::MISDIRECTED_REQUEST {
-        return Judgement::NeverRan;
+        return ResponseClass::NotExecuted;
     }
     match is_promise(status) && !mutant("proxy_bare_promise_kept") {
-        true => Judgement::Unknown(Outcome::Error),
-        false => Judgement::Answer,
+        true => ResponseClass::Unknown(Outcome::Error),
+        false => ResponseClass::Valid,
     }
 }
 
--- a/crates/proxy/src/routed.rs
+++ b/crates/proxy/src/routed.rs
@@ -12,10 +12,10 @@
 use tokio::time::Instant;
 use weirwharf::fleet::Prompt;
 
-/// A stream that sends nothing for this many of the longest pauses that its route allows, and for [`MIN_SILENCE`] at
+/// A stream that sends nothing for this many of the longest pauses that its route allows, and for [`MIN_STALL_TIMEOUT`] at
 /// least, counts against its endpoint.
-const SILENT_PAUSES: u32 = 4;
-const MIN_SILENCE: Duration = Duration::from_millis(1000);
+const STALL_PAUSES: u32 = 4;
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// A request with the settings of its route.
 pub(crate) struct RoutedRequest {
@@ -26,7 +26,7 @@
     pub(crate) resumable: bool,
     pub(crate) streaming: bool,
     /// A stream that pauses for longer counts against its endpoint.
-    pub(crate) silent_after: Duration,
+    pub(crate) stall_timeout: Duration,
     pub(crate) prompt: Option<Prompt>,
 }
 
@@ -61,7 +61,7 @@
             max_tries: route.max_tries,
             resumable: route.resumable,
             streaming: route.kind == RouteKind::Streaming,
-            silent_after: silent_after(route),
+            stall_timeout: stall_timeout(route),
             prompt,
         }
     }
@@ -86,9 +86,9 @@
     prefix.filter(|_| route.pinned).and_then(prompt_of)
 }
 
-fn silent_after(route: &Route) -> Duration {
-    route.pause.map_or(MIN_SILENCE, |pause| (pause * SILENT_PAUSES).max(MIN_SILENCE))
+fn stall_timeout(route: &Route) -> Duration {
+    route.pause.map_or(MIN_STALL_TIMEOUT, |pause| (pause * STALL_PAUSES).max(MIN_STALL_TIMEOUT))
 }
 
-/// The response was truncated before any of it was passed on.
+/// The response was truncated before any of it was forwarded.
 pub(crate) struct TruncatedResponse;
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -1,12 +1,12 @@
-//! Passes streams on, resuming them at other endpoints if necessary.
+//! Forwards streams, resuming them at other endpoints if necessary.
 
+use crate::complete::reply_head;
 use crate::forward::{Forwarder, Reply};
 use crate::in_flight::ActiveResponse;
-use crate::passage::Passage;
-use crate::relay::{BodyAborted, StreamSender, next_bytes, stream, whole};
+use crate::reply_body::{BodyAborted, StreamSender, full_body, next_bytes, stream};
+use crate::response_relay::ResponseRelay;
 use crate::retry::{AttemptState, Failure};
 use crate::routed::{RoutedRequest, TruncatedResponse};
-use crate::whole::reply_head;
 use bytes::Bytes;
 use http_body_util::Either;
 use hyper::body::Incoming;
@@ -18,36 +18,36 @@
 use weirwharf::Outcome;
 
 impl Forwarder {
-    /// Passes a stream on from its first bytes. Its head is held back until then: a stream that ends before its first
-    /// event can still fail as a whole or be retried.
-    pub(crate) async fn pass_on_stream(
+    /// Forwards a stream from its first bytes. Its head is held back until then: a stream that ends before its first
+    /// event can still fail completely or be retried.
+    pub(crate) async fn forward_stream(
         self: Rc<Self>,
         request: &Rc<RoutedRequest>,
         mut active: ActiveResponse,
         attempts: &AttemptState,
     ) -> Result<Reply, TruncatedResponse> {
-        let mut passage = Passage::of_events(request);
+        let mut relay = ResponseRelay::for_events(request);
         while let Some(bytes) = self.next_in_time(request, &mut active).await? {
-            if let Some(ready) = passage.ready(bytes) {
-                return Ok(self.relay_from(request, active, attempts, passage, ready));
+            if let Some(ready) = relay.push(bytes) {
+                return Ok(self.relay_from(request, active, attempts, relay, ready));
             }
         }
-        if passage.is_cut(&active) {
+        if relay.is_truncated(&active) {
             active.in_flight.outcome = Outcome::Reset;
             return Err(TruncatedResponse);
         }
         let head = reply_head(&active);
         self.finish(request, active, Outcome::Ok);
-        Ok(head.map(|()| whole(passage.rest())))
+        Ok(head.map(|()| full_body(relay.remainder())))
     }
 
-    /// Passes a response on as it is received, starting with the bytes `first`.
+    /// Forwards a response as it is received, starting with the bytes `first`.
     pub(crate) fn relay_from(
         self: Rc<Self>,
         request: &Rc<RoutedRequest>,
         mut active: ActiveResponse,
         attempts: &AttemptState,
-        passage: Passage,
+        relay: ResponseRelay,
         first: Bytes,
     ) -> Reply {
         active.in_flight.on_response_started();
@@ -55,21 +55,21 @@
         let body = body.until_departure_of(request.outgoing.client.clone());
         let reply = reply_head(&active).map(|()| Either::Right(body));
         let _ = sender.try_send(first); // there is room for the first one
-        spawn_local(self.relay(request.clone(), active, attempts.clone(), passage, sender));
+        spawn_local(self.relay_to_end(request.clone(), active, attempts.clone(), relay, sender));
         reply
     }
 
-    /// Passes a stream on to its end, for as long as its client is connected.
-    async fn relay(
+    /// Forwards a stream to its end, for as long as its client is connected.
+    async fn relay_to_end(
         self: Rc<Self>,
         request: Rc<RoutedRequest>,
         active: ActiveResponse,
         attempts: AttemptState,
-        passage: Passage,
+        relay: ResponseRelay,
         sender: StreamSender,
     ) {
         let followed = tokio::select! {
-            followed = self.follow(&request, active, attempts, passage, &sender) => followed,
+            followed = self.follow(&request, active, attempts, relay, &sender) => followed,
             () = sender.closed() => return, // the client has gone, and with this the endpoint's connection
         };
         if followed.is_ok() {
@@ -77,17 +77,17 @@
         }
     }
 
-    /// Passes a stream on, resuming it at other endpoints if necessary; fails if it did not reach its end.
+    /// Forwards a stream, resuming it at other endpoints if necessary; fails if it did not reach its end.
     async fn follow(
         &self,
         request: &RoutedRequest,
         mut active: ActiveResponse,
         mut attempts: AttemptState,
-        mut passage: Passage,
+        mut relay: ResponseRelay,
         sender: &StreamSender,
     ) -> Result<(), TruncatedResponse> {
         loop {
-            let relayed = self.relay_one(request, &mut active, &mut attempts, &mut passage, sender).await;
+            let relayed = self.relay_one(request, &mut active, &mut attempts, &mut relay, sender).await;
             let Err(interruption) = relayed else {
                 self.finish(request, active, Outcome::Ok);
                 return Ok(());
@@ -101,21 +101,21 @@
                 Interruption::Ended(outcome) => {
                     active.in_flight.outcome = outcome;
                     drop(active);
-                    self.resume(request, &mut attempts, &passage).await.ok_or(TruncatedResponse)?
+                    self.resume(request, &mut attempts, &relay).await.ok_or(TruncatedResponse)?
                 }
             };
-            passage.events.resume();
+            relay.events.resume();
         }
     }
 
-    /// Asks another endpoint to resume a stream behind the last whole event that was passed on.
+    /// Asks another endpoint to resume a stream behind the last complete event that was forwarded.
     async fn resume(
         &self,
         request: &RoutedRequest,
         attempts: &mut AttemptState,
-        passage: &Passage,
+        relay: &ResponseRelay,
     ) -> Option<ActiveResponse> {
-        let last = HeaderValue::from_str(passage.resumes_after()?).ok()?;
+        let last = HeaderValue::from_str(relay.resumes_after()?).ok()?;
         if !attempts.may_retry(&self.state, request, Failure::BadResponse) {
             return None;
         }
@@ -123,30 +123,30 @@
         active.started.response.status().is_success().then_some(active)
     }
 
-    /// Passes on what one endpoint sends, until it ends or is interrupted.
+    /// Forwards what one endpoint sends, until it ends or is interrupted.
     async fn relay_one(
         &self,
         request: &RoutedRequest,
         active: &mut ActiveResponse,
         attempts: &mut AttemptState,
-        passage: &mut Passage,
+        relay: &mut ResponseRelay,
         sender: &StreamSender,
     ) -> Result<(), Interruption> {
-        while let Some(bytes) = self.next_of_stream(request, active, attempts, passage).await? {
+        while let Some(bytes) = self.next_of_stream(request, active, attempts, relay).await? {
             active.in_flight.on_response_started(); // where another endpoint goes on with a stream
-            let ready = passage.ready(bytes);
-            if passage.events.starts_over() {
+            let ready = relay.push(bytes);
+            if relay.events.starts_over() {
                 return Err(Interruption::Ended(Outcome::Reset));
             }
             if let Some(ready) = ready {
                 send_in_time(request, sender, ready).await?;
             }
         }
-        if passage.is_cut(active) {
+        if relay.is_truncated(active) {
             return Err(Interruption::Ended(Outcome::Reset));
         }
-        // The endpoint ended its response with this, even if it is no whole event.
-        match passage.rest() {
+        // The endpoint ended its response with this, even if it is no complete event.
+        match relay.remainder() {
             rest if rest.is_empty() => Ok(()),
             rest => send_in_time(request, sender, rest).await,
         }
@@ -158,17 +158,17 @@
         request: &RoutedRequest,
         active: &mut ActiveResponse,
         attempts: &mut AttemptState,
-        passage: &Passage,
+        relay: &ResponseRelay,
     ) -> Result<Option<Bytes>, Interruption> {
         let (deadline, key) = (request.outgoing.deadline, active.in_flight.key);
         let body = active.started.response.body_mut();
-        match timeout_at(deadline, timeout(request.silent_after, next_bytes(body))).await {
+        match timeout_at(deadline, timeout(request.stall_timeout, next_bytes(body))).await {
             // The endpoint was still at work at the deadline, which does not count against it.
             Err(_) => Err(Interruption::Ended(Outcome::Cancelled)),
             Ok(Ok(next)) => received(next),
             Ok(Err(_)) => {
                 self.state.on_silence(key);
-                self.next_after_pause(request, body, attempts, passage).await
+                self.next_after_pause(request, body, attempts, relay).await
             }
         }
     }
@@ -181,12 +181,12 @@
         request: &RoutedRequest,
         body: &mut Incoming,
         attempts: &mut AttemptState,
-        passage: &Passage,
+        relay: &ResponseRelay,
     ) -> Result<Option<Bytes>, Interruption> {
         let tried = attempts.tried().len();
         let mut declined = false;
         let next = {
-            let mut taking_over = pin!(self.resume(request, attempts, passage));
+            let mut taking_over = pin!(self.resume(request, attempts, relay));
             loop {
                 tokio::select! {
                     biased;
@@ -211,7 +211,7 @@
     }
 }
 
-/// Why an endpoint's part of a stream was not passed on to the end of the stream.
+/// Why an endpoint's part of a stream was not forwarded to the end of the stream.
 enum Interruption {
     /// The attempt ended with this outcome.
     Ended(Outcome),
