--- a/crates/proxy/src/routed.rs
+++ b/crates/proxy/src/routed.rs
@@ -1,4 +1,4 @@
-//! A request with the settings of its route, and the state of its attempts.
+//! A request with the settings of its route.
 
 use crate::client::Presence;
 use crate::headers::{ATTEMPT_ID, PROMPT_PREFIX, TIME_BUDGET, remove_hop_headers};
@@ -8,16 +8,14 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
 use runtrack_fleetconfig::{Route, RouteKind, Service};
-use runtrack_net::mutant;
 use std::time::Duration;
 use tokio::time::Instant;
-use weirwharf::EndpointId;
 use weirwharf::fleet::Prompt;
 
-/// A stream that sends nothing for this many of the longest pauses that its route allows, and for [`MIN_SILENCE`] at
+/// A stream that sends nothing for this many of the longest pauses that its route allows, and for [`MIN_STALL_TIMEOUT`] at
 /// least, counts against its endpoint.
-const SILENT_PAUSES: u32 = 4;
-const MIN_SILENCE: Duration = Duration::from_millis(1000);
+const STALL_PAUSES: u32 = 4;
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// A request with the settings of its route.
 pub(crate) struct RoutedRequest {
@@ -28,7 +26,7 @@
     pub(crate) resumable: bool,
     pub(crate) streaming: bool,
     /// A stream that pauses for longer counts against its endpoint.
-    pub(crate) silent_after: Duration,
+    pub(crate) stall_timeout: Duration,
     pub(crate) prompt: Option<Prompt>,
 }
 
@@ -63,7 +61,7 @@
             max_tries: route.max_tries,
             resumable: route.resumable,
             streaming: route.kind == RouteKind::Streaming,
-            silent_after: silent_after(route),
+            stall_timeout: stall_timeout(route),
             prompt,
         }
     }
@@ -88,44 +86,9 @@
     prefix.filter(|_| route.pinned).and_then(prompt_of)
 }
 
-fn silent_after(route: &Route) -> Duration {
-    route.pause.map_or(MIN_SILENCE, |pause| (pause * SILENT_PAUSES).max(MIN_SILENCE))
+fn stall_timeout(route: &Route) -> Duration {
+    route.pause.map_or(MIN_STALL_TIMEOUT, |pause| (pause * STALL_PAUSES).max(MIN_STALL_TIMEOUT))
 }
 
-/// State of the attempts of a request.
-#[derive(Clone, Default)]
-pub(crate) struct AttemptState {
-    /// Endpoints that it was or is being sent to.
-    pub(crate) tried: Vec<EndpointId>,
-    /// Endpoints that may have run the request.
-    pub(crate) dispatched: u32,
-    /// Endpoints that have stated that they did not run it.
-    pub(crate) unexecuted: u32,
-    pub(crate) may_have_run: bool,
-    pub(crate) unconnected: usize,
-}
-
-/// The response was truncated before any of it was passed on.
+/// The response was truncated before any of it was forwarded.
 pub(crate) struct TruncatedResponse;
-
-/// Why a request was given up.
-pub(crate) enum RequestError {
-    /// It never ran.
-    Refused,
-    /// Its deadline has passed, and it may have run.
-    TimedOut,
-    /// It may have run.
-    Failed,
-}
-
-impl RequestError {
-    /// Why a request is given up now, after these attempts.
-    pub(crate) fn after(request: &RoutedRequest, attempts: &AttemptState) -> Self {
-        match attempts.may_have_run {
-            _ if mutant("proxy_refuses_what_was_sent") => RequestError::Refused,
-            false => RequestError::Refused,
-            true if Instant::now() >= request.outgoing.deadline => RequestError::TimedOut,
-            true => RequestError::Failed,
-        }
-    }
-}
