--- a/crates/register/tests/model/steps.rs
+++ b/crates/register/tests/model/steps.rs
@@ -10,16 +10,28 @@
 use crate::support::node::Node;
 use std::rc::Rc;
 
+/// A message of a round that reaches a member.
+#[derive(Clone, Copy)]
+struct Delivery {
+    rank: u8,
+    proposer: u8,
+    member: u8,
+}
+
 /// The state after a step, or the rule that it breaks; nothing where the step changes nothing.
 pub fn apply(machine: &mut Machine, state: &State, action: Action) -> Result<Option<State>, Violation> {
     let mut next = state.clone();
     match action {
         Action::Begin { proposer, operation, rank, member } => {
             begin(machine, &mut next, proposer, operation, rank);
-            prepare(machine, &mut next, rank, proposer, member)?;
+            prepare(machine, &mut next, Delivery { rank, proposer, member })?;
+        }
+        Action::Prepare { rank, proposer, member } => {
+            prepare(machine, &mut next, Delivery { rank, proposer, member })?;
+        }
+        Action::Accept { rank, proposer, member } => {
+            accept(machine, &mut next, Delivery { rank, proposer, member })?;
         }
-        Action::Prepare { rank, proposer, member } => prepare(machine, &mut next, rank, proposer, member)?,
-        Action::Accept { rank, proposer, member } => accept(machine, &mut next, rank, proposer, member)?,
         Action::Reply { at } => {
             let reply = next.replies.remove(usize::from(at));
             take_reply(machine, &mut next, &reply)?;
@@ -67,13 +79,8 @@
     state.slots.iter().position(is).expect("the round of the message")
 }
 
-fn prepare(
-    machine: &mut Machine,
-    state: &mut State,
-    rank: u8,
-    proposer: u8,
-    member: u8,
-) -> Result<(), Violation> {
+fn prepare(machine: &mut Machine, state: &mut State, delivery: Delivery) -> Result<(), Violation> {
+    let Delivery { rank, proposer, member } = delivery;
     let at = position(state, rank, proposer, |slot| slot.prepares & (1 << member) != 0);
     state.slots[at].prepares &= !(1 << member);
     let known =
@@ -83,13 +90,8 @@
     answer(machine, state, Reply { rank, proposer, member, reply })
 }
 
-fn accept(
-    machine: &mut Machine,
-    state: &mut State,
-    rank: u8,
-    proposer: u8,
-    member: u8,
-) -> Result<(), Violation> {
+fn accept(machine: &mut Machine, state: &mut State, delivery: Delivery) -> Result<(), Violation> {
+    let Delivery { rank, proposer, member } = delivery;
     let at = position(state, rank, proposer, |slot| slot.accepts & (1 << member) != 0);
     state.slots[at].accepts &= !(1 << member);
     let value = state.slots[at].value;
