--- a/crates/hash_ring/tests/hashing.rs
+++ b/crates/hash_ring/tests/hashing.rs
@@ -58,3 +58,13 @@
     assert_ne!(weight(1, 2), weight(2, 1));
     assert_eq!(rendezvous(1, []), None);
 }
+
+/// Processes of different versions must compute the same assignment. The numbers are those of the version before the crate
+/// got its present name.
+#[test]
+fn assignments_are_those_of_earlier_versions() {
+    assert_eq!(hash(b"10.0.0.1:7000"), 0x6d12_66fe_609c_8600);
+    assert_eq!(weight(1, 2), 0x40ec_3339_838d_6d11);
+    assert_eq!(rendezvous(7, [1, 2, 3]), Some(2));
+    assert_eq!(ring(0..7).successors(b"a process", 3), [4, 0, 2]);
+}
