--- a/crates/controller/src/error.rs
+++ b/crates/controller/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a control member ends other than by being told to.
+//! Why a control member ends other than by being asked to.
 
 use crate::disk::DiskError;
 use quick_error::quick_error;
--- a/crates/controller/src/proposer/timing.rs
+++ b/crates/controller/src/proposer/timing.rs
@@ -17,7 +17,7 @@
 const ROUND_BACKOFF: Duration = Duration::from_millis(8);
 /// Upper bound of the backoff, before its random addition.
 const MAX_ROUND_BACKOFF: Duration = ROUND_TIMEOUT;
-/// Preemptions after which the backoff grows no more.
+/// Attempts after which the backoff grows no more.
 const MAX_BACKOFF_STEPS: u32 = 8;
 /// A proposer that was preempted leaps over at most two to this power of others' rounds.
 const MAX_LEAP_STEPS: u32 = 10;
