--- a/crates/controller/tests/endpoint_calls.rs
+++ b/crates/controller/tests/endpoint_calls.rs
@@ -19,7 +19,7 @@
 #[test]
 fn an_acknowledgement_is_short_and_names_no_other_address() {
     let cluster = Cluster::started("short", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     for state in ["ready", "draining"] {
         cluster.acknowledged(0, PATH, &heartbeat(state, 1));
         let got = cluster.call(0, "POST", PATH, "", &heartbeat(state, 2));
@@ -31,7 +31,7 @@
 #[test]
 fn a_call_that_is_too_large_is_refused_and_the_next_one_taken() {
     let cluster = Cluster::started("large", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     let large = heartbeat("ready", 1).replace('{', &format!("{{\"more\":\"{}\",", "x".repeat(64 << 10)));
     assert_eq!(cluster.call(0, "POST", PATH, "", &large).status, 413);
     cluster.acknowledged(0, PATH, &heartbeat("ready", 2));
@@ -40,7 +40,7 @@
 #[test]
 fn calls_that_are_late_or_of_nobody_known_are_acknowledged() {
     let cluster = Cluster::started("late", 3);
-    assert_eq!(cluster.order(0, 0, 1), 200);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
     cluster.acknowledged(0, PATH, &heartbeat("ready", 1));
     cluster.acknowledged(1, PATH, &heartbeat("draining", 3));
     cluster.acknowledged(1, PATH, &heartbeat("ready", 2));
