--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -21,7 +21,9 @@
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use runtrack_link::Gossip;
+use std::cell::Cell;
 use std::rc::Rc;
+use tokio::time::Instant;
 
 /// Serves the outer interfaces.
 pub(crate) struct Api {
@@ -29,6 +31,8 @@
     proposer: Rc<Proposer>,
     endpoints: Rc<Endpoints>,
     contact: Rc<MajorityContact>,
+    /// When a heartbeat that can't be read was logged last.
+    refusal_logged: Cell<Option<Instant>>,
 }
 
 impl Api {
@@ -39,7 +43,7 @@
         endpoints: Rc<Endpoints>,
         contact: Rc<MajorityContact>,
     ) -> Rc<Self> {
-        Rc::new(Api { gossip, proposer, endpoints, contact })
+        Rc::new(Api { gossip, proposer, endpoints, contact, refusal_logged: Cell::new(None) })
     }
 
     /// Answers a request: with 404 or 405 where it is no operation.
--- a/crates/controller/src/api/endpoint_calls.rs
+++ b/crates/controller/src/api/endpoint_calls.rs
@@ -9,9 +9,14 @@
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use runtrack_message::{Endpoint, EndpointState};
+use slog::warn;
+use std::time::Duration;
+use tokio::time::Instant;
 
 /// Bytes of an endpoint's call at most.
 const MAX_CALL: usize = 64 << 10;
+/// Heartbeats that can't be read are logged this often at most.
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The endpoint's id and the body of a call.
 struct EndpointCall {
@@ -28,10 +33,23 @@
         };
         match heartbeat_record(&call.id, &call.body) {
             Some(record) => self.acknowledge(record).await,
-            None => refusal(StatusCode::BAD_REQUEST, "the heartbeat can't be read"),
+            None => {
+                self.log_refused(&call);
+                refusal(StatusCode::BAD_REQUEST, "the heartbeat can't be read")
+            }
         }
     }
 
+    /// Logs a heartbeat that can't be read: its endpoint will never be known. Bounded, since it comes again and again.
+    fn log_refused(&self, call: &EndpointCall) {
+        let now = Instant::now();
+        if self.refusal_logged.get().is_some_and(|last| now - last < REFUSAL_LOG_INTERVAL) {
+            return;
+        }
+        self.refusal_logged.set(Some(now));
+        warn!(self.gossip.logger(), "heartbeat.refused"; "id" => &call.id, "bytes" => call.body.len());
+    }
+
     /// An endpoint has ended.
     pub(super) async fn deregister(&self, request: Request<Incoming>) -> Reply {
         let call = match read_call(request).await {
--- a/crates/controller/src/api/wire.rs
+++ b/crates/controller/src/api/wire.rs
@@ -1,5 +1,6 @@
 //! The JSON that endpoints send, and the records that it makes.
 
+use miniserde::json::{Number, Value};
 use miniserde::{Deserialize, json};
 use runtrack_message::{Endpoint, EndpointState, Model};
 use std::net::SocketAddrV4;
@@ -23,7 +24,17 @@
 #[derive(Deserialize)]
 struct ModelWire {
     name: String,
-    version: Option<u64>,
+    version: Option<Value>,
+}
+
+impl ModelWire {
+    /// Version of the weights; 0 where none is stated as a whole number, which must not keep an endpoint from being known.
+    fn weights_version(&self) -> u64 {
+        match self.version {
+            Some(Value::Number(Number::U64(version))) => version,
+            _ => 0,
+        }
+    }
 }
 
 /// What a deregistration may carry.
@@ -44,7 +55,7 @@
     };
     let models = wire.models.unwrap_or_default().into_iter();
     let models =
-        models.map(|model| Model { name: model.name.as_str().into(), version: model.version.unwrap_or(0) });
+        models.map(|model| Model { name: model.name.as_str().into(), version: model.weights_version() });
     Some(Endpoint {
         id: id.into(),
         service: wire.service.as_str().into(),
--- a/crates/controller/tests/endpoint_calls.rs
+++ b/crates/controller/tests/endpoint_calls.rs
@@ -48,3 +48,24 @@
     cluster.acknowledged(2, PATH, &heartbeat("ready", 4));
     cluster.acknowledged(2, "/runtrack/instances/i-never/deregister", "");
 }
+
+#[test]
+fn weights_without_a_whole_number_do_not_keep_an_endpoint_from_being_known() {
+    let cluster = Cluster::started("weights", 3);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
+    for (call_seq, version) in ["\"v7\"", "1.5", "null", "-3", "[1]"].iter().enumerate() {
+        let models = format!(r#""models":[{{"name":"m","version":{version},"adapters":[]}}],"callSeq""#);
+        let call = heartbeat("ready", call_seq as u64 + 1).replace("\"callSeq\"", &models);
+        cluster.acknowledged(0, PATH, &call);
+    }
+    cluster.logged_at_any(&[0, 1, 2], "endpoint.changed", "i-1");
+}
+
+#[test]
+fn a_heartbeat_that_cannot_be_read_is_refused_with_a_logged_cause() {
+    let cluster = Cluster::started("unreadable", 3);
+    assert_eq!(cluster.replace_config(0, 0, 1), 200);
+    let call = heartbeat("ready", 1).replace("\"ready\"", "\"asleep\"");
+    assert_eq!(cluster.call(0, "POST", PATH, "", &call).status, 400);
+    cluster.logged(0, "heartbeat.refused", "i-1");
+}
