--- a/crates/register/src/change.rs
+++ b/crates/register/src/change.rs
@@ -1,6 +1,6 @@
 //! Decisions on the value that a round found, and the two halves of a change of membership (joint sets: Ongaro's thesis
-//! 2014, 4.3, applied to a register; the CASPaxos paper itself changes acceptors one at a time: Rystsov 2018, cluster membership
-//! change).
+//! 2014, 4.3, applied to a register; the paper on CASPaxos changes acceptors one at a time instead: Rystsov 2018, "Cluster
+//! membership change").
 //!
 //! `request.rs` decides on operators' requests; which change of members is due is decided in `membership.rs`.
 
--- a/crates/register/src/digest.rs
+++ b/crates/register/src/digest.rs
@@ -8,8 +8,8 @@
 /// Hashed in front of an amendment's base.
 const AMENDMENT_DOMAIN: &[u8] = b"amendment";
 
-/// The first 128 bits of SHA-256 over the base, in little-endian bytes, and the body. A collision by chance is expected
-/// among some 2^64 requests (the birthday bound), and none can be constructed.
+/// The first 128 bits of SHA-256 over the base, in little-endian bytes, and the body. A collision is expected
+/// among some 2^64 requests (the birthday bound), and constructing one takes as many attempts.
 pub fn request_digest(base: u64, body: &[u8]) -> RequestDigest {
     truncated(&Sha256::new().chain_update(base.to_le_bytes()).chain_update(body).finalize())
 }
--- a/crates/register/src/replicas.rs
+++ b/crates/register/src/replicas.rs
@@ -95,7 +95,8 @@
         events
     }
 
-    /// Notes the set of a value; whether it came into force with it. Joint sets are not in force.
+    /// Notes the members of a value; whether they came into force with it. Joint sets change nothing here: the change is
+    /// not finished.
     fn note_set(&mut self, ballot: Ballot, value: &Value) -> bool {
         let set = members_of(value);
         // With the first value its members come into force, also where they are the same as before it.
--- a/crates/register/src/request.rs
+++ b/crates/register/src/request.rs
@@ -1,6 +1,6 @@
 //! The operator's request: a complete configuration in place of the current one, or an amendment of it. It is the change
-//! function of CASPaxos (Rystsov 2018) as compare-and-set with idempotence: applied requests are remembered in
-//! the value itself, so that each member acknowledges a retry.
+//! function of CASPaxos (Rystsov 2018) as compare-and-set with idempotence: applied requests are remembered in the value
+//! itself, so that each member acknowledges a retry.
 
 use crate::change::Decision;
 use crate::digest::{amendment_digest, legacy_request_digest, request_digest};
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -1,5 +1,5 @@
-//! The proposer of CASPaxos (Rystsov 2018): one attempt under one ballot, which prepares, decides on the value
-//! that it found, and has the decision accepted.
+//! The proposer of CASPaxos (Rystsov 2018): one attempt under one ballot, which prepares, decides on the value that it
+//! found, and has the decision accepted.
 //!
 //! `runtrack-controller`'s proposer draws the ballot, sends what a [`Round`] asks for and passes replies in. The acceptor's
 //! half is in `acceptor.rs`; the decisions are in `change.rs` and `request.rs`.
@@ -232,7 +232,7 @@
             (m, RegisterRequest::Accept { to: m.incarnation, ballot: self.ballot, value: (*value).clone() })
         };
         let sends = members.into_iter().map(accept).collect();
-        // Rejections of the first phase say nothing about the second.
+        // Rejections are counted for each phase apart.
         self.rejected.clear();
         self.phase = Phase::Accepting { value, origin, sets, accepted: BTreeSet::new() };
         Progress::Send(sends)
