--- a/crates/weirwharf/src/fleet/prefix_index.rs
+++ b/crates/weirwharf/src/fleet/prefix_index.rs
@@ -14,6 +14,10 @@
 const PREFIX_SHARE: f64 = 0.75;
 /// An entry in use is reported again after this.
 const REPORT_AGAIN: Duration = Duration::from_secs(20);
+/// A shorter prefix is not reported to others: to prefill it again weighs less than one call in flight
+/// ([`super::TOKENS_PER_CALL`] over [`super::REPEATED_PREFILL_WEIGHT`]), and a short prefix that many prompts begin with comes
+/// to be at every endpoint, so that its reports would crowd out those of long ones.
+const MIN_REPORTED_TOKENS: u32 = 512;
 /// Bound on the entries: the size to design for is 180,000 prefixes, and some have several copies.
 const MAX_ENTRIES: usize = 400_000;
 /// Bound on the entries that wait to be reported.
@@ -84,7 +88,8 @@
     pub fn record(&mut self, now: Duration, endpoint: EndpointId, prompt: &Prompt) {
         for prefix in prompt.prefixes() {
             let placement = Placement { prefix: prefix.key, part_tokens: prefix.part_tokens, endpoint };
-            if self.touch(now, placement, false) && self.unreported.len() < MAX_UNREPORTED {
+            let is_due = self.touch(now, placement, false);
+            if is_due && prefix.tokens >= MIN_REPORTED_TOKENS && self.unreported.len() < MAX_UNREPORTED {
                 self.unreported.push(placement);
             }
         }
--- a/crates/weirwharf/tests/fleet.rs
+++ b/crates/weirwharf/tests/fleet.rs
@@ -396,6 +396,22 @@
     }
 }
 
+#[test]
+fn a_prefix_that_weighs_less_than_a_call_is_not_reported() {
+    let ready = endpoints(320);
+    let mut router = informed(20);
+    for (call, holder) in ready.iter().enumerate() {
+        // A first part that many prompts begin with, and one that few share.
+        let prompt = Prompt::new([(1, 210), (call as u64 + 2, 140)], 1100);
+        router.sent(at(call as u64), *holder, Some(prompt));
+    }
+    assert!(router.take_unreported_placements(1000).is_empty(), "640 placements would be reported");
+    router.sent(at(1000), ready[0], Some(Prompt::new([(1, 210), (1000, 4000)], 1100)));
+    let reported = router.take_unreported_placements(1000);
+    let tokens: Vec<u32> = reported.iter().map(|placement| placement.part_tokens).collect();
+    assert_eq!(tokens, [4000], "the long prefix that begins with the short one is");
+}
+
 #[test]
 fn a_new_prefix_goes_to_the_agreed_endpoint_unless_that_one_has_much_to_prefill() {
     let ready = endpoints(9);
