--- a/crates/weirwharf/src/fleet/load.rs
+++ b/crates/weirwharf/src/fleet/load.rs
@@ -3,6 +3,8 @@
 use crate::stats::Fading;
 use std::time::Duration;
 
+/// What others have sent counts for this long after it was reported.
+pub(super) const REPORT_TTL: Duration = Duration::from_millis(400);
 /// A failure weighs like this many calls in flight.
 const FAILURE_PENALTY: f64 = 2.0;
 /// Failures weigh no more than this together.
@@ -25,6 +27,9 @@
     pub(super) pending_prefill: u32,
     /// The same of other proxies' calls, as reported last.
     pub(super) reported_pending: u32,
+    /// Tokens of prefixes that others have placed there since their pending prefill was reported.
+    placed: u32,
+    last_placed: Duration,
     penalty: Fading,
     ejected_until: Duration,
     ejected_for: Duration,
@@ -36,6 +41,23 @@
         self.ejected_until > now
     }
 
+    /// Another proxy has placed a prefix there, which is prefilled now.
+    pub(super) fn place(&mut self, now: Duration, tokens: u32) {
+        self.placed = self.placed_prefill(now).saturating_add(tokens);
+        self.last_placed = now;
+    }
+
+    /// Tokens of prefixes that others have placed there and that their last report does not hold.
+    pub(super) fn placed_prefill(&self, now: Duration) -> u32 {
+        if now.saturating_sub(self.last_placed) < REPORT_TTL { self.placed } else { 0 }
+    }
+
+    /// Others report what they have pending, which holds what they had placed.
+    pub(super) fn report(&mut self, pending: u32) {
+        self.reported_pending = pending;
+        self.placed = 0;
+    }
+
     /// The weight of its failures in calls in flight.
     pub(super) fn penalty(&self, now: Duration) -> f64 {
         let penalty = self.penalty.read(now, PENALTY_SECONDS);
--- a/crates/weirwharf/src/fleet/mod.rs
+++ b/crates/weirwharf/src/fleet/mod.rs
@@ -6,7 +6,8 @@
 //!
 //! - **Pending prefill.** Own counts are nearly always 0 or 1 where many proxies share many endpoints. The prompt tokens that
 //!   an endpoint has been sent and has not begun to answer, by this proxy and, as reported, by the others, count as the
-//!   calls that they delay. Where nothing is reported, or it is old, only own requests count.
+//!   calls that they delay. Where nothing is reported, or it is old, only own requests count, and the prefixes that others
+//!   have just placed there: with many proxies and endpoints, placements are reported sooner than pending prefill.
 //! - **Repeated prefill.** A prompt whose prefix an endpoint holds in its KV cache is prefilled faster there. The
 //!   [`PrefixIndex`] says which endpoints those are; a few of them join the sample, and every other endpoint counts as
 //!   fuller by what prefilling the prefix again costs. Where no holder is known, rendezvous hashing names an endpoint that
@@ -27,7 +28,7 @@
 use crate::stats::Draws;
 use crate::types::{EndpointId, Outcome};
 use hashing::rendezvous;
-use load::Load;
+use load::{Load, REPORT_TTL};
 use retry_budget::RetryBudgets;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -48,8 +49,6 @@
 /// The same, times the tokens of the prefix, where placements are not known: the prefix may well be there, and without
 /// agreement every proxy would place it by itself.
 const UNKNOWN_PLACEMENT_WEIGHT: f64 = 8.0;
-/// What others have pending counts for this long after it was reported.
-const REPORT_TTL: Duration = Duration::from_millis(400);
 /// Without any report for this long, other proxies' placements are not heard of either.
 const REPORTS_LOST: Duration = Duration::from_secs(2);
 /// When a client is to come back, at the least, and up to as much more: a crowd that was refused together must not
@@ -230,7 +229,9 @@
     fn occupancy(&self, now: Duration, id: EndpointId) -> f64 {
         let Some(load) = self.loads.get(&id) else { return 0.0 };
         let is_fresh = self.reported_at.is_some_and(|reported| now.saturating_sub(reported) < REPORT_TTL);
-        let pending = load.pending_prefill + if is_fresh { load.reported_pending } else { 0 };
+        let reported = if is_fresh { load.reported_pending } else { 0 };
+        let others = reported.saturating_add(load.placed_prefill(now));
+        let pending = load.pending_prefill.saturating_add(others);
         f64::from(load.in_flight) + load.penalty(now) + f64::from(pending) / TOKENS_PER_CALL
     }
 
@@ -273,9 +274,13 @@
         self.has_all_placements = true;
     }
 
-    /// Another proxy has placed a prefix at an endpoint.
+    /// Another proxy has placed a prefix at an endpoint, which has it to prefill if it did not hold it before.
     pub fn learn_placement(&mut self, now: Duration, placement: Placement) {
-        self.prefixes.learn(now, placement);
+        let is_new = self.prefixes.learn(now, placement);
+        // Until all placements are known, those that are learned may have been made long ago.
+        if is_new && self.has_all_placements {
+            self.loads.entry(placement.endpoint).or_default().place(now, placement.part_tokens);
+        }
     }
 
     /// Tokens that endpoints have to prefill for this proxy's calls, of those that have any.
@@ -294,11 +299,11 @@
     ) {
         self.reported_at = Some(now);
         for load in self.loads.values_mut() {
-            load.reported_pending = 0;
+            load.report(0);
         }
         for (id, tokens) in all {
             let own = own.iter().find(|(other, _)| other == id).map_or(0, |(_, own)| *own);
-            self.loads.entry(*id).or_default().reported_pending = tokens.saturating_sub(own);
+            self.loads.entry(*id).or_default().report(tokens.saturating_sub(own));
         }
     }
 
--- a/crates/weirwharf/src/fleet/prefix_index.rs
+++ b/crates/weirwharf/src/fleet/prefix_index.rs
@@ -95,9 +95,11 @@
         }
     }
 
-    /// Another proxy reports what it sent.
-    pub fn learn(&mut self, now: Duration, placement: Placement) {
+    /// Another proxy reports what it sent; returns whether the endpoint was not known to hold it.
+    pub fn learn(&mut self, now: Duration, placement: Placement) -> bool {
+        let is_new = !self.holds(placement.endpoint, placement.prefix);
         self.touch(now, placement, true);
+        is_new
     }
 
     /// Notes a use of a prefix at an endpoint; returns whether it is to be reported.
--- a/crates/weirwharf/tests/fleet.rs
+++ b/crates/weirwharf/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use std::time::Duration;
-use weirwharf::fleet::{Prompt, RetryBudget, Router, SelectionRequest};
+use weirwharf::fleet::{Placement, Prompt, RetryBudget, Router, SelectionRequest};
 use weirwharf::{EndpointId, Outcome};
 
 const SECOND: RetryBudget = RetryBudget { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
@@ -348,6 +348,49 @@
     assert_eq!(choose(&mut router, at(1000), &ready, &[]), Some(ready[0]));
 }
 
+#[test]
+fn a_prefix_that_another_proxy_has_just_placed_is_still_to_be_prefilled() {
+    let ready = endpoints(2);
+    let [placed] = reported_placements(ready[0], Prompt::new([(3, 13_000)], 0))[..] else { panic!("one") };
+    let mut router = informed(23);
+    let first = |router: &mut Router, ms| {
+        (0..100).filter(|_| choose(router, at(ms), &ready, &[]) == Some(ready[0])).count()
+    };
+    router.learn_placement(at(0), placed);
+    assert_eq!(first(&mut router, 100), 0, "the endpoint prefills it");
+    assert!((25..75).contains(&first(&mut router, 1000)), "it has had the time to");
+    router.learn_placement(at(1000), placed);
+    assert!((25..75).contains(&first(&mut router, 1000)), "a prefix that it holds is not prefilled again");
+}
+
+#[test]
+fn a_report_of_pending_prefill_takes_the_place_of_what_was_placed_before_it() {
+    let ready = endpoints(2);
+    let [placed] = reported_placements(ready[0], Prompt::new([(3, 13_000)], 0))[..] else { panic!("one") };
+    let mut router = informed(24);
+    router.learn_placement(at(0), placed);
+    router.set_fleet_backlog(at(50), &[(ready[0], 4000), (ready[1], 10_000)], &[]);
+    assert!((0..50).all(|_| choose(&mut router, at(50), &ready, &[]) == Some(ready[0])));
+}
+
+#[test]
+fn placements_that_a_proxy_learns_at_its_start_were_made_before() {
+    let ready = endpoints(2);
+    let mut router = router(25);
+    for placed in reported_placements(ready[0], Prompt::new([(3, 13_000)], 0)) {
+        router.learn_placement(at(0), placed);
+    }
+    let first = (0..100).filter(|_| choose(&mut router, at(0), &ready, &[]) == Some(ready[0])).count();
+    assert!((25..75).contains(&first), "{first}");
+}
+
+/// What another proxy reports that sends a prompt to an endpoint.
+fn reported_placements(endpoint: EndpointId, prompt: Prompt) -> Vec<Placement> {
+    let mut other = informed(99);
+    other.sent(at(0), endpoint, Some(prompt));
+    other.take_unreported_placements(10)
+}
+
 #[test]
 fn a_prefix_that_an_endpoint_holds_is_not_expected_to_be_prefilled_again() {
     let ready = endpoints(3);
