--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -96,9 +96,7 @@
     /// The response to a request that has not run and never will, with `Retry-After`.
     pub(crate) fn refusal(&self, why: &'static str) -> Reply {
         let mut reply = text(StatusCode::SERVICE_UNAVAILABLE, why);
-        let can_serve = self.state.can_serve();
-        let mut router = self.state.router();
-        let wait = if can_serve { router.retry_after() } else { router.retry_after_start() };
+        let wait = self.state.router().retry_after();
         if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64())) {
             reply.headers_mut().insert(header::RETRY_AFTER, value);
         }
--- a/crates/weirwharf/src/fleet/mod.rs
+++ b/crates/weirwharf/src/fleet/mod.rs
@@ -54,9 +54,6 @@
 /// When a client is to come back, at the least, and up to as much more: a crowd that was refused together must not
 /// come back together.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
-/// The same where this process has only just started: a proxy has a configuration and endpoints within 0.8 s of its start
-/// after a loss of all power, and clients come back only a few times.
-const START_RETRY_AFTER: Duration = Duration::from_millis(800);
 
 /// A request that wants an endpoint.
 #[derive(Clone, Copy, Debug)]
@@ -128,11 +125,6 @@
         RETRY_AFTER.mul_f64(1.0 + self.draws.uniform())
     }
 
-    /// When a client is to come back that is refused since there is no configuration, or no endpoint, yet.
-    pub fn retry_after_start(&mut self) -> Duration {
-        START_RETRY_AFTER.mul_f64(1.0 + self.draws.uniform() / 2.0)
-    }
-
     /// Own calls in flight at an endpoint.
     pub fn in_flight(&self, endpoint: EndpointId) -> u32 {
         self.loads.get(&endpoint).map_or(0, |load| load.in_flight)
