--- a/crates/controller/tests/contact.rs
+++ b/crates/controller/tests/contact.rs
@@ -157,7 +157,7 @@
         while gossip.replica().registry().get(key_of(id)).map(|record| record.state)
             != Some(EndpointState::Draining)
         {
-            changes.changed().await.expect("the gossip lives");
+            changes.changed().await;
         }
     };
     timeout(PATIENCE, heard).await.expect("it hears of it");
@@ -173,7 +173,7 @@
     tasks.block_on(&runtime, async {
         let mut changes = witness.changes();
         while witness.peers(Role::Controller).len() < 2 {
-            changes.changed().await.expect("the gossip lives");
+            changes.changed().await;
         }
     });
     cluster.acknowledged(0, HEARTBEAT, &heartbeat("draining", 1));
--- a/crates/link/src/gossip.rs
+++ b/crates/link/src/gossip.rs
@@ -1,6 +1,7 @@
 //! Anti-entropy between linked processes: each change of the replicated state (configuration, members, endpoints) is sent
 //! to all links at once, and periodic digests find and repair what was lost.
 
+use crate::changes::{ChangeReceiver, Changes};
 use crate::environment::Environment;
 use crate::session::{IDLE_LINK_TIMEOUT, SendQueue, Session};
 use crate::trust::{agreed_suspects, config_sources};
@@ -13,7 +14,6 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::watch;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 /// Interval at which each link is sent a digest and a summary without a change: it repairs lost messages.
@@ -60,7 +60,7 @@
     fetching: Cell<Option<(u64, Instant)>>,
     /// When endpoint records changed last.
     changed_at: Cell<Instant>,
-    changes: watch::Sender<u64>,
+    changes: Rc<Changes>,
     handler: Box<dyn MessageHandler>,
 }
 
@@ -98,7 +98,7 @@
             next_key: Cell::new(0),
             fetching: Cell::new(None),
             changed_at: Cell::new(Instant::now()),
-            changes: watch::channel(0).0,
+            changes: Rc::default(),
             handler,
         })
     }
@@ -123,8 +123,8 @@
         self.replica.borrow()
     }
 
-    /// A receiver that is notified of each change of the replica, the links or the suspects; the value is a counter.
-    pub fn changes(&self) -> watch::Receiver<u64> {
+    /// A receiver that is notified of each change of the replica, the links or the suspects.
+    pub fn changes(&self) -> ChangeReceiver {
         self.changes.subscribe()
     }
 
@@ -258,7 +258,7 @@
     }
 
     fn notify_changed(&self) {
-        self.changes.send_modify(|count| *count += 1);
+        self.changes.notify();
     }
 
     pub(crate) fn add_session(&self, dialled: Option<SocketAddrV4>) -> (Rc<Session>, SendQueue) {
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -5,6 +5,7 @@
 //! differs, and from then on send each change at once. A link that has been silent for [`IDLE_LINK_TIMEOUT`] is closed,
 //! since a network partition ends no connection by itself.
 
+mod changes;
 mod connection;
 mod dials;
 mod environment;
@@ -14,6 +15,7 @@
 mod session;
 mod trust;
 
+pub use changes::{ChangeReceiver, Changes};
 pub use connection::{CONNECT_TIMEOUT, PING_INTERVAL, dial_for_ever, listen};
 pub use dials::Dials;
 pub use environment::{Environment, ProcessEvent, ProcessEvents};
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -270,9 +270,7 @@
             if proxies > 0 {
                 self.router.borrow_mut().set_proxies(proxies);
             }
-            if changes.changed().await.is_err() {
-                return; // the gossip has ended
-            }
+            changes.changed().await;
         }
     }
 }
