--- a/crates/scale/tests/modules.rs
+++ b/crates/scale/tests/modules.rs
@@ -7,8 +7,8 @@
 use std::path::Path;
 use support::Sources;
 
-/// The fleet's crates, as docs/ARCHITECTURE.md lists them.
-const FLEET: [&str; 11] = [
+/// The fleet's crates, as docs/ARCHITECTURE.md lists them, and its virtual world.
+const FLEET: [&str; 12] = [
     "message",
     "fleetconfig",
     "register",
@@ -20,6 +20,7 @@
     "agent",
     "controller",
     "scale",
+    "sim",
 ];
 
 type Circle = BTreeSet<String>;
--- a/crates/sim/src/fleet/mod.rs
+++ b/crates/sim/src/fleet/mod.rs
@@ -3,6 +3,7 @@
 
 mod call;
 pub mod command;
+mod config_body;
 mod director;
 mod disk;
 pub mod draw;
--- a/crates/sim/src/fleet/observer.rs
+++ b/crates/sim/src/fleet/observer.rs
@@ -1,6 +1,6 @@
 //! Looks on at an agent as its proxy does, by the fleet's own messages, and notes each word.
 
-use crate::fleet::call::config_of;
+use crate::fleet::config_body::config_of;
 use crate::fleet::endpoint;
 use crate::fleet::facts::Told;
 use crate::fleet::host::Host;
--- a/crates/sim/src/fleet/operator.rs
+++ b/crates/sim/src/fleet/operator.rs
@@ -1,6 +1,7 @@
 //! Operators: requests of a script, several under way at a time.
 
-use crate::fleet::call::{Sending, call, config_body};
+use crate::fleet::call::{Sending, call};
+use crate::fleet::config_body::config_body;
 use crate::fleet::facts::{Answer, Asked, Order};
 use crate::fleet::script::{Manner, Request, RequestKind};
 use crate::fleet::world::World;
--- a/crates/sim/src/fleet/oracle/disks.rs
+++ b/crates/sim/src/fleet/oracle/disks.rs
@@ -3,8 +3,7 @@
 
 use super::{Breach, Rule};
 use crate::fleet::facts::{Asked, DiskState, Ending, Facts, PutBack};
-use crate::fleet::run::SETTLE;
-use crate::fleet::script::Script;
+use crate::fleet::script::{SETTLE, Script};
 use std::time::Duration;
 
 /// A leaving member waits so long for the copies of the others: a quarter of `graceS`, and a little less.
--- a/crates/sim/src/fleet/run.rs
+++ b/crates/sim/src/fleet/run.rs
@@ -3,17 +3,15 @@
 use crate::fleet::director::Director;
 use crate::fleet::facts::{Facts, Told};
 use crate::fleet::oracle::{self, Breach};
-use crate::fleet::script::Script;
+use crate::fleet::script::{SETTLE, Script};
 use crate::fleet::world::World;
-use crate::fleet::{call, endpoint, harm, observer, operator, timeline};
+use crate::fleet::{config_body, endpoint, harm, observer, operator, timeline};
 use crate::net::fnv;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// From the mending of the last fault until all must be well again.
-pub const SETTLE: Duration = Duration::from_millis(5_000);
 /// From the last acknowledged change until all agents and disks have it.
 const LAST: Duration = Duration::from_millis(2_500);
 
@@ -83,7 +81,7 @@
     let disks = director.running().into_iter().map(|(core, host)| {
         let acceptor = host.disk.recovered();
         let value = acceptor.and_then(|acceptor| acceptor.accepted().map(|found| found.value.clone()));
-        (core, value.and_then(|value| call::config_of(value.config.as_slice())))
+        (core, value.and_then(|value| config_body::config_of(value.config.as_slice())))
     });
     let disks = disks.collect();
     let facts = &mut world.facts.borrow_mut();
--- a/crates/sim/src/fleet/script.rs
+++ b/crates/sim/src/fleet/script.rs
@@ -1,6 +1,10 @@
 //! What happens in a run, as data: the machines, what operators and endpoints do, and what goes wrong.
 
 use serde::{Deserialize, Serialize};
+use std::time::Duration;
+
+/// From the mending of the last fault until all must be well again.
+pub const SETTLE: Duration = Duration::from_millis(5_000);
 
 /// A run of the control plane.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/sim/src/fleet/world.rs
+++ b/crates/sim/src/fleet/world.rs
@@ -1,6 +1,6 @@
 //! What all parts of a run share: the network, the facts, and who is where.
 
-use crate::fleet::call::lineage_of;
+use crate::fleet::config_body::lineage_of;
 use crate::fleet::disk::OlderCopy;
 use crate::fleet::facts::{Call, DiskState, Ending, Facts, MemberId, PutBack, Told, Word};
 use crate::fleet::script::Script;
