--- a/crates/weirwharf/benches/membership.rs
+++ b/crates/balancer/benches/membership.rs
@@ -1,8 +1,8 @@
-//! What a change of one endpoint costs the module: `cargo bench -p weirwharf --bench membership`.
+//! What a change of one endpoint costs the module: `cargo bench -p runtrack-balancer --bench membership`.
 
+use runtrack_balancer::{Balancer, EndpointInfo, EndpointState, Event, Membership, Settings, ZoneId};
 use std::hint::black_box;
 use std::time::{Duration, Instant};
-use weirwharf::{Balancer, EndpointInfo, EndpointState, Event, Membership, Settings, ZoneId};
 
 fn main() {
     println!("endpoints  drain and back, µs a change   leave and come, µs a change");
--- a/crates/weirwharf/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -4,7 +4,7 @@
 //! own clock and carry out the [`Action`]s it appends:
 //!
 //! ```
-//! use weirwharf::{Action, Balancer, EndpointInfo, Event, Membership, RequestId, Settings};
+//! use runtrack_balancer::{Action, Balancer, EndpointInfo, Event, Membership, RequestId, Settings};
 //! use std::time::Duration;
 //!
 //! let mut balancer = Balancer::new(Settings::default(), 7, Duration::ZERO)?;
@@ -15,7 +15,7 @@
 //! let left = Duration::from_millis(800);
 //! balancer.handle(Duration::from_millis(5), Event::request(RequestId(42), left), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(42), .. })));
-//! # Ok::<(), weirwharf::SettingsError>(())
+//! # Ok::<(), runtrack_balancer::SettingsError>(())
 //! ```
 
 #[cfg(doctest)]
--- a/crates/weirwharf/tests/choice.rs
+++ b/crates/balancer/tests/choice.rs
@@ -1,9 +1,9 @@
 //! The choice itself: unbiased samples, the lower own count wins, ties spread evenly.
 
 mod support;
+use runtrack_balancer::*;
 use std::collections::HashMap;
 use support::*;
-use weirwharf::*;
 
 /// Where `count` requests go when each ends well before the next begins.
 fn spread(d: &mut Driver, count: usize) -> HashMap<EndpointId, usize> {
--- a/crates/weirwharf/tests/contract.rs
+++ b/crates/balancer/tests/contract.rs
@@ -1,9 +1,9 @@
 //! What an embedder may rely on when its events are odd: each case has a stated behaviour.
 
 mod support;
+use runtrack_balancer::*;
 use std::time::Duration;
 use support::*;
-use weirwharf::*;
 
 #[test]
 fn a_clock_that_goes_backwards_is_taken_as_standing_still() {
--- a/crates/weirwharf/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -1,10 +1,10 @@
 //! One small test for each failure found; `docs/incidents/` and the commits tell their stories.
 
 mod support;
+use runtrack_balancer::*;
 use std::collections::HashMap;
 use std::time::Duration;
 use support::*;
-use weirwharf::*;
 
 /// An outcome and its time for endpoints of which `bad` is true; the others answer in 20 ms.
 fn where_bad(
--- a/crates/weirwharf/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Decisions of the fleet's proxy: SQ(d) on the ordinary path, and each thing that is added to it.
 
+use runtrack_balancer::fleet::{Placement, Prompt, RetryBudget, Router, SelectionRequest};
+use runtrack_balancer::{EndpointId, Outcome};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use weirwharf::fleet::{Placement, Prompt, RetryBudget, Router, SelectionRequest};
-use weirwharf::{EndpointId, Outcome};
 
 const SECOND: RetryBudget = RetryBudget { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
 
--- a/crates/weirwharf/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -3,8 +3,8 @@
 mod support;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use runtrack_balancer::*;
 use support::*;
-use weirwharf::*;
 
 #[derive(Clone, Debug)]
 enum Step {
--- a/crates/weirwharf/tests/ring.rs
+++ b/crates/balancer/tests/ring.rs
@@ -6,13 +6,13 @@
 
 /// What that source takes from its own crate.
 mod types {
-    pub use weirwharf::EndpointId;
+    pub use runtrack_balancer::EndpointId;
 }
 
 use proptest::prelude::*;
 use ring::{Pools, Ring};
+use runtrack_balancer::EndpointId;
 use std::collections::{BTreeMap, BTreeSet};
-use weirwharf::EndpointId;
 
 /// The arc by its meaning: from `start` on, until so many warm endpoints are on it.
 fn by_meaning(ring: &BTreeMap<u64, bool>, start: usize, warm: usize) -> BTreeSet<u64> {
--- a/crates/weirwharf/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -1,9 +1,9 @@
 //! The four rules, each by itself, driving the module alone.
 
 mod support;
+use runtrack_balancer::*;
 use std::time::Duration;
 use support::*;
-use weirwharf::*;
 
 const KEYED_CELL: Semantics = Semantics::Keyed { group: Group::Cell, window: Duration::from_millis(400) };
 
--- a/crates/weirwharf/tests/shape.rs
+++ b/crates/balancer/tests/shape.rs
@@ -52,6 +52,6 @@
     let mut listed: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
     listed.sort_unstable();
     let files = policy_files();
-    let found = files.iter().map(|(name, _)| format!("crates/weirwharf/src/balance/{name}"));
+    let found = files.iter().map(|(name, _)| format!("crates/balancer/src/balance/{name}"));
     assert_eq!(listed, found.collect::<Vec<_>>());
 }
--- a/crates/weirwharf/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -1,9 +1,9 @@
 //! A small driver for the module, and a rule checker that knows nothing of how the module decides.
 #![allow(dead_code)]
 
+use runtrack_balancer::*;
 use std::collections::HashMap;
 use std::time::Duration;
-use weirwharf::*;
 
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,12 +1,12 @@
 //! Hosts balancer instances for the simulator: batches on standard input, replies on standard output.
 
+use runtrack_balancer::wire::{self, Line, ListMode, Names, WireError};
+use runtrack_balancer::{Action, Balancer, EndpointInfo, Event, Membership, RequestId};
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 use std::time::Duration;
-use weirwharf::wire::{self, Line, ListMode, Names, WireError};
-use weirwharf::{Action, Balancer, EndpointInfo, Event, Membership, RequestId};
 
 fn main() -> ExitCode {
     // A panic of the module is reported on the wire; the default hook's trace would only add noise.
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -1,10 +1,10 @@
 //! The wire: what is parsed, what is printed, and what malformed lines get.
 
+use runtrack_balancer::wire::{Line, ListMode, Names, parse, print};
+use runtrack_balancer::*;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
-use weirwharf::wire::{Line, ListMode, Names, parse, print};
-use weirwharf::*;
 
 const CONF: &str = r#"{"balancers":2,"classes":[{"deadlineMs":1000.0,"lateValue":0.5,"name":"a","objectiveMs":300.0,"semantics":"safe","worth":3.0},{"deadlineMs":900,"group":"cell","objectiveMs":300,"repeatWindowMs":400,"semantics":"keyed"}],"discovery":"subscribe","limits":{"cancelling":true,"maxAttempts":6,"openCap":20000},"me":1,"myZone":1,"rules":{"askWithinMs":10000,"coldShare":0.4,"drainGraceMs":250,"fallMs":1000,"fallMultiple":2.5,"graceToAnswerMs":16,"warmWithinMs":8200},"stage":0,"telemetry":{"fields":["outstanding","novel"],"via":"on_probe"},"weightKind":"live","brandNew":[1,2]}"#;
 
--- a/crates/control/src/pool.rs
+++ b/crates/control/src/pool.rs
@@ -2,14 +2,14 @@
 //!
 //! No I/O. Time is Unix time, so that endpoints' start times compare with it.
 
+use runtrack_balancer::{
+    Balancer, EndpointId, EndpointInfo, EndpointState, Event, Membership, Rules, Settings, ZoneId, wire,
+};
 use runtrack_discovery::{List, State, Target, Told};
 use runtrack_model::{Fleet, Pool, Source};
 use runtrack_xds::translate::Member;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use weirwharf::{
-    Balancer, EndpointId, EndpointInfo, EndpointState, Event, Membership, Rules, Settings, ZoneId, wire,
-};
 
 /// A cold endpoint's part is told in so many steps: each is a push to all proxies of the pool.
 const PART_STEPS: f64 = 20.0;
--- a/crates/controller/src/placements.rs
+++ b/crates/controller/src/placements.rs
@@ -2,6 +2,8 @@
 //! completely to an agent whose proxy has just started.
 
 use crate::disk::{Disk, Record};
+use runtrack_balancer::EndpointId;
+use runtrack_balancer::fleet::PrefixIndex;
 use runtrack_link::{Gossip, Session};
 use runtrack_message::{
     Endpoint, EndpointState, MAX_LIST, Message, PLACEMENT_BYTES, PLACEMENT_WIRE_VERSION, PrefixPlacement,
@@ -15,8 +17,6 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
-use weirwharf::EndpointId;
-use weirwharf::fleet::PrefixIndex;
 
 /// Shortest interval between two batches.
 const BATCH_INTERVAL: Duration = Duration::from_millis(60);
--- a/crates/message/src/placement.rs
+++ b/crates/message/src/placement.rs
@@ -2,8 +2,8 @@
 
 use crate::list;
 use deku::prelude::*;
-use weirwharf::EndpointId;
-use weirwharf::fleet::Placement;
+use runtrack_balancer::EndpointId;
+use runtrack_balancer::fleet::Placement;
 
 /// A prefix of prompts that was sent to an endpoint, which keeps it for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -1,11 +1,11 @@
 //! The nouns.
 
+use runtrack_balancer::Group;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use weirwharf::Group;
 
 /// Everything the control service is told to hold: the desired state.
 ///
@@ -247,8 +247,8 @@
 }
 
 mod group {
+    use runtrack_balancer::Group;
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
-    use weirwharf::Group;
 
     pub fn serialize<S: Serializer>(group: &Group, to: S) -> Result<S::Ok, S::Error> {
         to.serialize_str(super::group_name(*group))
--- a/crates/model/src/read.rs
+++ b/crates/model/src/read.rs
@@ -3,10 +3,10 @@
 use crate::fleet::*;
 use crate::problem::Problems;
 use crate::toml::{Table, Text};
+use runtrack_balancer::Group;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use toml::de::DeTable;
-use weirwharf::Group;
 
 impl Fleet {
     /// Reads TOML and checks the whole; gives every problem at once, each with its place.
--- a/crates/plan/src/risk.rs
+++ b/crates/plan/src/risk.rs
@@ -1,11 +1,11 @@
 //! What a change risks, computed from both fleets, the load that they carry and the clock.
 
 use crate::shadow::shadowed;
+use runtrack_balancer::Group;
 use runtrack_model::{Class, Endpoint, Fleet, Listener, Pool, Route, Semantics, Severity, Source, State};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use weirwharf::Group;
 
 /// Ready endpoints under which a pool has nothing to fall back on.
 const POOL_LEAST: usize = 2;
--- a/crates/plan/tests/common/mod.rs
+++ b/crates/plan/tests/common/mod.rs
@@ -3,13 +3,13 @@
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
+use runtrack_balancer::Group;
 use runtrack_model::*;
 use runtrack_plan::{Load, Plan, Request};
 use runtrack_store::{Entry, Store};
 use runtrack_testkit::Disk;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use weirwharf::Group;
 
 pub const NOW: u64 = 1_796_000_000_000;
 pub const HOUR: u64 = 3_600_000;
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -10,10 +10,10 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_LENGTH, HeaderValue, TRANSFER_ENCODING};
 use hyper::{Request, Response};
+use runtrack_balancer::Outcome;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
-use weirwharf::Outcome;
 
 /// Subtracted from the time budget that an endpoint is given, for its response to travel back.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
@@ -31,7 +31,7 @@
 /// An attempt that ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptError {
-    /// The outcome, for `weirwharf`.
+    /// The outcome, for `runtrack-balancer`.
     pub outcome: Outcome,
     /// Whether the request was sent to the endpoint.
     pub dispatched: bool,
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -7,8 +7,8 @@
 use crate::routed::RoutedRequest;
 use crate::state::Target;
 use hyper::header::HeaderValue;
-use weirwharf::Outcome;
-use weirwharf::fleet::SelectionRequest;
+use runtrack_balancer::Outcome;
+use runtrack_balancer::fleet::SelectionRequest;
 
 impl Forwarder {
     fn choose(&self, request: &RoutedRequest, attempts: &AttemptState) -> Option<Target> {
--- a/crates/proxy/src/complete.rs
+++ b/crates/proxy/src/complete.rs
@@ -11,9 +11,9 @@
 use crate::routed::{RoutedRequest, TruncatedResponse};
 use bytes::{Bytes, BytesMut};
 use hyper::Response;
+use runtrack_balancer::Outcome;
 use std::rc::Rc;
 use tokio::time::timeout_at;
-use weirwharf::Outcome;
 
 /// Size in bytes up to which a response is buffered; a larger one is forwarded as it is received.
 const MAX_BUFFERED_BODY: usize = 256 << 10;
--- a/crates/proxy/src/in_flight.rs
+++ b/crates/proxy/src/in_flight.rs
@@ -1,10 +1,10 @@
-//! Accounting of attempts in flight with `weirwharf`.
+//! Accounting of attempts in flight with `runtrack-balancer`.
 
 use crate::attempt::ResponseStarted;
 use crate::state::State;
+use runtrack_balancer::fleet::Prompt;
+use runtrack_balancer::{EndpointId, Outcome};
 use std::rc::Rc;
-use weirwharf::fleet::Prompt;
-use weirwharf::{EndpointId, Outcome};
 
 /// An attempt that counts as in flight at its endpoint until this is dropped.
 pub(crate) struct InFlight {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,8 @@
-//! The fleet's proxy: accepts clients' requests, sends each to an endpoint that `weirwharf::fleet` selects, and streams
+//! The fleet's proxy: accepts clients' requests, sends each to an endpoint that `runtrack_balancer::fleet` selects, and streams
 //! the response back.
 //!
 //! Routes, endpoints and the size of the fleet come from the agent of the machine (`runtrack_link::Gossip`). Load balancing
-//! is left to `weirwharf::fleet`; the proxy itself guarantees what must hold whichever endpoint is selected: a request that
+//! is left to `runtrack_balancer::fleet`; the proxy itself guarantees what must hold whichever endpoint is selected: a request that
 //! is not idempotent runs once at most, a request is refused only if it never ran, and a truncated response is forwarded
 //! as truncated.
 
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -6,6 +6,7 @@
 use http_body_util::Full;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
+use runtrack_balancer::EndpointId;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,7 +14,6 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, timeout};
-use weirwharf::EndpointId;
 
 /// Timeout of connecting to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/proxy/src/prompt.rs
+++ b/crates/proxy/src/prompt.rs
@@ -1,6 +1,6 @@
 //! The parts of a prompt that a request names in its headers.
 
-use weirwharf::fleet::Prompt;
+use runtrack_balancer::fleet::Prompt;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A prompt from `X-Prompt-Prefix`: parts in order as `ID:TOKENS`, separated by commas. All but the last may be shared
--- a/crates/proxy/src/response_class.rs
+++ b/crates/proxy/src/response_class.rs
@@ -4,8 +4,8 @@
 use crate::outgoing::Outgoing;
 use hyper::header::{CONTENT_ENCODING, HeaderMap};
 use hyper::{Response, StatusCode};
+use runtrack_balancer::Outcome;
 use runtrack_net::mutant;
-use weirwharf::Outcome;
 
 /// Class of a response head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -4,9 +4,9 @@
 use crate::attempt::AttemptError;
 use crate::routed::RoutedRequest;
 use crate::state::{State, service_key};
+use runtrack_balancer::EndpointId;
 use runtrack_net::mutant;
 use tokio::time::Instant;
-use weirwharf::EndpointId;
 
 /// Limit of failed connects per request, which do not count as attempts of the route.
 const MAX_CONNECT_ATTEMPTS: usize = 5;
--- a/crates/proxy/src/routed.rs
+++ b/crates/proxy/src/routed.rs
@@ -7,10 +7,10 @@
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
+use runtrack_balancer::fleet::Prompt;
 use runtrack_fleetconfig::{Route, RouteKind, Service};
 use std::time::Duration;
 use tokio::time::Instant;
-use weirwharf::fleet::Prompt;
 
 /// A stream that sends nothing for this many of the longest pauses that its route allows, and for [`MIN_STALL_TIMEOUT`] at
 /// least, counts against its endpoint.
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -1,5 +1,7 @@
 //! What the proxy knows of the fleet, ready for use by requests: routes, ready endpoints by service, the module.
 
+use runtrack_balancer::EndpointId;
+use runtrack_balancer::fleet::{RetryBudget, Router};
 use runtrack_fleetconfig::{FleetConfig, Node, RouteTable};
 use runtrack_link::Gossip;
 use runtrack_message::{
@@ -15,8 +17,6 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
-use weirwharf::EndpointId;
-use weirwharf::fleet::{RetryBudget, Router};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Shortest interval between two load reports to the agent.
@@ -31,7 +31,7 @@
 /// An endpoint that requests may go to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Key in `weirwharf`.
+    /// Key in `runtrack-balancer`.
     pub key: EndpointId,
     /// Its id, for `X-Target-Instance`.
     pub id: String,
@@ -71,7 +71,7 @@
     started_at: Instant,
 }
 
-/// Key of a service in `weirwharf`: the hash of its name.
+/// Key of a service in `runtrack-balancer`: the hash of its name.
 pub fn service_key(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Time on the clock that is passed to `weirwharf`.
+    /// Time on the clock that is passed to `runtrack-balancer`.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -11,11 +11,11 @@
 use http_body_util::Either;
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
+use runtrack_balancer::Outcome;
 use std::pin::pin;
 use std::rc::Rc;
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at};
-use weirwharf::Outcome;
 
 impl Forwarder {
     /// Forwards a stream from its first bytes. Its head is buffered until then: a stream that ends before its first
--- a/crates/runtrack/src/net/config.rs
+++ b/crates/runtrack/src/net/config.rs
@@ -1,11 +1,11 @@
 //! What a sidecar is told at its start: `ROUTER_*` and the JSON file that `ROUTER_CONFIG` names.
 
+use runtrack_balancer::{Settings, wire};
 use runtrack_discovery::List;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
 use thiserror::Error;
-use weirwharf::{Settings, wire};
 
 /// What is wrong with the configuration: the field and the problem, on one line.
 #[derive(Debug, Error)]
@@ -126,7 +126,7 @@
             .map_err(|e| error(&e.field.replacen("conf", "settings", 1), e.problem))?;
         if runtrack_net::mutant("keyed-for-ever") {
             settings.classes.iter_mut().for_each(|class| {
-                if let weirwharf::Semantics::Keyed { window, .. } = &mut class.semantics {
+                if let runtrack_balancer::Semantics::Keyed { window, .. } = &mut class.semantics {
                     *window *= 100;
                 }
             });
--- a/crates/runtrack/src/net/driver.rs
+++ b/crates/runtrack/src/net/driver.rs
@@ -7,6 +7,10 @@
 use super::spans::Spans;
 use super::window::Window;
 use hyper::body::Bytes;
+use runtrack_balancer::{
+    Action, AttemptEnded, AttemptNo, Balancer, EndpointId, EndpointState, Event, Membership, Outcome,
+    RequestId, TimerToken,
+};
 use runtrack_discovery::{Call, Clock};
 use runtrack_net::mutant;
 use std::cmp::Reverse;
@@ -19,10 +23,6 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout_at};
-use weirwharf::{
-    Action, AttemptEnded, AttemptNo, Balancer, EndpointId, EndpointState, Event, Membership, Outcome,
-    RequestId, TimerToken,
-};
 
 /// Unusual outcomes are summed up in the log this often.
 const SUMMARY: Duration = Duration::from_secs(10);
@@ -54,7 +54,7 @@
 /// A request as it came in.
 pub struct Arrival {
     /// For the module; its time left is set here.
-    pub request: weirwharf::Request,
+    pub request: runtrack_balancer::Request,
     /// How long it took to come, from its first byte.
     pub reading: Duration,
     /// When it had come whole.
--- a/crates/runtrack/src/net/inbound.rs
+++ b/crates/runtrack/src/net/inbound.rs
@@ -12,6 +12,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
+use runtrack_balancer::{ClassId, RequestId, Semantics, Settings, TenantId};
 use runtrack_net::{Came, Connection, Listener, mutant};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -25,7 +26,6 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
-use weirwharf::{ClassId, RequestId, Semantics, Settings, TenantId};
 
 /// Kept back from a client's time, for the answer to reach it.
 const ANSWER_MARGIN: Duration = Duration::from_millis(10);
@@ -566,7 +566,7 @@
         method: &Method,
         uri: &hyper::Uri,
         headers: &HeaderMap,
-    ) -> Result<(weirwharf::Request, Duration), Bad> {
+    ) -> Result<(runtrack_balancer::Request, Duration), Bad> {
         let wanted = uri.path_and_query().map(|target| target.as_str()).unwrap_or_default();
         if !wanted.bytes().all(|byte| byte.is_ascii_graphic())
             || headers.values().any(|value| std::str::from_utf8(value.as_bytes()).is_err())
@@ -615,7 +615,7 @@
         let key = user.map(|user| parse_key(user).ok_or(bad("user is bad"))).transpose()?;
         let work_hint =
             text("x-cost")?.map(|cost| micros(cost, 1.0).ok_or(bad("X-Cost is bad"))).transpose()?;
-        let request = weirwharf::Request {
+        let request = runtrack_balancer::Request {
             id: RequestId(0),
             class: ClassId(class),
             tenant: TenantId(tenant),
--- a/crates/runtrack/src/net/listing.rs
+++ b/crates/runtrack/src/net/listing.rs
@@ -1,13 +1,15 @@
 //! The endpoint list in the module's terms.
 
 use super::config::Names;
+use runtrack_balancer::{
+    CellId, EndpointId, EndpointInfo, EndpointState, KindId, Membership, ZoneId, wire,
+};
 use runtrack_discovery::{List, State, Told};
 use runtrack_net::mutant;
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::time::Duration;
-use weirwharf::{CellId, EndpointId, EndpointInfo, EndpointState, KindId, Membership, ZoneId, wire};
 
 /// News of the list in the module's terms, and where the endpoints are.
 pub struct News {
--- a/crates/runtrack/src/net/outbound.rs
+++ b/crates/runtrack/src/net/outbound.rs
@@ -10,6 +10,7 @@
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use hyper_util::rt::TokioIo;
+use runtrack_balancer::{EndpointId, LoadField, Outcome, Settings};
 use runtrack_net::{Came, Network, mutant};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,7 +25,6 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, Sleep, sleep, sleep_until, timeout};
-use weirwharf::{EndpointId, LoadField, Outcome, Settings};
 
 /// No body on the wire is longer.
 pub const BODY_MOST: usize = 64 * 1024;
--- a/crates/runtrack/src/sidecar.rs
+++ b/crates/runtrack/src/sidecar.rs
@@ -6,6 +6,7 @@
 use crate::net::inbound::Inbound;
 use crate::net::listing::Listing;
 use crate::net::outbound::Outbound;
+use runtrack_balancer::Balancer;
 use runtrack_discovery::{Call, Client, Clock, Told, Watch};
 use runtrack_net::Network;
 use std::pin::pin;
@@ -15,7 +16,6 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::timeout;
-use weirwharf::Balancer;
 
 /// The agent answers at once; where it does not, discovery is down, and the list as last held has to do.
 const FIRST_WORD: Duration = Duration::from_secs(1);
@@ -49,8 +49,8 @@
     let inbound = Inbound::new(settings.clone(), &names, budget, outbound.clone(), inbox.clone());
     let listing = Rc::new(Listing::new(names));
     let watch = match settings.discovery {
-        weirwharf::Discovery::Push => Watch::Agent, // the module never asks for one
-        weirwharf::Discovery::Ask => Watch::Asked,
+        runtrack_balancer::Discovery::Push => Watch::Agent, // the module never asks for one
+        runtrack_balancer::Discovery::Ask => Watch::Asked,
     };
     let (translate, news) = (listing.clone(), inbox.clone());
     let first = Rc::new(Notify::new());
--- a/crates/runtrack/tests/orders_endpoints.rs
+++ b/crates/runtrack/tests/orders_endpoints.rs
@@ -11,6 +11,7 @@
 use runtrack::net::outbound::{Attempt, Forward, Outbound, Progress};
 use runtrack::net::socket::Socket as Noted;
 use runtrack::net::window::Window;
+use runtrack_balancer::{EndpointId, Outcome};
 use runtrack_net::{Came, Connection};
 use serde_json::json;
 use socket2::SockRef;
@@ -26,7 +27,6 @@
 use support::*;
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::task::LocalSet;
-use weirwharf::{EndpointId, Outcome};
 
 const CLASSES: [&str; 3] = ["quote", "pay", "book"];
 
--- a/crates/runtrack/tests/orders_settings.rs
+++ b/crates/runtrack/tests/orders_settings.rs
@@ -10,13 +10,13 @@
 use runtrack::net::budget::Budget;
 use runtrack::net::config::Config;
 use runtrack::net::outbound::Outbound;
+use runtrack_balancer::Balancer;
 use runtrack_net::Tcp;
 use serde_json::{Value, json};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 use std::time::Duration;
 use support::*;
-use weirwharf::Balancer;
 
 /// The paths of all values inside, with their parents.
 fn paths(value: &Value, here: &str, all: &mut Vec<String>) {
--- a/crates/scale/src/choices.rs
+++ b/crates/scale/src/choices.rs
@@ -5,11 +5,11 @@
 //! for the module, and for two choices on true loads.
 
 use fastrand::Rng;
+use runtrack_balancer::fleet::{RetryBudget, Router, SelectionRequest};
+use runtrack_balancer::{EndpointId, Outcome};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
-use weirwharf::fleet::{RetryBudget, Router, SelectionRequest};
-use weirwharf::{EndpointId, Outcome};
 
 /// Requests that are counted, after as many that only fill the fleet.
 const REQUESTS: usize = 100_000;
--- a/crates/sim/tests/sources.rs
+++ b/crates/sim/tests/sources.rs
@@ -21,7 +21,7 @@
     "registry",
     "runtrack",
     "sim",
-    "weirwharf",
+    "balancer",
 ];
 /// Signals of the system, which no world has: what they wake is not part of a run.
 const SIGNALS: [&str; 2] = ["link/src/environment.rs", "runtrack/src/main.rs"];
--- a/crates/xds/src/translate.rs
+++ b/crates/xds/src/translate.rs
@@ -17,11 +17,11 @@
 use pb::envoy::r#type::v3::Percent;
 use pb::google::protobuf::{Any, Duration as ProtoDuration, UInt32Value};
 use prost::{Message, Name};
+use runtrack_balancer::Group;
 use runtrack_model::{Class, Fleet, Listener, Pool, Route, Rules, Semantics};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
-use weirwharf::Group;
 
 /// Endpoints sampled for a call: SQ(2), as the module does itself.
 const CHOICES: u32 = 2;
