--- a/crates/runtrack/src/main.rs
+++ b/crates/runtrack/src/main.rs
@@ -1,7 +1,7 @@
 //! `runtrack`: the sidecar on the system's sockets, clock and signals.
 
 use runtrack::net::config::Config;
-use runtrack::sidecar::{self, Order};
+use runtrack::sidecar::{self, Command};
 use runtrack_discovery::Clock;
 use runtrack_net::Tcp;
 use std::process::ExitCode;
@@ -35,8 +35,8 @@
     spawn_local(async move {
         loop {
             let order = tokio::select! {
-                _ = hup.recv() => Order::Reload(Config::from_env().map(Box::new)),
-                _ = term.recv() => Order::Drain,
+                _ = hup.recv() => Command::Reload(Config::from_env().map(Box::new)),
+                _ = term.recv() => Command::Drain,
             };
             let _ = orders.send(order); // fails only while the process ends
         }
--- a/crates/runtrack/src/net/driver.rs
+++ b/crates/runtrack/src/net/driver.rs
@@ -129,7 +129,7 @@
     /// Attempts that have not ended.
     pub attempts: usize,
     /// Calls that the module counts as in flight.
-    pub counted: u32,
+    pub calls_in_flight: u32,
     /// What the module remembers of requests.
     pub remembered: usize,
 }
@@ -296,7 +296,7 @@
         Gauges {
             open: self.requests.len(),
             attempts: self.requests.values().map(|open| open.out).sum(),
-            counted: self.balancer.calls_in_flight(),
+            calls_in_flight: self.balancer.calls_in_flight(),
             remembered: self.balancer.remembered(),
         }
     }
--- a/crates/runtrack/src/sidecar.rs
+++ b/crates/runtrack/src/sidecar.rs
@@ -21,7 +21,7 @@
 const FIRST_WORD: Duration = Duration::from_secs(1);
 
 /// What a running sidecar is told.
-pub enum Order {
+pub enum Command {
     /// Another configuration takes the place of the one it has, or is not understood.
     Reload(Result<Box<Config>, ConfigError>),
     /// Say how much is open.
@@ -36,7 +36,7 @@
     config: Config,
     network: Rc<dyn Network>,
     clock: Clock,
-    mut orders: UnboundedReceiver<Order>,
+    mut orders: UnboundedReceiver<Command>,
 ) -> Result<(), String> {
     let Config { name, listen, discovery, seed, sockets, memory_mb, known, settings, names, mut file } =
         config;
@@ -82,9 +82,9 @@
             () = &mut serving => return Ok(()),
             ended = &mut driver => return Err(format!("the driver ended: {ended:?}")),
             Some(order) = orders.recv() => match order {
-                Order::Drain => drain.notify_one(),
-                Order::Report(to) => drop(inbox.send(Input::Report(to))), // fails only while the process ends
-                Order::Reload(config) => {
+                Command::Drain => drain.notify_one(),
+                Command::Report(to) => drop(inbox.send(Input::Report(to))), // fails only while the process ends
+                Command::Reload(config) => {
                     let (moved, restart) = match config.and_then(|config| Config::reload(&mut file, *config)) {
                         Ok(changes) => changes,
                         Err(problem) => {
--- a/crates/runtrack/tests/support/inside.rs
+++ b/crates/runtrack/tests/support/inside.rs
@@ -5,7 +5,7 @@
 use super::{PATIENCE, wait_for};
 use runtrack::net::config::Config;
 use runtrack::net::driver::Gauges;
-use runtrack::sidecar::{self, Order};
+use runtrack::sidecar::{self, Command};
 use runtrack_discovery::Clock;
 use runtrack_net::{Connecting, Listener, Network, Tcp};
 use serde_json::Value;
@@ -102,7 +102,7 @@
 pub struct Inside {
     pub address: SocketAddr,
     pub gate: Gate,
-    orders: UnboundedSender<Order>,
+    orders: UnboundedSender<Command>,
     ended: mpsc::Receiver<Result<(), String>>,
     _thread: JoinHandle<()>,
 }
@@ -163,7 +163,7 @@
     /// How much is open.
     pub fn gauges(&self) -> Gauges {
         let (to, told) = oneshot::channel();
-        assert!(self.orders.send(Order::Report(to)).is_ok(), "it runs");
+        assert!(self.orders.send(Command::Report(to)).is_ok(), "it runs");
         told.blocking_recv().expect("it answers")
     }
 
@@ -176,13 +176,13 @@
     pub fn at_rest(&self) {
         wait_for("rest", || {
             let gauges = self.gauges();
-            (gauges.open, gauges.attempts, gauges.counted) == (0, 0, 0)
+            (gauges.open, gauges.attempts, gauges.calls_in_flight) == (0, 0, 0)
         });
     }
 
     /// Tells it to drain, and waits for nothing.
     pub fn order_drain(&self) {
-        let _ = self.orders.send(Order::Drain);
+        let _ = self.orders.send(Command::Drain);
     }
 
     /// Tells it to drain, and waits until it does.
@@ -198,7 +198,7 @@
     /// Gives it another configuration.
     pub fn reload(&self, config: &Value) {
         let config = Config::parse(&config.to_string(), None, None, None).map(Box::new);
-        let _ = self.orders.send(Order::Reload(config));
+        let _ = self.orders.send(Command::Reload(config));
     }
 
     /// How it ended.
--- a/crates/sim/src/run.rs
+++ b/crates/sim/src/run.rs
@@ -9,7 +9,7 @@
 use crate::script::{Fault, Script};
 use crate::world::{DEADLINE, UNIX, World, ms, sidecar_ip};
 use runtrack::net::config::Config;
-use runtrack::sidecar::{self, Order};
+use runtrack::sidecar::{self, Command};
 use runtrack_discovery::Clock;
 use serde_json::{Value, json};
 use std::cell::Cell;
@@ -45,7 +45,7 @@
 /// A sidecar's process.
 struct Process {
     gate: Rc<Gate>,
-    orders: UnboundedSender<Order>,
+    orders: UnboundedSender<Command>,
     task: JoinHandle<()>,
     life: usize,
 }
@@ -170,14 +170,14 @@
                 (Turn::Term, Some(process)) => {
                     let told = &mut world.facts.borrow_mut().lives[process.life].told;
                     told.get_or_insert(world.now());
-                    let _ = process.orders.send(Order::Drain);
+                    let _ = process.orders.send(Command::Drain);
                 }
                 (Turn::Move, running) => {
                     self.server.set(1);
                     if let Some(process) = running {
                         let text = world.config(self.number, 0, 1, &nobody()).to_string();
                         let config = Config::parse(&text, None, None, None).map(Box::new);
-                        let _ = process.orders.send(Order::Reload(config));
+                        let _ = process.orders.send(Command::Reload(config));
                     }
                 }
                 (Turn::Kill | Turn::End, Some(running)) => {
@@ -197,7 +197,7 @@
         sleep_until(world.start + end).await;
         let Some(process) = process.filter(|process| !process.task.is_finished()) else { return };
         let (ask, told) = oneshot::channel();
-        let _ = process.orders.send(Order::Report(ask));
+        let _ = process.orders.send(Command::Report(ask));
         let Ok(gauges) = told.await else { return }; // it has just ended, and says so itself
         let mut open = Vec::new();
         let mut left = |what: &str, count: usize, most: usize| {
@@ -206,7 +206,7 @@
             }
         };
         left("requests open", gauges.open, 0);
-        left("calls that the module counts as in flight", gauges.counted as usize, 0);
+        left("calls that the module counts as in flight", gauges.calls_in_flight as usize, 0);
         left("attempts out", gauges.attempts, 0);
         let most = world.script.all_endpoints() as usize * REMEMBERED_OF_ENDPOINT + REMEMBERED_MORE;
         left("things that the module remembers", gauges.remembered, most);
