--- a/crates/runtrack/src/lib.rs
+++ b/crates/runtrack/src/lib.rs
@@ -1,15 +1,15 @@
-//! The sidecar: its network code round the module, on whatever network and clock it is given. The binary gives it
-//! sockets and signals; tests give it a world of their own.
+//! The load-balancing sidecar: network code around the decision module `runtrack-balancer`, generic over the
+//! network and the clock. The binary runs it on system sockets and signals, tests on a simulated network.
 
 pub mod net {
-    //! The network code. It decides nothing that the module decides.
+    //! Network code of the sidecar. All load-balancing decisions are made by the decision module.
     pub mod budget;
     pub mod config;
     pub mod driver;
     pub mod inbound;
-    pub mod listing;
+    pub mod membership;
     pub mod outbound;
-    pub mod rest;
+    pub mod reuse_delay;
     pub mod socket;
     pub mod spans;
     pub mod window;
--- a/crates/runtrack/src/main.rs
+++ b/crates/runtrack/src/main.rs
@@ -1,4 +1,4 @@
-//! `runtrack`: the sidecar on the system's sockets, clock and signals.
+//! The `runtrack` binary: runs the sidecar on system sockets, clock and signals.
 
 use runtrack::net::config::Config;
 use runtrack::sidecar::{self, Command};
@@ -13,8 +13,8 @@
 fn main() -> ExitCode {
     runtrack_net::log_to_stderr();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let done = runtime.map_err(|e| e.to_string()).and_then(|rt| LocalSet::new().block_on(&rt, run()));
-    match done {
+    let result = runtime.map_err(|e| e.to_string()).and_then(|rt| LocalSet::new().block_on(&rt, run()));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
             eprintln!("runtrack: {problem}");
@@ -27,19 +27,20 @@
     if runtrack_net::mutant("signals-late") {
         Config::from_env().map_err(|e| e.to_string())?;
     }
-    // Before anything else: without a handler either would end the process, and it may come while the file is read.
+    // Handlers are installed before the configuration is read: the default action of both signals would terminate
+    // the process, and a signal may arrive during the read.
     let mut hup = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let config = Config::from_env().map_err(|e| e.to_string())?;
-    let (orders, taken) = unbounded_channel();
+    let (commands_tx, commands) = unbounded_channel();
     spawn_local(async move {
         loop {
-            let order = tokio::select! {
+            let command = tokio::select! {
                 _ = hup.recv() => Command::Reload(Config::from_env().map(Box::new)),
                 _ = term.recv() => Command::Drain,
             };
-            let _ = orders.send(order); // fails only while the process ends
+            let _ = commands_tx.send(command); // fails only during process exit
         }
     });
-    sidecar::run(config, Rc::new(Tcp), Clock::start(), taken).await
+    sidecar::run(config, Rc::new(Tcp), Clock::start(), commands).await
 }
--- a/crates/runtrack/src/net/driver.rs
+++ b/crates/runtrack/src/net/driver.rs
@@ -1,11 +1,11 @@
-//! Drives the module: turns what happens on the sockets into its events, and carries out its
-//! actions. It decides nothing, but keeps what must hold whatever is decided: one final answer a
-//! request, no attempt beyond the limit or the deadline, nothing sent for what is finished.
+//! Drives the decision module: turns socket events into its events and executes its actions. The driver makes no
+//! load-balancing decisions, but enforces invariants whatever the module decides: one final answer per request, no
+//! attempt beyond the attempt limit or the deadline, and no attempt for a finished request.
 
-use super::listing::{Listing, News};
-use super::outbound::{Attempt, Ended, Forward, Outbound, Progress};
+use super::membership::{MembershipTranslator, MembershipUpdate};
+use super::outbound::{Attempt, AttemptEnd, Forward, Outbound, Progress};
 use super::spans::Spans;
-use super::window::Window;
+use super::window::RepeatWindow;
 use hyper::body::Bytes;
 use runtrack_balancer::{
     Action, AttemptEnded, AttemptNo, Balancer, EndpointId, EndpointState, Event, Membership, Outcome,
@@ -24,73 +24,74 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Unusual outcomes are summed up in the log this often.
-const SUMMARY: Duration = Duration::from_secs(10);
+/// Interval between log summaries of unusual outcomes.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Inputs taken one after another before timers and sockets have their turn.
-const BATCH: usize = 64;
+/// Maximum number of inputs handled in a row before timers and sockets are polled again.
+const MAX_INPUT_BATCH: usize = 64;
 
-/// Where the rest of the sidecar reports to the driver.
+/// Sender of inputs to the driver.
 pub type Inbox = UnboundedSender<Input>;
 
-/// Something that happened on a socket.
+/// An input of the driver.
 pub enum Input {
-    /// A request has come whole.
-    Arrived(Box<Arrival>),
-    /// Its client has gone.
+    /// A request was received completely.
+    RequestReceived(Box<IncomingRequest>),
+    /// The request's client disconnected before its answer.
     ClientGone(RequestId),
     /// An attempt ended.
-    AttemptEnded(RequestId, AttemptNo, Ended),
-    /// A probe ended; it took so long.
-    ProbeEnded(EndpointId, Ended, Duration),
-    /// News from discovery.
-    List(News),
-    /// Somebody asks how much is open.
+    AttemptEnded(RequestId, AttemptNo, AttemptEnd),
+    /// A probe ended, after this time.
+    ProbeEnded(EndpointId, AttemptEnd, Duration),
+    /// A membership change from discovery.
+    List(MembershipUpdate),
+    /// Send the current gauges.
     Report(oneshot::Sender<Gauges>),
-    /// The process must end: fail what is still open.
+    /// The process is about to exit: finish all open requests.
     GiveUp,
 }
 
-/// A request as it came in.
-pub struct Arrival {
-    /// For the module; its time left is set here.
+/// A request received from a client.
+pub struct IncomingRequest {
+    /// The request for the decision module; the driver sets its `time_left`.
     pub request: runtrack_balancer::Request,
-    /// How long it took to come, from its first byte.
-    pub reading: Duration,
-    /// When it had come whole.
-    pub came: Instant,
-    /// When the answer must be on its way.
+    /// Time from its first byte until it was complete.
+    pub read_time: Duration,
+    /// When it was complete.
+    pub received_at: Instant,
+    /// When the answer must be sent.
     pub deadline: Instant,
-    /// What goes on to an endpoint.
+    /// The request to forward to an endpoint.
     pub forward: Rc<Forward>,
-    /// It must not run twice, wherever it goes.
-    pub never_twice: bool,
-    /// It may be repeated for so long after it may have run first.
-    pub repeat_within: Option<Duration>,
-    /// Where the final answer goes.
+    /// It must not be executed twice, on any endpoint.
+    pub at_most_once: bool,
+    /// How long after its first possible execution it may be repeated; `None` if there is no such limit.
+    pub repeat_window: Option<Duration>,
+    /// Receives the final answer.
     pub answer: oneshot::Sender<Answer>,
 }
 
 /// A final answer.
 pub enum Answer {
-    /// Served, with the body of an endpoint's answer.
+    /// Served, with the body of the endpoint's answer.
     Served(Bytes),
-    /// Refused: trying again is harmless, after this long if it is stated.
+    /// Refused without having been executed: the client may retry, after this time if given.
     Refused(Option<Duration>),
-    /// Failed.
+    /// Failed; it may have been executed.
     Failed,
 }
 
-struct Try {
+/// An attempt of an open request.
+struct AttemptState {
     endpoint: EndpointId,
-    sent: Instant,
-    /// Dropped to cancel; gone once the attempt has ended.
+    started_at: Instant,
+    /// Dropping the sender cancels the attempt; `None` once the attempt has ended.
     cancel: Option<oneshot::Sender<()>>,
     progress: Progress,
 }
 
-impl Try {
-    /// Stops it. It tells its end itself, unless another outcome is already on its way.
+impl AttemptState {
+    /// Cancels the attempt. Its task still reports an outcome, which may be another one that was already queued.
     fn stop(&mut self) {
         if let Some(cancel) = &mut self.cancel {
             let (kept, _) = oneshot::channel();
@@ -98,72 +99,72 @@
         }
     }
 
-    /// Stops it if it has not begun: it waits for a socket, for a connection's rest or for a new connection, and none
-    /// of its bytes has gone.
-    fn withdraw(&mut self) {
-        if !self.progress.begun() {
+    /// Cancels the attempt if it has not started: it waits for a socket, for a connection's reuse delay or for a new
+    /// connection, and none of its bytes has been sent.
+    fn cancel_if_unstarted(&mut self) {
+        if !self.progress.started() {
             self.stop();
         }
     }
 }
 
-/// A request until it has its final answer and all its attempts have ended.
-struct Open {
+/// A request that has no final answer yet or has active attempts.
+struct OpenRequest {
     forward: Rc<Forward>,
-    never_twice: bool,
-    window: Option<Rc<Window>>,
-    reading: Duration,
-    came: Instant,
+    at_most_once: bool,
+    window: Option<Rc<RepeatWindow>>,
+    read_time: Duration,
+    received_at: Instant,
     deadline: Instant,
-    /// Gone once the request is finished: so there is never a second final answer.
+    /// `None` once the request is finished, so that no second final answer is sent.
     answer: Option<oneshot::Sender<Answer>>,
-    tries: Vec<Try>,
-    out: usize,
+    attempts: Vec<AttemptState>,
+    active_attempts: usize,
 }
 
-/// How much is open.
+/// Numbers of open requests, attempts and calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Gauges {
-    /// Requests with no final answer, or with an attempt that has not ended.
+    /// Requests without a final answer or with an active attempt.
     pub open: usize,
     /// Attempts that have not ended.
     pub attempts: usize,
-    /// Calls that the module counts as in flight.
+    /// Calls that the decision module counts as in flight.
     pub calls_in_flight: u32,
-    /// What the module remembers of requests.
+    /// Entries that the decision module keeps for requests.
     pub remembered: usize,
 }
 
-/// Owns the module, its timers, and the requests and attempts in flight.
+/// Owns the decision module, its timers, and the open requests and attempts.
 pub struct Driver {
     balancer: Balancer,
     clock: Clock,
     max_attempts: usize,
-    requests: HashMap<RequestId, Open>,
+    requests: HashMap<RequestId, OpenRequest>,
     addresses: HashMap<EndpointId, SocketAddr>,
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
-    /// Events that the driver's own doings brought about.
-    due: VecDeque<Event>,
-    unusual: HashMap<&'static str, u64>,
+    /// Events caused by the driver's own actions, not yet passed to the decision module.
+    pending_events: VecDeque<Event>,
+    outcome_counts: HashMap<&'static str, u64>,
     spans: Spans,
     summary_at: Instant,
     outbound: Rc<Outbound>,
-    listing: Rc<Listing>,
-    calls: UnboundedSender<Call>,
+    membership: Rc<MembershipTranslator>,
+    discovery_calls: UnboundedSender<Call>,
     inbox: Inbox,
-    /// What was open has been given up, and nothing more is sent.
-    over: bool,
+    /// `GiveUp` was handled: open requests have been finished and no attempt is started any more.
+    terminated: bool,
 }
 
 impl Driver {
-    /// A driver of this module.
+    /// A driver of this decision module, without requests.
     pub fn new(
         balancer: Balancer,
         clock: Clock,
         max_attempts: u32,
         outbound: Rc<Outbound>,
-        listing: Rc<Listing>,
-        calls: UnboundedSender<Call>,
+        membership: Rc<MembershipTranslator>,
+        discovery_calls: UnboundedSender<Call>,
         inbox: Inbox,
     ) -> Self {
         Driver {
@@ -173,66 +174,68 @@
             requests: HashMap::new(),
             addresses: HashMap::new(),
             timers: BinaryHeap::new(),
-            due: VecDeque::new(),
-            unusual: HashMap::new(),
+            pending_events: VecDeque::new(),
+            outcome_counts: HashMap::new(),
             spans: Spans::default(),
-            summary_at: Instant::now() + SUMMARY,
+            summary_at: Instant::now() + SUMMARY_INTERVAL,
             outbound,
-            listing,
-            calls,
+            membership,
+            discovery_calls,
             inbox,
-            over: false,
+            terminated: false,
         }
     }
 
-    /// Runs until nothing can report any more.
+    /// Runs until all senders of inputs have been dropped.
     pub async fn run(mut self, mut inputs: UnboundedReceiver<Input>) {
         let mut batch = Vec::new();
         let mut wake = pin!(sleep_until(self.summary_at));
         loop {
             let next = self.timers.peek().map_or(self.summary_at, |Reverse((at, _))| *at);
             let next = next.min(self.summary_at);
-            // Waking too early does no harm, and moving the timer at each input would cost more.
+            // The timer is reset only if it must fire earlier: a spurious wake-up is cheaper than a reset at each input.
             if next < wake.deadline() || wake.is_elapsed() {
                 wake.as_mut().reset(next);
             }
             tokio::select! {
                 biased;
-                count = inputs.recv_many(&mut batch, BATCH) => match count {
+                count = inputs.recv_many(&mut batch, MAX_INPUT_BATCH) => match count {
                     0 => return,
                     _ => batch.drain(..).for_each(|input| self.take(input)),
                 },
                 () = &mut wake => {}
             }
-            self.fire();
+            self.fire_timers();
         }
     }
 
-    /// Ends what has not begun of requests whose time is up, before the module gives them up: an attempt tells its own end
-    /// only when its turn comes, and until then counts as one that may have run.
-    fn end_overdue(&mut self, now: Instant) {
+    /// Ends unstarted attempts of requests past their deadline, before the decision module handles the deadline. The
+    /// attempt's own task reports its end only when it is scheduled; until then the request would count as possibly
+    /// executed.
+    fn end_overdue_attempts(&mut self, now: Instant) {
         if mutant("overdue-untold") {
             return;
         }
-        for id in self.in_order(|open| open.answer.is_some() && open.deadline <= now) {
-            self.end_unbegun(id, Outcome::ConnectFailed);
+        for id in self.sorted_ids(|open| open.answer.is_some() && open.deadline <= now) {
+            self.end_unstarted_attempts(id, Outcome::ConnectFailed);
         }
     }
 
-    /// Ends a request's attempts that have not begun. None of their bytes has gone, and none goes from now on.
-    fn end_unbegun(&mut self, id: RequestId, outcome: Outcome) {
-        let tries = self.requests.get(&id).map_or(&[][..], |open| &open.tries);
-        let waits = |tried: &Try| tried.cancel.is_some() && !tried.progress.begun();
-        let unbegun: Vec<usize> = (0..tries.len()).filter(|&number| waits(&tries[number])).collect();
-        for number in unbegun {
-            self.attempt_ended(id, AttemptNo(number as u32), Ended::bare(outcome));
+    /// Ends a request's unstarted attempts. None of their bytes has been sent, and none will be.
+    fn end_unstarted_attempts(&mut self, id: RequestId, outcome: Outcome) {
+        let attempts = self.requests.get(&id).map_or(&[][..], |open| &open.attempts);
+        let is_waiting = |state: &AttemptState| state.cancel.is_some() && !state.progress.started();
+        let unstarted: Vec<usize> =
+            (0..attempts.len()).filter(|&number| is_waiting(&attempts[number])).collect();
+        for number in unstarted {
+            self.attempt_ended(id, AttemptNo(number as u32), AttemptEnd::of(outcome));
         }
     }
 
-    fn fire(&mut self) {
+    fn fire_timers(&mut self) {
         let now = Instant::now();
         if self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-            self.end_overdue(now);
+            self.end_overdue_attempts(now);
         }
         while let Some(&Reverse((at, token))) = self.timers.peek()
             && at <= now
@@ -241,53 +244,54 @@
             self.handle(Event::Timer(TimerToken(token)));
         }
         if now >= self.summary_at {
-            self.summary_at = now + SUMMARY;
-            let mut counts: Vec<_> = self.unusual.drain().collect();
+            self.summary_at = now + SUMMARY_INTERVAL;
+            let mut counts: Vec<_> = self.outcome_counts.drain().collect();
             counts.sort();
             log::info!("{}", std::mem::take(&mut self.spans));
-            // What is kept must stay in proportion to what is open and listed.
+            // Retained state should stay proportional to open requests and listed endpoints.
             let (open, timers, module) =
                 (self.requests.len(), self.timers.len(), self.balancer.remembered());
-            let (listed, names, links) = (self.addresses.len(), self.listing.names(), self.outbound.idle());
+            let (listed, names, links) =
+                (self.addresses.len(), self.membership.names(), self.outbound.idle());
             log::info!(
                 "outcomes in {} s: {counts:?}; open {open}, timers {timers}, module {module}, \
                  listed {listed}, names {names}, idle connections {links}",
-                SUMMARY.as_secs()
+                SUMMARY_INTERVAL.as_secs()
             );
         }
     }
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Arrived(arrival) => self.arrived(*arrival),
-            Input::ClientGone(id) => self.gone(id),
+            Input::RequestReceived(incoming) => self.request_received(*incoming),
+            Input::ClientGone(id) => self.client_gone(id),
             Input::AttemptEnded(id, attempt, ended) => self.attempt_ended(id, attempt, ended),
-            Input::ProbeEnded(endpoint, Ended { outcome, report, .. }, elapsed) => {
+            Input::ProbeEnded(endpoint, AttemptEnd { outcome, report, .. }, elapsed) => {
                 self.handle(Event::ProbeEnded { endpoint, outcome, elapsed, report });
             }
-            Input::List(news) => self.list(news),
-            Input::Report(to) => drop(to.send(self.gauges())), // who asked may have gone
+            Input::List(update) => self.apply_membership(update),
+            Input::Report(to) => drop(to.send(self.gauges())), // fails if the receiver was dropped
             Input::GiveUp => {
-                let open = self.in_order(|open| open.answer.is_some());
-                log::info!("giving up {} requests", open.len());
-                self.over = !mutant("over-unsaid");
+                let open = self.sorted_ids(|open| open.answer.is_some());
+                log::info!("shutdown time is over: finishing {} open requests", open.len());
+                self.terminated = !mutant("over-unsaid");
                 for id in open {
                     if !mutant("given-up-alike") {
-                        self.end_unbegun(id, Outcome::Moot);
+                        self.end_unstarted_attempts(id, Outcome::Moot);
                         self.handle(Event::GiveUp(id));
                     }
-                    // The module's word on it has come; without one it has failed all the same.
+                    // The decision module has normally finished it by now; if not, it fails.
                     self.finish(id, Answer::Failed);
-                    self.tidy(id);
+                    self.remove_if_done(id);
                 }
             }
         }
     }
 
-    /// Such requests in the order of their coming, and not of a hash.
-    fn in_order(&self, such: impl Fn(&Open) -> bool) -> Vec<RequestId> {
+    /// Ids of the requests that match, in order of arrival; the map's iteration order is not deterministic.
+    fn sorted_ids(&self, filter: impl Fn(&OpenRequest) -> bool) -> Vec<RequestId> {
         let mut ids: Vec<RequestId> =
-            self.requests.iter().filter(|(_, open)| such(open)).map(|(id, _)| *id).collect();
+            self.requests.iter().filter(|(_, open)| filter(open)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
     }
@@ -295,59 +299,78 @@
     fn gauges(&self) -> Gauges {
         Gauges {
             open: self.requests.len(),
-            attempts: self.requests.values().map(|open| open.out).sum(),
+            attempts: self.requests.values().map(|open| open.active_attempts).sum(),
             calls_in_flight: self.balancer.calls_in_flight(),
             remembered: self.balancer.remembered(),
         }
     }
 
-    fn arrived(&mut self, arrival: Arrival) {
-        let Arrival { mut request, reading, came, deadline, forward, never_twice, repeat_within, answer } =
-            arrival;
+    fn request_received(&mut self, incoming: IncomingRequest) {
+        let IncomingRequest {
+            mut request,
+            read_time,
+            received_at,
+            deadline,
+            forward,
+            at_most_once,
+            repeat_window,
+            answer,
+        } = incoming;
         request.time_left = deadline.saturating_duration_since(Instant::now());
-        let (answer, tries) = (Some(answer), Vec::new());
-        let window = repeat_within.map(|length| Rc::new(Window::new(length)));
-        let open = Open { forward, never_twice, window, reading, came, deadline, answer, tries, out: 0 };
+        let (answer, attempts) = (Some(answer), Vec::new());
+        let window = repeat_window.map(|length| Rc::new(RepeatWindow::new(length)));
+        let open = OpenRequest {
+            forward,
+            at_most_once,
+            window,
+            read_time,
+            received_at,
+            deadline,
+            answer,
+            attempts,
+            active_attempts: 0,
+        };
         self.requests.insert(request.id, open);
         self.handle(Event::Request(request));
     }
 
-    fn gone(&mut self, id: RequestId) {
+    fn client_gone(&mut self, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         if open.answer.take().is_some() {
-            // Whatever the settings say of cancelling: what has not begun is no one's work yet.
+            // Unstarted attempts are cancelled even where the settings forbid cancelling: no endpoint has begun work.
             if !mutant("sent-for-nobody") {
-                open.tries.iter_mut().for_each(Try::withdraw);
+                open.attempts.iter_mut().for_each(AttemptState::cancel_if_unstarted);
             }
             self.count("client gone");
             self.handle(Event::RequestGone(id));
         }
-        self.tidy(id);
+        self.remove_if_done(id);
     }
 
-    fn attempt_ended(&mut self, id: RequestId, attempt: AttemptNo, ended: Ended) {
+    fn attempt_ended(&mut self, id: RequestId, attempt: AttemptNo, ended: AttemptEnd) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(tried) = open.tries.get_mut(attempt.0 as usize) else { return };
-        if tried.cancel.take().is_none() {
-            return; // its outcome has been told
+        let Some(state) = open.attempts.get_mut(attempt.0 as usize) else { return };
+        if state.cancel.take().is_none() {
+            return; // its outcome has already been reported
         }
-        open.out -= 1;
+        open.active_attempts -= 1;
         if let Some(window) = open.window.as_ref().filter(|_| ended.outcome.never_ran()) {
-            window.never_ran(attempt.0 as usize);
+            window.record_not_executed(attempt.0 as usize);
         }
-        let (endpoint, sent, elapsed) = (tried.endpoint, tried.sent, tried.sent.elapsed());
-        let Ended { outcome, body, report, stages } = ended;
+        let (endpoint, started_at, elapsed) =
+            (state.endpoint, state.started_at, state.started_at.elapsed());
+        let AttemptEnd { outcome, body, report, stages } = ended;
         if let Some((handed, began)) = stages.filter(|_| outcome == Outcome::Ok) {
             self.spans.add([
-                open.reading,
-                sent.saturating_duration_since(open.came),
-                handed.saturating_duration_since(sent),
+                open.read_time,
+                started_at.saturating_duration_since(open.received_at),
+                handed.saturating_duration_since(started_at),
                 began.saturating_duration_since(handed),
                 began.elapsed(),
             ]);
         }
         if outcome == Outcome::TimedOut {
-            self.outbound.close_unheard(endpoint, sent);
+            self.outbound.close_idle_since(endpoint, started_at);
         }
         if outcome == Outcome::Ok {
             self.finish(id, Answer::Served(body));
@@ -367,27 +390,26 @@
             finished,
             report,
         }));
-        self.tidy(id);
+        self.remove_if_done(id);
     }
 
-    fn list(&mut self, news: News) {
-        // Endpoints to which nothing new goes, or not where it was to go.
-        let mut withdrawn = HashSet::new();
-        for (id, address) in &news.addresses {
+    fn apply_membership(&mut self, update: MembershipUpdate) {
+        // Endpoints that take no new requests, or have a new address.
+        let mut unavailable = HashSet::new();
+        for (id, address) in &update.addresses {
             let before = self.addresses.insert(*id, *address);
             if before.is_some_and(|before| before != *address) {
                 self.outbound.close_idle(*id);
-                withdrawn.insert(*id);
+                unavailable.insert(*id);
             }
         }
-        let (whole, entries) = match &news.membership {
+        let (is_full, entries) = match &update.membership {
             Membership::Full(entries) | Membership::Cached(entries) => (true, entries),
             Membership::Delta(entries) => (false, entries),
-            Membership::Failed => return self.handle(Event::Membership(news.membership)),
+            Membership::Failed => return self.handle(Event::Membership(update.membership)),
         };
         for entry in entries.iter().filter(|entry| entry.state != EndpointState::Ready) {
-            // Nothing new goes there.
-            withdrawn.insert(entry.id);
+            unavailable.insert(entry.id);
             let state = if entry.state == EndpointState::Gone {
                 self.addresses.remove(&entry.id);
                 self.outbound.forget(entry.id);
@@ -396,96 +418,99 @@
                 self.outbound.close_idle(entry.id);
                 "draining"
             };
-            log::info!("list: {} is {state}", self.listing.uid(entry.id));
+            log::info!("list: {} is {state}", self.membership.uid(entry.id));
         }
-        if whole {
+        if is_full {
             let outbound = &self.outbound;
             self.addresses.retain(|id, _| {
                 let listed = entries.iter().any(|entry| entry.id == *id);
                 if !listed {
                     outbound.forget(*id);
-                    withdrawn.insert(*id);
+                    unavailable.insert(*id);
                 }
                 listed
             });
         }
-        // A connection may come up only after the grace: what waits for one goes elsewhere at once.
-        if !withdrawn.is_empty() && !mutant("drain-waits") {
-            let to = |tried: &Try| withdrawn.contains(&tried.endpoint);
-            for id in self.in_order(|open| open.tries.iter().any(to)) {
-                let tries = self.requests.get_mut(&id).into_iter().flat_map(|open| &mut open.tries);
-                tries.filter(|tried| to(tried)).for_each(Try::withdraw);
+        // A pending connection may be established only after the drain grace period: its attempt is cancelled at
+        // once, so that the request goes to another endpoint.
+        if !unavailable.is_empty() && !mutant("drain-waits") {
+            let to = |state: &AttemptState| unavailable.contains(&state.endpoint);
+            for id in self.sorted_ids(|open| open.attempts.iter().any(to)) {
+                let attempts = self.requests.get_mut(&id).into_iter().flat_map(|open| &mut open.attempts);
+                attempts.filter(|state| to(state)).for_each(AttemptState::cancel_if_unstarted);
             }
         }
-        self.listing.keep(|id| self.addresses.contains_key(&id));
-        self.handle(Event::Membership(news.membership));
+        self.membership.retain_names(|id| self.addresses.contains_key(&id));
+        self.handle(Event::Membership(update.membership));
     }
 
-    /// Gives the module an event and carries out what it wants done, and what comes of that.
+    /// Passes an event to the decision module and executes its actions, until no events are pending.
     fn handle(&mut self, event: Event) {
-        self.due.push_back(event);
+        self.pending_events.push_back(event);
         let mut actions = Vec::new();
-        while let Some(event) = self.due.pop_front() {
-            let about = match &event {
+        while let Some(event) = self.pending_events.pop_front() {
+            let ended_request = match &event {
                 Event::AttemptEnded(ended) => Some(ended.request),
                 _ => None,
             };
             self.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute(action);
             }
-            if let Some(id) = about {
-                self.tidy(id);
+            if let Some(id) = ended_request {
+                self.remove_if_done(id);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { request, endpoint, timeout } => self.send(request, endpoint, timeout),
             Action::Refuse { request, retry_after } => {
                 self.finish(request, Answer::Refused(retry_after));
-                self.tidy(request);
+                self.remove_if_done(request);
             }
             Action::Fail { request } if mutant("refuse-for-fail") => {
                 self.finish(request, Answer::Refused(None));
-                self.tidy(request);
+                self.remove_if_done(request);
             }
             Action::Fail { request } => {
                 self.finish(request, Answer::Failed);
-                self.tidy(request);
+                self.remove_if_done(request);
             }
             Action::Cancel { request, attempt } => {
                 if let Some(open) = self.requests.get_mut(&request)
-                    && let Some(tried) = open.tries.get_mut(attempt.0 as usize)
+                    && let Some(state) = open.attempts.get_mut(attempt.0 as usize)
                 {
-                    tried.stop();
+                    state.stop();
                 }
             }
             Action::SetTimer { token, after } => {
                 self.timers.push(Reverse((Instant::now() + after, token.0)));
             }
-            // These fail only while the process ends.
-            Action::Watch(on) => drop(self.calls.send(Call::Watch(on))),
-            Action::FetchList => drop(self.calls.send(Call::Fetch)),
+            // Sending fails only during process exit.
+            Action::Watch(on) => drop(self.discovery_calls.send(Call::Watch(on))),
+            Action::FetchList => drop(self.discovery_calls.send(Call::Fetch)),
             Action::Probe { endpoint } => self.probe(endpoint),
             Action::CloseIdle { endpoint } => self.outbound.close_idle(endpoint),
             Action::Log(text) => log::info!("module: {}", text.replace(['\n', '\r'], " ")),
         }
     }
 
-    /// Starts an attempt. What must not be sent is numbered all the same, and ends as moot.
+    /// Starts an attempt. One that must not be sent still gets a number, and ends as moot.
     fn send(&mut self, id: RequestId, endpoint: EndpointId, timeout: Duration) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let (now, attempt) = (Instant::now(), AttemptNo(open.tries.len() as u32));
+        let (now, attempt) = (Instant::now(), AttemptNo(open.attempts.len() as u32));
         let address = self.addresses.get(&endpoint).copied();
-        let until = open.deadline.min(now + timeout);
-        let moot =
-            self.over || open.answer.is_none() || open.tries.len() >= self.max_attempts || until <= now;
-        let Some(address) = address.filter(|_| !moot) else {
+        let give_up_at = open.deadline.min(now + timeout);
+        let must_not_send = self.terminated
+            || open.answer.is_none()
+            || open.attempts.len() >= self.max_attempts
+            || give_up_at <= now;
+        let Some(address) = address.filter(|_| !must_not_send) else {
             let progress = Progress::default();
-            open.tries.push(Try { endpoint, sent: now, cancel: None, progress });
-            self.due.push_back(Event::AttemptEnded(AttemptEnded {
+            open.attempts.push(AttemptState { endpoint, started_at: now, cancel: None, progress });
+            self.pending_events.push_back(Event::AttemptEnded(AttemptEnded {
                 request: id,
                 attempt,
                 endpoint,
@@ -497,20 +522,22 @@
             return self.count(outcome_name(Outcome::Moot));
         };
         let (cancel, mut cancelled) = oneshot::channel();
-        let window = open.window.clone().map(|window| (window, open.tries.len()));
+        let window = open.window.clone().map(|window| (window, open.attempts.len()));
         let progress = Progress::default();
-        let tried = Try { endpoint, sent: now, cancel: Some(cancel), progress: progress.clone() };
-        open.tries.push(tried);
-        open.out += 1;
+        let state =
+            AttemptState { endpoint, started_at: now, cancel: Some(cancel), progress: progress.clone() };
+        open.attempts.push(state);
+        open.active_attempts += 1;
         let attempted =
-            Attempt { forward: open.forward.clone(), until, window, never_twice: open.never_twice };
+            Attempt { forward: open.forward.clone(), give_up_at, window, at_most_once: open.at_most_once };
         let (outbound, inbox) = (self.outbound.clone(), self.inbox.clone());
         spawn_local(async move {
-            let exchange = timeout_at(until, outbound.attempt(endpoint, address, attempted, &progress));
+            let exchange =
+                timeout_at(give_up_at, outbound.attempt(endpoint, address, attempted, &progress));
             let ended = tokio::select! {
                 biased;
-                _ = &mut cancelled => Ended::bare(progress.stopped()),
-                ended = exchange => ended.unwrap_or_else(|_| Ended::bare(progress.given_up())),
+                _ = &mut cancelled => AttemptEnd::of(progress.cancel_outcome()),
+                ended = exchange => ended.unwrap_or_else(|_| AttemptEnd::of(progress.timeout_outcome())),
             };
             let _ = inbox.send(Input::AttemptEnded(id, attempt, ended));
         });
@@ -519,37 +546,37 @@
     fn probe(&mut self, endpoint: EndpointId) {
         let Some(&address) = self.addresses.get(&endpoint) else {
             let (outcome, elapsed, report) = (Outcome::ConnectFailed, Duration::ZERO, None);
-            return self.due.push_back(Event::ProbeEnded { endpoint, outcome, elapsed, report });
+            return self.pending_events.push_back(Event::ProbeEnded { endpoint, outcome, elapsed, report });
         };
-        let (outbound, inbox, sent) = (self.outbound.clone(), self.inbox.clone(), Instant::now());
+        let (outbound, inbox, started_at) = (self.outbound.clone(), self.inbox.clone(), Instant::now());
         spawn_local(async move {
             let ended = outbound.probe(endpoint, address).await;
-            let _ = inbox.send(Input::ProbeEnded(endpoint, ended, sent.elapsed()));
+            let _ = inbox.send(Input::ProbeEnded(endpoint, ended, started_at.elapsed()));
         });
     }
 
-    /// Gives a request its final answer, unless it has had one.
+    /// Sends a request's final answer, unless one has been sent.
     fn finish(&mut self, id: RequestId, answer: Answer) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(to) = open.answer.take() else { return };
-        open.tries.iter_mut().for_each(Try::withdraw);
+        open.attempts.iter_mut().for_each(AttemptState::cancel_if_unstarted);
         match &answer {
             Answer::Served(_) => {}
             Answer::Refused(_) => self.count("refused"),
             Answer::Failed => self.count("failed"),
         }
-        let _ = to.send(answer); // fails where the client has just gone
+        let _ = to.send(answer); // fails if the client has just disconnected
     }
 
-    /// Forgets a request that nothing more can be heard of.
-    fn tidy(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|open| open.answer.is_none() && open.out == 0) {
+    /// Removes a request that is finished and has no active attempts.
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|open| open.answer.is_none() && open.active_attempts == 0) {
             self.requests.remove(&id);
         }
     }
 
     fn count(&mut self, what: &'static str) {
-        *self.unusual.entry(what).or_default() += 1;
+        *self.outcome_counts.entry(what).or_default() += 1;
     }
 }
 
--- a/crates/runtrack/src/net/inbound.rs
+++ b/crates/runtrack/src/net/inbound.rs
@@ -1,10 +1,11 @@
-//! Clients' connections: takes requests, gives final answers, and drains at the end.
+//! Client connections: accepts and validates requests, sends final answers, limits the number of connections, and
+//! drains at shutdown.
 
 use super::budget::{Budget, Holder, Permit};
 use super::config::Names;
-use super::driver::{Answer, Arrival, Inbox, Input};
-use super::outbound::{BODY_MOST, BUFFER_MOST, Forward, Outbound};
-use super::socket::{Heard, Socket};
+use super::driver::{Answer, Inbox, IncomingRequest, Input};
+use super::outbound::{Forward, MAX_BODY_BYTES, MAX_BUFFER_BYTES, Outbound};
+use super::socket::{Socket, SocketState};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -27,45 +28,47 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// Kept back from a client's time, for the answer to reach it.
+/// Subtracted from a client's timeout, so that the answer reaches it in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(10);
-/// A request must have come whole within this, counted from the connection's start or, later, from its
-/// first byte: bad clients are owed an error or a close within 3 s.
-const REQUEST_TIME: Duration = Duration::from_secs(2);
-/// A request whose rest lies unread when its time is up is read for so much longer.
-const UNREAD_WAIT: Duration = Duration::from_millis(50);
-/// A connection is closed once it has been between requests for this long.
-const IDLE_MOST: Duration = Duration::from_secs(20);
-/// When a client that found no room is to come back, where the settings let it be told and wait so long.
-const SHED_RETRY: Duration = Duration::from_millis(500);
-/// How often a connection looks whether its time is up.
-const TICK: Duration = Duration::from_millis(500);
-/// Wait after a failed accept: out of descriptors it would fail again at once, and spin.
+/// Time within which a request must be complete, from the connection's start or, for later requests, from the first
+/// byte: misbehaving clients must get an error or a close within 3 s.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Additional read time for a request that has unread input in the kernel at its timeout.
+const UNREAD_GRACE: Duration = Duration::from_millis(50);
+/// Connections that are idle between requests for this long are closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// `Retry-After` for a client refused for lack of sockets, if the settings permit that header; limited by the
+/// settings' maximum.
+const SHED_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Interval at which a connection checks its timeouts.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause after a failed accept. Without descriptors the next accept would fail at once, in a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// New connections come for up to 0.4 s after SIGTERM, so we accept for a little longer.
-const SHUTDOWN_ACCEPT: Duration = Duration::from_millis(500);
-/// The backlog is empty once nothing has come out of it for this long.
-const BACKLOG_EMPTY: Duration = Duration::from_millis(30);
-/// Where room is wanted, connections are closed that have been between requests for this long ...
-const IDLE_LEAST: Duration = Duration::from_secs(2);
-/// ... or are this old and have brought no request: who has one sends it at once.
-const SILENT_LEAST: Duration = Duration::from_millis(50);
-/// Where nobody can be closed, that is looked at again after this.
-const ROOM_RECHECK: Duration = Duration::from_millis(10);
-/// While shutting down, a connection on which nothing has come yet is closed after this.
-const FRESH_WAIT: Duration = Duration::from_millis(200);
-/// SIGKILL comes no sooner than the longest deadline, but at most `DEADLINE_MOST`, and 0.7 s more:
-/// what is open this long after it is failed, which leaves the answers time to go out.
+/// How long connections are accepted after SIGTERM. New ones arrive for up to 0.4 s after it.
+const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(500);
+/// The listen backlog counts as empty once no connection could be accepted for this long.
+const BACKLOG_EMPTY_AFTER: Duration = Duration::from_millis(30);
+/// When sockets run out, connections that have been idle between requests for this long may be closed.
+const MIN_IDLE_TO_EVICT: Duration = Duration::from_secs(2);
+/// When sockets run out, connections that have sent no complete request for this long may be closed: a client with a
+/// request sends it at once.
+const MIN_SILENCE_TO_EVICT: Duration = Duration::from_millis(50);
+/// Interval of further attempts to close a connection when none could be closed.
+const EVICT_RETRY: Duration = Duration::from_millis(10);
+/// During shutdown, a connection without input is closed after this time.
+const NEW_CONN_GRACE: Duration = Duration::from_millis(200);
+/// SIGKILL follows SIGTERM after the longest deadline, or `MAX_SHUTDOWN_DEADLINE` if that is less, plus 0.7 s. Requests
+/// still open after that deadline plus this slack are failed, which leaves time to send the answers.
 const SHUTDOWN_SLACK: Duration = Duration::from_millis(450);
-const DEADLINE_MOST: Duration = Duration::from_secs(3);
-/// A connection that we have ended is read on for so long at most, and so much, until its client has ended it too. A
-/// client on the way to one of our own endpoints or behind the front does so within a round trip.
-const LINGER: Duration = Duration::from_secs(1);
-const LINGER_MOST: usize = 16 * BODY_MOST;
-/// The last answers go out within this.
-const LAST_ANSWERS: Duration = Duration::from_millis(150);
-
-/// What all clients' connections share.
+const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
+/// Limits of a lingering close: input is read and discarded until the client closes too. A client that behaves well
+/// does so within a round trip.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+const LINGER_MAX_BYTES: usize = 16 * MAX_BODY_BYTES;
+/// Time for sending the last answers at shutdown.
+const LAST_ANSWER_TIME: Duration = Duration::from_millis(150);
+
+/// State shared by all client connections.
 pub struct Inbound {
     settings: Settings,
     classes: Vec<String>,
@@ -73,43 +76,43 @@
     budget: Rc<Budget>,
     outbound: Rc<Outbound>,
     inbox: Inbox,
-    next: Cell<u64>,
+    next_id: Cell<u64>,
     shutting_down: Cell<bool>,
-    /// What was open has been given up, and nothing more is taken.
-    over: Cell<bool>,
-    /// Accepting fails; said once in the log until it works again.
-    failing: Cell<bool>,
-    /// The connections in the order of their coming.
-    connections: RefCell<BTreeMap<u64, Rc<Turn>>>,
-    /// The clients' own ids of the requests that are open, and the connections that they came on.
-    open: RefCell<HashMap<HeaderValue, Rc<Heard>>>,
+    /// Open requests have been failed at shutdown, and no more requests are taken.
+    terminated: Cell<bool>,
+    /// The last accept failed; logged once until an accept succeeds.
+    accept_failing: Cell<bool>,
+    /// Open connections in the order in which they were accepted.
+    connections: RefCell<BTreeMap<u64, Rc<ClientConn>>>,
+    /// `X-Request-ID` of each open request, with the connection on which it arrived.
+    open: RefCell<HashMap<HeaderValue, Rc<SocketState>>>,
 }
 
-/// A request's own id while it is open: a second one by the same id would be taken for it.
-struct OpenId<'a> {
-    open: &'a RefCell<HashMap<HeaderValue, Rc<Heard>>>,
+/// Keeps a request's `X-Request-ID` registered as open until dropped; a second open request must not use the same id.
+struct OpenIdGuard<'a> {
+    open: &'a RefCell<HashMap<HeaderValue, Rc<SocketState>>>,
     id: HeaderValue,
-    on: &'a Rc<Heard>,
+    on: &'a Rc<SocketState>,
 }
 
-impl Drop for OpenId<'_> {
+impl Drop for OpenIdGuard<'_> {
     fn drop(&mut self) {
         let mut open = self.open.borrow_mut();
-        // Its client may have come again by the same id, and that one's is not for us to forget.
+        // The id may have been registered again by a newer connection, whose entry must stay.
         if open.get(&self.id).is_some_and(|on| Rc::ptr_eq(on, self.on)) {
             open.remove(&self.id);
         }
     }
 }
 
-/// Tells the driver when a client leaves before its answer.
-struct Waiting<'a> {
+/// Reports to the driver, on drop, that the client disconnected before its answer.
+struct DisconnectGuard<'a> {
     inbox: &'a Inbox,
     id: RequestId,
     answered: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if !self.answered {
             let _ = self.inbox.send(Input::ClientGone(self.id));
@@ -117,73 +120,74 @@
     }
 }
 
-/// Where a client's connection stands.
-struct Turn {
-    heard: Rc<Heard>,
+/// State of a client's connection.
+struct ClientConn {
+    socket: Rc<SocketState>,
     accepted: Instant,
-    /// There was no room for it: it is only to be told so.
+    /// Accepted over the limit, only to be refused.
     shed: bool,
     /// A request is being read or answered.
     busy: Cell<bool>,
-    /// When the last answer was given; none on a new connection.
+    /// When the last answer was given; `None` before the first.
     answered: Cell<Option<Instant>>,
-    /// The next answer is the connection's last, and says so.
-    last: Cell<bool>,
-    /// It was told to close to make room.
-    closing: Cell<bool>,
-    /// We have ended it, and wait for its client to do so.
+    /// The next answer is the connection's last and carries `Connection: close`.
+    is_last: Cell<bool>,
+    /// It was selected to be closed for lack of sockets.
+    evicted: Cell<bool>,
+    /// Our side is closed; waiting for the client to close.
     lingering: Cell<bool>,
     /// Wakes the connection to close itself.
     close: Notify,
 }
 
-impl Turn {
-    /// How long it has been between requests; none before the first.
-    fn idle(&self) -> Option<Duration> {
+impl ClientConn {
+    /// How long it has been idle between requests; `None` before the first one or while one arrives or is open.
+    fn idle_for(&self) -> Option<Duration> {
         self.answered
             .get()
-            .filter(|_| !self.busy.get() && self.heard.began().is_none())
+            .filter(|_| !self.busy.get() && self.socket.first_byte_at().is_none())
             .map(|at| at.elapsed())
     }
 
-    /// A request has begun to come, if only to this machine: to end the connection now would reset it.
-    fn coming(&self) -> bool {
+    /// Whether a request has begun to arrive, even if only in the kernel's buffer: closing now would reset it.
+    fn request_arriving(&self) -> bool {
         !self.busy.get()
-            && (self.heard.began().is_some() || self.heard.came() == Came::Bytes)
+            && (self.socket.first_byte_at().is_some() || self.socket.unread_input() == Came::Bytes)
             && !mutant("closed-unread")
     }
 
-    /// How long it has been silent or in the middle of a request's head.
-    fn silent(&self) -> Option<Duration> {
-        let since = if self.answered.get().is_none() { Some(self.accepted) } else { self.heard.began() };
+    /// How long it has been without a request since it was accepted, or with an incomplete request head.
+    fn silent_for(&self) -> Option<Duration> {
+        let since =
+            if self.answered.get().is_none() { Some(self.accepted) } else { self.socket.first_byte_at() };
         since.filter(|_| !self.busy.get()).map(|at| at.elapsed())
     }
 
-    /// When a request that has begun to come, or the first one, must have come whole.
-    fn request_until(&self) -> Instant {
-        match (self.answered.get(), self.heard.began()) {
-            (None, _) | (_, None) => self.accepted + REQUEST_TIME,
-            (Some(_), Some(began)) => began + REQUEST_TIME,
+    /// When the first request, or one that has begun to arrive, must be complete.
+    fn request_deadline(&self) -> Instant {
+        match (self.answered.get(), self.socket.first_byte_at()) {
+            (None, _) | (_, None) => self.accepted + REQUEST_TIMEOUT,
+            (Some(_), Some(began)) => began + REQUEST_TIMEOUT,
         }
     }
 
-    /// When it is closed unless something comes; none while a request is open.
-    fn until(&self) -> Option<Instant> {
+    /// When it is closed unless input arrives; `None` while a request is open.
+    fn close_at(&self) -> Option<Instant> {
         match self.answered.get() {
             _ if self.busy.get() => None,
-            Some(at) if self.heard.began().is_none() => Some(at + IDLE_MOST),
-            _ => Some(self.request_until()),
+            Some(at) if self.socket.first_byte_at().is_none() => Some(at + IDLE_TIMEOUT),
+            _ => Some(self.request_deadline()),
         }
     }
 }
 
 type Reply = Response<Full<Bytes>>;
 
-/// What is wrong with a request.
-type Bad = (StatusCode, &'static str);
+/// Status and text of the answer to an invalid request.
+type RequestError = (StatusCode, &'static str);
 
 impl Inbound {
-    /// No clients yet.
+    /// Creates the shared state, without connections.
     pub fn new(
         settings: Settings,
         names: &Names,
@@ -191,7 +195,7 @@
         outbound: Rc<Outbound>,
         inbox: Inbox,
     ) -> Rc<Self> {
-        let list = |names: &[super::config::Named]| names.iter().map(|n| n.name.clone()).collect();
+        let list = |names: &[super::config::NamedEntry]| names.iter().map(|n| n.name.clone()).collect();
         Rc::new(Inbound {
             classes: list(&names.classes),
             tenants: list(&names.tenants),
@@ -199,16 +203,16 @@
             budget,
             outbound,
             inbox,
-            next: Cell::new(0),
+            next_id: Cell::new(0),
             shutting_down: Cell::new(false),
-            over: Cell::new(false),
-            failing: Cell::new(false),
+            terminated: Cell::new(false),
+            accept_failing: Cell::new(false),
             connections: RefCell::default(),
             open: RefCell::default(),
         })
     }
 
-    /// Serves until told to end, then drains: all that the kernel has accepted is answered.
+    /// Serves until `drain` is notified, then drains: every connection that the kernel has accepted is answered.
     pub async fn serve(self: Rc<Self>, listener: Box<dyn Listener>, drain: &Notify) {
         loop {
             tokio::select! {
@@ -220,65 +224,69 @@
         let asked = Instant::now();
         log::info!("draining: {} clients connected", self.budget.clients());
         self.shutting_down.set(true);
-        while timeout_at(asked + SHUTDOWN_ACCEPT, self.accept(&*listener)).await.is_ok() {}
+        while timeout_at(asked + SHUTDOWN_ACCEPT_TIME, self.accept(&*listener)).await.is_ok() {}
         let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-        let until = asked + longest.min(DEADLINE_MOST) + SHUTDOWN_SLACK;
-        // What still waits in the backlog counts as taken: closing the listener would reset it.
-        // A wait for room says nothing of the backlog: behind a crowd that is let go there may be requests.
-        while let Ok(true) = timeout_at(until, self.accept_within(&*listener, BACKLOG_EMPTY)).await {}
+        let until = asked + longest.min(MAX_SHUTDOWN_DEADLINE) + SHUTDOWN_SLACK;
+        // Connections in the backlog must be served: closing the listener would reset them. The time spent waiting for a
+        // free socket does not count as an empty backlog, since requests may queue behind connections without one.
+        while let Ok(true) = timeout_at(until, self.accept_within(&*listener, BACKLOG_EMPTY_AFTER)).await {}
         drop(listener);
-        self.connections.borrow().values().for_each(|turn| turn.close.notify_one());
-        if !mutant("lost-on-term") && timeout_at(until, self.all_gone()).await.is_err() {
-            self.over.set(true);
+        self.connections.borrow().values().for_each(|conn| conn.close.notify_one());
+        if !mutant("lost-on-term") && timeout_at(until, self.clients_gone()).await.is_err() {
+            self.terminated.set(true);
             let _ = self.inbox.send(Input::GiveUp);
-            let _ = timeout(LAST_ANSWERS, self.all_gone()).await;
+            let _ = timeout(LAST_ANSWER_TIME, self.clients_gone()).await;
         }
         log::info!("drained in {} ms", asked.elapsed().as_millis());
     }
 
-    async fn all_gone(&self) {
+    async fn clients_gone(&self) {
         while self.budget.clients() > 0 {
-            self.budget.freed().await;
+            self.budget.client_freed().await;
         }
     }
 
-    /// Accepts one connection, once there is room for it.
+    /// Accepts one connection once a socket is available.
     async fn accept(self: &Rc<Self>, listener: &dyn Listener) {
-        let permit = self.room().await;
+        let permit = self.acquire_slot().await;
         let accepted = poll_fn(|cx| listener.poll_accept(cx)).await;
-        self.take(accepted, permit).await;
+        self.serve_accepted(accepted, permit).await;
     }
 
-    /// The same, where one comes within this time of there being room; whether one did.
+    /// Like `accept`, but waits at most `time` once a socket is available; whether a connection was accepted.
     async fn accept_within(self: &Rc<Self>, listener: &dyn Listener, time: Duration) -> bool {
         let wait = if mutant("crowd-is-empty") { time } else { Duration::MAX };
-        let Ok(permit) = timeout(wait, self.room()).await else { return false };
+        let Ok(permit) = timeout(wait, self.acquire_slot()).await else { return false };
         let Ok(accepted) = timeout(time, poll_fn(|cx| listener.poll_accept(cx))).await else {
             return false;
         };
-        self.take(accepted, permit).await;
+        self.serve_accepted(accepted, permit).await;
         true
     }
 
-    /// Takes a connection in and serves it, or waits for a moment where there was none to take.
-    async fn take(self: &Rc<Self>, accepted: io::Result<Box<dyn Connection>>, permit: Option<Permit>) {
+    /// Spawns the task that serves an accepted connection, or pauses after a failed accept.
+    async fn serve_accepted(
+        self: &Rc<Self>,
+        accepted: io::Result<Box<dyn Connection>>,
+        permit: Option<Permit>,
+    ) {
         match accepted {
             Ok(stream) => {
-                self.failing.set(false);
-                let permit = permit.or_else(|| self.budget.take(Holder::Client));
+                self.accept_failing.set(false);
+                let permit = permit.or_else(|| self.budget.acquire(Holder::Client));
                 let shed = permit.is_none();
-                let permit = permit.or_else(|| self.budget.take(Holder::Shed));
-                let (socket, turn, number) = self.take_in(stream, shed);
+                let permit = permit.or_else(|| self.budget.acquire(Holder::Shed));
+                let (transport, conn, number) = self.register(stream, shed);
                 let this = self.clone();
                 spawn_local(async move {
                     let _permit = permit;
-                    this.follow(socket, &turn).await;
-                    this.linger(&turn).await;
+                    this.serve_conn(transport, &conn).await;
+                    this.linger(&conn).await;
                     this.connections.borrow_mut().remove(&number);
                 });
             }
             Err(e) => {
-                if !self.failing.replace(true) {
+                if !self.accept_failing.replace(true) {
                     log::info!("accept: {e}");
                 }
                 self.outbound.close_oldest_idle();
@@ -287,127 +295,145 @@
         }
     }
 
-    /// A permit for one more client; none where it can only be told that there is no room.
-    async fn room(&self) -> Option<Permit> {
+    /// Waits for a permit for one more client; `None` if the client can only be refused.
+    async fn acquire_slot(&self) -> Option<Permit> {
         loop {
-            while self.budget.endpoints_crowd() && self.outbound.close_oldest_idle() {}
-            if let Some(permit) = self.budget.take(Holder::Client) {
+            while self.budget.endpoints_block_clients() && self.outbound.close_oldest_idle() {}
+            if let Some(permit) = self.budget.acquire(Holder::Client) {
                 return Some(permit);
             }
-            if !self.make_room(false) {
-                if let Some(permit) = self.budget.take(Holder::Shed) {
+            if !self.evict(false) {
+                if let Some(permit) = self.budget.acquire(Holder::Shed) {
                     drop(permit);
                     return None;
                 }
-                self.make_room(true);
+                self.evict(true);
             }
-            let _ = timeout(ROOM_RECHECK, self.budget.freed()).await;
+            let _ = timeout(EVICT_RETRY, self.budget.client_freed()).await;
         }
     }
 
-    /// Closes the connection that is missed least: who has been silent longest, else who has been idle
-    /// longest. Where there is none, somebody's next answer will be the connection's last. Whether one
-    /// goes, or will as soon as its silence has lasted. Those over the cap make room for their like alone.
-    fn make_room(&self, shed: bool) -> bool {
+    /// Closes one connection to free a socket: one that is lingering, else the oldest that has sent no complete request,
+    /// else the one idle longest. If there is none, marks a connection to be closed after its next answer. Returns whether
+    /// one is closed, or will be once it has been silent long enough. Shed connections are only closed for other shed
+    /// ones, and regular ones for regular ones.
+    fn evict(&self, shed: bool) -> bool {
         let connections = self.connections.borrow();
-        let alike = || connections.values().filter(|turn| turn.shed == shed || mutant("crowd-is-empty"));
-        let told = |turn: &Rc<Turn>| {
-            turn.closing.set(true);
-            turn.close.notify_one();
+        let same_kind =
+            || connections.values().filter(|conn| conn.shed == shed || mutant("crowd-is-empty"));
+        let close_to_evict = |conn: &Rc<ClientConn>| {
+            conn.evicted.set(true);
+            conn.close.notify_one();
             true
         };
-        let mut lingering = alike().filter(|turn| turn.lingering.get() && !turn.closing.get());
-        if let Some(turn) = lingering.next() {
-            return told(turn);
+        let mut lingering = same_kind().filter(|conn| conn.lingering.get() && !conn.evicted.get());
+        if let Some(conn) = lingering.next() {
+            return close_to_evict(conn);
         }
-        let open = || alike().filter(|turn| !turn.closing.get() && !turn.lingering.get());
-        let silent = open().find(|turn| turn.silent().is_some());
-        if silent.is_some_and(|turn| turn.silent().is_some_and(|time| time < SILENT_LEAST)) {
+        let open = || same_kind().filter(|conn| !conn.evicted.get() && !conn.lingering.get());
+        let silent = open().find(|conn| conn.silent_for().is_some());
+        if silent.is_some_and(|conn| conn.silent_for().is_some_and(|time| time < MIN_SILENCE_TO_EVICT)) {
             return true;
         }
         let idle = || {
-            let idle = open().filter_map(|turn| Some((turn.idle()?, turn)));
-            idle.filter(|(time, _)| *time >= IDLE_LEAST).max_by_key(|(time, _)| *time).map(|(_, turn)| turn)
+            let idle = open().filter_map(|conn| Some((conn.idle_for()?, conn)));
+            idle.filter(|(time, _)| *time >= MIN_IDLE_TO_EVICT)
+                .max_by_key(|(time, _)| *time)
+                .map(|(_, conn)| conn)
         };
         match silent.or_else(idle) {
-            Some(turn) => told(turn),
+            Some(conn) => close_to_evict(conn),
             None => {
-                // One just used is likely to be used again at once, and a request that crosses our
-                // closing is lost, or sent twice: the next answer says that it is the last.
-                if let Some(turn) = open().find(|turn| !turn.last.get()) {
-                    turn.last.set(true);
+                // A connection just used is likely to be used again at once, and a request that crosses the close is
+                // lost or sent twice. So its next answer announces the close.
+                if let Some(conn) = open().find(|conn| !conn.is_last.get()) {
+                    conn.is_last.set(true);
                 }
                 false
             }
         }
     }
 
-    /// Notes a new connection, at once: what is told to all connections is told to it too.
-    fn take_in(&self, stream: Box<dyn Connection>, shed: bool) -> (Socket, Rc<Turn>, u64) {
-        let (socket, heard) = Socket::new(stream);
-        let (busy, answered, last, closing, lingering, close) = Default::default();
+    /// Registers a new connection at once, so that notifications to all connections reach it too.
+    fn register(&self, stream: Box<dyn Connection>, shed: bool) -> (Socket, Rc<ClientConn>, u64) {
+        let (transport, socket) = Socket::new(stream);
+        let (busy, answered, is_last, evicted, lingering, close) = Default::default();
         let accepted = Instant::now();
-        let turn = Rc::new(Turn { heard, accepted, shed, busy, answered, last, closing, lingering, close });
-        let number = self.next.get();
-        self.next.set(number + 1);
-        self.connections.borrow_mut().insert(number, turn.clone());
-        (socket, turn, number)
+        let conn = Rc::new(ClientConn {
+            socket,
+            accepted,
+            shed,
+            busy,
+            answered,
+            is_last,
+            evicted,
+            lingering,
+            close,
+        });
+        let number = self.next_id.get();
+        self.next_id.set(number + 1);
+        self.connections.borrow_mut().insert(number, conn.clone());
+        (transport, conn, number)
     }
 
-    /// Waits, for a while, until the client has read what we have written and ends its side too. Where room is wanted
-    /// this is cut short.
-    async fn linger(&self, turn: &Turn) {
-        if turn.closing.replace(false) && turn.answered.get().is_none() && turn.heard.came() != Came::Bytes
+    /// Lingering close: waits for a limited time until the client has read the answer and closes too. It is cut short if
+    /// the connection is selected to be closed for lack of sockets.
+    async fn linger(&self, conn: &ClientConn) {
+        if conn.evicted.replace(false)
+            && conn.answered.get().is_none()
+            && conn.socket.unread_input() != Came::Bytes
         {
-            return; // it made room by its silence: there is nothing that the close could take along
+            return; // closed for its silence: there is no data that the close could discard
         }
-        turn.lingering.set(true);
-        let mut lingered = pin!(turn.heard.linger(LINGER, LINGER_MOST));
+        conn.lingering.set(true);
+        let mut lingered = pin!(conn.socket.linger(LINGER_TIMEOUT, LINGER_MAX_BYTES));
         while !mutant("no-linger") {
             tokio::select! {
                 biased;
                 () = &mut lingered => return,
-                () = turn.close.notified() => {}
+                () = conn.close.notified() => {}
             }
-            // What was told before belonged to the connection's life, not to its end.
-            if turn.closing.get() {
+            // An earlier notification was meant for the open connection and does not end the lingering.
+            if conn.evicted.get() {
                 return;
             }
         }
     }
 
     /// Serves a connection until its end.
-    async fn follow(&self, socket: Socket, turn: &Turn) {
-        let service = service_fn(|request| self.answer(request, turn));
+    async fn serve_conn(&self, transport: Socket, conn: &ClientConn) {
+        let service = service_fn(|request| self.answer(request, conn));
         let connection = http1::Builder::new()
-            .keep_alive(!turn.shed)
-            .max_buf_size(BUFFER_MOST)
-            .serve_connection(TokioIo::new(socket), service);
+            .keep_alive(!conn.shed)
+            .max_buf_size(MAX_BUFFER_BYTES)
+            .serve_connection(TokioIo::new(transport), service);
         let mut connection = pin!(connection);
-        let mut fresh_until = None;
+        let mut new_until = None;
         loop {
-            let until =
-                fresh_until.into_iter().chain(turn.until()).fold(Instant::now() + TICK, Instant::min);
+            let until = new_until
+                .into_iter()
+                .chain(conn.close_at())
+                .fold(Instant::now() + CHECK_INTERVAL, Instant::min);
             tokio::select! {
                 biased;
-                _ = connection.as_mut() => return, // an error here is the client's leaving
-                () = turn.close.notified() => {
-                    if turn.busy.get() {
-                        turn.last.set(true);
-                    } else if self.shutting_down.get() && turn.answered.get().is_none() && !turn.closing.get() {
-                        // The first request is as good as taken: to close now would lose what the
-                        // client is just writing.
-                        fresh_until = Some(Instant::now() + FRESH_WAIT);
-                    } else if turn.closing.get()
-                        && turn.heard.began().is_some()
-                        && turn.heard.came() != Came::Bytes
+                _ = connection.as_mut() => return, // an error means that the client disconnected
+                () = conn.close.notified() => {
+                    if conn.busy.get() {
+                        conn.is_last.set(true);
+                    } else if self.shutting_down.get() && conn.answered.get().is_none() && !conn.evicted.get() {
+                        // The first request counts as accepted: closing now would lose a request that the client
+                        // is just writing.
+                        new_until = Some(Instant::now() + NEW_CONN_GRACE);
+                    } else if conn.evicted.get()
+                        && conn.socket.first_byte_at().is_some()
+                        && conn.socket.unread_input() != Came::Bytes
                     {
-                        return; // room is wanted, and this one stopped in the middle of a head
-                    } else if turn.coming() {
-                        // It crosses our end: it is answered, and the answer says that it is the last.
-                        turn.closing.set(false);
-                        turn.last.set(true);
-                    } else if turn.silent().is_some() {
+                        return; // closed for lack of sockets; the client stopped within a request head
+                    } else if conn.request_arriving() {
+                        // A request crosses the close: it is answered, and the answer announces the close.
+                        conn.evicted.set(false);
+                        conn.is_last.set(true);
+                    } else if conn.silent_for().is_some() {
                         return;
                     } else {
                         connection.as_mut().graceful_shutdown();
@@ -415,11 +441,11 @@
                 }
                 () = sleep_until(until) => {
                     let now = Instant::now();
-                    let unused = fresh_until.take_if(|at| *at <= now).is_some() && !turn.coming();
-                    if turn.until().is_some_and(|at| at <= now || unused) {
-                        match turn.silent() {
+                    let unused = new_until.take_if(|at| *at <= now).is_some() && !conn.request_arriving();
+                    if conn.close_at().is_some_and(|at| at <= now || unused) {
+                        match conn.silent_for() {
                             Some(_) => return,
-                            None if turn.coming() => turn.last.set(true),
+                            None if conn.request_arriving() => conn.is_last.set(true),
                             None => connection.as_mut().graceful_shutdown(),
                         }
                     }
@@ -428,52 +454,51 @@
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>, turn: &Turn) -> Result<Reply, Infallible> {
-        turn.busy.set(true);
-        // Who keeps a connection after the answer keeps it for 2 s at least: where those fill up, new
-        // clients would find no room, while hardly anybody is being answered.
-        let mut last = turn.shed || self.budget.clients_crowd();
+    async fn answer(&self, request: Request<Incoming>, conn: &ClientConn) -> Result<Reply, Infallible> {
+        conn.busy.set(true);
+        // A kept connection can't be evicted for 2 s after its answer: idle ones would use up the sockets and new
+        // clients would be refused although few requests are open.
+        let mut is_last = conn.shed || self.budget.clients_near_limit();
         let mut reply = if request.uri().path() == "/-/ready" && request.body().is_end_stream() {
-            // Who only asks this is no client yet: hundreds that then stayed would take the clients' room.
-            last = true;
+            // Close after a readiness check: hundreds of kept probe connections would use up the clients' sockets.
+            is_last = true;
             let status =
                 if self.shutting_down.get() { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK };
             plain(status, "")
-        } else if turn.shed {
-            self.come_again("too many connections")
+        } else if conn.shed {
+            self.refuse_unsent("too many connections")
         } else {
-            match self.serve_request(request, turn).await {
+            match self.serve_request(request, conn).await {
                 Ok(reply) => reply,
                 Err((status, problem)) => {
-                    // Whatever else such a client has sent is not to be read.
-                    last = true;
+                    // Nothing else from this client is read.
+                    is_last = true;
                     plain(status, problem)
                 }
             }
         };
-        // Asked now: it may have been told to end while the request was open.
-        last |= self.shutting_down.get() && !mutant("end-unsaid");
-        turn.busy.set(false);
-        turn.answered.set(Some(Instant::now()));
-        turn.heard.forget();
-        if last || turn.last.get() {
+        // Checked only now, since shutdown may have begun while the request was open.
+        is_last |= self.shutting_down.get() && !mutant("end-unsaid");
+        conn.busy.set(false);
+        conn.answered.set(Some(Instant::now()));
+        conn.socket.clear_first_byte();
+        if is_last || conn.is_last.get() {
             reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(reply)
     }
 
-    /// A refusal of what was never sent on, wherever it is tried next.
-    fn come_again(&self, why: &'static str) -> Reply {
-        let by_settings = self.settings.limits.advice(SHED_RETRY);
-        refusal(why, if mutant("retry-unasked") { Some(SHED_RETRY) } else { by_settings })
+    /// Refuses a request that was not sent to any endpoint, so that it may be retried anywhere.
+    fn refuse_unsent(&self, reason: &'static str) -> Reply {
+        let by_settings = self.settings.limits.advice(SHED_RETRY_AFTER);
+        refusal(reason, if mutant("retry-unasked") { Some(SHED_RETRY_AFTER) } else { by_settings })
     }
 
-    /// Waits for something that comes to the client's connection, or is refused because the client
-    /// goes on sending: one request at a time is the rule, and what is behind it is no request of ours.
-    async fn undisturbed<F: Future>(turn: &Turn, future: F) -> Result<F::Output, Bad> {
+    /// Awaits `future`, or fails if the client sends more input meanwhile: pipelined requests are not supported.
+    async fn reject_pipelined<F: Future>(conn: &ClientConn, future: F) -> Result<F::Output, RequestError> {
         let mut future = pin!(future);
         poll_fn(|cx| {
-            if turn.heard.more() {
+            if conn.socket.may_have_more() {
                 return Poll::Ready(Err((StatusCode::BAD_REQUEST, "more than one request at once")));
             }
             future.as_mut().poll(cx).map(Ok)
@@ -481,64 +506,76 @@
         .await
     }
 
-    async fn serve_request(&self, request: Request<Incoming>, turn: &Turn) -> Result<Reply, Bad> {
+    async fn serve_request(
+        &self,
+        request: Request<Incoming>,
+        conn: &ClientConn,
+    ) -> Result<Reply, RequestError> {
         let (mut head, body) = request.into_parts();
-        // Clients state a body's length. hyper would let chunks win over a length beside them, and take
-        // what was hidden in that body for the next request.
+        // Clients must use Content-Length. If both are present, hyper gives Transfer-Encoding precedence over
+        // Content-Length and would parse the remaining body as the next request (request smuggling).
         if head.headers.contains_key(header::TRANSFER_ENCODING) && !mutant("smuggled") {
             return Err((StatusCode::LENGTH_REQUIRED, "no Transfer-Encoding"));
         }
         let (mut request, time) = self.read(&head.method, &head.uri, &head.headers)?;
-        if body.size_hint().lower() > BODY_MOST as u64 {
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"));
         }
         if head.method == Method::GET && !body.is_end_stream() {
-            return Err(bad("a body where none goes"));
+            return Err(invalid("a body where none goes"));
         }
-        let id = head.headers.get("x-request-id").cloned().ok_or(bad("X-Request-ID is missing"))?;
-        let _open = self.open_id(id, &turn.heard)?;
-        let mut body = pin!(Limited::new(body, BODY_MOST).collect());
-        let mut read = timeout_at(turn.request_until(), body.as_mut()).await;
-        if read.is_err() && turn.heard.came() == Came::Bytes {
-            // Its time has passed while this process had no processor: what lies here has come.
-            read = timeout(UNREAD_WAIT, body).await;
+        let id = head.headers.get("x-request-id").cloned().ok_or(invalid("X-Request-ID is missing"))?;
+        let _open = self.open_id(id, &conn.socket)?;
+        let mut body = pin!(Limited::new(body, MAX_BODY_BYTES).collect());
+        let mut read = timeout_at(conn.request_deadline(), body.as_mut()).await;
+        if read.is_err() && conn.socket.unread_input() == Came::Bytes {
+            // The timeout passed while this process lacked processor time: input in the kernel arrived in time.
+            read = timeout(UNREAD_GRACE, body).await;
         }
         let body = match read {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
                 return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"));
             }
-            Ok(Err(_)) => return Err(bad("body broken")),
+            Ok(Err(_)) => return Err(invalid("body broken")),
             Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "body never came")),
         };
-        Self::undisturbed(turn, std::future::ready(())).await?;
-        if self.over.get() && !mutant("over-unsaid") {
-            return Ok(self.come_again("ending"));
+        Self::reject_pipelined(conn, std::future::ready(())).await?;
+        if self.terminated.get() && !mutant("over-unsaid") {
+            return Ok(self.refuse_unsent("ending"));
         }
-        // The client counts from its last byte.
-        let came = Instant::now();
-        let id = RequestId(self.next.get());
-        self.next.set(id.0 + 1);
+        // The client's timeout starts at its last byte.
+        let received_at = Instant::now();
+        let id = RequestId(self.next_id.get());
+        self.next_id.set(id.0 + 1);
         request.id = id;
-        drop_hop_headers(&mut head.headers);
+        strip_hop_by_hop(&mut head.headers);
         let (answer, answered) = oneshot::channel();
         let forward = Rc::new(Forward { method: head.method, uri: head.uri, headers: head.headers, body });
         let time = if mutant("late-deadline") { time * 3 } else { time };
-        let deadline = came + time - ANSWER_MARGIN.min(time / 10);
+        let deadline = received_at + time - ANSWER_MARGIN.min(time / 10);
         let semantics = self.settings.classes[request.class.0].semantics;
-        let never_twice = semantics == Semantics::Unsafe;
-        let repeat_within = match semantics {
+        let at_most_once = semantics == Semantics::Unsafe;
+        let repeat_window = match semantics {
             Semantics::Keyed { window, .. } => Some(window),
             Semantics::Safe | Semantics::Unsafe => None,
         };
-        let reading = turn.heard.began().map_or(Duration::ZERO, |began| came - began);
-        let arrival =
-            Arrival { request, reading, came, deadline, forward, never_twice, repeat_within, answer };
-        let mut waiting = Waiting { inbox: &self.inbox, id, answered: false };
-        let _ = self.inbox.send(Input::Arrived(Box::new(arrival)));
-        // Where the module were to forget a request, its client would still be told in time.
-        let answer = Self::undisturbed(turn, timeout_at(came + time, answered)).await?;
-        waiting.answered = answer.is_ok();
+        let read_time = conn.socket.first_byte_at().map_or(Duration::ZERO, |began| received_at - began);
+        let incoming = IncomingRequest {
+            request,
+            read_time,
+            received_at,
+            deadline,
+            forward,
+            at_most_once,
+            repeat_window,
+            answer,
+        };
+        let mut guard = DisconnectGuard { inbox: &self.inbox, id, answered: false };
+        let _ = self.inbox.send(Input::RequestReceived(Box::new(incoming)));
+        // A safeguard: if the decision module lost a request, its client would still be answered in time.
+        let answer = Self::reject_pipelined(conn, timeout_at(received_at + time, answered)).await?;
+        guard.answered = answer.is_ok();
         Ok(match answer {
             Ok(Ok(Answer::Served(body))) => Response::new(Full::new(body)),
             Ok(Ok(Answer::Refused(retry_after))) => refusal("refused", retry_after),
@@ -547,38 +584,42 @@
         })
     }
 
-    /// Notes a request's own id as open. A client that has left and come again at once may be read before the end of
-    /// its old connection is: that one is looked at.
-    fn open_id<'a>(&'a self, id: HeaderValue, on: &'a Rc<Heard>) -> Result<OpenId<'a>, Bad> {
+    /// Registers a request's id as open. A client that reconnects at once may be read before the close of its old
+    /// connection has been noticed, so that one's unread input is checked for the close.
+    fn open_id<'a>(
+        &'a self,
+        id: HeaderValue,
+        on: &'a Rc<SocketState>,
+    ) -> Result<OpenIdGuard<'a>, RequestError> {
         let mut open = self.open.borrow_mut();
         if let Some(other) = open.get(&id)
-            && (other.came() != Came::End || mutant("end-unlooked-for"))
+            && (other.unread_input() != Came::End || mutant("end-unlooked-for"))
         {
             return Err((StatusCode::CONFLICT, "a request of that id is open"));
         }
         open.insert(id.clone(), on.clone());
-        Ok(OpenId { open: &self.open, id, on })
+        Ok(OpenIdGuard { open: &self.open, id, on })
     }
 
-    /// What the module is to know of a request, and the client's time.
+    /// Validates a request's head; returns the request for the decision module and the client's timeout.
     fn read(
         &self,
         method: &Method,
         uri: &hyper::Uri,
         headers: &HeaderMap,
-    ) -> Result<(runtrack_balancer::Request, Duration), Bad> {
-        let wanted = uri.path_and_query().map(|target| target.as_str()).unwrap_or_default();
-        if !wanted.bytes().all(|byte| byte.is_ascii_graphic())
+    ) -> Result<(runtrack_balancer::Request, Duration), RequestError> {
+        let target = uri.path_and_query().map(|target| target.as_str()).unwrap_or_default();
+        if !target.bytes().all(|byte| byte.is_ascii_graphic())
             || headers.values().any(|value| std::str::from_utf8(value.as_bytes()).is_err())
         {
-            return Err(bad("what is no text"));
+            return Err(invalid("what is no text"));
         }
         let text = |name: &str| {
             let mut values = headers.get_all(name).iter();
             match (values.next(), values.next()) {
                 (None, _) => Ok(None),
-                (Some(value), None) => value.to_str().map(Some).map_err(|_| bad("a header is no text")),
-                (Some(_), Some(_)) => Err(bad("a header comes twice")),
+                (Some(value), None) => value.to_str().map(Some).map_err(|_| invalid("a header is no text")),
+                (Some(_), Some(_)) => Err(invalid("a header comes twice")),
             }
         };
         let name = uri.path().split('/').nth(1).unwrap_or_default();
@@ -586,35 +627,36 @@
         let class = class.ok_or((StatusCode::NOT_FOUND, "unknown class"))?;
         if text("x-request-id")?.is_none_or(|id| id.is_empty() || !id.bytes().all(|b| b.is_ascii_graphic()))
         {
-            return Err(bad("X-Request-ID is missing or bad"));
+            return Err(invalid("X-Request-ID is missing or bad"));
         }
         let keyed = text("idempotency-key")?.is_some();
-        let (wanted, key_wanted) = match self.settings.classes[class].semantics {
+        let (method_wanted, key_wanted) = match self.settings.classes[class].semantics {
             Semantics::Safe => (Method::GET, keyed),
             Semantics::Keyed { .. } => (Method::POST, true),
             Semantics::Unsafe => (Method::POST, false),
         };
-        if *method != wanted {
+        if *method != method_wanted {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "not the class's method"));
         }
         if keyed != key_wanted {
-            return Err(bad("Idempotency-Key does not go with the class"));
+            return Err(invalid("Idempotency-Key does not go with the class"));
         }
-        let time = text("x-timeout")?.and_then(parse_timeout).ok_or(bad("X-Timeout is missing or bad"))?;
-        // However long a client says that it waits: what is kept for a request must not pile up.
+        let time =
+            text("x-timeout")?.and_then(parse_timeout).ok_or(invalid("X-Timeout is missing or bad"))?;
+        // The client's timeout is capped, so that state of open requests does not accumulate.
         let time = time.min(self.settings.classes[class].deadline);
         let tenant = match text("x-tenant-id")? {
             _ if self.tenants.is_empty() => 0,
             Some(name) => {
-                self.tenants.iter().position(|tenant| tenant == name).ok_or(bad("unknown tenant"))?
+                self.tenants.iter().position(|tenant| tenant == name).ok_or(invalid("unknown tenant"))?
             }
-            None => return Err(bad("X-Tenant-Id is missing")),
+            None => return Err(invalid("X-Tenant-Id is missing")),
         };
         let query = uri.query().unwrap_or_default().split('&');
         let user = query.filter_map(|pair| pair.strip_prefix("user=")).next();
-        let key = user.map(|user| parse_key(user).ok_or(bad("user is bad"))).transpose()?;
+        let key = user.map(|user| parse_user_key(user).ok_or(invalid("user is bad"))).transpose()?;
         let work_hint =
-            text("x-cost")?.map(|cost| micros(cost, 1.0).ok_or(bad("X-Cost is bad"))).transpose()?;
+            text("x-cost")?.map(|cost| micros(cost, 1.0).ok_or(invalid("X-Cost is bad"))).transpose()?;
         let request = runtrack_balancer::Request {
             id: RequestId(0),
             class: ClassId(class),
@@ -630,13 +672,13 @@
     }
 }
 
-fn bad(problem: &'static str) -> Bad {
+fn invalid(problem: &'static str) -> RequestError {
     (StatusCode::BAD_REQUEST, problem)
 }
 
-/// A refusal, which may tell when to come again.
-fn refusal(why: &'static str, retry_after: Option<Duration>) -> Reply {
-    let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, why);
+/// A refusal, optionally with a `Retry-After` in seconds.
+fn refusal(reason: &'static str, retry_after: Option<Duration>) -> Reply {
+    let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, reason);
     if let Some(wait) = retry_after
         && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64()))
     {
@@ -651,7 +693,7 @@
     reply
 }
 
-/// A number and its unit: `m` for milliseconds or `u` for microseconds.
+/// Parses a positive timeout: a decimal number with the unit `m` for milliseconds or `u` for microseconds.
 fn parse_timeout(text: &str) -> Option<Duration> {
     let time = match text.strip_suffix('m') {
         Some(number) => micros(number, 1000.0),
@@ -660,22 +702,22 @@
     time.filter(|time| !time.is_zero())
 }
 
-/// A decimal number of units of so many microseconds: digits and at most one point, which leaves out
-/// signs, exponents and what is no number.
+/// Parses a decimal number of units of `unit` microseconds. Only digits and one point are valid: no signs, exponents
+/// or special values.
 fn micros(number: &str, unit: f64) -> Option<Duration> {
     let digits = number.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     let micros = number.parse::<f64>().ok().filter(|_| digits)? * unit;
     micros.is_finite().then(|| Duration::from_micros(micros as u64))
 }
 
-/// A key of up to 16 hex digits.
-fn parse_key(text: &str) -> Option<u64> {
+/// Parses a key of up to 16 hex digits.
+fn parse_user_key(text: &str) -> Option<u64> {
     let hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
     u64::from_str_radix(text, 16).ok().filter(|_| hex)
 }
 
-/// Removes what concerns the client's connection alone, and what is set anew for each attempt.
-fn drop_hop_headers(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers and those that are set for each attempt.
+fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = (headers.get_all(header::CONNECTION).iter())
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
--- a/crates/runtrack/src/net/listing.rs
+++ b/crates/runtrack/src/net/membership.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the module's terms.
+//! Translates endpoint lists from discovery into membership events of the decision module.
 
 use super::config::Names;
 use runtrack_balancer::{
@@ -11,43 +11,43 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// News of the list in the module's terms, and where the endpoints are.
-pub struct News {
-    /// For the module.
+/// A membership change for the decision module, with the endpoints' addresses.
+pub struct MembershipUpdate {
+    /// The change, for the decision module.
     pub membership: Membership,
-    /// Addresses of those named.
+    /// Addresses of the endpoints in the change.
     pub addresses: Vec<(EndpointId, SocketAddr)>,
 }
 
-/// The names behind the module's numbers for endpoints, zones and kinds.
-pub struct Listing {
+/// Maps the names of endpoints, zones and machine types to the numbers that the decision module uses.
+pub struct MembershipTranslator {
     names: Names,
     ids: RefCell<wire::Names>,
 }
 
-impl Listing {
-    /// Endpoints of these zones and kinds.
+impl MembershipTranslator {
+    /// A translator for these zone and machine type names.
     pub fn new(names: Names) -> Self {
-        Listing { names, ids: RefCell::default() }
+        MembershipTranslator { names, ids: RefCell::default() }
     }
 
-    /// The list as last held, to start from.
-    pub fn cached(&self, list: List) -> News {
-        let mut news = self.news(list);
-        if let Membership::Full(entries) | Membership::Delta(entries) = news.membership {
-            news.membership = Membership::Cached(entries);
+    /// Translates the last known list, with which the sidecar starts.
+    pub fn cached(&self, list: List) -> MembershipUpdate {
+        let mut update = self.translate_list(list);
+        if let Membership::Full(entries) | Membership::Delta(entries) = update.membership {
+            update.membership = Membership::Cached(entries);
         }
-        news
+        update
     }
 
-    /// What discovery's client told, for the module.
-    pub fn told(&self, told: Told) -> News {
+    /// Translates an update from the discovery client.
+    pub fn translate(&self, told: Told) -> MembershipUpdate {
         let membership = match told {
-            Told::List(list) => return self.news(list),
+            Told::List(list) => return self.translate_list(list),
             Told::Unchanged => Membership::Delta(Vec::new()),
             Told::Failed(_) => Membership::Failed,
         };
-        News { membership, addresses: Vec::new() }
+        MembershipUpdate { membership, addresses: Vec::new() }
     }
 
     /// The uid of an endpoint.
@@ -55,23 +55,23 @@
         self.ids.borrow().name(id).to_owned()
     }
 
-    /// Forgets the names of all endpoints but these.
-    pub fn keep(&self, listed: impl Fn(EndpointId) -> bool) {
+    /// Drops the names of endpoints for which the predicate is false.
+    pub fn retain_names(&self, listed: impl Fn(EndpointId) -> bool) {
         self.ids.borrow_mut().retain(listed);
     }
 
-    /// How many names are kept.
+    /// Number of endpoint names held.
     pub fn names(&self) -> usize {
         self.ids.borrow().len()
     }
 
-    fn news(&self, list: List) -> News {
+    fn translate_list(&self, list: List) -> MembershipUpdate {
         let mut ids = self.ids.borrow_mut();
-        let place = |names: &[String], name: &str| {
+        let index_of = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).unwrap_or(names.len()) as u32
         };
         let (mut entries, mut addresses, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
-        // Of an endpoint named twice the last word counts.
+        // If an endpoint is listed twice, its last entry takes effect.
         for target in list.targets.into_iter().rev() {
             let id = ids.id(&target.uid);
             if !seen.insert(id) {
@@ -80,8 +80,8 @@
             addresses.push((id, target.endpoint));
             entries.push(EndpointInfo {
                 id,
-                zone: ZoneId(place(&self.names.areas, &target.az)),
-                kind: KindId(place(&self.names.kinds, &target.model)),
+                zone: ZoneId(index_of(&self.names.areas, &target.az)),
+                kind: KindId(index_of(&self.names.kinds, &target.model)),
                 cell: CellId(target.pod_group),
                 state: match target.state {
                     State::Up => EndpointState::Ready,
@@ -96,6 +96,6 @@
         }
         entries.reverse();
         let membership = if list.all { Membership::Full(entries) } else { Membership::Delta(entries) };
-        News { membership, addresses }
+        MembershipUpdate { membership, addresses }
     }
 }
--- a/crates/runtrack/src/net/outbound.rs
+++ b/crates/runtrack/src/net/outbound.rs
@@ -1,9 +1,9 @@
-//! Connections to endpoints: attempts and probes, and how they end.
+//! Connections to endpoints: pooling, attempts, probes, and the classification of how they end.
 
 use super::budget::{Budget, Holder, Permit};
-use super::rest::Rest;
-use super::socket::{Heard, Socket};
-use super::window::Window;
+use super::reuse_delay::ReuseDelay;
+use super::socket::{Socket, SocketState};
+use super::window::RepeatWindow;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -26,101 +26,102 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, Sleep, sleep, sleep_until, timeout};
 
-/// No body on the wire is longer.
-pub const BODY_MOST: usize = 64 * 1024;
-/// Buffer of a connection, either way; also bounds a message's head.
-pub const BUFFER_MOST: usize = 64 * 1024;
-/// Part of the endpoints' idle time after which we close a connection ourselves: what is written to
-/// one that the endpoint is just closing ends as a reset, and an unsafe request is then lost for good.
-const IDLE_PART: f64 = 0.7;
-/// Idle connections kept where the settings say nothing of idle time.
-const IDLE_UNSTATED: Duration = Duration::from_secs(5);
-/// How often idle connections are looked over.
-const SWEEP: Duration = Duration::from_millis(500);
-/// A body's last byte waits for this long behind the rest. A connection that was dropped, or is about to
-/// be, answers the first bytes with a reset; an endpoint begins with the last byte, so that what is reset
-/// before it never ran and may go again, though nothing may be repeated. It covers all who close under a
-/// request: endpoints, proxies, restarts. Farther away than this a reset comes too late to help.
-const LAST_BYTE: Duration = Duration::from_millis(1);
-/// Held back only where the endpoint has not answered for this long, on whichever connection, or has reset one
-/// since, or the connection is aged: one that has just answered is the less likely to be gone the shorter ago
-/// that is, and where calls are as dense the wait would be the cost.
-const PROVEN: Duration = Duration::from_millis(5);
-/// A probe that takes longer has failed.
-const PROBE: Duration = Duration::from_secs(1);
-/// An answer that has begun must be whole within this: with a length that doesn't fit, or a head without
-/// end, it never would be, and cost a request all its time that could be sent again.
-const ANSWER_TIME: Duration = Duration::from_millis(500);
-/// A connection idle for this long is aged: something on the way, or the endpoint, may have dropped it
-/// well before the stated time, and resets the next request on it.
-const AGED: Duration = Duration::from_millis(100);
-/// So many resets of aged connections, less a part of one for each answer on one, and they are given up ...
-const AGED_RESETS: f64 = 2.0;
-const AGED_ANSWER: f64 = 0.05;
-/// ... for this long: a reset loses an unsafe request for good, a new connection only costs a handshake.
+/// Maximum length of a request's or an answer's body, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Size of a connection's read and write buffers in bytes; also the limit of a message's head.
+pub const MAX_BUFFER_BYTES: usize = 64 * 1024;
+/// Fraction of the endpoints' idle timeout after which the sidecar closes a connection itself: a request written
+/// while the endpoint closes the connection is reset, and an unsafe request can't be repeated then.
+const IDLE_CLOSE_FRACTION: f64 = 0.7;
+/// How long idle connections are kept if the settings give no idle timeout.
+const DEFAULT_IDLE_CLOSE: Duration = Duration::from_secs(5);
+/// Interval at which idle connections are checked for closing.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// How long the last byte of a body is delayed after the rest. A connection that the peer has dropped or is about to
+/// drop answers the first bytes with a reset; an endpoint starts execution only after the last byte, so that a request
+/// reset before it was not executed and may be sent again even if it must not be repeated. This covers closing
+/// endpoints, intermediate proxies and restarts. With a longer round trip the reset arrives too late to help.
+const LAST_BYTE_DELAY: Duration = Duration::from_millis(1);
+/// The last byte is delayed only if the endpoint has not answered within this time on any connection, or has reset
+/// one since, or the connection is aged: an endpoint that has just answered is unlikely to be gone, and at high call
+/// rates the delay would dominate latency.
+const RECENT_ANSWER: Duration = Duration::from_millis(5);
+/// Timeout of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time from the first byte of an answer until it must be complete. An answer with a wrong length or an endless head
+/// never completes and would use up the time in which the request could be sent again.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Idle time after which a connection counts as aged: an intermediary or the endpoint may have dropped it well before
+/// the configured idle timeout, and then resets the next request on it.
+const AGED_IDLE_TIME: Duration = Duration::from_millis(100);
+/// Number of resets on aged connections, reduced by `AGED_ANSWER_CREDIT` for each answer on one, after which aged
+/// connections are not reused for `AGED_PAUSE`.
+const MAX_AGED_RESETS: f64 = 2.0;
+const AGED_ANSWER_CREDIT: f64 = 0.05;
+/// Long, since a reset loses an unsafe request while a new connection only costs a handshake.
 const AGED_PAUSE: Duration = Duration::from_secs(30);
-/// Limit of an attempt's connection where the settings say nothing.
-const CONNECT_UNSTATED: Duration = Duration::from_millis(500);
+/// Connect timeout if the settings give none.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How an attempt or a probe ended.
-pub struct Ended {
+pub struct AttemptEnd {
     /// The outcome.
     pub outcome: Outcome,
     /// The body of a 200.
     pub body: Bytes,
-    /// The load report, if one came.
+    /// The endpoint's load report, if the answer had one.
     pub report: Option<Vec<f64>>,
-    /// When the request was handed to a connection, and when the first byte of an answer came.
+    /// When the request was handed to a connection, and when the first byte of the answer arrived.
     pub stages: Option<(Instant, Instant)>,
 }
 
-impl Ended {
-    /// An end that brought nothing but itself.
-    pub fn bare(outcome: Outcome) -> Self {
-        Ended { outcome, body: Bytes::new(), report: None, stages: None }
+impl AttemptEnd {
+    /// An end with this outcome and no answer.
+    pub fn of(outcome: Outcome) -> Self {
+        AttemptEnd { outcome, body: Bytes::new(), report: None, stages: None }
     }
 }
 
-/// How far an attempt has come.
+/// How much of an attempt has been sent.
 #[derive(Clone, Default)]
 pub struct Progress {
-    /// It was handed to a connection, and its first byte may have gone.
-    begun: Rc<Cell<bool>>,
-    /// Its last byte was handed over: what is stopped before that never ran.
-    whole: Rc<Cell<bool>>,
+    /// It was handed to a connection, and its first byte may have been sent.
+    started: Rc<Cell<bool>>,
+    /// Its last byte was handed to the connection: an attempt that ends before that was not executed.
+    fully_sent: Rc<Cell<bool>>,
 }
 
 impl Progress {
-    /// Whether its first byte may have gone.
-    pub fn begun(&self) -> bool {
-        self.begun.get()
+    /// Whether its first byte may have been sent.
+    pub fn started(&self) -> bool {
+        self.started.get()
     }
 
-    /// The outcome of no longer waiting: a request not written whole proves that it never ran.
-    pub fn given_up(&self) -> Outcome {
-        if self.whole.get() && !mutant("late-never-ran") {
+    /// The outcome at a timeout: a request that was not completely written was not executed.
+    pub fn timeout_outcome(&self) -> Outcome {
+        if self.fully_sent.get() && !mutant("late-never-ran") {
             Outcome::TimedOut
         } else {
             Outcome::ConnectFailed
         }
     }
 
-    /// The outcome of being stopped.
-    pub fn stopped(&self) -> Outcome {
-        if self.begun() { Outcome::Cancelled } else { Outcome::Moot }
+    /// The outcome of cancelling the attempt.
+    pub fn cancel_outcome(&self) -> Outcome {
+        if self.started() { Outcome::Cancelled } else { Outcome::Moot }
     }
 }
 
-/// A request's body, its last byte held back for a while where that is of use.
-struct HeldBack {
-    rest: Bytes,
-    hold: bool,
-    wait: Option<Pin<Box<Sleep>>>,
-    /// Set as the last byte goes.
-    whole: Rc<Cell<bool>>,
+/// A request's body, optionally with its last byte delayed by `LAST_BYTE_DELAY`.
+struct DelayedBody {
+    remaining: Bytes,
+    delay_last: bool,
+    timer: Option<Pin<Box<Sleep>>>,
+    /// Set when the last byte is handed to the connection.
+    fully_sent: Rc<Cell<bool>>,
 }
 
-impl Body for HeldBack {
+impl Body for DelayedBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -128,34 +129,35 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.hold {
-            let (first, most) = (self.wait.is_none(), self.rest.len().saturating_sub(1));
-            let wait = self.wait.get_or_insert_with(|| Box::pin(sleep(LAST_BYTE)));
-            if first && most > 0 {
-                return Poll::Ready(Some(Ok(Frame::data(self.rest.split_to(most)))));
+        if self.delay_last {
+            let (first, length) = (self.timer.is_none(), self.remaining.len().saturating_sub(1));
+            let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(LAST_BYTE_DELAY)));
+            if first && length > 0 {
+                return Poll::Ready(Some(Ok(Frame::data(self.remaining.split_to(length)))));
             }
-            ready!(wait.as_mut().poll(cx));
+            ready!(timer.as_mut().poll(cx));
         }
-        self.whole.set(!mutant("unsaid-last-byte"));
-        let last = std::mem::take(&mut self.rest);
+        self.fully_sent.set(!mutant("unsaid-last-byte"));
+        let last = std::mem::take(&mut self.remaining);
         Poll::Ready((!last.is_empty()).then_some(Ok(Frame::data(last))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.rest.is_empty()
+        self.remaining.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.rest.len() as u64)
+        SizeHint::with_exact(self.remaining.len() as u64)
     }
 }
 
-struct Pooled {
-    sender: SendRequest<HeldBack>,
-    heard: Rc<Heard>,
+/// An open HTTP/1.1 connection to an endpoint.
+struct PooledConnection {
+    sender: SendRequest<DelayedBody>,
+    socket: Rc<SocketState>,
     address: SocketAddr,
     idle_since: Instant,
-    /// Dropping a link closes its connection, also with an answer still to come.
+    /// Dropping the task closes the connection, even while an answer is pending.
     _connection: JoinSet<()>,
     _permit: Permit,
 }
@@ -163,28 +165,28 @@
 /// The connection pool of one endpoint.
 #[derive(Default)]
 struct Pool {
-    /// Idle ones, the most recently used last.
-    idle: Vec<Pooled>,
-    rest: Rc<RefCell<Rest>>,
-    /// When it last answered, unless it has reset a connection since.
-    answered: Option<Instant>,
+    /// Idle connections, the most recently used last.
+    idle: Vec<PooledConnection>,
+    reuse_delay: Rc<RefCell<ReuseDelay>>,
+    /// When the endpoint last answered; `None` if it has reset a connection since.
+    last_answer: Option<Instant>,
 }
 
-/// A request as it goes on to an endpoint.
+/// A request to forward to an endpoint.
 pub struct Forward {
-    /// Its method.
+    /// The method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
     /// End-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
 impl Forward {
-    /// The request for one connection, with the time that is left.
-    fn request(&self, address: SocketAddr, left: Duration, body: HeldBack) -> Request<HeldBack> {
+    /// The HTTP request for one attempt, with this time left in `X-Timeout`.
+    fn request(&self, address: SocketAddr, time_left: Duration, body: DelayedBody) -> Request<DelayedBody> {
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -193,157 +195,162 @@
         let text = |text: String| HeaderValue::from_maybe_shared(Bytes::from(text));
         let text = |line| text(line).unwrap_or(HeaderValue::from_static(""));
         headers.insert(header::HOST, text(address.to_string()));
-        headers.insert(HeaderName::from_static("x-timeout"), text(format!("{}u", left.as_micros())));
+        headers.insert(HeaderName::from_static("x-timeout"), text(format!("{}u", time_left.as_micros())));
         request
     }
 }
 
-/// An attempt as it is to be made.
+/// An attempt to send a request to an endpoint.
 pub struct Attempt {
-    /// What is sent.
+    /// The request to send.
     pub forward: Rc<Forward>,
-    /// When it will be given up.
-    pub until: Instant,
-    /// The window that it shares with the request's other attempts, and its number among them; none: no such bound.
-    pub window: Option<(Rc<Window>, usize)>,
-    /// Where it may not be sent again once it may have run.
-    pub never_twice: bool,
+    /// When the caller gives up the attempt.
+    pub give_up_at: Instant,
+    /// The repeat window shared with the request's other attempts, and the number of this attempt; `None` if the
+    /// request has no such window.
+    pub window: Option<(Rc<RepeatWindow>, usize)>,
+    /// The request must not be sent again once it may have been executed.
+    pub at_most_once: bool,
 }
 
-/// The connections to all endpoints.
+/// The connection pools of all endpoints.
 pub struct Outbound {
     network: Rc<dyn Network>,
     budget: Rc<Budget>,
     pools: RefCell<BTreeMap<EndpointId, Pool>>,
     connect_timeout: Duration,
-    idle_most: Duration,
-    /// What speaks against aged connections, and until when they are not used.
+    max_idle: Duration,
+    /// Resets on aged connections, less the credit for answers, and until when aged connections are not reused.
     aged_resets: Cell<f64>,
     aged_until: Cell<Option<Instant>>,
-    fields: Vec<LoadField>,
+    load_fields: Vec<LoadField>,
 }
 
 impl Outbound {
-    /// No connections yet.
+    /// Creates empty pools.
     pub fn new(network: Rc<dyn Network>, settings: &Settings, budget: Rc<Budget>) -> Rc<Self> {
         let (connect, idle) = (settings.limits.connect_timeout, settings.limits.idle_close);
-        let or = |time: Duration, unstated| if time.is_zero() { unstated } else { time };
+        let or_default = |time: Duration, unstated| if time.is_zero() { unstated } else { time };
         Rc::new(Outbound {
             network,
             budget,
             pools: RefCell::default(),
             aged_resets: Cell::default(),
             aged_until: Cell::default(),
-            connect_timeout: or(connect, CONNECT_UNSTATED),
-            idle_most: or(idle.mul_f64(IDLE_PART), IDLE_UNSTATED),
-            fields: settings.load_reports.fields.clone(),
+            connect_timeout: or_default(connect, DEFAULT_CONNECT_TIMEOUT),
+            max_idle: or_default(idle.mul_f64(IDLE_CLOSE_FRACTION), DEFAULT_IDLE_CLOSE),
+            load_fields: settings.load_reports.fields.clone(),
         })
     }
 
-    /// Sends one attempt and waits for its end. It is written at most once: only what provably was
-    /// never written goes to another connection.
+    /// Sends one attempt and waits for its end. The request is written at most once: it is sent on another connection
+    /// only if it provably was not written.
     pub async fn attempt(
         &self,
         endpoint: EndpointId,
         address: SocketAddr,
         attempt: Attempt,
         progress: &Progress,
-    ) -> Ended {
-        let Attempt { forward, until, window, never_twice } = attempt;
+    ) -> AttemptEnd {
+        let Attempt { forward, give_up_at, window, at_most_once } = attempt;
         self.pools.borrow_mut().entry(endpoint).or_default();
-        // What comes ahead of an answer says nothing of when that will come.
-        let ahead = Arc::new(AtomicBool::new(false));
+        // An informational response (1xx) does not tell when the final answer will arrive.
+        let informational = Arc::new(AtomicBool::new(false));
         loop {
-            progress.begun.set(false);
+            progress.started.set(false);
             if let Some((window, number)) = &window {
-                window.never_ran(*number);
+                window.record_not_executed(*number);
             }
-            let Some((mut link, fresh)) = self.link(endpoint, address).await else {
-                return Ended::bare(Outcome::ConnectFailed);
+            let Some((mut conn, is_new)) = self.pooled_connection(endpoint, address).await else {
+                return AttemptEnd::of(Outcome::ConnectFailed);
             };
-            // An idle connection may be found closed only now.
-            if !link.sender.is_ready()
-                && !matches!(timeout(self.connect_timeout, link.sender.ready()).await, Ok(Ok(())))
+            // That an idle connection is closed may be noticed only now.
+            if !conn.sender.is_ready()
+                && !matches!(timeout(self.connect_timeout, conn.sender.ready()).await, Ok(Ok(())))
             {
-                if fresh {
-                    return Ended::bare(Outcome::ConnectFailed);
+                if is_new {
+                    return AttemptEnd::of(Outcome::ConnectFailed);
                 }
                 continue;
             }
-            // Asked when there is a connection: that may have taken long, and another attempt may have begun meanwhile.
-            let write_by = window.as_ref().and_then(|(window, number)| window.write_by(*number));
-            let write_by = write_by.filter(|_| !mutant("copy-unseen"));
-            if write_by.is_some_and(|by| Instant::now() >= by) {
-                if !fresh {
-                    self.put_back(endpoint, link);
+            // Read after connecting, since another attempt may have started meanwhile.
+            let write_deadline =
+                window.as_ref().and_then(|(window, number)| window.write_deadline(*number));
+            let write_deadline = write_deadline.filter(|_| !mutant("copy-unseen"));
+            if write_deadline.is_some_and(|by| Instant::now() >= by) {
+                if !is_new {
+                    self.return_to_pool(endpoint, conn);
                 }
-                return Ended::bare(Outcome::ConnectFailed);
+                return AttemptEnd::of(Outcome::ConnectFailed);
             }
-            let idle = link.idle_since.elapsed();
-            // What has no body is whole with its head, and goes at once.
-            let (rest, whole) = (forward.body.clone(), progress.whole.clone());
-            whole.set(rest.is_empty());
-            let hold = never_twice && ((!fresh && idle >= AGED) || !self.proven(endpoint));
-            let left = until.saturating_duration_since(Instant::now());
-            let body = HeldBack { rest, hold, wait: None, whole };
-            let mut request = forward.request(address, left, body);
-            let seen = ahead.clone();
+            let idle = conn.idle_since.elapsed();
+            // A request without a body is complete with its head, which is not delayed.
+            let (remaining, fully_sent) = (forward.body.clone(), progress.fully_sent.clone());
+            fully_sent.set(remaining.is_empty());
+            let delay_last =
+                at_most_once && ((!is_new && idle >= AGED_IDLE_TIME) || !self.recently_answered(endpoint));
+            let time_left = give_up_at.saturating_duration_since(Instant::now());
+            let body = DelayedBody { remaining, delay_last, timer: None, fully_sent };
+            let mut request = forward.request(address, time_left, body);
+            let seen = informational.clone();
             hyper::ext::on_informational(&mut request, move |_| seen.store(true, Ordering::Relaxed));
-            link.heard.forget();
-            link.heard.write_by(write_by);
-            progress.begun.set(true);
+            conn.socket.clear_first_byte();
+            conn.socket.set_write_deadline(write_deadline);
+            progress.started.set(true);
             if let Some((window, number)) = &window {
-                window.begin(*number);
+                window.record_start(*number);
             }
-            let handed = Instant::now();
+            let sent_at = Instant::now();
             let exchange = async {
-                match link.sender.try_send_request(request).await {
+                match conn.sender.try_send_request(request).await {
                     Ok(response) => self.read(response).await,
                     Err(error) => {
-                        if error.message().is_some() || link.heard.refused() {
-                            progress.whole.set(false); // handed back unsent, or its last byte held back for good
+                        if error.message().is_some() || conn.socket.write_refused() {
+                            progress.fully_sent.set(false); // returned unsent, or its last byte was refused
                         }
                         if error.error().is_parse() {
-                            self.spoilt(endpoint);
+                            self.record_unsolicited(endpoint);
                         }
-                        Ended::bare(Outcome::Reset)
+                        AttemptEnd::of(Outcome::Reset)
                     }
                 }
             };
             let mut ended = tokio::select! {
                 biased;
                 ended = exchange => ended,
-                () = stalled(&link.heard, &ahead) => Ended::bare(Outcome::Reset),
+                () = stalled(&conn.socket, &informational) => AttemptEnd::of(Outcome::Reset),
             };
-            if !fresh && idle >= AGED {
-                self.learn_aged(ended.outcome == Outcome::Reset && link.heard.began().is_none());
+            if !is_new && idle >= AGED_IDLE_TIME {
+                self.record_aged_end(
+                    ended.outcome == Outcome::Reset && conn.socket.first_byte_at().is_none(),
+                );
             }
-            ended.stages = link.heard.began().map(|began| (handed, began));
-            let answered = (ended.outcome != Outcome::Reset).then(Instant::now);
+            ended.stages = conn.socket.first_byte_at().map(|first_byte_at| (sent_at, first_byte_at));
+            let last_answer = (ended.outcome != Outcome::Reset).then(Instant::now);
             if let Some(pool) = self.pools.borrow_mut().get_mut(&endpoint) {
-                pool.answered = answered;
+                pool.last_answer = last_answer;
             }
             if ended.outcome != Outcome::Reset {
-                if progress.whole.get() && !link.sender.is_closed() {
-                    link.idle_since = Instant::now();
-                    self.put_back(endpoint, link);
+                if progress.fully_sent.get() && !conn.sender.is_closed() {
+                    conn.idle_since = Instant::now();
+                    self.return_to_pool(endpoint, conn);
                 }
                 return ended;
             }
-            match (progress.whole.get(), fresh) {
-                (true, _) if mutant("reset-never-ran") => return Ended::bare(Outcome::ConnectFailed),
+            match (progress.fully_sent.get(), is_new) {
+                (true, _) if mutant("reset-never-ran") => return AttemptEnd::of(Outcome::ConnectFailed),
                 (true, _) => return ended,
-                (false, fresh) if fresh || link.heard.refused() => {
-                    return Ended::bare(Outcome::ConnectFailed);
+                (false, is_new) if is_new || conn.socket.write_refused() => {
+                    return AttemptEnd::of(Outcome::ConnectFailed);
                 }
-                (false, _) => {} // a kept connection says nothing of its endpoint: another one
+                (false, _) => {} // a stale pooled connection says nothing about its endpoint: try another one
             }
         }
     }
 
-    /// The outcome that an answer stands for. It is read whole first: a break half-way is an outcome and
-    /// never a torn answer, and one that is spoilt proves nothing, not even that it never ran.
-    async fn read(&self, response: Response<Incoming>) -> Ended {
+    /// Reads the complete answer and classifies it. An answer that breaks off or is malformed counts as a reset and is
+    /// never passed on, and its headers don't prove that the request was not executed.
+    async fn read(&self, response: Response<Incoming>) -> AttemptEnd {
         let (head, body) = response.into_parts();
         let never_ran = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
@@ -352,222 +359,239 @@
             _ => Outcome::Error,
         };
         let report = self.inline_report(&head.headers);
-        if body.size_hint().lower() > BODY_MOST as u64 {
-            return Ended::bare(Outcome::Reset);
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+            return AttemptEnd::of(Outcome::Reset);
         }
-        match Limited::new(body, BODY_MOST).collect().await {
-            Ok(body) => Ended { outcome, body: body.to_bytes(), report, stages: None },
-            Err(_) => Ended::bare(Outcome::Reset),
+        match Limited::new(body, MAX_BODY_BYTES).collect().await {
+            Ok(body) => AttemptEnd { outcome, body: body.to_bytes(), report, stages: None },
+            Err(_) => AttemptEnd::of(Outcome::Reset),
         }
     }
 
-    /// Asks an endpoint for its load.
-    pub async fn probe(&self, endpoint: EndpointId, address: SocketAddr) -> Ended {
+    /// Requests an endpoint's load report.
+    pub async fn probe(&self, endpoint: EndpointId, address: SocketAddr) -> AttemptEnd {
         let uri = Uri::from_static("/-/load");
         let (method, headers, body) = (Method::GET, HeaderMap::new(), Bytes::new());
         let forward = Rc::new(Forward { method, uri, headers, body });
-        let attempt = Attempt { forward, until: Instant::now() + PROBE, window: None, never_twice: false };
+        let attempt = Attempt {
+            forward,
+            give_up_at: Instant::now() + PROBE_TIMEOUT,
+            window: None,
+            at_most_once: false,
+        };
         let progress = Progress::default();
-        match timeout(PROBE, self.attempt(endpoint, address, attempt, &progress)).await {
+        match timeout(PROBE_TIMEOUT, self.attempt(endpoint, address, attempt, &progress)).await {
             Ok(mut ended) => {
                 let body = std::mem::take(&mut ended.body);
-                let in_body = std::str::from_utf8(&body).ok().and_then(|text| self.report(text));
+                let in_body = std::str::from_utf8(&body).ok().and_then(|text| self.parse_report(text));
                 ended.report = in_body.or(ended.report);
                 ended
             }
-            Err(_) => Ended::bare(progress.given_up()),
+            Err(_) => AttemptEnd::of(progress.timeout_outcome()),
         }
     }
 
-    /// How many connections are idle.
+    /// Number of idle connections.
     pub fn idle(&self) -> usize {
         self.pools.borrow().values().map(|pool| pool.idle.len()).sum()
     }
 
-    /// Closes idle connections to an endpoint.
+    /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: EndpointId) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(&endpoint) {
             pool.idle.clear();
         }
     }
 
-    /// Closes idle connections to an endpoint that is no more, and forgets what it has earned.
+    /// Removes the pool of a removed endpoint: closes its idle connections and drops its reuse delay.
     pub fn forget(&self, endpoint: EndpointId) {
         self.pools.borrow_mut().remove(&endpoint);
     }
 
-    /// Closes idle connections to an endpoint on which nothing was heard since then: a machine that is
-    /// cut off leaves them open and silent, and each would cost one more request all its time, where a
-    /// new connection fails at once and proves that nothing ran.
-    pub fn close_unheard(&self, endpoint: EndpointId, since: Instant) {
+    /// Closes the endpoint's connections that have been idle since before `since`. After a network failure they stay
+    /// open without answering, and each would cost one more request its time, whereas a new connection fails and
+    /// proves that the request was not executed.
+    pub fn close_idle_since(&self, endpoint: EndpointId, since: Instant) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(&endpoint) {
-            pool.idle.retain(|link| link.idle_since > since);
+            pool.idle.retain(|conn| conn.idle_since > since);
         }
     }
 
     /// Closes the connection that has been idle longest; false if there is none.
     pub fn close_oldest_idle(&self) -> bool {
-        let mut all = self.pools.borrow_mut();
-        let oldest = all.values_mut().filter(|pool| !pool.idle.is_empty());
+        let mut pools = self.pools.borrow_mut();
+        let oldest = pools.values_mut().filter(|pool| !pool.idle.is_empty());
         let Some(pool) = oldest.min_by_key(|pool| pool.idle[0].idle_since) else { return false };
         pool.idle.remove(0);
         true
     }
 
-    /// Closes, from time to time, what has been idle for too long or was closed by the endpoint.
+    /// Periodically closes connections that have been idle for too long or were closed by the endpoint.
     pub async fn sweep(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(SWEEP).await;
+            tokio::time::sleep(SWEEP_INTERVAL).await;
             for pool in self.pools.borrow_mut().values_mut() {
-                pool.idle.retain(|link| self.usable(link));
+                pool.idle.retain(|conn| self.usable(conn));
             }
         }
     }
 
-    fn usable(&self, link: &Pooled) -> bool {
+    fn usable(&self, conn: &PooledConnection) -> bool {
         let paused = self.aged_until.get().is_some_and(|until| Instant::now() < until);
-        let most = if paused { AGED.min(self.idle_most) } else { self.idle_most };
-        !link.sender.is_closed() && link.idle_since.elapsed() < most
+        let max_idle = if paused { AGED_IDLE_TIME.min(self.max_idle) } else { self.max_idle };
+        !conn.sender.is_closed() && conn.idle_since.elapsed() < max_idle
     }
 
-    /// Lets the end of an attempt on an aged connection speak for or against them all.
-    fn learn_aged(&self, reset: bool) {
-        let change = if reset { 1.0 } else { -AGED_ANSWER };
+    /// Counts the end of an attempt on an aged connection, and stops reusing aged connections after too many resets.
+    fn record_aged_end(&self, reset: bool) {
+        let change = if reset { 1.0 } else { -AGED_ANSWER_CREDIT };
         let resets = (self.aged_resets.get() + change).max(0.0);
         self.aged_resets.set(resets);
-        if resets >= AGED_RESETS {
-            // One more is enough to give them up again after the pause.
-            self.aged_resets.set(AGED_RESETS - 1.0);
+        if resets >= MAX_AGED_RESETS {
+            // After the pause, one more reset stops their reuse again.
+            self.aged_resets.set(MAX_AGED_RESETS - 1.0);
             self.aged_until.set(Some(Instant::now() + AGED_PAUSE));
             log::info!(
-                "aged connections are reset at the next request: not used for {} s",
+                "aged connections are reset on reuse: not reusing them for {} s",
                 AGED_PAUSE.as_secs()
             );
         }
     }
 
-    /// A connection to send on, and whether it is new: an idle one that has rested; else a new one, within the
-    /// budget; else the first that will have rested, should that be sooner.
-    async fn link(&self, endpoint: EndpointId, address: SocketAddr) -> Option<(Pooled, bool)> {
+    /// Returns a connection to send on and whether it is new. It prefers an idle connection past its reuse delay;
+    /// otherwise it opens a new one within the budget, or takes the idle one whose delay ends first, whichever is
+    /// available earlier.
+    async fn pooled_connection(
+        &self,
+        endpoint: EndpointId,
+        address: SocketAddr,
+    ) -> Option<(PooledConnection, bool)> {
         loop {
-            let resting = match self.take_idle(endpoint, address) {
-                Some((link, true)) => return Some((link, false)),
-                Some((link, false)) => link,
+            let idle_conn = match self.take_idle(endpoint, address) {
+                Some((conn, true)) => return Some((conn, false)),
+                Some((conn, false)) => conn,
                 None => return Some((self.connect(endpoint, address, true).await?, true)),
             };
-            let rest = self.rest(endpoint);
-            let until = resting.idle_since + rest.borrow().time();
-            let made = tokio::select! {
+            let delay = self.reuse_delay(endpoint);
+            let usable_at = idle_conn.idle_since + delay.borrow().delay();
+            let connected = tokio::select! {
                 biased;
-                made = self.connect(endpoint, address, false) => made,
-                () = sleep_until(until) => None,
+                connected = self.connect(endpoint, address, false) => connected,
+                () = sleep_until(usable_at) => None,
             };
-            match made {
-                Some(link) => {
-                    self.put_back(endpoint, resting);
-                    return Some((link, true));
+            match connected {
+                Some(conn) => {
+                    self.return_to_pool(endpoint, idle_conn);
+                    return Some((conn, true));
                 }
-                None => sleep_until(until).await,
+                None => sleep_until(usable_at).await,
             }
-            if self.silent(endpoint, address, &resting) {
-                return Some((resting, false));
+            if self.is_silent(endpoint, address, &idle_conn) {
+                return Some((idle_conn, false));
             }
         }
     }
 
-    /// The most recently used idle connection that has rested, so that the others may age and be closed; else
-    /// the first that will have.
-    fn take_idle(&self, endpoint: EndpointId, address: SocketAddr) -> Option<(Pooled, bool)> {
+    /// Takes the most recently used idle connection past its reuse delay, so that the others may age and be closed;
+    /// otherwise the one whose delay ends first. The flag says whether the delay is over.
+    fn take_idle(&self, endpoint: EndpointId, address: SocketAddr) -> Option<(PooledConnection, bool)> {
         loop {
-            let (link, rested) = {
-                let mut all = self.pools.borrow_mut();
-                let pool = all.get_mut(&endpoint)?;
-                let rest = pool.rest.borrow().time();
+            let (conn, reusable) = {
+                let mut pools = self.pools.borrow_mut();
+                let pool = pools.get_mut(&endpoint)?;
+                let delay = pool.reuse_delay.borrow().delay();
                 let now = Instant::now();
-                // They lie in the order in which they came.
-                let place =
-                    pool.idle.partition_point(|link| now >= link.idle_since + rest).saturating_sub(1);
-                let link = (place < pool.idle.len()).then(|| pool.idle.remove(place))?;
-                let rested = now >= link.idle_since + rest;
-                (link, rested)
+                // They are sorted by the start of their idle time.
+                let index =
+                    pool.idle.partition_point(|conn| now >= conn.idle_since + delay).saturating_sub(1);
+                let conn = (index < pool.idle.len()).then(|| pool.idle.remove(index))?;
+                let reusable = now >= conn.idle_since + delay;
+                (conn, reusable)
             };
             if mutant("no-rest") {
-                return Some((link, true));
+                return Some((conn, true));
             }
-            if !rested || self.silent(endpoint, address, &link) {
-                return Some((link, rested));
+            if !reusable || self.is_silent(endpoint, address, &conn) {
+                return Some((conn, reusable));
             }
         }
     }
 
-    /// Whether nothing has come on a connection that has rested, not even its end, and it may be used. At another
-    /// address another machine may listen by now; and hyper sees only what the runtime has seen, which may be
-    /// long ago where the processor is short.
-    fn silent(&self, endpoint: EndpointId, address: SocketAddr, link: &Pooled) -> bool {
-        if link.address != address || !self.usable(link) {
+    /// Whether a connection past its reuse delay may be used: it leads to the endpoint's current address, is not idle
+    /// for too long, and the kernel holds no unread input or close. hyper's own view may be outdated if the process
+    /// lacked processor time.
+    fn is_silent(&self, endpoint: EndpointId, address: SocketAddr, conn: &PooledConnection) -> bool {
+        if conn.address != address || !self.usable(conn) {
             return false;
         }
-        let came = link.heard.came();
-        match came {
-            Came::Nothing => self.rest(endpoint).borrow_mut().silent(Instant::now()),
-            Came::Bytes => self.spoilt(endpoint),
+        let unread_input = conn.socket.unread_input();
+        match unread_input {
+            Came::Nothing => self.reuse_delay(endpoint).borrow_mut().record_silence(Instant::now()),
+            Came::Bytes => self.record_unsolicited(endpoint),
             Came::End => {}
         }
-        came == Came::Nothing
+        unread_input == Came::Nothing
     }
 
-    /// Whether an endpoint is there, beyond much doubt.
-    fn proven(&self, endpoint: EndpointId) -> bool {
-        let answered = self.pools.borrow().get(&endpoint).and_then(|pool| pool.answered);
-        answered.is_some_and(|at| at.elapsed() < PROVEN)
+    /// Whether the endpoint answered within `RECENT_ANSWER` and has not reset a connection since.
+    fn recently_answered(&self, endpoint: EndpointId) -> bool {
+        let last_answer = self.pools.borrow().get(&endpoint).and_then(|pool| pool.last_answer);
+        last_answer.is_some_and(|at| at.elapsed() < RECENT_ANSWER)
     }
 
-    /// Keeps a connection, unless its endpoint has been forgotten meanwhile.
-    fn put_back(&self, endpoint: EndpointId, link: Pooled) {
+    /// Returns a connection to its endpoint's pool, or closes it if the endpoint has been removed.
+    fn return_to_pool(&self, endpoint: EndpointId, conn: PooledConnection) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(&endpoint) {
-            let place = pool.idle.partition_point(|other| other.idle_since <= link.idle_since);
-            pool.idle.insert(place, link);
-            self.budget.may_free_endpoint();
+            let index = pool.idle.partition_point(|other| other.idle_since <= conn.idle_since);
+            pool.idle.insert(index, conn);
+            self.budget.notify_endpoint_reclaimable();
         }
     }
 
-    fn rest(&self, endpoint: EndpointId) -> Rc<RefCell<Rest>> {
-        self.pools.borrow().get(&endpoint).map(|pool| pool.rest.clone()).unwrap_or_default()
+    fn reuse_delay(&self, endpoint: EndpointId) -> Rc<RefCell<ReuseDelay>> {
+        self.pools.borrow().get(&endpoint).map(|pool| pool.reuse_delay.clone()).unwrap_or_default()
     }
 
-    /// Something came from an endpoint that no request had asked for, or that was no answer.
-    fn spoilt(&self, endpoint: EndpointId) {
-        self.rest(endpoint).borrow_mut().spoilt(Instant::now());
+    /// Records unsolicited bytes or an unparsable answer from an endpoint.
+    fn record_unsolicited(&self, endpoint: EndpointId) {
+        self.reuse_delay(endpoint).borrow_mut().record_unsolicited(Instant::now());
     }
 
-    /// A new connection. Where one is resting that could be waited for, only out of what the budget has to spare.
-    async fn connect(&self, endpoint: EndpointId, address: SocketAddr, must: bool) -> Option<Pooled> {
-        if !must && !self.budget.endpoints_spare() {
+    /// Opens a connection. Unless `forced`, it opens one only if the budget has spare sockets, since the caller can
+    /// wait for an idle connection instead.
+    async fn connect(
+        &self,
+        endpoint: EndpointId,
+        address: SocketAddr,
+        forced: bool,
+    ) -> Option<PooledConnection> {
+        if !forced && !self.budget.has_spare_endpoint_socket() {
             return None;
         }
         let permit = loop {
-            match self.budget.take(Holder::Endpoint) {
+            match self.budget.acquire(Holder::Endpoint) {
                 Some(permit) => break permit,
-                None if must && self.close_oldest_idle() => {}
-                // Another attempt may be over soon.
-                None if must => timeout(self.connect_timeout, self.budget.endpoint_freed()).await.ok()?,
+                None if forced && self.close_oldest_idle() => {}
+                // Another attempt may end soon and release its socket.
+                None if forced => timeout(self.connect_timeout, self.budget.endpoint_freed()).await.ok()?,
                 None => return None,
             }
         };
-        // A machine that is cut off never answers: without a limit of ours the attempt would hang.
+        // An unreachable machine never answers: without a timeout the attempt would hang.
         let stream = timeout(self.connect_timeout, self.network.connect(address)).await.ok()?.ok()?;
-        let (socket, heard) = Socket::new(stream);
-        let handshake = http1::Builder::new().max_buf_size(BUFFER_MOST).handshake(TokioIo::new(socket));
+        let (transport, socket) = Socket::new(stream);
+        let handshake =
+            http1::Builder::new().max_buf_size(MAX_BUFFER_BYTES).handshake(TokioIo::new(transport));
         let (sender, connection) = handshake.await.ok()?;
-        let (mut task, rest) = (JoinSet::new(), self.rest(endpoint));
+        let (mut task, delay) = (JoinSet::new(), self.reuse_delay(endpoint));
         task.spawn_local(async move {
-            if connection.await.is_err_and(|e| unasked(&e)) {
-                rest.borrow_mut().spoilt(Instant::now());
+            if connection.await.is_err_and(|e| is_unsolicited(&e)) {
+                delay.borrow_mut().record_unsolicited(Instant::now());
             }
         });
-        Some(Pooled {
+        Some(PooledConnection {
             sender,
-            heard,
+            socket,
             address,
             idle_since: Instant::now(),
             _connection: task,
@@ -576,42 +600,42 @@
     }
 
     fn inline_report(&self, headers: &HeaderMap) -> Option<Vec<f64>> {
-        self.report(headers.get("x-server-load")?.to_str().ok()?)
+        self.parse_report(headers.get("x-server-load")?.to_str().ok()?)
     }
 
-    /// The values of the settings' fields, in their order; none unless all are there.
-    fn report(&self, text: &str) -> Option<Vec<f64>> {
+    /// Parses the configured load fields, in their order; `None` unless all are present and valid.
+    fn parse_report(&self, text: &str) -> Option<Vec<f64>> {
         let value = |field: &LoadField| {
             let pairs = text.trim().split(',').filter_map(|pair| pair.split_once('='));
             let (_, value) = pairs.into_iter().find(|(name, _)| *name == wire_name(*field))?;
             value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)
         };
-        if self.fields.is_empty() {
+        if self.load_fields.is_empty() {
             return None;
         }
-        self.fields.iter().map(value).collect()
+        self.load_fields.iter().map(value).collect()
     }
 }
 
-/// Whether a connection ended because more came than had been asked for. hyper has no other name for it.
-fn unasked(e: &hyper::Error) -> bool {
+/// Whether a connection ended because of unsolicited bytes, an error that hyper does not classify.
+fn is_unsolicited(e: &hyper::Error) -> bool {
     let known = e.is_canceled() || e.is_closed() || e.is_incomplete_message() || e.is_user();
     e.is_parse() || (!known && e.source().is_none())
 }
 
-/// Ends once an answer has begun and has not become whole in its time.
-async fn stalled(heard: &Heard, ahead: &AtomicBool) {
+/// Completes when an answer has begun but not ended within `ANSWER_TIMEOUT`.
+async fn stalled(socket: &SocketState, informational: &AtomicBool) {
     loop {
-        let at = match heard.began() {
-            Some(at) if at.elapsed() >= ANSWER_TIME && !ahead.load(Ordering::Relaxed) => return,
-            Some(at) if !ahead.load(Ordering::Relaxed) => at + ANSWER_TIME,
-            _ => Instant::now() + ANSWER_TIME / 4,
+        let at = match socket.first_byte_at() {
+            Some(at) if at.elapsed() >= ANSWER_TIMEOUT && !informational.load(Ordering::Relaxed) => return,
+            Some(at) if !informational.load(Ordering::Relaxed) => at + ANSWER_TIMEOUT,
+            _ => Instant::now() + ANSWER_TIMEOUT / 4,
         };
         sleep_until(at).await;
     }
 }
 
-/// A load report's field as endpoints name it.
+/// The wire name of a load report's field.
 fn wire_name(field: LoadField) -> &'static str {
     match field {
         LoadField::Outstanding => "inflight",
--- a/crates/runtrack/src/net/socket.rs
+++ b/crates/runtrack/src/net/socket.rs
@@ -1,4 +1,5 @@
-//! A TCP connection that notes what comes in, under hyper, which keeps that to itself.
+//! The transport below hyper's connections. It records what hyper doesn't expose: when input arrived, whether more
+//! may be unread, and whether a write was refused because its deadline had passed.
 
 use runtrack_net::{Came, Connection, mutant};
 use std::cell::{Cell, RefCell};
@@ -11,92 +12,98 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, timeout};
 
-/// What has come in, for who uses the connection.
-pub struct Heard {
+/// State of a connection, shared by the hyper transport and the code that uses the connection.
+pub struct SocketState {
     stream: RefCell<Box<dyn Connection>>,
-    /// The last look found bytes: more may lie unread between here and the reader.
-    more: Cell<bool>,
-    /// When the first byte came since `forget`.
-    began: Cell<Option<Instant>>,
-    /// Nothing is written from then on.
-    write_by: Cell<Option<Instant>>,
-    /// Something would have been written too late.
-    refused: Cell<bool>,
+    /// The last read returned bytes, so that more may be unread.
+    may_have_more: Cell<bool>,
+    /// Arrival of the first byte since `clear_first_byte`.
+    first_byte_at: Cell<Option<Instant>>,
+    /// No write is accepted from this time on.
+    write_deadline: Cell<Option<Instant>>,
+    /// A write was refused because its deadline had passed.
+    write_refused: Cell<bool>,
 }
 
-/// The connection itself, for hyper.
-pub struct Socket(Rc<Heard>);
+/// The transport handed to hyper.
+pub struct Socket(Rc<SocketState>);
 
 impl Socket {
-    /// This connection, and what it notes.
-    pub fn new(stream: Box<dyn Connection>) -> (Self, Rc<Heard>) {
-        let (more, began, write_by, refused) = Default::default();
-        let heard = Rc::new(Heard { stream: RefCell::new(stream), more, began, write_by, refused });
-        (Socket(heard.clone()), heard)
+    /// Wraps a connection; returns the transport and its shared state.
+    pub fn new(stream: Box<dyn Connection>) -> (Self, Rc<SocketState>) {
+        let (may_have_more, first_byte_at, write_deadline, write_refused) = Default::default();
+        let state = Rc::new(SocketState {
+            stream: RefCell::new(stream),
+            may_have_more,
+            first_byte_at,
+            write_deadline,
+            write_refused,
+        });
+        (Socket(state.clone()), state)
     }
 }
 
-impl Heard {
-    /// Whether bytes came that hyper has not gone beyond: it looks at the socket again only once it
-    /// has used up what it had.
-    pub fn more(&self) -> bool {
-        self.more.get()
+impl SocketState {
+    /// Whether hyper may still hold unprocessed input: it polls the socket again only after it has consumed all
+    /// bytes of its last read.
+    pub fn may_have_more(&self) -> bool {
+        self.may_have_more.get()
     }
 
-    /// When the first byte came since all was forgotten.
-    pub fn began(&self) -> Option<Instant> {
-        self.began.get()
+    /// Arrival of the first byte since `clear_first_byte`.
+    pub fn first_byte_at(&self) -> Option<Instant> {
+        self.first_byte_at.get()
     }
 
-    /// Begins anew.
-    pub fn forget(&self) {
-        self.began.set(None);
+    /// Clears the arrival time, before the next message.
+    pub fn clear_first_byte(&self) {
+        self.first_byte_at.set(None);
     }
 
-    /// Lets nothing be written from this time on: asked at each write, since a process may be stopped, or be
-    /// without a processor, between its decision to write and the write itself.
-    pub fn write_by(&self, by: Option<Instant>) {
-        self.write_by.set(by);
-        self.refused.set(false);
+    /// Sets the time from which writes are refused. It is checked at each write, since the process may be stopped
+    /// or lack processor time between its decision to write and the write itself.
+    pub fn set_write_deadline(&self, by: Option<Instant>) {
+        self.write_deadline.set(by);
+        self.write_refused.set(false);
     }
 
-    /// Whether something was not written because it would have been too late.
-    pub fn refused(&self) -> bool {
-        self.refused.get()
+    /// Whether a write was refused since the deadline was set.
+    pub fn write_refused(&self) -> bool {
+        self.write_refused.get()
     }
 
-    fn may_write(&self) -> io::Result<()> {
-        if self.write_by.get().is_none_or(|by| Instant::now() < by) || mutant("window-unasked") {
+    fn check_write_deadline(&self) -> io::Result<()> {
+        if self.write_deadline.get().is_none_or(|by| Instant::now() < by) || mutant("window-unasked") {
             return Ok(());
         }
-        self.refused.set(true);
+        self.write_refused.set(true);
         Err(io::ErrorKind::TimedOut.into())
     }
 
-    /// Ends this side and reads on, for so long and so much at most, until the other side has ended too (lingering
-    /// close, RFC 9112 section 9.6): a close over unread bytes resets the connection, and takes along what the other
-    /// side has not read yet. What comes is thrown away.
-    pub async fn linger(&self, time: Duration, mut most: usize) {
+    /// Lingering close (RFC 9112 section 9.6): shuts down the write side, then reads and discards input until the
+    /// peer closes, at most for `limit` and up to `max_bytes`. Closing with unread input would reset the
+    /// connection and discard data that the peer has not read yet.
+    pub async fn linger(&self, limit: Duration, mut max_bytes: usize) {
         let mut scratch = [0; 4096];
-        let end = poll_fn(|cx| {
+        let drained = poll_fn(|cx| {
             let mut stream = self.stream.borrow_mut();
-            // Again where it is done already, which does no harm; the way back may be gone altogether.
+            // A repeated shutdown is harmless, and it may fail because the peer has closed.
             let _ = ready!(Pin::new(&mut *stream).poll_shutdown(cx));
             loop {
                 let mut buffer = ReadBuf::new(&mut scratch);
                 let read = ready!(Pin::new(&mut *stream).poll_read(cx, &mut buffer));
                 let count = buffer.filled().len();
-                if read.is_err() || count == 0 || count >= most {
+                if read.is_err() || count == 0 || count >= max_bytes {
                     return Poll::Ready(());
                 }
-                most -= count;
+                max_bytes -= count;
             }
         });
-        let _ = timeout(time, end).await;
+        let _ = timeout(limit, drained).await;
     }
 
-    /// What this machine holds unread.
-    pub fn came(&self) -> Came {
+    /// What the kernel holds unread for this connection.
+    pub fn unread_input(&self) -> Came {
         self.stream.borrow().came()
     }
 }
@@ -107,19 +114,19 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let heard = &self.0;
+        let state = &self.0;
         let before = buf.filled().len();
-        let read = Pin::new(&mut *heard.stream.borrow_mut()).poll_read(cx, buf);
+        let read = Pin::new(&mut *state.stream.borrow_mut()).poll_read(cx, buf);
         if matches!(read, Poll::Ready(Err(_))) && mutant("reset-ends") {
             return Poll::Ready(Ok(()));
         }
-        let came = matches!(read, Poll::Ready(Ok(()))) && buf.filled().len() > before;
-        if matches!(read, Poll::Ready(Ok(()))) && !came && mutant("end-unheard") {
+        let received = matches!(read, Poll::Ready(Ok(()))) && buf.filled().len() > before;
+        if matches!(read, Poll::Ready(Ok(()))) && !received && mutant("end-unheard") {
             return Poll::Pending;
         }
-        heard.more.set(came);
-        if came && heard.began.get().is_none() {
-            heard.began.set(Some(Instant::now()));
+        state.may_have_more.set(received);
+        if received && state.first_byte_at.get().is_none() {
+            state.first_byte_at.set(Some(Instant::now()));
         }
         read
     }
@@ -127,7 +134,7 @@
 
 impl AsyncWrite for Socket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.0.may_write()?;
+        self.0.check_write_deadline()?;
         Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(cx, bytes)
     }
 
@@ -136,7 +143,7 @@
         cx: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.0.may_write()?;
+        self.0.check_write_deadline()?;
         let mut stream = self.0.stream.borrow_mut();
         if mutant("answered-twice") && parts[0].starts_with(b"HTTP/1.1 5") {
             let _ = Pin::new(&mut *stream).poll_write_vectored(cx, parts);
--- a/crates/runtrack/src/net/spans.rs
+++ b/crates/runtrack/src/net/spans.rs
@@ -1,9 +1,9 @@
-//! Where served calls spent their time.
+//! Mean time that served calls spend in each processing stage, for the periodic log summary.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Where served calls spent their time, summed by stage.
+/// Number of served calls and the sum of their times in each stage.
 #[derive(Default)]
 pub struct Spans {
     calls: u32,
@@ -11,8 +11,8 @@
 }
 
 impl Spans {
-    /// Reading the request, until it was sent on (decided, and held for want of room), until it had a connection,
-    /// until an answer began, until that was whole.
+    /// Adds one call. The stages, in order: reading the request; deciding and queueing until the attempt starts;
+    /// waiting for a connection; waiting for the first byte of the answer; reading the rest of the answer.
     pub fn add(&mut self, stages: [Duration; 5]) {
         self.calls += 1;
         self.sums.iter_mut().zip(stages).for_each(|(sum, stage)| *sum += stage);
--- a/crates/runtrack/src/net/window.rs
+++ b/crates/runtrack/src/net/window.rs
@@ -1,37 +1,38 @@
-//! The window within which a keyed request may be repeated, shared by its attempts.
+//! The time window within which a keyed request may be repeated, shared by the request's attempts.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When which attempts of a request began, of those that may have run. One that was chosen first may begin last, when its
-/// connection comes up late and a second copy has run meanwhile: whichever began first binds all others.
-pub struct Window {
+/// Start times of a request's attempts that may have been executed. The earliest start bounds all other attempts,
+/// whatever the order in which they were created: an attempt created first can start last when its connection is
+/// established late and a second copy has been executed meanwhile.
+pub struct RepeatWindow {
     length: Duration,
-    begun: RefCell<BTreeMap<usize, Instant>>,
+    started: RefCell<BTreeMap<usize, Instant>>,
 }
 
-impl Window {
-    /// Of this length, with nothing begun.
+impl RepeatWindow {
+    /// A window of this length without started attempts.
     pub fn new(length: Duration) -> Self {
-        Window { length, begun: RefCell::default() }
+        RepeatWindow { length, started: RefCell::default() }
     }
 
-    /// This attempt begins.
-    pub fn begin(&self, attempt: usize) {
-        self.begun.borrow_mut().insert(attempt, Instant::now());
+    /// Records that this attempt starts now.
+    pub fn record_start(&self, attempt: usize) {
+        self.started.borrow_mut().insert(attempt, Instant::now());
     }
 
-    /// This attempt is known not to have run.
-    pub fn never_ran(&self, attempt: usize) {
-        self.begun.borrow_mut().remove(&attempt);
+    /// Records that this attempt provably was not executed.
+    pub fn record_not_executed(&self, attempt: usize) {
+        self.started.borrow_mut().remove(&attempt);
     }
 
-    /// By when this attempt must be written, if another may have run.
-    pub fn write_by(&self, attempt: usize) -> Option<Instant> {
-        let begun = self.begun.borrow();
-        let others = begun.iter().filter(|(other, _)| **other != attempt);
+    /// The time by which this attempt must be written; `None` if no other attempt may have been executed.
+    pub fn write_deadline(&self, attempt: usize) -> Option<Instant> {
+        let started = self.started.borrow();
+        let others = started.iter().filter(|(other, _)| **other != attempt);
         others.map(|(_, at)| *at + self.length).min()
     }
 }
--- a/crates/runtrack/src/sidecar.rs
+++ b/crates/runtrack/src/sidecar.rs
@@ -1,10 +1,10 @@
-//! One sidecar, put together.
+//! Assembles a sidecar from its parts and runs it until it has drained.
 
 use crate::net::budget::Budget;
 use crate::net::config::{Config, ConfigError};
 use crate::net::driver::{Driver, Gauges, Input};
 use crate::net::inbound::Inbound;
-use crate::net::listing::Listing;
+use crate::net::membership::MembershipTranslator;
 use crate::net::outbound::Outbound;
 use runtrack_balancer::Balancer;
 use runtrack_discovery::{Call, Client, Clock, Told, Watch};
@@ -17,60 +17,83 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// The agent answers at once; where it does not, discovery is down, and the list as last held has to do.
-const FIRST_WORD: Duration = Duration::from_secs(1);
+/// How long startup waits for the agent's first list. A reachable agent answers at once; after this time the sidecar
+/// serves with the last known list.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a running sidecar is told.
+/// A command to a running sidecar.
 pub enum Command {
-    /// Another configuration takes the place of the one it has, or is not understood.
+    /// Apply a new configuration, or log the error with which it failed to load.
     Reload(Result<Box<Config>, ConfigError>),
-    /// Say how much is open.
+    /// Send the current gauges.
     Report(oneshot::Sender<Gauges>),
-    /// Answer what has been taken, take nothing more, and end.
+    /// Answer all accepted requests, accept no more connections, and exit.
     Drain,
 }
 
-/// Runs a sidecar until it has drained, or can't go on. It needs a single-threaded runtime with a `LocalSet`, and what it
-/// starts there ends with that set.
+/// Runs a sidecar until it has drained. It must be called within a `LocalSet` on a single-threaded runtime; the tasks
+/// that it spawns end with that set.
+///
+/// # Errors
+///
+/// Fails on invalid settings, if the address can't be listened on, or if the driver task ends.
 pub async fn run(
     config: Config,
     network: Rc<dyn Network>,
     clock: Clock,
-    mut orders: UnboundedReceiver<Command>,
+    mut commands: UnboundedReceiver<Command>,
 ) -> Result<(), String> {
-    let Config { name, listen, discovery, seed, sockets, memory_mb, known, settings, names, mut file } =
-        config;
+    let Config {
+        name,
+        listen,
+        discovery,
+        seed,
+        sockets,
+        memory_mb,
+        cached_list,
+        settings,
+        names,
+        mut file,
+    } = config;
     let balancer =
         Balancer::new(settings.clone(), seed, clock.now()).map_err(|e| format!("settings: {e}"))?;
     let budget = Budget::new(sockets, memory_mb);
     let (inbox, inputs) = unbounded_channel();
-    let (calls, asked) = unbounded_channel();
+    let (discovery_calls, discovery_requests) = unbounded_channel();
     let outbound = Outbound::new(network.clone(), &settings, budget.clone());
     let inbound = Inbound::new(settings.clone(), &names, budget, outbound.clone(), inbox.clone());
-    let listing = Rc::new(Listing::new(names));
+    let membership = Rc::new(MembershipTranslator::new(names));
     let watch = match settings.discovery {
-        runtrack_balancer::Discovery::Push => Watch::Agent, // the module never asks for one
+        runtrack_balancer::Discovery::Push => Watch::Agent, // the decision module never requests a list
         runtrack_balancer::Discovery::Ask => Watch::Asked,
     };
-    let (translate, news) = (listing.clone(), inbox.clone());
-    let first = Rc::new(Notify::new());
-    let came = first.clone();
+    let (translator, list_inbox) = (membership.clone(), inbox.clone());
+    let first_list = Rc::new(Notify::new());
+    let first_list_signal = first_list.clone();
     let client = Client::new(network.clone(), discovery, watch, seed, move |told: Told| {
-        let _ = news.send(Input::List(translate.told(told))); // fails only while the process ends
-        came.notify_one();
+        let _ = list_inbox.send(Input::List(translator.translate(told))); // fails only during process exit
+        first_list_signal.notify_one();
     });
-    // The list as last held is there before the first client.
-    client.start_from(known.rev);
-    let _ = inbox.send(Input::List(listing.cached(known)));
+    // The last known list is applied before the first client is accepted.
+    client.start_from(cached_list.rev);
+    let _ = inbox.send(Input::List(membership.cached(cached_list)));
     let attempts = settings.limits.max_attempts;
-    let driver =
-        Driver::new(balancer, clock, attempts, outbound.clone(), listing, calls.clone(), inbox.clone());
+    let driver = Driver::new(
+        balancer,
+        clock,
+        attempts,
+        outbound.clone(),
+        membership,
+        discovery_calls.clone(),
+        inbox.clone(),
+    );
     let mut driver = spawn_local(driver.run(inputs));
-    spawn_local(client.run(asked));
+    spawn_local(client.run(discovery_requests));
     spawn_local(outbound.sweep());
     if watch == Watch::Agent && !runtrack_net::mutant("old-list-first") {
-        // What the agent has counts as told from the first moment on, and the list as last held may be older.
-        let _ = timeout(FIRST_WORD, first.notified()).await;
+        // The sidecar is expected to act on the agent's current list from its first request on, and the last known
+        // list may be older.
+        let _ = timeout(FIRST_LIST_TIMEOUT, first_list.notified()).await;
     }
     let listener = network.listen(listen).map_err(|e| format!("listen: {listen}: {e}"))?;
     log::info!("{name}: serving on {listen}");
@@ -81,23 +104,23 @@
             biased;
             () = &mut serving => return Ok(()),
             ended = &mut driver => return Err(format!("the driver ended: {ended:?}")),
-            Some(order) = orders.recv() => match order {
+            Some(command) = commands.recv() => match command {
                 Command::Drain => drain.notify_one(),
-                Command::Report(to) => drop(inbox.send(Input::Report(to))), // fails only while the process ends
+                Command::Report(to) => drop(inbox.send(Input::Report(to))), // fails only during process exit
                 Command::Reload(config) => {
-                    let (moved, restart) = match config.and_then(|config| Config::reload(&mut file, *config)) {
+                    let (moved_to, to_restart) = match config.and_then(|config| Config::reload(&mut file, *config)) {
                         Ok(changes) => changes,
                         Err(problem) => {
-                            log::info!("reload: {problem}; going on as before");
+                            log::info!("reload failed, keeping the current configuration: {problem}");
                             continue;
                         }
                     };
-                    log::info!("reloaded: discovery {}", moved.map_or("as it was".to_owned(), |at| at.to_string()));
-                    if !restart.is_empty() {
-                        log::info!("reloaded: changes that need a restart: {}", restart.join(", "));
+                    log::info!("reloaded: discovery {}", moved_to.map_or("unchanged".to_owned(), |at| at.to_string()));
+                    if !to_restart.is_empty() {
+                        log::info!("reloaded: changes that need a restart: {}", to_restart.join(", "));
                     }
-                    if let Some(address) = moved {
-                        let _ = calls.send(Call::Move(address)); // fails only while the process ends
+                    if let Some(address) = moved_to {
+                        let _ = discovery_calls.send(Call::Move(address)); // fails only during process exit
                     }
                 }
             },
--- a/crates/runtrack/tests/orders_endpoints.rs
+++ b/crates/runtrack/tests/orders_endpoints.rs
@@ -10,7 +10,7 @@
 use runtrack::net::config::Config;
 use runtrack::net::outbound::{Attempt, Forward, Outbound, Progress};
 use runtrack::net::socket::Socket as Noted;
-use runtrack::net::window::Window;
+use runtrack::net::window::RepeatWindow;
 use runtrack_balancer::{EndpointId, Outcome};
 use runtrack_net::{Came, Connection};
 use serde_json::json;
@@ -289,11 +289,11 @@
     let written = runtime.unwrap().block_on(async {
         let notes = Notes::default();
         let (mut socket, heard) = Noted::new(Box::new(notes.clone()));
-        heard.write_by(Some(tokio::time::Instant::now() + Duration::from_millis(400)));
+        heard.set_write_deadline(Some(tokio::time::Instant::now() + Duration::from_millis(400)));
         socket.write_all(b"in time,").await.unwrap();
         tokio::time::advance(Duration::from_millis(400)).await;
         let late = socket.write_all(b" late").await;
-        assert_eq!((late.is_err(), heard.refused()), (planted.is_none(), planted.is_none()));
+        assert_eq!((late.is_err(), heard.write_refused()), (planted.is_none(), planted.is_none()));
         notes.0.take()
     });
     runtrack_net::plant(None);
@@ -334,14 +334,14 @@
     let outbound = Outbound::new(gate.network(), &config.settings, budget);
     gate.hold(late.address);
     let length = Duration::from_millis(50);
-    let window = Rc::new(Window::new(length));
+    let window = Rc::new(RepeatWindow::new(length));
     let attempt = |number: usize| {
         let mut headers = hyper::HeaderMap::new();
         headers.insert("x-request-id", "r1".parse().unwrap());
         let (method, uri, body) = (hyper::Method::POST, "/pay/x".parse().unwrap(), "body".into());
         let forward = Rc::new(Forward { method, uri, headers, body });
-        let until = tokio::time::Instant::now() + PATIENCE;
-        Attempt { forward, until, window: Some((window.clone(), number)), never_twice: false }
+        let give_up_at = tokio::time::Instant::now() + PATIENCE;
+        Attempt { forward, give_up_at, window: Some((window.clone(), number)), at_most_once: false }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
