--- a/crates/controller/tests/confirmations.rs
+++ b/crates/controller/tests/confirmations.rs
@@ -2,7 +2,7 @@
 
 use runtrack_controller::confirmation_tracker::ConfirmationTracker;
 use runtrack_message::Member;
-use runtrack_net::plant;
+use runtrack_net::set_mutant;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -115,8 +115,8 @@
 
 #[test]
 fn who_counts_by_address_is_found() {
-    plant(Some("confirmations-by-address"));
+    set_mutant(Some("confirmations-by-address"));
     let found = counts_a_wiped_member();
-    plant(None);
+    set_mutant(None);
     assert!(found);
 }
--- a/crates/controller/tests/contention.rs
+++ b/crates/controller/tests/contention.rs
@@ -3,7 +3,7 @@
 
 mod virtual_time;
 
-use runtrack_net::plant;
+use runtrack_net::set_mutant;
 use std::time::Duration;
 use tokio::time::Instant;
 use virtual_time::{World, run};
@@ -30,7 +30,7 @@
 
 #[test]
 fn reads_at_all_members_at_once_come_through_over_slow_disks() {
-    plant(Some("reads-by-round"));
+    set_mutant(Some("reads-by-round"));
     for delay_ms in [1, 30, 100] {
         run(async move {
             let world = World::with_three_members(3, 4.0).await;
@@ -43,5 +43,5 @@
             assert!(waits.0.max(waits.1).max(waits.2) <= MAX_WAIT, "{delay_ms} ms a write: {waits:?}");
         });
     }
-    plant(None);
+    set_mutant(None);
 }
--- a/crates/controller/tests/disk_check.rs
+++ b/crates/controller/tests/disk_check.rs
@@ -2,7 +2,7 @@
 
 mod virtual_time;
 
-use runtrack_net::plant;
+use runtrack_net::set_mutant;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 use virtual_time::{World, run};
@@ -66,10 +66,10 @@
 #[test]
 fn a_member_that_goes_on_with_an_older_disk_is_found() {
     run(async {
-        plant(Some("older-disk-goes-on"));
+        set_mutant(Some("older-disk-goes-on"));
         let world = put_back_and_another_one_lost("disk.checked").await;
         let answer = world.clear_answer(1, 1, 3, LONG).await;
-        plant(None);
+        set_mutant(None);
         assert_eq!(
             answer,
             Some(200),
--- a/crates/controller/tests/failed_sync.rs
+++ b/crates/controller/tests/failed_sync.rs
@@ -2,7 +2,7 @@
 
 use runtrack_controller::disk::{Record, Rings};
 use runtrack_message::{Ballot, RegisterReply, RegisterRequest, Value};
-use runtrack_net::plant;
+use runtrack_net::set_mutant;
 use runtrack_record_store::Memory;
 use runtrack_register::{Acceptor, Durable, PromiseRecord, ValueRecord, initial_value};
 use std::collections::BTreeSet;
@@ -91,9 +91,9 @@
 
 #[test]
 fn a_value_that_stays_on_the_disk_is_found() {
-    plant(Some("failed-value-stays"));
+    set_mutant(Some("failed-value-stays"));
     let holds = a_promise_without_the_value_holds();
-    plant(None);
+    set_mutant(None);
     assert!(!holds, "the planted error does no harm");
 }
 
--- a/crates/controller/tests/growth.rs
+++ b/crates/controller/tests/growth.rs
@@ -3,7 +3,7 @@
 
 mod virtual_time;
 
-use runtrack_net::plant;
+use runtrack_net::set_mutant;
 use std::time::Duration;
 use tokio::time::sleep;
 use virtual_time::{World, run};
@@ -42,9 +42,9 @@
 #[test]
 fn members_that_wait_for_a_value_are_found() {
     run(async {
-        plant(Some("members-wait-for-a-value"));
+        set_mutant(Some("members-wait-for-a-value"));
         let answer = answer_after_two_losses().await;
-        plant(None);
+        set_mutant(None);
         assert_eq!(answer, None);
     });
 }
--- a/crates/controller/tests/leaves.rs
+++ b/crates/controller/tests/leaves.rs
@@ -6,7 +6,7 @@
 use runtrack_controller::disk::{Record, Rings};
 use runtrack_link::Gossip;
 use runtrack_message::{Endpoint, EndpointState};
-use runtrack_net::plant;
+use runtrack_net::set_mutant;
 use runtrack_record_store::{Files, Memory};
 use runtrack_registry::{LeaveRecord, LeaveTable, key_of};
 use std::io;
@@ -79,9 +79,9 @@
 fn each_mutant_is_found() {
     for error in ["leave-confirmed-before-durable", "leaves-not-read"] {
         run(async {
-            plant(Some(error));
+            set_mutant(Some(error));
             let remembered = is_remembered_after_a_loss_of_power().await;
-            plant(None);
+            set_mutant(None);
             assert!(!remembered, "{error}");
         });
     }
@@ -152,9 +152,9 @@
 #[test]
 fn who_joins_without_the_leaves_is_found() {
     run(async {
-        plant(Some("joins-without-leaves"));
+        set_mutant(Some("joins-without-leaves"));
         let joined = joins_without_leaves().await;
-        plant(None);
+        set_mutant(None);
         assert!(joined);
     });
 }
--- a/crates/controller/tests/quorum_reads.rs
+++ b/crates/controller/tests/quorum_reads.rs
@@ -3,7 +3,7 @@
 
 mod virtual_time;
 
-use runtrack_net::plant;
+use runtrack_net::set_mutant;
 use std::ops::Range;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
@@ -287,7 +287,7 @@
     for mutant in [Some("reads-by-round"), None] {
         let by = mutant.unwrap_or("quorum reads");
         for disk in [Duration::from_millis(1), SLOW] {
-            plant(mutant);
+            set_mutant(mutant);
             run(async move {
                 let world = three().await;
                 (0..3).for_each(|machine| world.slow_disk(machine, disk));
@@ -304,7 +304,7 @@
                     assert_eq!((status, writes), (200, 0));
                 }
             });
-            plant(None);
+            set_mutant(None);
         }
     }
 }
--- a/crates/controller/tests/virtual_time/mod.rs
+++ b/crates/controller/tests/virtual_time/mod.rs
@@ -12,7 +12,7 @@
 use runtrack_fleetconfig::Node;
 use runtrack_link::{Dials, Environment, Gossip, ProcessEvent};
 use runtrack_message::{Endpoint, Hello, Member, PrefixPlacements, Role, WIRE_VERSION};
-use runtrack_net::{Came, Connecting, Connection, Listener, Network, plant};
+use runtrack_net::{Connecting, Connection, Listener, Network, PeekStatus, set_mutant};
 use runtrack_record_store::Memory;
 use runtrack_registry::LeaveRecord;
 use slog::{Drain, Logger, o};
@@ -60,8 +60,8 @@
 }
 
 impl Connection for Link {
-    fn came(&self) -> Came {
-        Came::Nothing
+    fn peek_status(&self) -> PeekStatus {
+        PeekStatus::Empty
     }
 }
 
@@ -695,8 +695,8 @@
 
 /// Whether a scenario fails with this mutant.
 pub fn finds(mutant: &str, scenario: impl FnOnce()) -> bool {
-    plant(Some(mutant));
+    set_mutant(Some(mutant));
     let found = catch_unwind(AssertUnwindSafe(scenario)).is_err();
-    plant(None);
+    set_mutant(None);
     found
 }
--- a/crates/discovery/tests/silence.rs
+++ b/crates/discovery/tests/silence.rs
@@ -2,7 +2,7 @@
 //! is understood in whatever pieces it comes.
 
 use runtrack_discovery::{Call, Client, List, Told, Watch};
-use runtrack_net::{Came, Connecting, Connection, Listener, Network};
+use runtrack_net::{Connecting, Connection, Listener, Network, PeekStatus};
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
@@ -45,8 +45,8 @@
 }
 
 impl Connection for Wire {
-    fn came(&self) -> Came {
-        Came::Nothing
+    fn peek_status(&self) -> PeekStatus {
+        PeekStatus::Empty
     }
 }
 
--- a/crates/link/tests/support/mod.rs
+++ b/crates/link/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use runtrack_link::slog::{Discard, Logger, o};
 use runtrack_link::{Environment, Gossip, PING_INTERVAL, dial_for_ever};
 use runtrack_message::{Hello, Member, Message, Role, StateSummary, WIRE_VERSION, decode, encode};
-use runtrack_net::{Came, Connecting, Connection, Listener, Network};
+use runtrack_net::{Connecting, Connection, Listener, Network, PeekStatus};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -51,8 +51,8 @@
 }
 
 impl Connection for Stream {
-    fn came(&self) -> Came {
-        Came::Nothing
+    fn peek_status(&self) -> PeekStatus {
+        PeekStatus::Empty
     }
 }
 
--- a/crates/link/tests/trust.rs
+++ b/crates/link/tests/trust.rs
@@ -5,7 +5,7 @@
 
 use runtrack_link::START_WAIT;
 use runtrack_message::{Config, Endpoint, EndpointState, Member, Message, StateSummary};
-use runtrack_net::plant;
+use runtrack_net::set_mutant;
 use runtrack_registry::key_of;
 use std::time::Duration;
 use support::{Agent, in_virtual_time};
@@ -180,16 +180,16 @@
 
 #[test]
 fn each_mutant_is_found() {
-    plant(Some("agent-takes-the-first-word"));
+    set_mutant(Some("agent-takes-the-first-word"));
     let first_config = in_virtual_time(starts_beside_a_partitioned_one());
     let later_config = in_virtual_time(prefers_one_in_contact());
-    plant(Some("suspects-of-anyone"));
+    set_mutant(Some("suspects-of-anyone"));
     let anyone = in_virtual_time(heeds_suspects_of_those_in_contact());
-    plant(Some("suspects-of-non-members"));
+    set_mutant(Some("suspects-of-non-members"));
     let non_members = in_virtual_time(heeds_suspects_of_members_alone());
-    plant(Some("link-reads-on-after-standstill"));
+    set_mutant(Some("link-reads-on-after-standstill"));
     let reads_stale = in_virtual_time(takes_nothing_that_came_while_it_was_suspended());
-    plant(None);
+    set_mutant(None);
     for (mutant, found) in [
         ("first word", first_config),
         ("other word", later_config),
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -13,25 +13,25 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// What has come unread.
+/// What the next read of a connection would find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
-    /// Nothing.
-    Nothing,
-    /// Bytes.
-    Bytes,
-    /// The connection's end.
-    End,
+pub enum PeekStatus {
+    /// No bytes are waiting.
+    Empty,
+    /// Bytes are waiting.
+    Data,
+    /// The connection has ended.
+    Eof,
 }
 
 /// A connection. Dropping it closes it.
 pub trait Connection: AsyncRead + AsyncWrite + Unpin {
     /// What this machine holds unread, whatever the runtime knows of it.
-    fn came(&self) -> Came;
+    fn peek_status(&self) -> PeekStatus;
 
     /// Whether small writes go out at once, and wait for no other (`TCP_NODELAY`); as a matter of course where there is
     /// no such thing.
-    fn sends_at_once(&self) -> bool {
+    fn is_nodelay(&self) -> bool {
         true
     }
 }
@@ -62,7 +62,7 @@
 }
 
 #[cfg(feature = "mutants")]
-pub use mutants::{mutant, plant};
+pub use mutants::{mutant, set_mutant};
 
 #[cfg(feature = "mutants")]
 mod mutants {
@@ -70,21 +70,22 @@
     use std::sync::LazyLock;
 
     thread_local! {
-        static PLANTED: RefCell<Option<String>> = const { RefCell::new(None) };
+        static THREAD_MUTANT: RefCell<Option<String>> = const { RefCell::new(None) };
     }
 
     /// For a whole process, by its environment.
-    static OF_PROCESS: LazyLock<Option<String>> = LazyLock::new(|| std::env::var("RUNTRACK_MUTANT").ok());
+    static PROCESS_MUTANT: LazyLock<Option<String>> =
+        LazyLock::new(|| std::env::var("RUNTRACK_MUTANT").ok());
 
     /// Whether an error that was planted under this name is switched on, for this thread or this process.
     pub fn mutant(name: &str) -> bool {
-        PLANTED.with_borrow(|planted| planted.as_deref() == Some(name))
-            || OF_PROCESS.as_deref() == Some(name)
+        THREAD_MUTANT.with_borrow(|active| active.as_deref() == Some(name))
+            || PROCESS_MUTANT.as_deref() == Some(name)
     }
 
     /// Switches the error of this name on, and any other off, for this thread.
-    pub fn plant(name: Option<&str>) {
-        PLANTED.set(name.map(str::to_owned));
+    pub fn set_mutant(name: Option<&str>) {
+        THREAD_MUTANT.set(name.map(str::to_owned));
     }
 }
 
--- a/crates/net/src/tcp.rs
+++ b/crates/net/src/tcp.rs
@@ -1,6 +1,6 @@
 //! The system's TCP.
 
-use crate::{Came, Connecting, Connection, Listener, Network};
+use crate::{Connecting, Connection, Listener, Network, PeekStatus};
 use socket2::SockRef;
 use std::io;
 use std::mem::MaybeUninit;
@@ -16,16 +16,16 @@
 pub struct Tcp;
 
 impl Connection for TcpStream {
-    fn came(&self) -> Came {
+    fn peek_status(&self) -> PeekStatus {
         // Asked of the kernel directly: the runtime only knows what its last look at all sockets has shown.
         match SockRef::from(self).peek(&mut [MaybeUninit::uninit(); 1]) {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Came::Nothing,
-            Ok(1..) => Came::Bytes,
-            _ => Came::End,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => PeekStatus::Empty,
+            Ok(1..) => PeekStatus::Data,
+            _ => PeekStatus::Eof,
         }
     }
 
-    fn sends_at_once(&self) -> bool {
+    fn is_nodelay(&self) -> bool {
         self.nodelay().unwrap_or(false)
     }
 }
--- a/crates/runtrack/src/net/inbound.rs
+++ b/crates/runtrack/src/net/inbound.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use runtrack_balancer::{ClassId, RequestId, Semantics, Settings, TenantId};
-use runtrack_net::{Came, Connection, Listener, mutant};
+use runtrack_net::{Connection, Listener, PeekStatus, mutant};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
@@ -149,7 +149,7 @@
     /// A request has begun to come, if only to this machine: to end the connection now would reset it.
     fn coming(&self) -> bool {
         !self.busy.get()
-            && (self.heard.began().is_some() || self.heard.came() == Came::Bytes)
+            && (self.heard.began().is_some() || self.heard.came() == PeekStatus::Data)
             && !mutant("closed-unread")
     }
 
@@ -357,7 +357,9 @@
     /// Waits, for a while, until the client has read what we have written and ends its side too. Where room is wanted
     /// this is cut short.
     async fn linger(&self, turn: &Turn) {
-        if turn.closing.replace(false) && turn.answered.get().is_none() && turn.heard.came() != Came::Bytes
+        if turn.closing.replace(false)
+            && turn.answered.get().is_none()
+            && turn.heard.came() != PeekStatus::Data
         {
             return; // it made room by its silence: there is nothing that the close could take along
         }
@@ -400,7 +402,7 @@
                         fresh_until = Some(Instant::now() + FRESH_WAIT);
                     } else if turn.closing.get()
                         && turn.heard.began().is_some()
-                        && turn.heard.came() != Came::Bytes
+                        && turn.heard.came() != PeekStatus::Data
                     {
                         return; // room is wanted, and this one stopped in the middle of a head
                     } else if turn.coming() {
@@ -499,7 +501,7 @@
         let _open = self.open_id(id, &turn.heard)?;
         let mut body = pin!(Limited::new(body, BODY_MOST).collect());
         let mut read = timeout_at(turn.request_until(), body.as_mut()).await;
-        if read.is_err() && turn.heard.came() == Came::Bytes {
+        if read.is_err() && turn.heard.came() == PeekStatus::Data {
             // Its time has passed while this process had no processor: what lies here has come.
             read = timeout(UNREAD_WAIT, body).await;
         }
@@ -552,7 +554,7 @@
     fn open_id<'a>(&'a self, id: HeaderValue, on: &'a Rc<Heard>) -> Result<OpenId<'a>, Bad> {
         let mut open = self.open.borrow_mut();
         if let Some(other) = open.get(&id)
-            && (other.came() != Came::End || mutant("end-unlooked-for"))
+            && (other.came() != PeekStatus::Eof || mutant("end-unlooked-for"))
         {
             return Err((StatusCode::CONFLICT, "a request of that id is open"));
         }
--- a/crates/runtrack/src/net/outbound.rs
+++ b/crates/runtrack/src/net/outbound.rs
@@ -11,7 +11,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use hyper_util::rt::TokioIo;
 use runtrack_balancer::{EndpointId, LoadField, Outcome, Settings};
-use runtrack_net::{Came, Network, mutant};
+use runtrack_net::{Network, PeekStatus, mutant};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -509,11 +509,11 @@
         }
         let came = link.heard.came();
         match came {
-            Came::Nothing => self.rest(endpoint).borrow_mut().silent(Instant::now()),
-            Came::Bytes => self.spoilt(endpoint),
-            Came::End => {}
+            PeekStatus::Empty => self.rest(endpoint).borrow_mut().silent(Instant::now()),
+            PeekStatus::Data => self.spoilt(endpoint),
+            PeekStatus::Eof => {}
         }
-        came == Came::Nothing
+        came == PeekStatus::Empty
     }
 
     /// Whether an endpoint is there, beyond much doubt.
--- a/crates/runtrack/src/net/socket.rs
+++ b/crates/runtrack/src/net/socket.rs
@@ -1,6 +1,6 @@
 //! A TCP connection that notes what comes in, under hyper, which keeps that to itself.
 
-use runtrack_net::{Came, Connection, mutant};
+use runtrack_net::{Connection, PeekStatus, mutant};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::io;
@@ -96,8 +96,8 @@
     }
 
     /// What this machine holds unread.
-    pub fn came(&self) -> Came {
-        self.stream.borrow().came()
+    pub fn came(&self) -> PeekStatus {
+        self.stream.borrow().peek_status()
     }
 }
 
--- a/crates/runtrack/tests/orders_endpoints.rs
+++ b/crates/runtrack/tests/orders_endpoints.rs
@@ -12,7 +12,7 @@
 use runtrack::net::socket::Socket as Noted;
 use runtrack::net::window::Window;
 use runtrack_balancer::{EndpointId, Outcome};
-use runtrack_net::{Came, Connection};
+use runtrack_net::{Connection, PeekStatus};
 use serde_json::json;
 use socket2::SockRef;
 use std::cell::RefCell;
@@ -277,14 +277,14 @@
 }
 
 impl Connection for Notes {
-    fn came(&self) -> Came {
-        Came::Nothing
+    fn peek_status(&self) -> PeekStatus {
+        PeekStatus::Empty
     }
 }
 
 /// What is written of a request handed over in time, by a process that then stood still beyond its window.
 fn written_too_late(planted: Option<&str>) -> Vec<u8> {
-    runtrack_net::plant(planted);
+    runtrack_net::set_mutant(planted);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let written = runtime.unwrap().block_on(async {
         let notes = Notes::default();
@@ -296,7 +296,7 @@
         assert_eq!((late.is_err(), heard.refused()), (planted.is_none(), planted.is_none()));
         notes.0.take()
     });
-    runtrack_net::plant(None);
+    runtrack_net::set_mutant(None);
     written
 }
 
@@ -313,19 +313,19 @@
     runtime.block_on(async {
         use runtrack_net::Network;
         let made = runtrack_net::Tcp.connect(listener.local_addr().unwrap()).await.unwrap();
-        assert!(made.sends_at_once(), "one that we make");
+        assert!(made.is_nodelay(), "one that we make");
         let at = free_address();
         let ours = runtrack_net::Tcp.listen(at).unwrap();
         let _client = std::net::TcpStream::connect(at).unwrap();
         let taken = std::future::poll_fn(|cx| ours.poll_accept(cx)).await.unwrap();
-        assert!(taken.sends_at_once(), "one that we accept");
+        assert!(taken.is_nodelay(), "one that we accept");
     });
 }
 
 /// How often an endpoint has seen a keyed request whose attempt there was chosen first and got its connection last, when
 /// a copy elsewhere had run and the window was over.
 fn seen_behind_a_copy(planted: Option<&str>) -> usize {
-    runtrack_net::plant(planted);
+    runtrack_net::set_mutant(planted);
     let (late, quick) = (Peer::serving("late"), Peer::serving("quick"));
     let mut config = config(&[&late, &quick]);
     config["settings"]["limits"]["connectTimeoutMs"] = json!(20_000.0);
@@ -363,7 +363,7 @@
             "it proves that it never ran"
         );
     });
-    runtrack_net::plant(None);
+    runtrack_net::set_mutant(None);
     assert_eq!(quick.count(), 1);
     late.count()
 }
--- a/crates/runtrack/tests/support/inside.rs
+++ b/crates/runtrack/tests/support/inside.rs
@@ -124,7 +124,7 @@
         let network = gate.clone();
         let thread = std::thread::spawn(move || {
             runtrack_net::log_to_stderr();
-            runtrack_net::plant(Some(planted).filter(|name| !name.is_empty()));
+            runtrack_net::set_mutant(Some(planted).filter(|name| !name.is_empty()));
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             let ran = match Config::parse(&text, None, None, None) {
                 Ok(config) => {
--- a/crates/sim/src/mutants.rs
+++ b/crates/sim/src/mutants.rs
@@ -23,8 +23,8 @@
 
 /// Runs with this error switched on, on this thread.
 pub fn with<T>(name: Option<&str>, run: impl FnOnce() -> T) -> T {
-    runtrack_net::plant(name);
+    runtrack_net::set_mutant(name);
     let done = run();
-    runtrack_net::plant(None);
+    runtrack_net::set_mutant(None);
     done
 }
--- a/crates/sim/src/net.rs
+++ b/crates/sim/src/net.rs
@@ -7,7 +7,7 @@
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use runtrack_net::{Came, Connecting, Connection, Listener, Network};
+use runtrack_net::{Connecting, Connection, Listener, Network, PeekStatus};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::future::Future;
@@ -596,14 +596,14 @@
 }
 
 impl Connection for Stream {
-    fn came(&self) -> Came {
+    fn peek_status(&self) -> PeekStatus {
         let state = self.wires.0.borrow();
-        let Some(link) = state.links.get(&self.link) else { return Came::End };
+        let Some(link) = state.links.get(&self.link) else { return PeekStatus::Eof };
         match link.pipes[1 - self.side].segments.front() {
-            Some((at, _)) if *at > Instant::now() => Came::Nothing,
-            Some((_, Segment::Data(_))) => Came::Bytes,
-            Some(_) => Came::End,
-            None => Came::Nothing,
+            Some((at, _)) if *at > Instant::now() => PeekStatus::Empty,
+            Some((_, Segment::Data(_))) => PeekStatus::Data,
+            Some(_) => PeekStatus::Eof,
+            None => PeekStatus::Empty,
         }
     }
 }
