--- a/crates/agree/src/command.rs
+++ b/crates/agree/src/command.rs
@@ -7,7 +7,7 @@
 pub type MemberId = u64;
 
 /// Longest write id that is taken, in bytes.
-pub const WRITE_ID_MOST: usize = 64;
+pub const MAX_WRITE_ID_BYTES: usize = 64;
 
 /// A command and the id of the write that it is: a repeat with the same id is answered and not run again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -26,9 +26,9 @@
     /// A new version of the fleet.
     Commit(Commit),
     /// A step of a roll-out.
-    Rollout(Step),
+    Rollout(RolloutStep),
     /// What discovery is believed to say of a pool.
-    Listed(Listed),
+    Listed(PoolUpdate),
     /// An endpoint drains: heard by one instance.
     Draining {
         /// The pool.
@@ -49,7 +49,7 @@
         /// Whether it is held.
         held: bool,
         /// Who, why and when.
-        by: By,
+        by: Attribution,
     },
     /// A member's folder has shown itself for the first time.
     Seen {
@@ -65,7 +65,7 @@
 /// Who, why and when.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct By {
+pub struct Attribution {
     /// Who.
     pub author: String,
     /// Why.
@@ -85,7 +85,7 @@
     /// The fleet, in its canonical form.
     pub text: String,
     /// Who, why and when.
-    pub by: By,
+    pub by: Attribution,
     /// The id of the plan that it carries out; empty for none.
     pub plan: String,
     /// Parts of the proxies that get it one after the other, in 10,000; empty: all at once.
@@ -97,19 +97,19 @@
 /// A step of the roll-out of a version. It names the stage that it follows, so that none is skipped or taken twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Step {
+pub struct RolloutStep {
     /// The version.
     pub serial: u64,
     /// The stage that it is in now, from 0.
     pub stage: usize,
     /// What happens.
-    pub to: Towards,
+    pub to: RolloutAction,
 }
 
 /// Where a roll-out goes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Towards {
+pub enum RolloutAction {
     /// On to the next stage, or to its end.
     Next,
     /// No further, for this reason.
@@ -121,7 +121,7 @@
 /// What discovery is believed to say of a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Listed {
+pub struct PoolUpdate {
     /// The pool.
     pub pool: String,
     /// The version of discovery's list.
--- a/crates/agree/src/disk.rs
+++ b/crates/agree/src/disk.rs
@@ -7,7 +7,7 @@
 //!                  snapshot: others may be a little behind
 //! ```
 
-use crate::record::{self, Entry, Promise, Record};
+use crate::record::{self, Entry, HardStateRecord, Record};
 use runtrack_net::mutant;
 use runtrack_store::{Files, seal};
 use serde::{Deserialize, Serialize};
@@ -87,7 +87,7 @@
 /// Where a snapshot stands in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
+pub struct SnapshotMeta {
     /// The last index in it; 0: nothing yet.
     pub index: u64,
     /// That entry's term.
@@ -105,7 +105,7 @@
 /// The entry before the first one of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Base {
+pub struct LogBase {
     /// Its index; 0: there was none.
     pub index: u64,
     /// Its term.
@@ -116,34 +116,34 @@
 #[serde(deny_unknown_fields)]
 struct Head {
     identity: Identity,
-    snapshot: Place,
-    base: Base,
+    snapshot: SnapshotMeta,
+    base: LogBase,
     segment: u64,
 }
 
 /// What a folder holds.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct RecoveredState {
     /// Where the snapshot stands.
-    pub place: Place,
+    pub place: SnapshotMeta,
     /// Its text; none before the first.
     pub snapshot: Option<String>,
     /// What was promised last.
-    pub promise: Promise,
+    pub promise: HardStateRecord,
     /// The entry before the first of these.
-    pub base: Base,
+    pub base: LogBase,
     /// The log's entries.
     pub entries: Vec<Entry>,
 }
 
 /// A member's folder, open.
-pub struct Disk<F> {
+pub struct MemberStore<F> {
     files: F,
     head: Head,
     /// Bytes of the segment, and how many of them are durable.
     length: u64,
     durable: u64,
-    promise: Promise,
+    promise: HardStateRecord,
 }
 
 fn file(name: &str) -> impl FnOnce(io::Error) -> DiskError {
@@ -172,7 +172,7 @@
     };
     match seal::open(magic, FORMAT, &bytes) {
         Ok((_, text)) => Ok(Some(text.to_owned())),
-        Err(seal::Broken::Newer { found, .. }) => Err(DiskError::Newer { file: name.to_owned(), found }),
+        Err(seal::SealError::Newer { found, .. }) => Err(DiskError::Newer { file: name.to_owned(), found }),
         Err(broken) => Err(damaged(name, broken)),
     }
 }
@@ -184,23 +184,30 @@
     Ok(Some(head.identity))
 }
 
-impl<F: Files> Disk<F> {
+impl<F: Files> MemberStore<F> {
     /// Makes a member in an empty folder, with a snapshot to begin with, or with nothing, to learn all from others.
-    pub fn make(files: F, identity: Identity, begin: Option<(Place, &str)>) -> Result<Disk<F>, DiskError> {
+    pub fn make(
+        files: F,
+        identity: Identity,
+        begin: Option<(SnapshotMeta, &str)>,
+    ) -> Result<MemberStore<F>, DiskError> {
         if let Some(there) = self::identity(&files)? {
             return Err(DiskError::Member(there.member));
         }
-        let head = Head { identity, snapshot: Place::default(), base: Base::default(), segment: 0 };
-        let mut disk = Disk { files, head, length: 0, durable: 0, promise: Promise::default() };
-        let (place, text) = begin.map_or((Place::default(), None), |(place, text)| (place, Some(text)));
-        let base = Base { index: place.index, term: place.term };
-        let promise = Promise { term: place.term, vote: 0, commit: place.index };
+        let head =
+            Head { identity, snapshot: SnapshotMeta::default(), base: LogBase::default(), segment: 0 };
+        let mut disk =
+            MemberStore { files, head, length: 0, durable: 0, promise: HardStateRecord::default() };
+        let (place, text) =
+            begin.map_or((SnapshotMeta::default(), None), |(place, text)| (place, Some(text)));
+        let base = LogBase { index: place.index, term: place.term };
+        let promise = HardStateRecord { term: place.term, vote: 0, commit: place.index };
         disk.replace(place, text, promise, base, &[])?;
         Ok(disk)
     }
 
     /// Opens a member's folder. A torn tail of the log is cut off: nothing in it was answered for.
-    pub fn open(files: F) -> Result<(Disk<F>, Found), DiskError> {
+    pub fn open(files: F) -> Result<(MemberStore<F>, RecoveredState), DiskError> {
         let text = sealed(&files, HEAD, HEAD_MAGIC)?.ok_or(DiskError::NoMember)?;
         let head: Head = serde_json::from_str(&text).map_err(|problem| damaged(HEAD, problem))?;
         let (place, base) = (head.snapshot.clone(), head.base);
@@ -226,7 +233,7 @@
         };
         let (records, sound) = record::read(&bytes)
             .map_err(|at| damaged(&name, format!("the record at byte {at} is broken")))?;
-        let (mut promise, mut entries) = (Promise::default(), Vec::<Entry>::new());
+        let (mut promise, mut entries) = (HardStateRecord::default(), Vec::<Entry>::new());
         for record in records {
             promise = record.promise.unwrap_or(promise);
             for entry in record.entries {
@@ -249,14 +256,14 @@
             ));
         }
         if sound < bytes.len() {
-            files.cut(&name, sound as u64).map_err(file(&name))?;
+            files.truncate(&name, sound as u64).map_err(file(&name))?;
         }
         // What was read may be in the system's memory alone, after a crash of the process.
         files.sync(&name).map_err(file(&name))?;
         let length = sound as u64;
-        let mut disk = Disk { files, head, length, durable: length, promise };
+        let mut disk = MemberStore { files, head, length, durable: length, promise };
         disk.mark()?;
-        Ok((disk, Found { place, snapshot, promise, base, entries }))
+        Ok((disk, RecoveredState { place, snapshot, promise, base, entries }))
     }
 
     /// Who this is.
@@ -265,7 +272,7 @@
     }
 
     /// Where the last snapshot stands.
-    pub fn snapshot(&self) -> &Place {
+    pub fn snapshot(&self) -> &SnapshotMeta {
         &self.head.snapshot
     }
 
@@ -284,7 +291,7 @@
 
     /// Makes entries and a promise durable. Where this fails nothing may be answered for, and the folder must be opened
     /// anew.
-    pub fn save(&mut self, entries: Vec<Entry>, promise: Option<Promise>) -> Result<(), DiskError> {
+    pub fn save(&mut self, entries: Vec<Entry>, promise: Option<HardStateRecord>) -> Result<(), DiskError> {
         let promise = promise.filter(|promise| *promise != self.promise);
         if entries.is_empty() && promise.is_none() {
             return Ok(());
@@ -319,10 +326,10 @@
     /// is none only for a member that knows nothing yet.
     pub fn replace(
         &mut self,
-        mut place: Place,
+        mut place: SnapshotMeta,
         text: Option<&str>,
-        promise: Promise,
-        base: Base,
+        promise: HardStateRecord,
+        base: LogBase,
         entries: &[Entry],
     ) -> Result<(), DiskError> {
         let old = self.head.clone();
--- a/crates/agree/src/host/link.rs
+++ b/crates/agree/src/host/link.rs
@@ -4,11 +4,11 @@
 use super::server::{
     Asked, FOLDER, FROM, LINEAGE, NoteOut, PATH_ASK, PATH_DELIVER, PATH_FETCH, PATH_NOTE, TICKET, TO,
 };
-use super::{AskError, Order};
+use super::{Order, RequestError};
 use crate::command::MemberId;
-use crate::disk::{Identity, Place};
-use crate::message::{BYTES_MOST, PeerMessage};
-use crate::node::Fetch;
+use crate::disk::{Identity, SnapshotMeta};
+use crate::message::{MAX_MESSAGE_BYTES, PeerMessage};
+use crate::node::SnapshotFetch;
 use http::uri::PathAndQuery;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -44,7 +44,7 @@
 
 /// How a link stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct LinkStanding {
+pub struct LinkStatus {
     /// Where the member is reached.
     pub address: String,
     /// Whether a connection is up.
@@ -65,7 +65,7 @@
 struct Link {
     queue: Mutex<Queue>,
     wake: Notify,
-    standing: Mutex<LinkStanding>,
+    status: Mutex<LinkStatus>,
     channel: Mutex<Option<Channel>>,
 }
 
@@ -78,7 +78,7 @@
         Link {
             queue: Mutex::default(),
             wake: Notify::new(),
-            standing: Mutex::new(LinkStanding { address: address.to_owned(), ..LinkStanding::default() }),
+            status: Mutex::new(LinkStatus { address: address.to_owned(), ..LinkStatus::default() }),
             channel: Mutex::default(),
         }
     }
@@ -99,7 +99,7 @@
         let size = message.size();
         if queue.messages.len() >= MESSAGES || queue.bytes + size > BYTES.max(size) {
             drop(queue);
-            locked(&self.standing).dropped += 1;
+            locked(&self.status).dropped += 1;
             return true;
         }
         queue.bytes += size;
@@ -162,7 +162,7 @@
     pub(crate) fn keep(self: &Arc<Self>, members: &BTreeMap<MemberId, String>) {
         let mut held = locked(&self.held);
         held.retain(|member, held| {
-            members.get(member).is_some_and(|at| *at == locked(&held.link.standing).address)
+            members.get(member).is_some_and(|at| *at == locked(&held.link.status).address)
         });
         for (&member, address) in members {
             if member == self.identity.member || held.contains_key(&member) {
@@ -180,10 +180,10 @@
         held.get(&message.to).is_some_and(|held| !held.link.push(message))
     }
 
-    pub(crate) fn standings(&self) -> BTreeMap<MemberId, LinkStanding> {
+    pub(crate) fn statuses(&self) -> BTreeMap<MemberId, LinkStatus> {
         locked(&self.held)
             .iter()
-            .map(|(member, held)| (*member, locked(&held.link.standing).clone()))
+            .map(|(member, held)| (*member, locked(&held.link.status).clone()))
             .collect()
     }
 
@@ -231,22 +231,22 @@
         member: MemberId,
         asked: &Asked,
         within: Duration,
-    ) -> Result<(), AskError> {
-        let Some(channel) = self.channel(member) else { return Err(AskError::Unknown) };
+    ) -> Result<(), RequestError> {
+        let Some(channel) = self.channel(member) else { return Err(RequestError::OutcomeUnknown) };
         let text = serde_json::to_string(asked).unwrap_or_default(); // fails only for maps with odd keys
         let mut request = Request::from_parts(self.hello(member), Default::default(), AskOut { text });
         request.set_timeout(within);
         let mut client = tonic::client::Grpc::new(channel);
         let answer = async {
-            client.ready().await.map_err(|_| AskError::Unknown)?;
+            client.ready().await.map_err(|_| RequestError::OutcomeUnknown)?;
             let codec = ProstCodec::<AskOut, Ack>::default();
             let answer = client.unary(request, PathAndQuery::from_static(PATH_ASK), codec).await;
             answer.map(|_| ()).map_err(|status| match status.code() {
-                Code::FailedPrecondition => AskError::Refused(status.message().to_owned()),
-                _ => AskError::Unknown,
+                Code::FailedPrecondition => RequestError::Refused(status.message().to_owned()),
+                _ => RequestError::OutcomeUnknown,
             })
         };
-        timeout(within, answer).await.unwrap_or(Err(AskError::Unknown))
+        timeout(within, answer).await.unwrap_or(Err(RequestError::OutcomeUnknown))
     }
 
     /// Sends a note, if a connection is up.
@@ -264,7 +264,7 @@
     }
 
     /// Fetches a snapshot's text in parts, going on where a link broke, and hands it to the member.
-    pub(crate) fn fetch(self: &Arc<Self>, fetch: Fetch) {
+    pub(crate) fn fetch(self: &Arc<Self>, fetch: SnapshotFetch) {
         let links = self.clone();
         self.runtime.spawn(async move {
             let fetched = links.fetch_all(&fetch).await;
@@ -272,9 +272,9 @@
         });
     }
 
-    async fn fetch_all(&self, fetch: &Fetch) -> Result<String, String> {
-        let Place { size, hash, .. } = &fetch.place;
-        if *size > BYTES_MOST as u64 {
+    async fn fetch_all(&self, fetch: &SnapshotFetch) -> Result<String, String> {
+        let SnapshotMeta { size, hash, .. } = &fetch.snapshot;
+        if *size > MAX_MESSAGE_BYTES as u64 {
             return Err(format!("a snapshot of {size} bytes is too large"));
         }
         let mut bytes: Vec<u8> = Vec::new();
@@ -302,7 +302,7 @@
         bytes: &mut Vec<u8>,
     ) -> Result<(), String> {
         let channel = self.channel(from).ok_or("there is no connection")?;
-        let mut client = tonic::client::Grpc::new(channel).max_decoding_message_size(BYTES_MOST);
+        let mut client = tonic::client::Grpc::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
         let ask = FetchOut { hash: hash.to_owned(), from: bytes.len() as u64 };
         let request = Request::from_parts(self.hello(from), Default::default(), ask);
         let begin = async {
@@ -337,7 +337,7 @@
 async fn run(links: Arc<Links>, member: MemberId, link: Arc<Link>) {
     let mut wait = AGAIN;
     loop {
-        let address = locked(&link.standing).address.clone();
+        let address = locked(&link.status).address.clone();
         let problem = match links.connect(&address).await {
             Err(problem) => problem,
             Ok(channel) => {
@@ -355,8 +355,8 @@
             }
         };
         {
-            let mut standing = locked(&link.standing);
-            (standing.connected, standing.problem) = (false, Some(problem));
+            let mut status = locked(&link.status);
+            (status.connected, status.problem) = (false, Some(problem));
         }
         // What waited is old by the time that there is a connection again.
         link.clear();
@@ -385,7 +385,7 @@
             }
         }
     };
-    let mut client = tonic::client::Grpc::new(channel).max_encoding_message_size(2 * BYTES_MOST);
+    let mut client = tonic::client::Grpc::new(channel).max_encoding_message_size(2 * MAX_MESSAGE_BYTES);
     if let Err(problem) = client.ready().await {
         return (false, Status::unavailable(deepest(&problem)));
     }
@@ -399,8 +399,8 @@
             Err(status) => return (false, status),
         };
         {
-            let mut standing = locked(&link.standing);
-            (standing.connected, standing.problem) = (true, None);
+            let mut status = locked(&link.status);
+            (status.connected, status.problem) = (true, None);
         }
         loop {
             match acks.message().await {
--- a/crates/agree/src/host/mod.rs
+++ b/crates/agree/src/host/mod.rs
@@ -7,12 +7,12 @@
 mod server;
 mod work;
 
-pub use link::LinkStanding;
-pub use server::Peers;
+pub use link::LinkStatus;
+pub use server::PeerService;
 
 use crate::command::{Command, MemberChange, MemberId, Outcome};
 use crate::disk::Identity;
-use crate::node::{Standing, Tuning};
+use crate::node::{MemberStatus, Tuning};
 use crate::state::State;
 use runtrack_store::Folder;
 use std::collections::BTreeMap;
@@ -49,8 +49,8 @@
 
 impl Settings {
     /// After so long without a leader, or without a majority, a member says that there is none.
-    pub fn patience(&self) -> Duration {
-        self.tick * self.tuning.election as u32
+    pub fn election_timeout(&self) -> Duration {
+        self.tick * self.tuning.election_ticks as u32
     }
 }
 
@@ -60,15 +60,15 @@
     /// What is agreed, as far as it is applied here; none: nothing was heard yet.
     pub state: Option<Arc<State>>,
     /// How this member stands; none while its folder can't be used.
-    pub standing: Option<Standing>,
+    pub status: Option<MemberStatus>,
     /// When this member was last in touch with a majority: as its leader, or through the leader.
-    pub in_touch: Option<Instant>,
+    pub last_quorum_contact: Option<Instant>,
     /// Why its folder can't be used.
-    pub trouble: Option<String>,
+    pub storage_error: Option<String>,
     /// Why it is no member any more.
     pub removed: Option<String>,
     /// How the links to the others stand.
-    pub links: BTreeMap<MemberId, LinkStanding>,
+    pub links: BTreeMap<MemberId, LinkStatus>,
     /// Times that the leader changed since this process began.
     pub elections: u64,
 }
@@ -76,18 +76,18 @@
 impl View {
     /// Whether a majority was heard of within this time.
     pub fn has_majority(&self, within: Duration) -> bool {
-        self.removed.is_none() && self.in_touch.is_some_and(|at| at.elapsed() <= within)
+        self.removed.is_none() && self.last_quorum_contact.is_some_and(|at| at.elapsed() <= within)
     }
 
     /// Whether this member leads.
-    pub fn leads(&self) -> bool {
-        self.standing.as_ref().is_some_and(|standing| standing.leader == standing.member)
+    pub fn is_leader(&self) -> bool {
+        self.status.as_ref().is_some_and(|status| status.leader == status.member)
     }
 }
 
 /// Why a write, a read or a change was not done, or may not have been.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum AskError {
+pub enum RequestError {
     /// Nothing was heard of it in time: it may come to pass yet. The same id may be asked again.
     #[error(
         "no majority has answered in time: whether it took place is not known. Repeat it with the same id"
@@ -98,7 +98,7 @@
     Refused(String),
 }
 
-pub(crate) type Reply<T> = oneshot::Sender<Result<T, AskError>>;
+pub(crate) type Reply<T> = oneshot::Sender<Result<T, RequestError>>;
 
 /// What the member is asked.
 pub(crate) enum Order {
@@ -119,7 +119,7 @@
 #[derive(Clone)]
 pub struct Handle {
     identity: Arc<Identity>,
-    patience: Duration,
+    election_timeout: Duration,
     orders: mpsc::Sender<Order>,
     view: watch::Receiver<Arc<View>>,
     notes: Arc<server::Notes>,
@@ -127,7 +127,7 @@
 }
 
 /// Starts the member of a folder. The service for its peers comes with it.
-pub fn start(folder: Folder, settings: Settings) -> Result<(Handle, Peers), crate::NodeError> {
+pub fn start(folder: Folder, settings: Settings) -> Result<(Handle, PeerService), crate::NodeError> {
     let node = crate::Node::open(folder.clone(), settings.tuning, settings.seed)?;
     let identity = Arc::new(node.identity().clone());
     let (orders, asked) = mpsc::channel(ORDERS);
@@ -136,13 +136,13 @@
     let (show, view) = watch::channel(Arc::new(work::view_of(&node)));
     let handle = Handle {
         identity: identity.clone(),
-        patience: settings.patience(),
+        election_timeout: settings.election_timeout(),
         orders: orders.clone(),
         view,
         notes: notes.clone(),
         links: links.clone(),
     };
-    let peers = Peers::new(handle.clone());
+    let peers = PeerService::new(handle.clone());
     let worker = work::Worker::new(node, folder, settings, links, show, orders);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
     let spawned = runtime.and_then(|runtime| {
@@ -172,29 +172,29 @@
     /// Whether this member is in touch with a majority.
     pub fn has_majority(&self) -> bool {
         // A follower hears of the leader each heartbeat, and of its loss within its patience.
-        self.view().has_majority(self.patience * 2)
+        self.view().has_majority(self.election_timeout * 2)
     }
 
     /// How long this member waits before it says that there is no majority.
-    pub fn patience(&self) -> Duration {
-        self.patience * 2
+    pub fn quorum_timeout(&self) -> Duration {
+        self.election_timeout * 2
     }
 
     async fn ask<T>(
         &self,
         within: Duration,
         order: impl FnOnce(Instant, Reply<T>) -> Order,
-    ) -> Result<T, AskError> {
+    ) -> Result<T, RequestError> {
         let (reply, answer) = oneshot::channel();
         let until = Instant::now() + within;
         if self.orders.try_send(order(until, reply)).is_err() {
-            return Err(AskError::Refused(
+            return Err(RequestError::Refused(
                 "the member is overrun with orders, or ends: ask again later".to_owned(),
             ));
         }
-        match tokio::time::timeout_at(until + self.patience, answer).await {
+        match tokio::time::timeout_at(until + self.election_timeout, answer).await {
             Ok(Ok(answer)) => answer,
-            _ => Err(AskError::Unknown),
+            _ => Err(RequestError::OutcomeUnknown),
         }
     }
 
@@ -204,36 +204,41 @@
         id: &str,
         command: Command,
         within: Duration,
-    ) -> Result<(u64, Outcome), AskError> {
+    ) -> Result<(u64, Outcome), RequestError> {
         let id = id.to_owned();
         self.ask(within, |until, reply| Order::Write { id, command, until, reply }).await
     }
 
     /// Has a command agreed some time; nobody waits for it, and it may be lost.
     pub fn propose(&self, command: Command) {
-        let until = Instant::now() + self.patience * 4;
+        let until = Instant::now() + self.election_timeout * 4;
         let (reply, _) = oneshot::channel();
         let _ = self.orders.try_send(Order::Write { id: String::new(), command, until, reply });
     }
 
     /// The state as a majority has it now: it holds all that was written before this was asked.
-    pub async fn read(&self, within: Duration) -> Result<Arc<State>, AskError> {
+    pub async fn read(&self, within: Duration) -> Result<Arc<State>, RequestError> {
         self.ask(within, |until, reply| Order::Read { until, reply }).await
     }
 
     /// Has the members changed, through whoever leads.
-    pub async fn change(&self, id: &str, change: MemberChange, within: Duration) -> Result<(), AskError> {
+    pub async fn change(
+        &self,
+        id: &str,
+        change: MemberChange,
+        within: Duration,
+    ) -> Result<(), RequestError> {
         let asked = server::Asked::Change { id: id.to_owned(), change };
         self.at_leader(asked, within).await
     }
 
     /// Hands leadership to another member, through whoever leads.
-    pub async fn transfer(&self, to: MemberId, within: Duration) -> Result<(), AskError> {
+    pub async fn transfer(&self, to: MemberId, within: Duration) -> Result<(), RequestError> {
         self.at_leader(server::Asked::Transfer { to }, within).await
     }
 
     /// Carries out at this member what only a leader may.
-    pub(crate) async fn lead(&self, asked: server::Asked, within: Duration) -> Result<(), AskError> {
+    pub(crate) async fn lead(&self, asked: server::Asked, within: Duration) -> Result<(), RequestError> {
         match asked {
             server::Asked::Change { id, change } => {
                 self.ask(within, |until, reply| Order::Change { id, change, until, reply }).await
@@ -244,27 +249,27 @@
         }
     }
 
-    async fn at_leader(&self, asked: server::Asked, within: Duration) -> Result<(), AskError> {
+    async fn at_leader(&self, asked: server::Asked, within: Duration) -> Result<(), RequestError> {
         let end = Instant::now() + within;
         loop {
-            let leader = self.view().standing.as_ref().map_or(0, |standing| standing.leader);
+            let leader = self.view().status.as_ref().map_or(0, |status| status.leader);
             let left = end.saturating_duration_since(Instant::now());
             let done = match leader {
-                0 => Err(AskError::Unknown),
+                0 => Err(RequestError::OutcomeUnknown),
                 leader if leader == self.identity.member => self.lead(asked.clone(), left).await,
                 leader => self.links.ask(leader, &asked, left).await,
             };
             // The leader may have changed in between.
-            if done != Err(AskError::Unknown) || Instant::now() + self.patience >= end {
+            if done != Err(RequestError::OutcomeUnknown) || Instant::now() + self.election_timeout >= end {
                 return done;
             }
-            tokio::time::sleep(self.patience / 4).await;
+            tokio::time::sleep(self.election_timeout / 4).await;
         }
     }
 
     /// Tells the leader something that is no matter of the log: only the newest of each kind counts. It may be lost.
     pub fn note(&self, kind: &str, text: String) {
-        let leader = self.view().standing.as_ref().map_or(0, |standing| standing.leader);
+        let leader = self.view().status.as_ref().map_or(0, |status| status.leader);
         match leader {
             0 => {}
             leader if leader == self.identity.member => self.notes.take(leader, kind.to_owned(), text),
--- a/crates/agree/src/host/server.rs
+++ b/crates/agree/src/host/server.rs
@@ -1,8 +1,8 @@
 //! What a member serves to its peers: it takes messages, gives snapshots, and does what only a leader may.
 
-use super::{AskError, Handle, Order};
+use super::{Handle, Order, RequestError};
 use crate::command::{Command, MemberChange, MemberId};
-use crate::message::{BYTES_MOST, PeerMessage};
+use crate::message::{MAX_MESSAGE_BYTES, PeerMessage};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -112,13 +112,13 @@
 
 /// The service for peers.
 #[derive(Clone)]
-pub struct Peers {
+pub struct PeerService {
     handle: Handle,
 }
 
-impl Peers {
-    pub(super) fn new(handle: Handle) -> Peers {
-        Peers { handle }
+impl PeerService {
+    pub(super) fn new(handle: Handle) -> PeerService {
+        PeerService { handle }
     }
 
     /// Who calls, if it may.
@@ -171,11 +171,11 @@
     }
 }
 
-impl NamedService for Peers {
+impl NamedService for PeerService {
     const NAME: &'static str = "runtrack.cluster.v1.Peers";
 }
 
-impl Service<http::Request<Body>> for Peers {
+impl Service<http::Request<Body>> for PeerService {
     type Response = http::Response<Body>;
     type Error = Infallible;
     type Future = Pinned<Result<Self::Response, Infallible>>;
@@ -191,7 +191,9 @@
             Ok(match path.as_str() {
                 PATH_DELIVER => {
                     let grpc = Grpc::new(ProstCodec::<Ack, PeerMessage>::default());
-                    grpc.max_decoding_message_size(2 * BYTES_MOST).streaming(Deliver(peers), request).await
+                    grpc.max_decoding_message_size(2 * MAX_MESSAGE_BYTES)
+                        .streaming(Deliver(peers), request)
+                        .await
                 }
                 PATH_FETCH => {
                     Grpc::new(ProstCodec::<Chunk, FetchOut>::default())
@@ -211,7 +213,7 @@
     }
 }
 
-struct Deliver(Peers);
+struct Deliver(PeerService);
 
 impl StreamingService<PeerMessage> for Deliver {
     type Response = Ack;
@@ -259,7 +261,7 @@
     }
 }
 
-struct FetchAt(Peers);
+struct FetchAt(PeerService);
 
 impl ServerStreamingService<FetchOut> for FetchAt {
     type Response = Chunk;
@@ -292,7 +294,7 @@
     }
 }
 
-struct AskAt(Peers);
+struct AskAt(PeerService);
 
 impl UnaryService<AskOut> for AskAt {
     type Response = Ack;
@@ -304,19 +306,21 @@
             peers.admit(request.metadata())?;
             let asked = serde_json::from_str(&request.into_inner().text);
             let asked: Asked = asked.map_err(|e| Status::invalid_argument(e.to_string()))?;
-            if !peers.handle.view().leads() {
+            if !peers.handle.view().is_leader() {
                 return Err(Status::unavailable("this member does not lead"));
             }
             match peers.handle.lead(asked, ASK).await {
                 Ok(()) => Ok(Response::new(Ack {})),
-                Err(AskError::Refused(why)) => Err(Status::failed_precondition(why)),
-                Err(AskError::Unknown) => Err(Status::unavailable("no majority has answered in time")),
+                Err(RequestError::Refused(why)) => Err(Status::failed_precondition(why)),
+                Err(RequestError::OutcomeUnknown) => {
+                    Err(Status::unavailable("no majority has answered in time"))
+                }
             }
         })
     }
 }
 
-struct NoteAt(Peers);
+struct NoteAt(PeerService);
 
 impl UnaryService<NoteOut> for NoteAt {
     type Response = Ack;
--- a/crates/agree/src/host/work.rs
+++ b/crates/agree/src/host/work.rs
@@ -1,8 +1,8 @@
 //! The member's thread: orders and ticks in, one turn of the node, and what follows from it out.
 
 use super::link::Links;
-use super::{AskError, Order, Reply, Settings, View};
-use crate::command::{Command, MemberChange, MemberId, Outcome, Proposal, WRITE_ID_MOST};
+use super::{Order, Reply, RequestError, Settings, View};
+use crate::command::{Command, MAX_WRITE_ID_BYTES, MemberChange, MemberId, Outcome, Proposal};
 use crate::node::{Node, NodeError, Output};
 use crate::state::State;
 use rand_core::{RngCore, SeedableRng};
@@ -67,8 +67,8 @@
     /// When members that are sent a snapshot fetched last.
     fetching: BTreeMap<MemberId, Instant>,
     reopen_at: Instant,
-    in_touch: Option<Instant>,
-    trouble: Option<String>,
+    last_quorum_contact: Option<Instant>,
+    storage_error: Option<String>,
     removed: Option<String>,
     leader: MemberId,
     elections: u64,
@@ -77,9 +77,9 @@
 pub(super) fn view_of(node: &Node<Folder>) -> View {
     View {
         state: node.shared_state(),
-        standing: Some(node.standing()),
-        in_touch: None,
-        trouble: None,
+        status: Some(node.status()),
+        last_quorum_contact: None,
+        storage_error: None,
         removed: None,
         links: BTreeMap::new(),
         elections: 0,
@@ -111,8 +111,8 @@
             transfers: Vec::new(),
             fetching: BTreeMap::new(),
             reopen_at: Instant::now(),
-            in_touch: None,
-            trouble: None,
+            last_quorum_contact: None,
+            storage_error: None,
             removed: None,
             leader: 0,
             elections: 0,
@@ -158,7 +158,7 @@
             Order::Message(message) => {
                 let Some(node) = &mut self.node else { return };
                 if message.from == node.leader() && message.from != 0 {
-                    self.in_touch = Some(Instant::now());
+                    self.last_quorum_contact = Some(Instant::now());
                 }
                 node.step(message);
             }
@@ -180,19 +180,19 @@
                 let Some(node) = &mut self.node else { return };
                 match text {
                     Ok(text) => {
-                        if !node.fetched(text) {
-                            node.not_fetched();
+                        if !node.snapshot_fetched(text) {
+                            node.snapshot_fetch_failed();
                         }
                     }
                     Err(why) => {
                         eprintln!("agreement: the snapshot did not come: {why}");
-                        node.not_fetched();
+                        node.snapshot_fetch_failed();
                     }
                 }
             }
             Order::Lost(member) => {
                 if let Some(node) = &mut self.node {
-                    node.unreachable(member);
+                    node.report_unreachable(member);
                 }
             }
             Order::Fetching(member) => drop(self.fetching.insert(member, Instant::now())),
@@ -207,9 +207,9 @@
     }
 
     fn write(&mut self, id: String, command: Command, until: Instant, reply: Reply<(u64, Outcome)>) {
-        if id.len() > WRITE_ID_MOST {
-            let why = format!("a write's id has {} bytes, and {WRITE_ID_MOST} is the most", id.len());
-            return drop(reply.send(Err(AskError::Refused(why))));
+        if id.len() > MAX_WRITE_ID_BYTES {
+            let why = format!("a write's id has {} bytes, and {MAX_WRITE_ID_BYTES} is the most", id.len());
+            return drop(reply.send(Err(RequestError::Refused(why))));
         }
         // Without an id of its client's it gets one of this member's, to be known by.
         let id = match id.is_empty() {
@@ -231,15 +231,15 @@
         let Some(node) = &mut self.node else { return };
         let member = node.state().and_then(|state| state.members.get(&to));
         let why = match member {
-            _ if !node.leads() => Some("this member does not lead"),
+            _ if !node.is_leader() => Some("this member does not lead"),
             None => Some("there is no such member"),
             Some(member) if !member.voter => Some("it does not vote: promote it first"),
             Some(_) => None,
         };
         match why {
-            Some(why) => drop(reply.send(Err(AskError::Refused(why.to_owned())))),
+            Some(why) => drop(reply.send(Err(RequestError::Refused(why.to_owned())))),
             None => {
-                node.transfer(to);
+                node.transfer_leader(to);
                 self.transfers.push(Transfer { to, until, reply });
             }
         }
@@ -253,36 +253,36 @@
             match Node::open(self.folder.clone(), self.settings.tuning, self.settings.seed) {
                 Ok(node) => {
                     eprintln!("agreement: the folder can be used again");
-                    (self.node, self.trouble) = (Some(node), None);
+                    (self.node, self.storage_error) = (Some(node), None);
                 }
-                Err(problem) => self.trouble(&problem),
+                Err(problem) => self.report_storage_error(&problem),
             }
         }
         let Some(node) = &mut self.node else { return };
-        if node.leads() {
-            let standing = node.standing();
-            let heard = standing.peers.values().filter(|peer| peer.heard).count() + 1;
+        if node.is_leader() {
+            let status = node.status();
+            let heard = status.peers.values().filter(|peer| peer.heard).count() + 1;
             // The library itself steps down once it has not heard a majority for an election time-out.
             let voters = node.state().map_or(1, |state| state.members.values().filter(|m| m.voter).count());
             if heard * 2 > voters {
-                self.in_touch = Some(now);
+                self.last_quorum_contact = Some(now);
             }
-            for (member, _) in standing.peers.iter().filter(|(_, peer)| peer.snapshot) {
+            for (member, _) in status.peers.iter().filter(|(_, peer)| peer.snapshot) {
                 let last = *self.fetching.entry(*member).or_insert(now);
                 if now >= last + FETCH_IDLE {
                     self.fetching.remove(member);
-                    node.offer_again(*member);
+                    node.retry_snapshot(*member);
                 }
             }
         }
     }
 
-    fn trouble(&mut self, problem: &NodeError) {
+    fn report_storage_error(&mut self, problem: &NodeError) {
         let problem = problem.to_string();
-        if self.trouble.as_ref() != Some(&problem) {
+        if self.storage_error.as_ref() != Some(&problem) {
             eprintln!("agreement: {problem}; what is agreed is served on, and nothing is promised");
         }
-        self.trouble = Some(problem);
+        self.storage_error = Some(problem);
     }
 
     /// One turn: what waits is proposed, the node does what there is to do, and who waits is answered.
@@ -293,7 +293,7 @@
             None => None,
             Some(Ok(output)) => Some(output),
             Some(Err(problem)) => {
-                self.trouble(&problem);
+                self.report_storage_error(&problem);
                 self.node = None;
                 self.reopen_at = now + REOPEN;
                 None
@@ -305,7 +305,7 @@
                 if !self.links.send(message)
                     && let Some(node) = &mut self.node
                 {
-                    node.unreachable(to);
+                    node.report_unreachable(to);
                 }
             }
             if let Some(fetch) = fetch {
@@ -323,7 +323,7 @@
     }
 
     fn propose(&mut self, now: Instant) {
-        let again = self.settings.patience() / 2;
+        let again = self.settings.election_timeout() / 2;
         let Some(node) = &mut self.node else { return };
         let (leader, term) = (node.leader(), node.term());
         for write in self.writes.values_mut() {
@@ -337,7 +337,7 @@
         }
         for (number, read) in &mut self.reads {
             if (leader != 0 || mutant("lone-read")) && read.asked.is_none_or(|at| now >= at + again) {
-                node.read(*number);
+                node.request_read(*number);
                 read.asked = Some(now);
             }
         }
@@ -347,7 +347,7 @@
                 match node.change_members(&change.id, &change.change) {
                     Ok(()) => change.proposed = true,
                     Err(why) => {
-                        let _ = change.reply.send(Err(AskError::Refused(why)));
+                        let _ = change.reply.send(Err(RequestError::Refused(why)));
                         continue;
                     }
                 }
@@ -359,10 +359,10 @@
 
     fn answer(&mut self, now: Instant) {
         let state = self.node.as_ref().and_then(Node::shared_state);
-        let unavailable = self.removed.clone().or_else(|| self.trouble.clone());
+        let unavailable = self.removed.clone().or_else(|| self.storage_error.clone());
         let failure = |over: bool| match &unavailable {
-            Some(why) => Some(AskError::Refused(why.clone())),
-            None => over.then_some(AskError::Unknown),
+            Some(why) => Some(RequestError::Refused(why.clone())),
+            None => over.then_some(RequestError::OutcomeUnknown),
         };
         self.writes.retain(|id, write| {
             let outcome = state.as_ref().and_then(|state| state.outcome(id));
@@ -372,7 +372,7 @@
             }
             // Proposed, it may come to pass yet, whatever ails this member now.
             let failure = match (now >= write.until, write.proposed) {
-                (true, Some(_)) => Some(AskError::Unknown),
+                (true, Some(_)) => Some(RequestError::OutcomeUnknown),
                 (over, _) => failure(over),
             };
             if let Some(failure) = failure {
@@ -385,16 +385,16 @@
         let lost = if unavailable.is_some() { self.reads.keys().copied().collect() } else { over };
         for number in lost {
             if let Some(read) = self.reads.remove(&number) {
-                let _ = read.reply.send(Err(failure(true).unwrap_or(AskError::Unknown)));
+                let _ = read.reply.send(Err(failure(true).unwrap_or(RequestError::OutcomeUnknown)));
             }
         }
         for change in std::mem::take(&mut self.changes) {
             let outcome =
                 state.as_ref().and_then(|state| state.outcome(&change.id)).map(|(_, outcome)| outcome);
             let answer = match outcome {
-                Some(Outcome::Refused(why)) => Some(Err(AskError::Refused(why.clone()))),
+                Some(Outcome::Refused(why)) => Some(Err(RequestError::Refused(why.clone()))),
                 Some(_) => Some(Ok(())),
-                None if now >= change.until => Some(Err(AskError::Unknown)),
+                None if now >= change.until => Some(Err(RequestError::OutcomeUnknown)),
                 None => None,
             };
             match answer {
@@ -407,7 +407,7 @@
             if leader == transfer.to {
                 let _ = transfer.reply.send(Ok(()));
             } else if now >= transfer.until {
-                let _ = transfer.reply.send(Err(AskError::Unknown));
+                let _ = transfer.reply.send(Err(RequestError::OutcomeUnknown));
             } else {
                 self.transfers.push(transfer);
             }
@@ -417,11 +417,11 @@
     /// Shows what is known, and keeps links to those that are members.
     fn publish(&mut self) {
         let before = self.show.borrow().clone();
-        let (state, standing) = match &self.node {
-            Some(node) => (node.shared_state(), Some(node.standing())),
+        let (state, status) = match &self.node {
+            Some(node) => (node.shared_state(), Some(node.status())),
             None => (before.state.clone(), None),
         };
-        let leader = standing.as_ref().map_or(0, |standing| standing.leader);
+        let leader = status.as_ref().map_or(0, |status| status.leader);
         if leader != self.leader && leader != 0 {
             self.elections += 1;
         }
@@ -445,11 +445,11 @@
         }
         let view = View {
             state,
-            standing,
-            in_touch: self.in_touch,
-            trouble: self.trouble.clone(),
+            status,
+            last_quorum_contact: self.last_quorum_contact,
+            storage_error: self.storage_error.clone(),
             removed: self.removed.clone(),
-            links: self.links.standings(),
+            links: self.links.statuses(),
             elections: self.elections,
         };
         // Those who wait are woken only by news.
@@ -458,9 +458,9 @@
             (a, b) => a.is_none() && b.is_none(),
         };
         let same = same_state
-            && before.standing.as_ref().map(|s| (s.leader, s.role, s.voter))
-                == view.standing.as_ref().map(|s| (s.leader, s.role, s.voter))
-            && (&before.trouble, &before.removed) == (&view.trouble, &view.removed);
+            && before.status.as_ref().map(|s| (s.leader, s.role, s.voter))
+                == view.status.as_ref().map(|s| (s.leader, s.role, s.voter))
+            && (&before.storage_error, &before.removed) == (&view.storage_error, &view.removed);
         self.show.send_if_modified(|shown| {
             *shown = Arc::new(view);
             !same
--- a/crates/agree/src/lib.rs
+++ b/crates/agree/src/lib.rs
@@ -1,7 +1,7 @@
 //! One ordered log for several control instances.
 //!
 //! [`State`] is what is agreed: commands in, outcomes and effects out, no I/O. [`Node`] is a member: it takes ticks,
-//! messages and proposals, keeps its promises on a [`Disk`], and gives messages and what was applied. Consensus itself is
+//! messages and proposals, keeps its promises on a [`MemberStore`], and gives messages and what was applied. Consensus itself is
 //! the library `raft`'s. Neither opens a socket nor asks a clock: the same code runs in service and in a virtual world.
 //!
 //! [`host`] is the thin shell round a node: a thread with a clock, gRPC links to the others, the folder of a real disk.
@@ -18,8 +18,12 @@
 pub mod state;
 
 pub use command::{Command, MemberChange, MemberId, Outcome, Proposal};
-pub use disk::{Base, Disk, DiskError, Found, Identity, Invitation, Place, identity};
-pub use message::{BYTES_MOST, PeerMessage};
-pub use node::{Applied, Fetch, Node, NodeError, Output, Peer, Role, Standing, Tuning};
-pub use record::{Entry, Promise, Record};
-pub use state::{Effects, MEMBERS_MOST, Member, OUTCOMES, Pool, Removed, Rollout, State, TEXTS_MOST};
+pub use disk::{
+    DiskError, Identity, Invitation, LogBase, MemberStore, RecoveredState, SnapshotMeta, identity,
+};
+pub use message::{MAX_MESSAGE_BYTES, PeerMessage};
+pub use node::{Applied, MemberStatus, Node, NodeError, Output, PeerProgress, Role, SnapshotFetch, Tuning};
+pub use record::{Entry, HardStateRecord, Record};
+pub use state::{
+    Effects, MAX_MEMBERS, MAX_OUTCOMES, MAX_TEXT_BYTES, Member, Pool, RemovedMember, Rollout, State,
+};
--- a/crates/agree/src/memory.rs
+++ b/crates/agree/src/memory.rs
@@ -1,16 +1,16 @@
 //! The log as the library reads it: what is durable, in memory.
 
-use crate::disk::{Base, Found, Place};
-use crate::record::{self, Promise};
+use crate::disk::{LogBase, RecoveredState, SnapshotMeta};
+use crate::record::{self, HardStateRecord};
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 use std::cell::Cell;
 
 /// The log's entries, and where the last snapshot stands: at or behind their beginning.
 pub struct Memory {
-    place: Place,
-    promise: Promise,
-    base: Base,
+    place: SnapshotMeta,
+    promise: HardStateRecord,
+    base: LogBase,
     entries: Vec<Entry>,
     /// A member needs a snapshot that the last one can't be.
     wanted: Cell<bool>,
@@ -41,8 +41,8 @@
 }
 
 /// As the log has it.
-pub fn promise_out(hard: &HardState) -> Promise {
-    Promise { term: hard.term, vote: hard.vote, commit: hard.commit }
+pub fn promise_out(hard: &HardState) -> HardStateRecord {
+    HardStateRecord { term: hard.term, vote: hard.vote, commit: hard.commit }
 }
 
 fn bytes(entry: &Entry) -> u64 {
@@ -51,8 +51,8 @@
 
 impl Memory {
     /// What a folder holds.
-    pub fn new(found: Found) -> Memory {
-        let Found { place, promise, base, entries, .. } = found;
+    pub fn new(found: RecoveredState) -> Memory {
+        let RecoveredState { place, promise, base, entries, .. } = found;
         let entries = entries.into_iter().map(entry_in).collect();
         Memory { place, promise, base, entries, wanted: Cell::new(false) }
     }
@@ -63,12 +63,12 @@
     }
 
     /// Where the last snapshot stands.
-    pub fn place(&self) -> &Place {
+    pub fn place(&self) -> &SnapshotMeta {
         &self.place
     }
 
     /// The last promise.
-    pub fn promise(&self) -> Promise {
+    pub fn promise(&self) -> HardStateRecord {
         self.promise
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// A promise that was made durable.
-    pub fn promised(&mut self, promise: Promise) {
+    pub fn promised(&mut self, promise: HardStateRecord) {
         self.promise = promise;
     }
 
@@ -102,8 +102,8 @@
     }
 
     /// The entry of an index, or what stands in its place before the first.
-    pub fn base_at(&self, index: u64) -> Base {
-        Base { index, term: Storage::term(self, index).unwrap_or_default() }
+    pub fn base_at(&self, index: u64) -> LogBase {
+        LogBase { index, term: Storage::term(self, index).unwrap_or_default() }
     }
 
     /// The first index at or behind one from which on the entries have no more than so many bytes.
@@ -117,14 +117,14 @@
     }
 
     /// Another snapshot, and the log from a later entry on.
-    pub fn replace(&mut self, place: Place, base: Base) {
+    pub fn replace(&mut self, place: SnapshotMeta, base: LogBase) {
         let kept = self.entries.split_off(self.entries.len().min((base.index - self.base.index) as usize));
         (self.place, self.base, self.entries) = (place, base, kept);
     }
 
     /// A snapshot that came from elsewhere: nothing of the log stays.
-    pub fn install(&mut self, place: Place, promise: Promise) {
-        (self.base, self.promise) = (Base { index: place.index, term: place.term }, promise);
+    pub fn install(&mut self, place: SnapshotMeta, promise: HardStateRecord) {
+        (self.base, self.promise) = (LogBase { index: place.index, term: place.term }, promise);
         self.place = place;
         self.entries.clear();
     }
@@ -141,13 +141,13 @@
 }
 
 /// The members as the library has them.
-pub fn members(place: &Place) -> ConfState {
+pub fn members(place: &SnapshotMeta) -> ConfState {
     ConfState::from((place.voters.clone(), place.learners.clone()))
 }
 
 impl Storage for Memory {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let Promise { term, vote, commit } = self.promise;
+        let HardStateRecord { term, vote, commit } = self.promise;
         let hard = HardState { term, vote, commit, ..HardState::default() };
         Ok(RaftState::new(hard, members(&self.place)))
     }
--- a/crates/agree/src/message.rs
+++ b/crates/agree/src/message.rs
@@ -1,14 +1,14 @@
 //! Messages between members, as they travel. The library's own parser is never given a stranger's bytes: messages are
 //! taken apart here, field by field.
 
-use crate::disk::Place;
+use crate::disk::SnapshotMeta;
 use crate::memory::{entry_in, entry_out};
 use crate::record::Entry;
 use prost::Message as _;
 use raft::eraftpb::{ConfState, Message, MessageType, Snapshot};
 
 /// Longest message that is taken, in bytes: a fleet's text, and some room.
-pub const BYTES_MOST: usize = 96 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 96 << 20;
 
 /// A message from one member to another.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -140,7 +140,7 @@
             ..Message::default()
         };
         if kind == MessageType::MsgSnapshot {
-            let place: Place = serde_json::from_str(&self.snapshot).ok()?;
+            let place: SnapshotMeta = serde_json::from_str(&self.snapshot).ok()?;
             let mut snapshot = Snapshot::default();
             let meta = snapshot.mut_metadata();
             (meta.index, meta.term) = (place.index, place.term);
@@ -152,7 +152,7 @@
     }
 
     /// Where the snapshot stands that this message asks its receiver to take.
-    pub fn place(&self) -> Option<Place> {
+    pub fn place(&self) -> Option<SnapshotMeta> {
         let sends = KINDS.get(self.kind as usize) == Some(&MessageType::MsgSnapshot);
         if sends { serde_json::from_str(&self.snapshot).ok() } else { None }
     }
--- a/crates/agree/src/node.rs
+++ b/crates/agree/src/node.rs
@@ -2,10 +2,10 @@
 //! durable. No socket, no clock.
 
 use crate::command::{MemberChange, MemberId, Outcome, Proposal};
-use crate::disk::{Base, Disk, DiskError, Identity, Place};
+use crate::disk::{DiskError, Identity, LogBase, MemberStore, SnapshotMeta};
 use crate::memory::{Memory, entry_out, members, promise_out};
 use crate::message::PeerMessage;
-use crate::record::Promise;
+use crate::record::HardStateRecord;
 use crate::state::{Effects, State};
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType, Snapshot};
 use raft::{Config, Progress, ProgressState, RawNode, SnapshotStatus, StateRole};
@@ -66,16 +66,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
     /// A leader shows itself this often.
-    pub heartbeat: usize,
+    pub heartbeat_ticks: usize,
     /// A member that has heard of no leader for so long, up to twice that, stands for election.
-    pub election: usize,
+    pub election_ticks: usize,
     /// A log beyond this size, and twice the snapshot's, is cut behind a new snapshot.
     pub log_bytes: u64,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
-        Tuning { heartbeat: 2, election: 20, log_bytes: 4 << 20 }
+        Tuning { heartbeat_ticks: 2, election_ticks: 20, log_bytes: 4 << 20 }
     }
 }
 
@@ -93,7 +93,7 @@
 
 /// How another member stands towards the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Peer {
+pub struct PeerProgress {
     /// Up to where it has the log.
     pub matched: u64,
     /// It was heard within the last election time-out.
@@ -104,7 +104,7 @@
 
 /// How a member stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct MemberStatus {
     /// Its number.
     pub member: MemberId,
     /// What it is.
@@ -124,7 +124,7 @@
     /// The index of its last snapshot.
     pub snapshot: u64,
     /// The others, where it leads.
-    pub peers: BTreeMap<MemberId, Peer>,
+    pub peers: BTreeMap<MemberId, PeerProgress>,
 }
 
 /// A command that was applied.
@@ -144,11 +144,11 @@
 
 /// A snapshot that is to be fetched from another member, and given by [`Node::fetched`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fetch {
+pub struct SnapshotFetch {
     /// From whom.
     pub from: MemberId,
     /// Which.
-    pub place: Place,
+    pub snapshot: SnapshotMeta,
 }
 
 /// What a turn has brought.
@@ -161,7 +161,7 @@
     /// Reads that may be answered from the state as it is now, by the numbers they were asked under.
     pub reads: Vec<u64>,
     /// A snapshot to fetch.
-    pub fetch: Option<Fetch>,
+    pub fetch: Option<SnapshotFetch>,
     /// The state came whole from elsewhere.
     pub installed: bool,
 }
@@ -176,7 +176,7 @@
 
 /// A member.
 pub struct Node<F: Files> {
-    disk: Disk<F>,
+    disk: MemberStore<F>,
     raw: RawNode<Memory>,
     state: Option<Arc<State>>,
     tuning: Tuning,
@@ -184,7 +184,7 @@
     /// Elections that it has stood for or asked about, and the last draw's reasons.
     campaigns: u64,
     /// A snapshot that was offered and is being fetched.
-    offered: Option<(PeerMessage, Place)>,
+    offered: Option<(PeerMessage, SnapshotMeta)>,
     /// A snapshot's text that was fetched.
     text: Option<(String, String)>,
     /// Reads that the leader has answered with an index, until that is applied.
@@ -196,24 +196,25 @@
 
 impl<F: Files> Node<F> {
     /// Makes the first member of a new cluster in an empty folder, with the state that it begins with.
-    pub fn found(files: F, identity: Identity, state: &State) -> Result<(), NodeError> {
+    pub fn bootstrap(files: F, identity: Identity, state: &State) -> Result<(), NodeError> {
         let mut state = state.clone();
         (state.index, state.served) = (1, 1);
         let text = state.snapshot();
-        let place = Place { index: 1, term: 1, voters: vec![identity.member], ..Place::default() };
-        Disk::make(files, identity, Some((place, &text)))?;
+        let place =
+            SnapshotMeta { index: 1, term: 1, voters: vec![identity.member], ..SnapshotMeta::default() };
+        MemberStore::make(files, identity, Some((place, &text)))?;
         Ok(())
     }
 
     /// Makes a member that was invited, in an empty folder.
     pub fn join(files: F, identity: Identity) -> Result<(), NodeError> {
-        Disk::make(files, identity, None)?;
+        MemberStore::make(files, identity, None)?;
         Ok(())
     }
 
     /// Opens a member's folder. Runs of equal seeds, ticks and messages are equal.
     pub fn open(files: F, tuning: Tuning, seed: u64) -> Result<Node<F>, NodeError> {
-        let (disk, mut found) = Disk::open(files)?;
+        let (disk, mut found) = MemberStore::open(files)?;
         let (id, place) = (disk.identity().member, found.place.clone());
         let state = match &found.snapshot {
             Some(text) => Some(Arc::new(read_snapshot(&place, text)?)),
@@ -223,8 +224,8 @@
         let conf = members(&place);
         let config = Config {
             id,
-            election_tick: tuning.election,
-            heartbeat_tick: tuning.heartbeat,
+            election_tick: tuning.election_ticks,
+            heartbeat_tick: tuning.heartbeat_ticks,
             applied: place.index,
             max_size_per_msg: MESSAGE_BYTES,
             max_inflight_msgs: INFLIGHT,
@@ -264,7 +265,7 @@
         }
         let digest = sum.finalize();
         let drawn = u64::from_le_bytes(std::array::from_fn(|n| digest[n]));
-        let timeout = self.tuning.election + (drawn % self.tuning.election as u64) as usize;
+        let timeout = self.tuning.election_ticks + (drawn % self.tuning.election_ticks as u64) as usize;
         self.raw.raft.set_randomized_election_timeout(timeout);
     }
 
@@ -284,7 +285,7 @@
     }
 
     /// Whether it leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.raw.raft.state == StateRole::Leader && !self.is_removed()
     }
 
@@ -299,7 +300,7 @@
     }
 
     /// Where the last snapshot stands.
-    pub fn snapshot(&self) -> &Place {
+    pub fn snapshot(&self) -> &SnapshotMeta {
         self.disk.snapshot()
     }
 
@@ -314,7 +315,7 @@
     }
 
     /// How it stands.
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> MemberStatus {
         let raft = &self.raw.raft;
         let role = match raft.state {
             StateRole::Leader => Role::Leader,
@@ -324,9 +325,9 @@
         let others = raft.prs().iter().filter(|(id, _)| **id != raft.id && role == Role::Leader);
         let peers = others.map(|(id, progress)| {
             let snapshot = progress.state == ProgressState::Snapshot;
-            (*id, Peer { matched: progress.matched, heard: progress.recent_active, snapshot })
+            (*id, PeerProgress { matched: progress.matched, heard: progress.recent_active, snapshot })
         });
-        Standing {
+        MemberStatus {
             member: raft.id,
             role,
             voter: self.voters.contains(&raft.id),
@@ -353,7 +354,7 @@
         }
         let elapsed = self.raw.raft.election_elapsed;
         self.raw.tick();
-        if !self.leads() && self.raw.raft.election_elapsed < elapsed {
+        if !self.is_leader() && self.raw.raft.election_elapsed < elapsed {
             self.campaigns += 1;
         }
         self.draw();
@@ -374,7 +375,7 @@
             if !known && !there {
                 let same = self.offered.as_ref().is_some_and(|(_, offered)| *offered == place);
                 if !same {
-                    self.out.fetch = Some(Fetch { from: message.from, place: place.clone() });
+                    self.out.fetch = Some(SnapshotFetch { from: message.from, snapshot: place.clone() });
                 }
                 self.offered = Some((message, place));
                 return;
@@ -392,7 +393,7 @@
     }
 
     /// The text of a snapshot that was to be fetched. Tells whether it is the right one.
-    pub fn fetched(&mut self, text: String) -> bool {
+    pub fn snapshot_fetched(&mut self, text: String) -> bool {
         let Some((message, place)) = self.offered.take() else { return false };
         let hash = seal::hash(&text);
         if hash != place.hash {
@@ -405,17 +406,17 @@
     }
 
     /// A snapshot could not be fetched: it is asked for again when it is offered again.
-    pub fn not_fetched(&mut self) {
+    pub fn snapshot_fetch_failed(&mut self) {
         self.offered = None;
     }
 
     /// What was sent to a member is lost.
-    pub fn unreachable(&mut self, member: MemberId) {
+    pub fn report_unreachable(&mut self, member: MemberId) {
         self.raw.report_unreachable(member);
     }
 
     /// A member has fetched no snapshot for too long: it is offered again.
-    pub fn offer_again(&mut self, member: MemberId) {
+    pub fn retry_snapshot(&mut self, member: MemberId) {
         self.raw.report_snapshot(member, SnapshotStatus::Failure);
     }
 
@@ -431,8 +432,8 @@
 
     /// Asks for the right to answer a read from the state as it will be then; [`Output::reads`] names the number. It may
     /// be lost: ask again.
-    pub fn read(&mut self, number: u64) {
-        if (mutant("stale-read") && self.leads()) || mutant("lone-read") {
+    pub fn request_read(&mut self, number: u64) {
+        if (mutant("stale-read") && self.is_leader()) || mutant("lone-read") {
             return self.out.reads.push(number);
         }
         if !self.is_removed() {
@@ -441,13 +442,13 @@
     }
 
     /// Hands leadership to another member, if this one leads.
-    pub fn transfer(&mut self, to: MemberId) {
+    pub fn transfer_leader(&mut self, to: MemberId) {
         self.raw.transfer_leader(to);
     }
 
     /// Proposes a change of members. Only the leader may, and none while another one is under way.
     pub fn change_members(&mut self, id: &str, change: &MemberChange) -> Result<(), String> {
-        let Some(state) = self.state.as_ref().filter(|_| self.leads()) else {
+        let Some(state) = self.state.as_ref().filter(|_| self.is_leader()) else {
             return Err("this member does not lead".to_owned());
         };
         if let Some((_, outcome)) = state.outcome(id) {
@@ -456,7 +457,7 @@
                 _ => Ok(()),
             };
         }
-        if let Some(why) = state.objection(change) {
+        if let Some(why) = state.change_rejection(change) {
             return Err(why);
         }
         if self.raw.raft.has_pending_conf() && !mutant("two-changes") {
@@ -542,17 +543,18 @@
         self.out.messages.extend(messages.iter().map(PeerMessage::from_raft));
     }
 
-    fn install(&mut self, snapshot: &Snapshot, promise: Option<Promise>) -> Result<(), NodeError> {
+    fn install(&mut self, snapshot: &Snapshot, promise: Option<HardStateRecord>) -> Result<(), NodeError> {
         let damage = |problem: &str| {
             let index = snapshot.get_metadata().index;
             NodeError::Snapshot { index, problem: problem.to_owned() }
         };
-        let place: Place = serde_json::from_slice(&snapshot.data).map_err(|e| damage(&e.to_string()))?;
+        let place: SnapshotMeta =
+            serde_json::from_slice(&snapshot.data).map_err(|e| damage(&e.to_string()))?;
         let (_, text) = self.text.take().ok_or_else(|| damage("its text never came"))?;
         let state = read_snapshot(&place, &text)?;
         let promise = promise.unwrap_or(self.raw.store().promise());
-        let promise = Promise { commit: place.index, ..promise };
-        let base = Base { index: place.index, term: place.term };
+        let promise = HardStateRecord { commit: place.index, ..promise };
+        let base = LogBase { index: place.index, term: place.term };
         self.disk.replace(place.clone(), Some(&text), promise, base, &[])?;
         (self.voters, self.learners) = (place.voters.clone(), place.learners.clone());
         self.raw.mut_store().install(place, promise);
@@ -570,7 +572,7 @@
             };
             let (id, (outcome, effects)) = match entry.entry_type {
                 EntryType::EntryNormal if entry.data.is_empty() => {
-                    state.pass(index);
+                    state.skip(index);
                     continue;
                 }
                 EntryType::EntryNormal => {
@@ -618,11 +620,11 @@
         // What a member that is heard lacks stays, within bounds.
         let heard = raft.prs().iter().filter(|(id, p)| **id != raft.id && p.recent_active);
         let lacked = heard.map(|(_, progress)| progress.matched).min().unwrap_or(index);
-        let lacked = if self.leads() { lacked } else { index };
+        let lacked = if self.is_leader() { lacked } else { index };
         let [tail, most] = [TAIL, TAIL_MOST].map(|part| store.within(self.tuning.log_bytes / part));
         let base = store.base_at(lacked.min(tail).max(most).min(index));
         let at = store.base_at(index);
-        let mut place = Place {
+        let mut place = SnapshotMeta {
             index,
             term: at.term,
             voters: self.voters.clone(),
@@ -632,7 +634,7 @@
         };
         place.voters.sort_unstable();
         place.learners.sort_unstable();
-        let promise = Promise { commit: raft.raft_log.committed, ..store.promise() };
+        let promise = HardStateRecord { commit: raft.raft_log.committed, ..store.promise() };
         let entries = store.behind(base.index);
         self.disk.replace(place.clone(), Some(&text), promise, base, &entries)?;
         self.raw.mut_store().replace(place, base);
@@ -645,6 +647,6 @@
     ConfChangeV2 { changes: vec![single].into(), ..ConfChangeV2::default() }
 }
 
-fn read_snapshot(place: &Place, text: &str) -> Result<State, NodeError> {
+fn read_snapshot(place: &SnapshotMeta, text: &str) -> Result<State, NodeError> {
     State::from_snapshot(text).map_err(|problem| NodeError::Snapshot { index: place.index, problem })
 }
--- a/crates/agree/src/record.rs
+++ b/crates/agree/src/record.rs
@@ -34,7 +34,7 @@
 
 /// What a member has promised.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Promise {
+pub struct HardStateRecord {
     /// The term.
     #[prost(uint64, tag = "1")]
     pub term: u64,
@@ -54,7 +54,7 @@
     pub entries: Vec<Entry>,
     /// A promise, if it has changed. A record with neither is a mark: what is before it is durable.
     #[prost(message, optional, tag = "2")]
-    pub promise: Option<Promise>,
+    pub promise: Option<HardStateRecord>,
 }
 
 fn sum<const N: usize>(bytes: &[u8]) -> [u8; N] {
@@ -126,7 +126,7 @@
             vec![Entry { index, term: 1 + index / 3, kind: 0, data, context: Default::default() }];
         Record {
             entries,
-            promise: index.is_multiple_of(2).then_some(Promise { term: 1, vote: 2, commit: index }),
+            promise: index.is_multiple_of(2).then_some(HardStateRecord { term: 1, vote: 2, commit: index }),
         }
     }
 
--- a/crates/agree/src/state.rs
+++ b/crates/agree/src/state.rs
@@ -2,21 +2,21 @@
 //! hash order: equal logs give equal states, to the byte of their snapshots.
 
 use crate::command::{
-    Command, Commit, Endpoint, Listed, MemberChange, MemberId, Outcome, Proposal, Step, Towards,
-    WRITE_ID_MOST,
+    Command, Commit, Endpoint, MAX_WRITE_ID_BYTES, MemberChange, MemberId, Outcome, PoolUpdate, Proposal,
+    RolloutAction, RolloutStep,
 };
 use runtrack_net::mutant;
-use runtrack_store::{HISTORY, Version, seal};
+use runtrack_store::{MAX_VERSIONS, Version, seal};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// Outcomes remembered for repeats. A client repeats for minutes at most; this many writes take longer.
-pub const OUTCOMES: usize = 4_096;
+pub const MAX_OUTCOMES: usize = 4_096;
 /// Bytes of versions' texts that are kept: beyond it the oldest go, but for those that are in use.
-pub const TEXTS_MOST: usize = 64 << 20;
+pub const MAX_TEXT_BYTES: usize = 64 << 20;
 /// Members, learners included. Each one costs the leader a stream and the log a copy.
-pub const MEMBERS_MOST: usize = 16;
+pub const MAX_MEMBERS: usize = 16;
 /// Removed members that are remembered, so that they can be told.
 const REMOVED_MOST: usize = 1_000;
 /// Longest name of a member, pool or endpoint, in bytes.
@@ -41,7 +41,7 @@
 /// One that was a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Removed {
+pub struct RemovedMember {
     /// Its name.
     pub name: String,
     /// The index of its removal.
@@ -105,7 +105,7 @@
     /// Members by number.
     pub members: BTreeMap<MemberId, Member>,
     /// Those that were members, by number.
-    pub removed: BTreeMap<MemberId, Removed>,
+    pub removed: BTreeMap<MemberId, RemovedMember>,
     next_member: MemberId,
     answered: Arc<BTreeMap<u64, Answered>>,
 }
@@ -118,32 +118,32 @@
     /// The roll-out.
     pub rollout: bool,
     /// What is listed, held or drains.
-    pub lists: bool,
+    pub pools: bool,
     /// The members.
     pub members: bool,
 }
 
 impl Effects {
     /// Whether what proxies are told may change.
-    pub fn serves(&self) -> bool {
-        self.version || self.rollout || self.lists
+    pub fn affects_proxies(&self) -> bool {
+        self.version || self.rollout || self.pools
     }
 
     /// Both together.
-    pub fn and(self, other: Effects) -> Effects {
+    pub fn union(self, other: Effects) -> Effects {
         Effects {
             version: self.version | other.version,
             rollout: self.rollout | other.rollout,
-            lists: self.lists | other.lists,
+            pools: self.pools | other.pools,
             members: self.members | other.members,
         }
     }
 }
 
-const VERSION: Effects = Effects { version: true, rollout: true, lists: false, members: false };
-const ROLLOUT: Effects = Effects { version: false, rollout: true, lists: false, members: false };
-const LISTS: Effects = Effects { version: false, rollout: false, lists: true, members: false };
-const MEMBERS: Effects = Effects { version: false, rollout: false, lists: false, members: true };
+const VERSION: Effects = Effects { version: true, rollout: true, pools: false, members: false };
+const ROLLOUT: Effects = Effects { version: false, rollout: true, pools: false, members: false };
+const POOLS: Effects = Effects { version: false, rollout: false, pools: true, members: false };
+const MEMBERS: Effects = Effects { version: false, rollout: false, pools: false, members: true };
 
 type Applied = (Outcome, Effects);
 
@@ -220,7 +220,7 @@
     }
 
     /// Whether an endpoint is to get nothing new.
-    pub fn drains(&self, pool: &str, uid: &str) -> bool {
+    pub fn is_draining(&self, pool: &str, uid: &str) -> bool {
         let listed = self.pools.get(pool).and_then(|pool| pool.endpoints.get(uid));
         listed.is_some_and(|endpoint| endpoint.draining)
             || self.held.contains(&(pool.to_owned(), uid.to_owned()))
@@ -230,9 +230,9 @@
     pub fn apply(&mut self, index: u64, proposal: Proposal) -> Applied {
         self.index = index;
         let Proposal { id, command } = proposal;
-        if id.len() > WRITE_ID_MOST {
+        if id.len() > MAX_WRITE_ID_BYTES {
             return refused(format!(
-                "a write's id has {} bytes, and {WRITE_ID_MOST} is the most",
+                "a write's id has {} bytes, and {MAX_WRITE_ID_BYTES} is the most",
                 id.len()
             ));
         }
@@ -247,7 +247,7 @@
             Command::Hold { pool, uid, held, .. } => self.hold(pool, uid, held),
             Command::Seen { member, ticket, folder } => self.seen(member, &ticket, folder),
         };
-        if effects.serves() {
+        if effects.affects_proxies() {
             self.served = index;
         }
         self.remember(index, id, &outcome);
@@ -260,7 +260,7 @@
         }
         let answered = Arc::make_mut(&mut self.answered);
         answered.insert(index, Answered { id, outcome: outcome.clone() });
-        while answered.len() > OUTCOMES {
+        while answered.len() > MAX_OUTCOMES {
             answered.pop_first();
         }
     }
@@ -276,11 +276,11 @@
             let (found, by) = (self.serial(), by.unwrap_or_else(|| "nobody".to_owned()));
             return (Outcome::Moved { expected: on, found, by }, Effects::default());
         }
-        if text.len() > TEXTS_MOST / 2 {
+        if text.len() > MAX_TEXT_BYTES / 2 {
             return refused(format!(
                 "the fleet has {} bytes, and {} is the most",
                 text.len(),
-                TEXTS_MOST / 2
+                MAX_TEXT_BYTES / 2
             ));
         }
         if !stages.is_empty() && self.rollout.is_some() {
@@ -313,7 +313,7 @@
         loop {
             let bytes: usize = self.texts.values().map(|text| text.len()).sum();
             let Some(oldest) = self.versions.first().map(|version| version.serial) else { return };
-            let over = self.versions.len() > HISTORY || bytes > TEXTS_MOST;
+            let over = self.versions.len() > MAX_VERSIONS || bytes > MAX_TEXT_BYTES;
             if !over || self.versions.len() == 1 || oldest >= needed {
                 return;
             }
@@ -322,7 +322,7 @@
         }
     }
 
-    fn step(&mut self, step: Step) -> Applied {
+    fn step(&mut self, step: RolloutStep) -> Applied {
         let stages = self.current().map_or(0, |version| version.stages.len());
         let Some(rollout) = &mut self.rollout else { return refused("no version is being rolled out") };
         if (rollout.serial, rollout.stage) != (step.serial, step.stage) {
@@ -330,11 +330,11 @@
             return refused(format!("serial {serial} is in stage {stage}"));
         }
         match step.to {
-            Towards::Halt(why) => rollout.halted = Some(why),
-            Towards::Resume if rollout.halted.is_none() => return refused("no roll-out has halted"),
-            Towards::Resume => rollout.halted = None,
-            Towards::Next if rollout.halted.is_some() => return refused("the roll-out has halted"),
-            Towards::Next => {
+            RolloutAction::Halt(why) => rollout.halted = Some(why),
+            RolloutAction::Resume if rollout.halted.is_none() => return refused("no roll-out has halted"),
+            RolloutAction::Resume => rollout.halted = None,
+            RolloutAction::Next if rollout.halted.is_some() => return refused("the roll-out has halted"),
+            RolloutAction::Next => {
                 rollout.stage += 1;
                 if rollout.stage >= stages {
                     self.rollout = None;
@@ -345,8 +345,8 @@
         (Outcome::Done, ROLLOUT)
     }
 
-    fn listed(&mut self, listed: Listed) -> Applied {
-        let Listed { pool: name, rev, whole, settled, endpoints } = listed;
+    fn listed(&mut self, listed: PoolUpdate) -> Applied {
+        let PoolUpdate { pool: name, rev, whole, settled, endpoints } = listed;
         if name.len() > NAME_MOST {
             return refused("the pool's name is too long");
         }
@@ -377,7 +377,7 @@
         pool.rev = rev;
         let same = before.is_some_and(|before| **before == pool);
         self.pools.insert(name, pool.into());
-        (Outcome::Done, if same { Effects::default() } else { LISTS })
+        (Outcome::Done, if same { Effects::default() } else { POOLS })
     }
 
     fn draining(&mut self, pool: &str, uid: &str, boot_ms: u64, rev: u64) -> Applied {
@@ -391,7 +391,7 @@
         let said_at = pool.drained_at.entry(uid.to_owned()).or_insert(rev);
         *said_at = rev.max(*said_at);
         let news = !std::mem::replace(&mut endpoint.draining, true);
-        (Outcome::Done, if news { LISTS } else { Effects::default() })
+        (Outcome::Done, if news { POOLS } else { Effects::default() })
     }
 
     fn hold(&mut self, pool: String, uid: String, held: bool) -> Applied {
@@ -402,7 +402,7 @@
             true => self.held.insert((pool, uid)),
             false => self.held.remove(&(pool, uid)),
         };
-        (Outcome::Done, if news { LISTS } else { Effects::default() })
+        (Outcome::Done, if news { POOLS } else { Effects::default() })
     }
 
     fn seen(&mut self, member: MemberId, ticket: &str, folder: String) -> Applied {
@@ -421,7 +421,7 @@
     }
 
     /// Why a change of members makes no sense; none: it may be made.
-    pub fn objection(&self, change: &MemberChange) -> Option<String> {
+    pub fn change_rejection(&self, change: &MemberChange) -> Option<String> {
         let known = self.members.get(&change.member());
         match change {
             MemberChange::Add { member, .. } if *member != self.next_member => {
@@ -438,8 +438,8 @@
             {
                 Some(format!("a member needs a name, and name and address may have {NAME_MOST} bytes"))
             }
-            MemberChange::Add { .. } if self.members.len() >= MEMBERS_MOST => {
-                Some(format!("there are {MEMBERS_MOST} members, the most there may be"))
+            MemberChange::Add { .. } if self.members.len() >= MAX_MEMBERS => {
+                Some(format!("there are {MAX_MEMBERS} members, the most there may be"))
             }
             MemberChange::Add { .. } => None,
             _ if known.is_none() => Some("there is no such member".to_owned()),
@@ -463,7 +463,7 @@
         if let Some((_, outcome)) = self.outcome(&id) {
             return (outcome.clone(), Effects::default());
         }
-        let applied = match self.objection(&change) {
+        let applied = match self.change_rejection(&change) {
             Some(why) => refused(why),
             None => {
                 match change {
@@ -479,7 +479,7 @@
                     }
                     MemberChange::Remove { member } => {
                         if let Some(known) = self.members.remove(&member) {
-                            self.removed.insert(member, Removed { name: known.name, index });
+                            self.removed.insert(member, RemovedMember { name: known.name, index });
                         }
                         while self.removed.len() > REMOVED_MOST {
                             self.removed.pop_first();
@@ -494,7 +494,7 @@
     }
 
     /// An entry of the log that says nothing.
-    pub fn pass(&mut self, index: u64) {
+    pub fn skip(&mut self, index: u64) {
         self.index = index;
     }
 
--- a/crates/agree/tests/disks.rs
+++ b/crates/agree/tests/disks.rs
@@ -33,7 +33,7 @@
         node.tick();
         node.drive().expect("a sound disk");
     }
-    assert!(node.leads());
+    assert!(node.is_leader());
     node
 }
 
@@ -43,7 +43,7 @@
     let made = || {
         let disk = Disk::default();
         let state = runtrack_agree::State::new("lineage-1", 7, "m1", "a1", "folder-1");
-        Node::found(disk.clone(), identity(1), &state).expect("made");
+        Node::bootstrap(disk.clone(), identity(1), &state).expect("made");
         disk
     };
     let (whole, size) = (8, 4_000);
@@ -130,7 +130,7 @@
                 Err(other) => panic!("{name}, byte {at}: {other}"),
                 Ok(mut node) => {
                     node.drive().expect("a sound disk");
-                    let standing = node.standing();
+                    let standing = node.status();
                     assert!(
                         standing.committed >= applied,
                         "{name}, byte {at}: what was agreed is forgotten"
--- a/crates/agree/tests/host.rs
+++ b/crates/agree/tests/host.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use runtrack_agree::command::By;
-use runtrack_agree::host::{self, AskError, Handle, Settings};
+use runtrack_agree::command::Attribution;
+use runtrack_agree::host::{self, Handle, RequestError, Settings};
 use runtrack_agree::{Command, Identity, MemberChange, Node, Outcome, State, Tuning};
 use runtrack_store::Folder;
 use runtrack_testkit::{Folder as Place, free_port, until};
@@ -23,7 +23,7 @@
 }
 
 fn settings() -> Settings {
-    let tuning = Tuning { heartbeat: 1, election: 10, log_bytes: 40_000 };
+    let tuning = Tuning { heartbeat_ticks: 1, election_ticks: 10, log_bytes: 40_000 };
     Settings { tick: Duration::from_millis(20), tuning, ..Settings::default() }
 }
 
@@ -38,7 +38,7 @@
     fn first() -> Member {
         let (place, at) = (Place::new(), SocketAddr::from(([127, 0, 0, 1], free_port())));
         let state = State::new("lineage-1", 7, "m1", &at.to_string(), "folder-1");
-        Node::found(Folder::new(place.path()).expect("a folder"), support::identity(1), &state)
+        Node::bootstrap(Folder::new(place.path()).expect("a folder"), support::identity(1), &state)
             .expect("made");
         let (handle, server) = run(&place, at);
         Member { _place: place, at, handle, server }
@@ -63,7 +63,7 @@
         for n in 0.. {
             match self.handle.change(&format!("promote-{member}-{n}"), change.clone(), WITHIN).await {
                 Ok(()) => return,
-                Err(AskError::Refused(why))
+                Err(RequestError::Refused(why))
                     if why.contains("caught up") || why.contains("shown itself") =>
                 {
                     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -105,9 +105,10 @@
         assert_eq!(read.held.len(), 3, "a read sees what was written before it");
     }
     until("all have it", || members.iter().all(|member| member.held() == 3)).await;
-    let stranger = Command::Hold { pool: "p".into(), uid: "e".into(), held: false, by: By::default() };
+    let stranger =
+        Command::Hold { pool: "p".into(), uid: "e".into(), held: false, by: Attribution::default() };
     let too_long = members[0].handle.write(&"x".repeat(100), stranger, WITHIN).await;
-    assert!(matches!(too_long, Err(AskError::Refused(_))), "{too_long:?}");
+    assert!(matches!(too_long, Err(RequestError::Refused(_))), "{too_long:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -115,7 +116,7 @@
     let members = three().await;
     members[1].handle.transfer(3, WITHIN).await.expect("handed over");
     until("it is known", || {
-        members.iter().all(|m| m.handle.view().standing.as_ref().is_some_and(|s| s.leader == 3))
+        members.iter().all(|m| m.handle.view().status.as_ref().is_some_and(|s| s.leader == 3))
     })
     .await;
     members[2].handle.stop();
@@ -127,7 +128,7 @@
     members[1].server.abort();
     until("it has noticed", || !members[0].handle.has_majority()).await;
     let alone = members[0].handle.write("alone", hold(8), Duration::from_millis(300)).await;
-    assert_eq!(alone, Err(AskError::Unknown));
+    assert_eq!(alone, Err(RequestError::OutcomeUnknown));
     assert!(members[0].handle.read(Duration::from_millis(300)).await.is_err());
     assert_eq!(members[0].held(), 1, "what was agreed is there");
 }
@@ -145,7 +146,7 @@
     let late = members[0].invite(4).await;
     until("it has all", || late.handle.view().state.as_ref().is_some_and(|state| state.serial() == 8))
         .await;
-    assert!(late.handle.view().standing.as_ref().is_some_and(|standing| standing.snapshot > 1));
+    assert!(late.handle.view().status.as_ref().is_some_and(|status| status.snapshot > 1));
     members[0]
         .handle
         .change("remove-4", MemberChange::Remove { member: 4 }, WITHIN)
--- a/crates/agree/tests/members.rs
+++ b/crates/agree/tests/members.rs
@@ -52,7 +52,7 @@
     cluster.nodes.get_mut(&old).expect("it runs").propose(&lost).expect("it believes that it leads");
     cluster.until("another leads", |c| c.leader().is_some_and(|leader| leader != old));
     cluster.write("kept", hold(1));
-    cluster.until("the old one has stepped down", |c| !c.nodes[&old].leads());
+    cluster.until("the old one has stepped down", |c| !c.nodes[&old].is_leader());
     assert!(cluster.state(old).outcome("lost").is_none());
     cluster.cut_off(old, false);
     cluster.settle();
@@ -67,7 +67,7 @@
     let mut cluster = Cluster::of(3, 4);
     let leader = cluster.leader().expect("somebody");
     let other = (1..=3).find(|member| *member != leader).expect("one of the others");
-    let term = cluster.nodes[&leader].standing().term;
+    let term = cluster.nodes[&leader].status().term;
     cluster.cut_off(other, true);
     for _ in 0..500 {
         cluster.turn();
@@ -76,7 +76,7 @@
     for _ in 0..100 {
         cluster.turn();
     }
-    assert_eq!((cluster.leader(), cluster.nodes[&leader].standing().term), (Some(leader), term));
+    assert_eq!((cluster.leader(), cluster.nodes[&leader].status().term), (Some(leader), term));
 }
 
 #[test]
@@ -84,10 +84,10 @@
     let mut cluster = Cluster::of(3, 5);
     let old = cluster.leader().expect("somebody");
     cluster.write("", hold(1));
-    cluster.nodes.get_mut(&old).expect("it runs").read(1);
+    cluster.nodes.get_mut(&old).expect("it runs").request_read(1);
     cluster.until("it is answered", |c| c.reads.contains(&(old, 1)));
     cluster.cut_off(old, true);
-    cluster.nodes.get_mut(&old).expect("it runs").read(2);
+    cluster.nodes.get_mut(&old).expect("it runs").request_read(2);
     cluster.until("another leads", |c| c.leader().is_some_and(|leader| leader != old));
     cluster.write("", hold(2));
     for _ in 0..50 {
@@ -96,7 +96,7 @@
     assert!(!cluster.reads.contains(&(old, 2)), "it could not know what was written meanwhile");
     // A read through a follower sees what was written before it.
     let follower = (1..=3).find(|m| *m != old && Some(*m) != cluster.leader()).expect("the third");
-    cluster.nodes.get_mut(&follower).expect("it runs").read(3);
+    cluster.nodes.get_mut(&follower).expect("it runs").request_read(3);
     cluster.until("it is answered", |c| c.reads.contains(&(follower, 3)));
     assert_eq!(cluster.state(follower).held.len(), 2);
 }
@@ -112,7 +112,7 @@
         cluster.add(new);
         cluster.promote(new);
         if cluster.leader() == Some(old) {
-            cluster.nodes.get_mut(&old).expect("it runs").transfer(new);
+            cluster.nodes.get_mut(&old).expect("it runs").transfer_leader(new);
             cluster.until("the new one leads", |c| c.leader() == Some(new));
         }
         cluster.change(&MemberChange::Remove { member: old });
@@ -136,7 +136,7 @@
     cluster.change(&MemberChange::Remove { member: gone });
     cluster.settle_without(gone);
     cluster.cut_off(gone, false);
-    let term = cluster.nodes[&leader].standing().term;
+    let term = cluster.nodes[&leader].status().term;
     // With the third one away the leader can't decide: the removed one does not make up a majority.
     let third = (1..=3).find(|member| *member != leader && *member != gone).expect("the third");
     cluster.cut_off(third, true);
@@ -147,7 +147,7 @@
     }
     assert!(cluster.state(leader).outcome("alone").is_none());
     assert!(cluster.leaders.iter().all(|(_, leader)| *leader != gone) || term > 0);
-    assert!(!cluster.nodes[&gone].leads());
+    assert!(!cluster.nodes[&gone].is_leader());
 }
 
 #[test]
@@ -208,7 +208,7 @@
 fn a_link_that_flaps_costs_no_elections() {
     let mut cluster = Cluster::of(3, 10);
     let leader = cluster.leader().expect("somebody");
-    let term = cluster.nodes[&leader].standing().term;
+    let term = cluster.nodes[&leader].status().term;
     let other = 1 + leader % 3;
     for turn in 0..2_000 {
         let down = turn % 2 == 0;
@@ -221,7 +221,7 @@
         }
         cluster.turn();
     }
-    let now = cluster.nodes[&leader].standing();
+    let now = cluster.nodes[&leader].status();
     assert_eq!((now.term, cluster.leader()), (term, Some(leader)));
 }
 
--- a/crates/agree/tests/states.rs
+++ b/crates/agree/tests/states.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use runtrack_agree::command::{By, Commit, Endpoint, Listed, Step, Towards};
-use runtrack_agree::{Command, Effects, OUTCOMES, Outcome, Proposal, State, TEXTS_MOST};
+use runtrack_agree::command::{Attribution, Commit, Endpoint, PoolUpdate, RolloutAction, RolloutStep};
+use runtrack_agree::{Command, Effects, MAX_OUTCOMES, MAX_TEXT_BYTES, Outcome, Proposal, State};
 use support::{commit, proposal};
 
 fn state() -> State {
@@ -20,8 +20,8 @@
     Command::Commit(Commit { stages: vec![1_000, 10_000], ..plain })
 }
 
-fn step(serial: u64, stage: usize, to: Towards) -> Command {
-    Command::Rollout(Step { serial, stage, to })
+fn step(serial: u64, stage: usize, to: RolloutAction) -> Command {
+    Command::Rollout(RolloutStep { serial, stage, to })
 }
 
 fn up(boot_ms: u64) -> Endpoint {
@@ -30,7 +30,7 @@
 
 fn listed(rev: u64, whole: bool, endpoints: &[(&str, Option<Endpoint>)]) -> Command {
     let endpoints = endpoints.iter().map(|(uid, endpoint)| ((*uid).to_owned(), endpoint.clone()));
-    Command::Listed(Listed {
+    Command::Listed(PoolUpdate {
         pool: "p".to_owned(),
         rev,
         whole,
@@ -71,28 +71,30 @@
     assert_eq!(restored, state);
     assert_eq!(restored.apply(3, write).0, Outcome::Committed(1));
     assert_eq!(restored.serial(), 1);
-    for n in 0..2 * OUTCOMES as u64 {
+    for n in 0..2 * MAX_OUTCOMES as u64 {
         restored.apply(4 + n, proposal(&format!("n{n}"), draining("x", 0, 0)));
     }
     assert!(restored.snapshot().len() < 1_000_000, "outcomes are bounded");
-    assert!(restored.outcome("w").is_none() && restored.outcome(&format!("n{}", OUTCOMES + 5)).is_some());
+    assert!(
+        restored.outcome("w").is_none() && restored.outcome(&format!("n{}", MAX_OUTCOMES + 5)).is_some()
+    );
 }
 
 #[test]
 fn texts_are_bounded_and_what_a_rollout_needs_is_kept() {
     let mut state = state();
-    let text = "z".repeat(TEXTS_MOST / 4);
+    let text = "z".repeat(MAX_TEXT_BYTES / 4);
     for n in 0..9 {
         let command = commit(&state, &format!("{n}{text}"));
         assert!(run(&mut state, command).0.is_done());
     }
     let kept: usize =
         state.versions.iter().filter_map(|version| state.text(version.serial)).map(str::len).sum();
-    assert!(kept <= TEXTS_MOST && state.versions.len() == 3, "{} versions", state.versions.len());
+    assert!(kept <= MAX_TEXT_BYTES && state.versions.len() == 3, "{} versions", state.versions.len());
     let command = staged(&state, &format!("staged {text}"));
     assert_eq!(run(&mut state, command).0, Outcome::Committed(10));
     assert!(state.text(9).is_some() && state.text(10).is_some());
-    let command = commit(&state, &"z".repeat(TEXTS_MOST));
+    let command = commit(&state, &"z".repeat(MAX_TEXT_BYTES));
     assert!(matches!(run(&mut state, command).0, Outcome::Refused(_)));
 }
 
@@ -107,16 +109,22 @@
     let Outcome::Refused(why) = run(&mut state, command).0 else { panic!("two at once") };
     assert!(why.contains("being rolled out"), "{why}");
     assert!(
-        matches!(run(&mut state, step(2, 1, Towards::Next)).0, Outcome::Refused(_)),
+        matches!(run(&mut state, step(2, 1, RolloutAction::Next)).0, Outcome::Refused(_)),
         "a stage is skipped"
     );
-    assert_eq!(run(&mut state, step(2, 0, Towards::Halt("ill".to_owned()))).0, Outcome::Done);
-    assert!(matches!(run(&mut state, step(2, 0, Towards::Next)).0, Outcome::Refused(_)), "it has halted");
-    assert_eq!(run(&mut state, step(2, 0, Towards::Resume)).0, Outcome::Done);
-    assert_eq!(run(&mut state, step(2, 0, Towards::Next)).0, Outcome::Done);
-    assert!(matches!(run(&mut state, step(2, 0, Towards::Next)).0, Outcome::Refused(_)), "a stage twice");
+    assert_eq!(run(&mut state, step(2, 0, RolloutAction::Halt("ill".to_owned()))).0, Outcome::Done);
+    assert!(
+        matches!(run(&mut state, step(2, 0, RolloutAction::Next)).0, Outcome::Refused(_)),
+        "it has halted"
+    );
+    assert_eq!(run(&mut state, step(2, 0, RolloutAction::Resume)).0, Outcome::Done);
+    assert_eq!(run(&mut state, step(2, 0, RolloutAction::Next)).0, Outcome::Done);
+    assert!(
+        matches!(run(&mut state, step(2, 0, RolloutAction::Next)).0, Outcome::Refused(_)),
+        "a stage twice"
+    );
     assert_eq!(state.rollout.as_ref().map(|rollout| rollout.stage), Some(1));
-    assert_eq!(run(&mut state, step(2, 1, Towards::Next)).0, Outcome::Done);
+    assert_eq!(run(&mut state, step(2, 1, RolloutAction::Next)).0, Outcome::Done);
     assert_eq!(state.rollout, None);
     // Going back in a hurry ends one.
     let command = staged(&state, "three");
@@ -130,16 +138,16 @@
 fn a_drain_is_taken_back_only_by_a_newer_word() {
     let mut state = state();
     run(&mut state, listed(5, true, &[("a", Some(up(1))), ("b", Some(up(1)))]));
-    assert!(run(&mut state, draining("a", 1, 9)).1.lists);
-    assert!(state.drains("p", "a") && !state.drains("p", "b"));
+    assert!(run(&mut state, draining("a", 1, 9)).1.pools);
+    assert!(state.is_draining("p", "a") && !state.is_draining("p", "b"));
     // An instance that was away brings an older list.
     run(&mut state, listed(7, true, &[("a", Some(up(1))), ("b", Some(up(1)))]));
-    assert!(state.drains("p", "a"), "undone by an older word");
+    assert!(state.is_draining("p", "a"), "undone by an older word");
     run(&mut state, listed(10, false, &[("a", Some(up(1)))]));
-    assert!(!state.drains("p", "a"), "a newer word");
+    assert!(!state.is_draining("p", "a"), "a newer word");
     run(&mut state, draining("a", 1, 12));
     run(&mut state, listed(11, false, &[("a", Some(up(2)))]));
-    assert!(!state.drains("p", "a"), "another process");
+    assert!(!state.is_draining("p", "a"), "another process");
     assert!(
         matches!(run(&mut state, draining("a", 1, 13)).0, Outcome::Refused(_)),
         "the one before it drained"
@@ -147,8 +155,8 @@
     // A source that counts anew is believed once that has stood.
     run(&mut state, draining("a", 2, 14));
     let Command::Listed(anew) = listed(1, true, &[("a", Some(up(2)))]) else { unreachable!() };
-    run(&mut state, Command::Listed(Listed { settled: true, ..anew }));
-    assert!(!state.drains("p", "a"));
+    run(&mut state, Command::Listed(PoolUpdate { settled: true, ..anew }));
+    assert!(!state.is_draining("p", "a"));
 }
 
 #[test]
@@ -159,19 +167,24 @@
     run(&mut state, listed(10, false, &[("a", None)]));
     assert!(state.pools["p"].endpoints.is_empty() && state.pools["p"].drained_at.is_empty());
     run(&mut state, listed(6, false, &[("a", Some(up(1)))]));
-    assert!(!state.drains("p", "a"));
+    assert!(!state.is_draining("p", "a"));
 }
 
 #[test]
 fn a_hold_outlasts_what_discovery_says() {
     let mut state = state();
-    let hold = |held| Command::Hold { pool: "p".to_owned(), uid: "a".to_owned(), held, by: By::default() };
-    assert!(run(&mut state, hold(true)).1.lists);
+    let hold = |held| Command::Hold {
+        pool: "p".to_owned(),
+        uid: "a".to_owned(),
+        held,
+        by: Attribution::default(),
+    };
+    assert!(run(&mut state, hold(true)).1.pools);
     run(&mut state, listed(5, true, &[("a", Some(up(1)))]));
-    assert!(state.drains("p", "a"));
-    assert!(!run(&mut state, hold(true)).1.lists, "nothing new");
+    assert!(state.is_draining("p", "a"));
+    assert!(!run(&mut state, hold(true)).1.pools, "nothing new");
     run(&mut state, hold(false));
-    assert!(!state.drains("p", "a"));
+    assert!(!state.is_draining("p", "a"));
 }
 
 #[test]
@@ -180,7 +193,7 @@
     let list = listed(5, true, &[("a", Some(up(1)))]);
     run(&mut state, list.clone());
     let served = state.served;
-    assert!(!run(&mut state, list).1.serves());
+    assert!(!run(&mut state, list).1.affects_proxies());
     run(&mut state, draining("z", 1, 9));
     assert_eq!(state.served, served);
 }
--- a/crates/agree/tests/support/mod.rs
+++ b/crates/agree/tests/support/mod.rs
@@ -3,7 +3,7 @@
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use runtrack_agree::command::{By, Commit};
+use runtrack_agree::command::{Attribution, Commit};
 use runtrack_agree::{
     Applied, Command, Identity, MemberChange, MemberId, Node, NodeError, Output, PeerMessage, Proposal,
     State, Tuning,
@@ -11,7 +11,7 @@
 use runtrack_testkit::Disk;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-pub const TUNING: Tuning = Tuning { heartbeat: 1, election: 10, log_bytes: 20_000 };
+pub const TUNING: Tuning = Tuning { heartbeat_ticks: 1, election_ticks: 10, log_bytes: 20_000 };
 
 pub fn identity(member: MemberId) -> Identity {
     Identity {
@@ -34,7 +34,7 @@
         on: state.serial(),
         parent,
         text: text.to_owned(),
-        by: By { author: "somchai".to_owned(), reason: "a test".to_owned(), at_ms: 1 },
+        by: Attribution { author: "somchai".to_owned(), reason: "a test".to_owned(), at_ms: 1 },
         plan: String::new(),
         stages: Vec::new(),
         pause_ms: 0,
@@ -43,7 +43,7 @@
 
 /// Something small that each write does.
 pub fn hold(n: u64) -> Command {
-    Command::Hold { pool: "p".to_owned(), uid: format!("e{n}"), held: true, by: By::default() }
+    Command::Hold { pool: "p".to_owned(), uid: format!("e{n}"), held: true, by: Attribution::default() }
 }
 
 pub struct Cluster {
@@ -68,7 +68,7 @@
     pub fn new(seed: u64) -> Cluster {
         let disk = Disk::default();
         let state = State::new("lineage-1", 7, "m1", "a1", "folder-1");
-        Node::found(disk.clone(), identity(1), &state).expect("made");
+        Node::bootstrap(disk.clone(), identity(1), &state).expect("made");
         let mut cluster = Cluster {
             nodes: BTreeMap::new(),
             disks: [(1, disk)].into(),
@@ -129,7 +129,7 @@
 
     pub fn promote(&mut self, member: MemberId) {
         self.until("it has caught up", |c| {
-            let leader = c.leader().map(|leader| c.nodes[&leader].standing());
+            let leader = c.leader().map(|leader| c.nodes[&leader].status());
             leader.is_some_and(|s| s.peers.get(&member).is_some_and(|p| p.heard && p.matched + 10 > s.last))
         });
         self.change(&MemberChange::Promote { member });
@@ -159,8 +159,8 @@
         let standing = self
             .nodes
             .iter()
-            .filter(|(_, node)| node.leads())
-            .map(|(id, node)| (node.standing().term, *id));
+            .filter(|(_, node)| node.is_leader())
+            .map(|(id, node)| (node.status().term, *id));
         standing.max().map(|(_, id)| id)
     }
 
@@ -220,8 +220,8 @@
                 return;
             }
         };
-        if node.leads() {
-            let term = node.standing().term;
+        if node.is_leader() {
+            let term = node.status().term;
             let before = *self.leaders.entry(term).or_insert(member);
             assert_eq!(before, member, "two lead in term {term}");
         }
@@ -234,12 +234,14 @@
         if let Some(fetch) = fetch {
             let from = self.nodes.get(&fetch.from).filter(|_| !self.cut.contains(&(fetch.from, member)));
             let text = from
-                .filter(|from| *from.snapshot() == fetch.place)
+                .filter(|from| *from.snapshot() == fetch.snapshot)
                 .and_then(|from| from.snapshot_text().ok()?);
             let node = self.nodes.get_mut(&member).expect("it runs");
             match text {
-                Some(text) => assert!(node.fetched(text), "the text of the snapshot that was offered"),
-                None => node.not_fetched(),
+                Some(text) => {
+                    assert!(node.snapshot_fetched(text), "the text of the snapshot that was offered")
+                }
+                None => node.snapshot_fetch_failed(),
             }
         }
     }
@@ -258,8 +260,8 @@
     /// Waits until all that run have applied the same, and looks that they hold the same.
     pub fn settle(&mut self) {
         self.until("all have applied the same", |c| {
-            let applied: BTreeSet<u64> = c.nodes.values().map(|node| node.standing().applied).collect();
-            let last = c.leader().map(|leader| c.nodes[&leader].standing().last);
+            let applied: BTreeSet<u64> = c.nodes.values().map(|node| node.status().applied).collect();
+            let last = c.leader().map(|leader| c.nodes[&leader].status().last);
             applied.len() == 1 && last == applied.first().copied()
         });
         let snapshots: BTreeSet<String> =
@@ -271,7 +273,7 @@
     pub fn settle_without(&mut self, member: MemberId) {
         self.until("the others have applied the same", |c| {
             let others = c.nodes.iter().filter(|(id, _)| **id != member);
-            let applied: BTreeSet<u64> = others.map(|(_, node)| node.standing().applied).collect();
+            let applied: BTreeSet<u64> = others.map(|(_, node)| node.status().applied).collect();
             applied.len() == 1
         });
     }
--- a/crates/cli/benches/kills.rs
+++ b/crates/cli/benches/kills.rs
@@ -75,16 +75,16 @@
 fn commits() -> (f64, f64) {
     let folder = Folder::new();
     let files = || Files_::new(folder.path()).expect("a folder");
-    let mut store = Store::open_or_make(files(), "l").expect("a store");
+    let mut store = Store::open_or_create(files(), "l").expect("a store");
     let text = "x".repeat(100_000);
     let (mut commits, mut bares) = (Vec::new(), Vec::new());
     for n in 0..200 {
         let began = Instant::now();
-        let entry = runtrack_store::Entry {
+        let entry = runtrack_store::CommitInfo {
             author: "a",
             reason: "b",
             at_ms: 0,
-            ..runtrack_store::Entry::default()
+            ..runtrack_store::CommitInfo::default()
         };
         store.commit(n, &text, entry).expect("a commit");
         commits.push(began.elapsed().as_secs_f64() * 1000.0);
@@ -103,10 +103,10 @@
 fn opening(versions: u64) -> f64 {
     let folder = Folder::new();
     let files = || Files_::new(folder.path()).expect("a folder");
-    let mut store = Store::open_or_make(files(), "l").expect("a store");
+    let mut store = Store::open_or_create(files(), "l").expect("a store");
     let text = "x".repeat(100_000);
     for n in 0..versions {
-        store.commit(n, &text, runtrack_store::Entry::default()).expect("a commit");
+        store.commit(n, &text, runtrack_store::CommitInfo::default()).expect("a commit");
     }
     let once = || {
         let began = Instant::now();
--- a/crates/cli/src/cluster.rs
+++ b/crates/cli/src/cluster.rs
@@ -5,10 +5,10 @@
 use crate::service::send;
 use clap::Subcommand;
 use hyper::{Method, StatusCode};
-use runtrack_agree::command::{By, Commit};
+use runtrack_agree::command::{Attribution, Commit};
 use runtrack_agree::{Command, Identity, Invitation, Node, Outcome, State};
 use runtrack_plan::{Applied, ApplyError, Versions};
-use runtrack_store::{Entry, Folder, Store, StoreError, Version};
+use runtrack_store::{CommitInfo, Folder, Store, StoreError, Version};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
@@ -211,12 +211,15 @@
             .map_err(|_| ApplyError::NoFleet { serial, problem: "it is no text".to_owned() })
     }
 
-    fn commit(&mut self, on: u64, text: &str, entry: Entry) -> Result<Applied, ApplyError> {
+    fn commit(&mut self, on: u64, text: &str, entry: CommitInfo) -> Result<Applied, ApplyError> {
         let parent = self.current().map(|version| version.hash.clone()).unwrap_or_default();
         // A plan's id is the same in each repeat of `apply`, whoever repeats it.
         let id = if entry.plan.is_empty() { random() } else { entry.plan.to_owned() };
-        let by =
-            By { author: entry.author.to_owned(), reason: entry.reason.to_owned(), at_ms: entry.at_ms };
+        let by = Attribution {
+            author: entry.author.to_owned(),
+            reason: entry.reason.to_owned(),
+            at_ms: entry.at_ms,
+        };
         let commit = Command::Commit(Commit {
             on,
             parent,
@@ -302,7 +305,7 @@
         folder: own,
         others: Vec::new(),
     };
-    Node::found(folder(at)?, identity, &state).map_err(member(at))?;
+    Node::bootstrap(folder(at)?, identity, &state).map_err(member(at))?;
     println!("{}: {name} is member 1 of the cluster {lineage}, serial {}", at.display(), state.serial());
     Ok(0)
 }
@@ -323,13 +326,13 @@
     let state = node
         .state()
         .ok_or_else(|| Failure::Usage(format!("{}: it has heard nothing yet", at.display())))?;
-    let mut store = Store::open_or_make(folder(to)?, &state.lineage)?;
+    let mut store = Store::open_or_create(folder(to)?, &state.lineage)?;
     if store.serial() > 0 {
         return Err(Failure::Usage(format!("{}: there is a state already", to.display())));
     }
     for version in &state.versions {
         let Some(text) = state.text(version.serial) else { continue };
-        let entry = Entry {
+        let entry = CommitInfo {
             author: &version.author,
             reason: &version.reason,
             at_ms: version.at_ms,
@@ -405,7 +408,7 @@
 
 /// `hold`.
 pub fn hold(place: &Place, pool: &str, endpoint: &str, held: bool, reason: &str) -> Done {
-    let by = By { author: place.author.clone(), reason: reason.to_owned(), at_ms: now_ms() };
+    let by = Attribution { author: place.author.clone(), reason: reason.to_owned(), at_ms: now_ms() };
     let command = Command::Hold { pool: pool.to_owned(), uid: endpoint.to_owned(), held, by };
     Cluster::new(&place.cluster).write(&random(), &command)?;
     println!("{endpoint} of {pool} {}", if held { "gets nothing new" } else { "gets requests again" });
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -6,7 +6,7 @@
 use crate::{service, show};
 use runtrack_model::Fleet;
 use runtrack_plan::{Applied, Load, Plan, Request, Versions, apply, current};
-use runtrack_store::{Entry, Folder, Lock, Store};
+use runtrack_store::{CommitInfo, Folder, Lock, Store};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::Duration;
@@ -77,15 +77,16 @@
             return Ok((None, Box::new(Cluster::new(&self.cluster).versions(true)?)));
         }
         let _ = self.folder()?; // says better than the lock that there is none
-        let lock = Lock::take(&self.folder, &format!("{}, process {}", self.author, std::process::id()))?;
+        let lock =
+            Lock::acquire(&self.folder, &format!("{}, process {}", self.author, std::process::id()))?;
         Ok((Some(lock), self.open()?))
     }
 
     /// `init`.
     pub fn init(&self) -> Done {
         let folder = Folder::new(&self.folder).map_err(Failure::file(&self.folder))?;
-        let _lock = Lock::take(&self.folder, &self.author)?;
-        let store = Store::open_or_make(folder, &random())?;
+        let _lock = Lock::acquire(&self.folder, &self.author)?;
+        let store = Store::open_or_create(folder, &random())?;
         println!("{}: lineage {}, serial {}", self.folder.display(), store.lineage(), store.serial());
         Ok(0)
     }
@@ -175,7 +176,8 @@
         };
         let before = current(&*store, version.serial - 1)?;
         let reason = format!("abort of serial {}", version.serial);
-        let entry = Entry { author: &self.author, reason: &reason, at_ms: now_ms(), ..Entry::default() };
+        let entry =
+            CommitInfo { author: &self.author, reason: &reason, at_ms: now_ms(), ..CommitInfo::default() };
         let (Applied::Now(serial) | Applied::Before(serial)) =
             store.commit(version.serial, &before.canonical(), entry)?;
         println!("serial {serial}: as serial {} was, for all proxies at once", version.serial - 1);
@@ -240,7 +242,8 @@
             return Err(Failure::Usage(what));
         }
         let reason = format!("imported from {}", file.display());
-        let entry = Entry { author: &self.author, reason: &reason, at_ms: now_ms(), ..Entry::default() };
+        let entry =
+            CommitInfo { author: &self.author, reason: &reason, at_ms: now_ms(), ..CommitInfo::default() };
         let (Applied::Now(serial) | Applied::Before(serial)) =
             store.commit(0, &fleet.canonical(), entry)?;
         println!("serial {serial}: {}", fleet.hash());
--- a/crates/cli/tests/ctl.rs
+++ b/crates/cli/tests/ctl.rs
@@ -149,7 +149,7 @@
     std::thread::sleep(std::time::Duration::from_millis(5));
     refused(&["apply", "old"], 13, "make it anew");
     {
-        let _lock = Lock::take(&at.join("state"), "nok, process 1").expect("free");
+        let _lock = Lock::acquire(&at.join("state"), "nok, process 1").expect("free");
         refused(&["apply", "p"], 15, "locked by nok, process 1");
     }
     assert_eq!(code(&ctl(at, &["apply", "q"])), 0);
--- a/crates/control/src/admin.rs
+++ b/crates/control/src/admin.rs
@@ -9,7 +9,7 @@
 use axum::serve::Listener;
 use axum::{Json, Router};
 use runtrack_agree::Command;
-use runtrack_agree::command::{Step, Towards};
+use runtrack_agree::command::{RolloutAction, RolloutStep};
 use runtrack_xds::{Kind, Tally};
 use serde_json::{Value, json};
 use std::fmt::Debug;
@@ -33,7 +33,7 @@
     };
     let Some((serial, stage)) = halted else { return StatusCode::CONFLICT };
     if let Some(cluster) = &shared.cluster {
-        let step = Step { serial, stage, to: Towards::Resume };
+        let step = RolloutStep { serial, stage, to: RolloutAction::Resume };
         return match cluster.write("", Command::Rollout(step), RESUME_MOST).await {
             Ok((_, outcome)) if outcome.is_done() => StatusCode::ACCEPTED,
             Ok(_) => StatusCode::CONFLICT,
--- a/crates/control/src/cluster.rs
+++ b/crates/control/src/cluster.rs
@@ -5,7 +5,7 @@
 use axum::http::StatusCode;
 use axum::routing::{get, post};
 use axum::{Json, Router};
-use runtrack_agree::host::{self, AskError, Handle, Peers};
+use runtrack_agree::host::{self, Handle, PeerService, RequestError};
 use runtrack_agree::{
     Command, Identity, Invitation, MemberChange, MemberId, Outcome, State as Agreed, Tuning,
 };
@@ -23,7 +23,7 @@
 const WITHIN: Duration = Duration::from_secs(10);
 
 /// Opens the member's folder and starts it; the service for its peers is to be served by the caller.
-pub fn start(cluster: &Cluster, settings: &Settings) -> Result<(Handle, Peers), io::Error> {
+pub fn start(cluster: &Cluster, settings: &Settings) -> Result<(Handle, PeerService), io::Error> {
     let tls = settings.tls.as_ref().map(client_tls).transpose()?;
     let folder = Folder::new(&cluster.member)?;
     let seed = RandomState::new().hash_one(std::process::id());
@@ -80,20 +80,20 @@
 
 type Answer = Result<Json<Value>, (StatusCode, Json<Value>)>;
 
-fn failed(problem: &AskError) -> (StatusCode, Json<Value>) {
+fn failed(problem: &RequestError) -> (StatusCode, Json<Value>) {
     let code = match problem {
-        AskError::Unknown => StatusCode::GATEWAY_TIMEOUT,
-        AskError::Refused(_) => StatusCode::CONFLICT,
+        RequestError::OutcomeUnknown => StatusCode::GATEWAY_TIMEOUT,
+        RequestError::Refused(_) => StatusCode::CONFLICT,
     };
     (code, Json(json!({ "error": problem.to_string() })))
 }
 
 fn refused(why: impl Into<String>) -> (StatusCode, Json<Value>) {
-    failed(&AskError::Refused(why.into()))
+    failed(&RequestError::Refused(why.into()))
 }
 
 fn age_ms(handle: &Handle) -> Option<u64> {
-    handle.view().in_touch.map(|at| at.elapsed().as_millis() as u64)
+    handle.view().last_quorum_contact.map(|at| at.elapsed().as_millis() as u64)
 }
 
 async fn state(handle: &Handle, consistent: bool) -> Result<Arc<Agreed>, (StatusCode, Json<Value>)> {
@@ -190,7 +190,7 @@
         .flat_map(|state| &state.members)
         .map(|(id, member)| {
             let link = view.links.get(id);
-            let peer = view.standing.as_ref().and_then(|standing| standing.peers.get(id));
+            let peer = view.status.as_ref().and_then(|standing| standing.peers.get(id));
             json!({
                 "id": id, "name": member.name, "address": member.address, "voter": member.voter,
                 "joined": member.folder.is_some(),
@@ -203,8 +203,8 @@
     json!({
         "lineage": handle.identity().lineage, "member": handle.identity().member,
         "majority": handle.has_majority(), "in_touch_ms_ago": age_ms(handle),
-        "trouble": view.trouble, "removed": view.removed, "elections": view.elections,
-        "standing": view.standing, "members": members,
+        "trouble": view.storage_error, "removed": view.removed, "elections": view.elections,
+        "standing": view.status, "members": members,
         "index": state.map(|state| state.index), "served": state.map(|state| state.served),
         "epoch": state.map(|state| state.epoch), "serial": state.map(|state| state.serial()),
         "held": state.map(|state| state.held.len()),
--- a/crates/control/src/replicated.rs
+++ b/crates/control/src/replicated.rs
@@ -92,7 +92,7 @@
     /// Since when a pool's list differs from the agreed one, and when that was proposed last.
     differs: BTreeMap<String, (Instant, Option<Instant>)>,
     /// The step of the roll-out proposed last.
-    stepped: Option<(command::Step, Instant)>,
+    stepped: Option<(command::RolloutStep, Instant)>,
     promoted: Option<Instant>,
     /// Since when rejections count, on the hub's clock: the stage began, or was resumed.
     stage_since: Duration,
@@ -128,7 +128,7 @@
     heard: &List,
     anew: bool,
     agreed: Option<&state::Pool>,
-) -> Option<command::Listed> {
+) -> Option<command::PoolUpdate> {
     let nothing = state::Pool::default();
     let known = agreed.unwrap_or(&nothing);
     if heard.rev < known.rev && !anew {
@@ -149,7 +149,7 @@
     for uid in known.endpoints.keys().filter(|uid| !uids.contains(uid.as_str())) {
         endpoints.insert(uid.clone(), None);
     }
-    (agreed.is_none() || !endpoints.is_empty()).then(|| command::Listed {
+    (agreed.is_none() || !endpoints.is_empty()).then(|| command::PoolUpdate {
         pool: name.to_owned(),
         rev: heard.rev,
         whole: false,
@@ -239,7 +239,7 @@
             return self.propose_drains(&view);
         };
         let (since, proposed) = *self.differs.entry(pool.to_owned()).or_insert((now, None));
-        let mine = view.leads() || now >= since + DEPUTY;
+        let mine = view.is_leader() || now >= since + DEPUTY;
         if mine && proposed.is_none_or(|at| now >= at + AGAIN) {
             self.differs.insert(pool.to_owned(), (since, Some(now)));
             self.handle.propose(Command::Listed(listed));
@@ -448,7 +448,7 @@
         let Some(rollout) = locked(&self.shared.rollout, |rollout| rollout.clone()) else { return };
         let own = self.serving.cohort(&rollout, self.stage_since, self.tolerance);
         let progress = rollout.progress().clone();
-        if !view.leads() {
+        if !view.is_leader() {
             let mut note = CohortNote {
                 serial: progress.serial,
                 stage: progress.stage,
@@ -465,10 +465,12 @@
         let mut looked = rollout;
         let to = match looked.look(self.shared.hub.now(), &cohort) {
             Next::Wait => return,
-            Next::Halt => command::Towards::Halt(looked.progress().halted.clone().unwrap_or_default()),
-            Next::Stage | Next::Done => command::Towards::Next,
+            Next::Halt => {
+                command::RolloutAction::Halt(looked.progress().halted.clone().unwrap_or_default())
+            }
+            Next::Stage | Next::Done => command::RolloutAction::Next,
         };
-        let step = command::Step { serial: progress.serial, stage: progress.stage, to };
+        let step = command::RolloutStep { serial: progress.serial, stage: progress.stage, to };
         let now = Instant::now();
         if self.stepped.as_ref().is_some_and(|(was, at)| *was == step && now < *at + AGAIN) {
             return;
@@ -479,8 +481,7 @@
 
     fn all_cohorts(&self, view: &View, progress: &Progress, mut all: Cohort) -> Cohort {
         let notes = self.handle.notes(COHORT, COHORT_FRESH);
-        let heard =
-            view.standing.iter().flat_map(|standing| &standing.peers).filter(|(_, peer)| peer.heard);
+        let heard = view.status.iter().flat_map(|standing| &standing.peers).filter(|(_, peer)| peer.heard);
         for (member, _) in heard {
             let note = notes.get(member).and_then(|text| serde_json::from_str::<CohortNote>(text).ok());
             let note = note.filter(|note| {
@@ -501,8 +502,8 @@
 
     /// A learner that has caught up may vote.
     fn promote(&mut self, view: &View) {
-        let Some(state) = view.state.as_ref().filter(|_| view.leads()) else { return };
-        let (now, standing) = (Instant::now(), view.standing.as_ref());
+        let Some(state) = view.state.as_ref().filter(|_| view.is_leader()) else { return };
+        let (now, standing) = (Instant::now(), view.status.as_ref());
         if self.promoted.is_some_and(|at| now < at + AGAIN) {
             return;
         }
@@ -525,7 +526,7 @@
 
 /// What ails the cluster as this instance sees it.
 pub fn trouble_of(view: &View) -> String {
-    let why = view.removed.clone().or_else(|| view.trouble.clone());
+    let why = view.removed.clone().or_else(|| view.storage_error.clone());
     let why = why.unwrap_or_else(|| {
         let down: Vec<String> = view
             .links
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -41,7 +41,7 @@
 /// The same, handed out in stages.
 pub fn change_in_stages(folder: &Path, wanted: &str, stages: &[u32], pause_ms: u64) -> u64 {
     let wanted = Fleet::read(wanted).unwrap_or_else(|problems| panic!("{problems}"));
-    let mut store = Store::open_or_make(Files::new(folder).expect("a folder"), "l").expect("a store");
+    let mut store = Store::open_or_create(Files::new(folder).expect("a folder"), "l").expect("a store");
     let from = current(&store, store.serial()).expect("a fleet");
     let request = Request {
         author: "nok",
--- a/crates/plan/src/apply.rs
+++ b/crates/plan/src/apply.rs
@@ -4,7 +4,7 @@
 use crate::file::Plan;
 use crate::risk::Risk;
 use runtrack_model::{Fleet, Severity};
-use runtrack_store::{Entry, Files, Store, StoreError, Version};
+use runtrack_store::{CommitInfo, Files, Store, StoreError, Version};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use thiserror::Error;
@@ -99,7 +99,7 @@
     /// A version's text.
     fn text(&self, serial: u64) -> Result<String, ApplyError>;
     /// Makes a text the version after this serial and no other.
-    fn commit(&mut self, on: u64, text: &str, entry: Entry) -> Result<Applied, ApplyError>;
+    fn commit(&mut self, on: u64, text: &str, entry: CommitInfo) -> Result<Applied, ApplyError>;
 
     /// The current version.
     fn current(&self) -> Option<&Version> {
@@ -125,7 +125,7 @@
         Ok(Store::text(self, serial)?)
     }
 
-    fn commit(&mut self, on: u64, text: &str, entry: Entry) -> Result<Applied, ApplyError> {
+    fn commit(&mut self, on: u64, text: &str, entry: CommitInfo) -> Result<Applied, ApplyError> {
         Ok(Applied::Now(Store::commit(self, on, text, entry)?.serial))
     }
 }
@@ -182,7 +182,8 @@
         return Err(ApplyError::LeadsElsewhere);
     }
     let (stages, pause_ms) = (plan.stages.as_slice(), plan.pause_ms);
-    let entry = Entry { author, reason: &plan.reason, at_ms: now_ms, plan: &plan.id, stages, pause_ms };
+    let entry =
+        CommitInfo { author, reason: &plan.reason, at_ms: now_ms, plan: &plan.id, stages, pause_ms };
     store.commit(plan.serial, &fleet.canonical(), entry)
 }
 
--- a/crates/plan/src/file.rs
+++ b/crates/plan/src/file.rs
@@ -137,9 +137,11 @@
             return Err(PlanError::TooLong(bytes.len()));
         }
         let (_, text) = seal::open(MAGIC, FORMAT, bytes).map_err(|broken| match broken {
-            seal::Broken::Newer { found, .. } => PlanError::Newer { found },
-            seal::Broken::Changed => PlanError::Changed,
-            seal::Broken::Foreign | seal::Broken::Never(_) | seal::Broken::NoText => PlanError::NoPlan,
+            seal::SealError::Newer { found, .. } => PlanError::Newer { found },
+            seal::SealError::HashMismatch => PlanError::Changed,
+            seal::SealError::BadHeader | seal::SealError::UnknownFormat(_) | seal::SealError::NotUtf8 => {
+                PlanError::NoPlan
+            }
         })?;
         let plan: Plan = serde_json::from_str(text).map_err(|e| PlanError::Senseless(e.to_string()))?;
         if plan.expires_ms < plan.made_ms {
--- a/crates/plan/tests/common/mod.rs
+++ b/crates/plan/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use runtrack_balancer::Group;
 use runtrack_model::*;
 use runtrack_plan::{Load, Plan, Request};
-use runtrack_store::{Entry, Store};
+use runtrack_store::{CommitInfo, Store};
 use runtrack_testkit::Disk;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -152,8 +152,8 @@
 
 /// A state with one version of this fleet, applied long before `NOW`.
 pub fn state_of(fleet: &Fleet) -> Store<Disk> {
-    let mut store = Store::open_or_make(Disk::default(), "a-lineage").expect("a store in memory");
-    let entry = Entry { author: "nok", reason: "first", at_ms: NOW - HOUR, ..Entry::default() };
+    let mut store = Store::open_or_create(Disk::default(), "a-lineage").expect("a store in memory");
+    let entry = CommitInfo { author: "nok", reason: "first", at_ms: NOW - HOUR, ..CommitInfo::default() };
     store.commit(0, &fleet.canonical(), entry).expect("a first version");
     store
 }
--- a/crates/plan/tests/refusals.rs
+++ b/crates/plan/tests/refusals.rs
@@ -5,7 +5,7 @@
 use common::*;
 use runtrack_model::{Fleet, Severity};
 use runtrack_plan::*;
-use runtrack_store::{Entry, seal};
+use runtrack_store::{CommitInfo, seal};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
@@ -299,7 +299,7 @@
 fn what_is_in_the_store_and_is_no_fleet_is_refused() {
     let (from, to) = pair();
     let mut store = state_of(&from);
-    let entry = Entry { author: "nok", reason: "by hand", at_ms: NOW, ..Entry::default() };
+    let entry = CommitInfo { author: "nok", reason: "by hand", at_ms: NOW, ..CommitInfo::default() };
     store.commit(1, "{\"rules\":{}}", entry).expect("the store takes any text");
     let plan = plan_on(&store, &from, &to, "why");
     let problem = apply(&mut store, &plan, &accept(&plan), "nok", NOW).expect_err("no fleet");
--- a/crates/sim/src/agreement/clients.rs
+++ b/crates/sim/src/agreement/clients.rs
@@ -44,7 +44,7 @@
             0 => commit(self.nodes[&at].state()?, self.numbers),
             n => {
                 let uid = format!("h{}", self.numbers % 4);
-                Command::Hold { pool: "h".to_owned(), uid, held: n == 1, by: By::default() }
+                Command::Hold { pool: "h".to_owned(), uid, held: n == 1, by: Attribution::default() }
             }
         };
         Some(Write { proposal: Proposal { id, command }, at, asked: 0 })
@@ -66,7 +66,7 @@
         self.last_number += 1;
         let (number, least, asked) = (self.last_number, self.observed.acked_to, self.now);
         if let Some(node) = self.nodes.get_mut(&at) {
-            node.read(number);
+            node.request_read(number);
         }
         self.reads.push(Read { number, at, least, asked });
         self.reads.retain(|read| read.asked + 4 * ASKS > asked);
@@ -132,7 +132,7 @@
         on: state.serial(),
         parent,
         text: format!("{number}"),
-        by: By::default(),
+        by: Attribution::default(),
         plan: String::new(),
         stages: Vec::new(),
         pause_ms: 0,
--- a/crates/sim/src/agreement/discovery.rs
+++ b/crates/sim/src/agreement/discovery.rs
@@ -31,7 +31,7 @@
             (uid, Some(Endpoint { said: "x".to_owned(), draining, boot_ms: 1 }))
         };
         let endpoints = (0..ENDPOINTS).map(endpoint).collect();
-        let listed = Listed { pool: POOL.to_owned(), rev, whole: true, settled: false, endpoints };
+        let listed = PoolUpdate { pool: POOL.to_owned(), rev, whole: true, settled: false, endpoints };
         self.propose(leader, Command::Listed(listed));
     }
 
--- a/crates/sim/src/agreement/faults.rs
+++ b/crates/sim/src/agreement/faults.rs
@@ -27,7 +27,7 @@
             What::Transfer(to) => {
                 let to = self.who(to);
                 if let Some(node) = self.leader().and_then(|leader| self.nodes.get_mut(&leader)) {
-                    node.transfer(to);
+                    node.transfer_leader(to);
                 }
             }
             What::Drain(endpoint) => {
--- a/crates/sim/src/agreement/members.rs
+++ b/crates/sim/src/agreement/members.rs
@@ -102,7 +102,7 @@
             {
                 let voting = |id: &&MemberId| **id != leader && !self.off.contains_key(*id);
                 if let Some(to) = self.members.iter().find(voting) {
-                    node.transfer(*to);
+                    node.transfer_leader(*to);
                 }
             }
             return;
--- a/crates/sim/src/agreement/mod.rs
+++ b/crates/sim/src/agreement/mod.rs
@@ -25,10 +25,10 @@
 use proxies::{Proxy, Serving};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use runtrack_agree::command::{By, Commit, Endpoint, Listed};
+use runtrack_agree::command::{Attribution, Commit, Endpoint, PoolUpdate};
 use runtrack_agree::{
-    Applied, Command, DiskError, Fetch, Identity, MemberChange, MemberId, Node, NodeError, Outcome, Output,
-    PeerMessage, Proposal, State, Tuning,
+    Applied, Command, DiskError, Identity, MemberChange, MemberId, Node, NodeError, Outcome, Output,
+    PeerMessage, Proposal, SnapshotFetch, State, Tuning,
 };
 use runtrack_testkit::Disk;
 use runtrack_xds::{Cache, Change, Kind, Limits, Request, Response, Session};
@@ -37,7 +37,7 @@
 use std::time::Duration;
 use world::{World, fnv, identity};
 
-const TUNING: Tuning = Tuning { heartbeat: 1, election: 10, log_bytes: 6_000 };
+const TUNING: Tuning = Tuning { heartbeat_ticks: 1, election_ticks: 10, log_bytes: 6_000 };
 /// Ticks in which all must be back after everything was healed.
 const BACK: u64 = 3_000;
 /// Ticks after which somebody without an answer asks elsewhere.
--- a/crates/sim/src/agreement/recovery.rs
+++ b/crates/sim/src/agreement/recovery.rs
@@ -19,7 +19,7 @@
         }
         if self.outcomes.breaches.is_empty() {
             let standings: Vec<String> =
-                self.nodes.iter().map(|(id, node)| format!("{id}: {:?}", node.standing())).collect();
+                self.nodes.iter().map(|(id, node)| format!("{id}: {:?}", node.status())).collect();
             self.breach(Rule::Return, standings.join("; "));
         }
     }
--- a/crates/sim/src/agreement/turn.rs
+++ b/crates/sim/src/agreement/turn.rs
@@ -44,11 +44,11 @@
 
     /// Offers snapshots again to members that have not fetched theirs.
     fn offer_snapshots(&mut self) {
-        for node in self.nodes.values_mut().filter(|node| node.leads()) {
-            let standing = node.standing();
+        for node in self.nodes.values_mut().filter(|node| node.is_leader()) {
+            let standing = node.status();
             let fetching = standing.peers.iter().filter(|(_, peer)| peer.snapshot);
             let fetching: Vec<MemberId> = fetching.map(|(id, _)| *id).collect();
-            fetching.into_iter().for_each(|member| node.offer_again(member));
+            fetching.into_iter().for_each(|member| node.retry_snapshot(member));
         }
     }
 
@@ -61,7 +61,7 @@
             Ok(output) => output,
             Err(_) => return self.on_disk_failed(member),
         };
-        if node.leads() {
+        if node.is_leader() {
             let term = node.term();
             self.check_leader(member, term);
         }
@@ -97,16 +97,16 @@
         }
     }
 
-    fn fetch_snapshot(&mut self, member: MemberId, fetch: &Fetch) {
+    fn fetch_snapshot(&mut self, member: MemberId, fetch: &SnapshotFetch) {
         let reaches = !self
             .cuts
             .iter()
             .any(|(what, who, _)| matches!(what, What::Cut(_)) && (*who == member || *who == fetch.from));
-        let from = self.nodes.get(&fetch.from).filter(|from| reaches && *from.snapshot() == fetch.place);
+        let from = self.nodes.get(&fetch.from).filter(|from| reaches && *from.snapshot() == fetch.snapshot);
         let text = from.and_then(|from| from.snapshot_text().ok()?);
         let Some(node) = self.nodes.get_mut(&member) else { return };
-        let Some(text) = text else { return node.not_fetched() };
-        if !node.fetched(text) {
+        let Some(text) = text else { return node.snapshot_fetch_failed() };
+        if !node.snapshot_fetched(text) {
             let why = format!("{member} was given another snapshot than it was offered");
             self.breach(Rule::Agreement, why);
         }
--- a/crates/sim/src/agreement/world.rs
+++ b/crates/sim/src/agreement/world.rs
@@ -63,7 +63,7 @@
     pub(super) fn new(script: &Script) -> World<'_> {
         let disk = Disk::default();
         let state = State::new("l", 7, "m1", "a1", "f-1");
-        let made = Node::found(disk.clone(), identity(1), &state);
+        let made = Node::bootstrap(disk.clone(), identity(1), &state);
         let mut world = World {
             script,
             draws: Pcg32::seed_from_u64(script.seed),
@@ -112,7 +112,8 @@
     }
 
     pub(super) fn leader(&self) -> Option<MemberId> {
-        let leading = self.nodes.iter().filter(|(id, node)| node.leads() && !self.stalled.contains_key(id));
+        let leading =
+            self.nodes.iter().filter(|(id, node)| node.is_leader() && !self.stalled.contains_key(id));
         leading.map(|(id, node)| (node.term(), *id)).max().map(|(_, id)| id)
     }
 
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -13,7 +13,7 @@
     /// Adds bytes behind those of a file, which is made if it is not there. Where it fails part of them may be there.
     fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Leaves only so many bytes of a file.
-    fn cut(&self, name: &str, length: u64) -> io::Result<()>;
+    fn truncate(&self, name: &str, length: u64) -> io::Result<()>;
     /// Makes a file's bytes durable.
     fn sync(&self, name: &str) -> io::Result<()>;
     /// Gives a file another name, in place of whoever had that: at once or not at all.
@@ -49,7 +49,7 @@
         OpenOptions::new().create(true).append(true).open(self.0.join(name))?.write_all(bytes)
     }
 
-    fn cut(&self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&self, name: &str, length: u64) -> io::Result<()> {
         OpenOptions::new().write(true).open(self.0.join(name))?.set_len(length)
     }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -25,7 +25,7 @@
 /// The format of versions' texts.
 const TEXT_FORMAT: u32 = 1;
 /// Versions kept, the current one included.
-pub const HISTORY: usize = 100;
+pub const MAX_VERSIONS: usize = 100;
 
 const MAGIC: &str = "runtrack-state";
 const HEAD: &str = "head";
@@ -72,7 +72,7 @@
     },
     /// There is no such version, or it is no longer kept.
     #[error("serial {0} is not kept")]
-    Unknown(u64),
+    VersionNotFound(u64),
     /// Somebody else is writing.
     #[error("locked by {0}")]
     Locked(String),
@@ -111,7 +111,7 @@
 
 /// Who commits, why and when, and how it is to be handed out.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Entry<'a> {
+pub struct CommitInfo<'a> {
     /// Who.
     pub author: &'a str,
     /// Why.
@@ -149,7 +149,7 @@
     }
 
     /// Opens what is there, or makes an empty state of this lineage, a random text of the caller's.
-    pub fn open_or_make(files: F, lineage: &str) -> Result<Self, StoreError> {
+    pub fn open_or_create(files: F, lineage: &str) -> Result<Self, StoreError> {
         let (format, head) = match read_head(&files)? {
             Some(read) => read,
             None => {
@@ -184,7 +184,7 @@
     /// A version's text.
     pub fn text(&self, serial: u64) -> Result<String, StoreError> {
         let version = self.head.versions.iter().find(|version| version.serial == serial);
-        let version = version.ok_or(StoreError::Unknown(serial))?;
+        let version = version.ok_or(StoreError::VersionNotFound(serial))?;
         let name = state_name(serial);
         let (_, text) =
             read_sealed(&self.files, &name, TEXT_FORMAT)?.ok_or_else(|| damaged(&name, "it is missing"))?;
@@ -197,7 +197,7 @@
     /// Makes a new version, on top of the one of this serial and no other. When this returns it is durable; where
     /// it fails the state is the one before, but for a failure in the last step, of which only `open` can say
     /// which of the two it has left. The caller holds the [`Lock`].
-    pub fn commit(&mut self, on: u64, text: &str, entry: Entry) -> Result<&Version, StoreError> {
+    pub fn commit(&mut self, on: u64, text: &str, entry: CommitInfo) -> Result<&Version, StoreError> {
         // Another process may have written since this one has read.
         (self.format, self.head) = read_head(&self.files)?.ok_or_else(|| damaged(HEAD, "it is missing"))?;
         let found = self.serial();
@@ -225,7 +225,7 @@
         self.files.sync_folder().map_err(|error| file(".", error))?;
         let mut head = self.head.clone();
         head.versions.push(version);
-        let over = head.versions.len().saturating_sub(HISTORY);
+        let over = head.versions.len().saturating_sub(MAX_VERSIONS);
         let dropped: Vec<Version> = head.versions.drain(..over).collect();
         write_head(&self.files, &head)?;
         (self.head, self.format) = (head, FORMAT);
@@ -263,7 +263,7 @@
     };
     match seal::open(MAGIC, known, &bytes) {
         Ok((format, text)) => Ok(Some((format, text.to_owned()))),
-        Err(seal::Broken::Newer { found, known }) => {
+        Err(seal::SealError::Newer { found, known }) => {
             Err(StoreError::Newer { file: name.to_owned(), found, known })
         }
         Err(broken) => Err(damaged(name, broken)),
--- a/crates/store/src/lock.rs
+++ b/crates/store/src/lock.rs
@@ -13,7 +13,7 @@
 
 impl Lock {
     /// Takes the lock of a folder, or says who has it.
-    pub fn take(folder: &Path, owner: &str) -> Result<Lock, StoreError> {
+    pub fn acquire(folder: &Path, owner: &str) -> Result<Lock, StoreError> {
         let failed = |error| StoreError::File { file: NAME.to_owned(), error };
         let mut options = OpenOptions::new();
         options.read(true).write(true).create(true).truncate(false);
--- a/crates/store/src/seal.rs
+++ b/crates/store/src/seal.rs
@@ -5,10 +5,10 @@
 
 /// Why a sealed text can't be used.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Broken {
+pub enum SealError {
     /// The first line is not one of ours.
     #[error("its first line is not ours")]
-    Foreign,
+    BadHeader,
     /// A newer version wrote it.
     #[error("format {found}, this version reads up to {known}")]
     Newer {
@@ -19,13 +19,13 @@
     },
     /// A format that nobody ever wrote.
     #[error("there never was a format {0}")]
-    Never(u32),
+    UnknownFormat(u32),
     /// Bytes are missing, added or changed.
     #[error("its hash does not fit")]
-    Changed,
+    HashMismatch,
     /// Not UTF-8.
     #[error("it is no text")]
-    NoText,
+    NotUtf8,
 }
 
 /// SHA-256 of a text, in hex.
@@ -39,17 +39,17 @@
 }
 
 /// What was sealed, and in which of the formats up to the newest that is known.
-pub fn open<'b>(magic: &str, known: u32, bytes: &'b [u8]) -> Result<(u32, &'b str), Broken> {
-    let text = std::str::from_utf8(bytes).map_err(|_| Broken::NoText)?;
-    let (first, rest) = text.split_once('\n').ok_or(Broken::Foreign)?;
+pub fn open<'b>(magic: &str, known: u32, bytes: &'b [u8]) -> Result<(u32, &'b str), SealError> {
+    let text = std::str::from_utf8(bytes).map_err(|_| SealError::NotUtf8)?;
+    let (first, rest) = text.split_once('\n').ok_or(SealError::BadHeader)?;
     let parts: Vec<&str> = first.split(' ').collect();
-    let &[found, format, sum] = &parts[..] else { return Err(Broken::Foreign) };
-    let format: u32 = format.parse().map_err(|_| Broken::Foreign)?;
+    let &[found, format, sum] = &parts[..] else { return Err(SealError::BadHeader) };
+    let format: u32 = format.parse().map_err(|_| SealError::BadHeader)?;
     match () {
-        () if found != magic => Err(Broken::Foreign),
-        () if format > known => Err(Broken::Newer { found: format, known }),
-        () if format == 0 => Err(Broken::Never(format)),
-        () if hash(rest) != sum => Err(Broken::Changed),
+        () if found != magic => Err(SealError::BadHeader),
+        () if format > known => Err(SealError::Newer { found: format, known }),
+        () if format == 0 => Err(SealError::UnknownFormat(format)),
+        () if hash(rest) != sum => Err(SealError::HashMismatch),
         () => Ok((format, rest)),
     }
 }
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -24,9 +24,9 @@
         for seed in 0..100 {
             let disk = Disk::default();
             disk.fail(Some((cut, true)));
-            let _ = Store::open_or_make(disk.clone(), "lineage-1");
+            let _ = Store::open_or_create(disk.clone(), "lineage-1");
             let left = disk.after_cut(&mut Pcg32::seed_from_u64(seed));
-            let store = Store::open_or_make(left, "lineage-1").expect("made or there");
+            let store = Store::open_or_create(left, "lineage-1").expect("made or there");
             assert_eq!((store.serial(), store.lineage()), (0, "lineage-1"));
         }
     }
@@ -101,13 +101,13 @@
 
 #[test]
 fn history_is_kept_to_its_bound_and_what_is_over_is_removed() {
-    let versions = runtrack_store::HISTORY as u64 + 5;
+    let versions = runtrack_store::MAX_VERSIONS as u64 + 5;
     let disk = made(versions);
     let store = Store::open(disk.clone()).unwrap().unwrap();
-    assert_eq!(store.history().len(), runtrack_store::HISTORY);
+    assert_eq!(store.history().len(), runtrack_store::MAX_VERSIONS);
     assert_eq!(store.history()[0].serial, 6);
-    assert!(matches!(store.text(5), Err(StoreError::Unknown(5))));
-    assert_eq!(disk.names().len(), runtrack_store::HISTORY + 1);
+    assert!(matches!(store.text(5), Err(StoreError::VersionNotFound(5))));
+    assert_eq!(disk.names().len(), runtrack_store::MAX_VERSIONS + 1);
     assert_eq!(whole(&disk), versions);
 }
 
@@ -128,7 +128,7 @@
     assert_eq!(whole(&disk), 2);
     assert_eq!(disk.read("head").unwrap(), old, "reading migrates nothing");
     let mut store = Store::open(disk.clone()).unwrap().unwrap();
-    let staged = runtrack_store::Entry { stages: &[1000, 10_000], ..entry("maker") };
+    let staged = runtrack_store::CommitInfo { stages: &[1000, 10_000], ..entry("maker") };
     store.commit(2, &text(3), staged).unwrap();
     assert_eq!((whole(&disk), disk.read("head.1").unwrap()), (3, old.clone()));
     assert!(disk.read("head").unwrap().starts_with(b"runtrack-state 2 "));
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -3,11 +3,11 @@
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
-use runtrack_store::{Entry, Store};
+use runtrack_store::{CommitInfo, Store};
 pub use runtrack_testkit::Disk;
 
-pub fn entry(author: &str) -> Entry<'_> {
-    Entry { author, reason: "a test", at_ms: 1_796_000_000_000, ..Entry::default() }
+pub fn entry(author: &str) -> CommitInfo<'_> {
+    CommitInfo { author, reason: "a test", at_ms: 1_796_000_000_000, ..CommitInfo::default() }
 }
 
 pub fn text(serial: u64) -> String {
@@ -17,7 +17,7 @@
 /// A disk with so many versions.
 pub fn made(versions: u64) -> Disk {
     let disk = Disk::default();
-    let mut store = Store::open_or_make(disk.clone(), "lineage-1").unwrap();
+    let mut store = Store::open_or_create(disk.clone(), "lineage-1").unwrap();
     for serial in 1..=versions {
         store.commit(serial - 1, &text(serial), entry("maker")).unwrap();
     }
--- a/crates/testkit/src/disk.rs
+++ b/crates/testkit/src/disk.rs
@@ -168,7 +168,7 @@
         self.put(name, bytes, true)
     }
 
-    fn cut(&self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&self, name: &str, length: u64) -> io::Result<()> {
         self.step()?;
         let mut state = self.state.borrow_mut();
         let content = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
