--- a/crates/agree/src/command.rs
+++ b/crates/agree/src/command.rs
@@ -1,181 +1,182 @@
-//! What is put into the log, and what comes of it.
+//! Commands that are replicated through the log, and their outcomes.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A member's number. Never given twice in the life of a cluster, and never 0.
+/// A member's id: never 0, and never reused within a cluster.
 pub type MemberId = u64;
 
-/// Longest write id that is taken, in bytes.
+/// Maximum length of a write id, in bytes.
 pub const MAX_WRITE_ID_BYTES: usize = 64;
 
-/// A command and the id of the write that it is: a repeat with the same id is answered and not run again.
+/// A command with the id of its write. A repeat with the same id gets the first one's outcome and is not applied again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
-    /// The write's id, of its client's making; empty: nobody will repeat it.
+    /// Id chosen by the client; empty if the write will not be repeated.
     pub id: String,
-    /// What is to be done.
+    /// The command to apply.
     pub command: Command,
 }
 
-/// What is to be done. Times are the proposer's, Unix time in milliseconds, and are only shown.
+/// A command. Times are by the proposer's clock, Unix time in milliseconds, and are for display only.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// A new version of the fleet.
+    /// Commits a new version of the fleet.
     Commit(Commit),
-    /// A step of a roll-out.
+    /// Advances, halts or resumes a roll-out.
     Rollout(RolloutStep),
-    /// What discovery is believed to say of a pool.
+    /// Updates a pool's endpoints from discovery.
     Listed(PoolUpdate),
-    /// An endpoint drains: heard by one instance.
+    /// Marks an endpoint as draining, as one control instance heard it from discovery.
     Draining {
-        /// The pool.
+        /// Pool name.
         pool: String,
-        /// The endpoint.
+        /// Endpoint uid.
         uid: String,
-        /// When its process started, as discovery has it: a later one is another process.
+        /// Start time of the endpoint's process according to discovery; a process that started later is not affected.
         boot_ms: u64,
-        /// The version of discovery's list that said so.
+        /// Revision of discovery's list that reported the drain.
         rev: u64,
     },
-    /// Somebody wants nothing new sent to an endpoint, whatever discovery says, or no longer wants that.
+    /// Sets or removes an operator's hold: a held endpoint gets no new requests, whatever discovery says.
     Hold {
-        /// The pool.
+        /// Pool name.
         pool: String,
-        /// The endpoint.
+        /// Endpoint uid.
         uid: String,
-        /// Whether it is held.
+        /// Whether the endpoint is held from now on.
         held: bool,
-        /// Who, why and when.
+        /// Author, reason and time.
         by: Attribution,
     },
-    /// A member's folder has shown itself for the first time.
+    /// Binds a member to its storage folder, at the member's first contact.
     Seen {
         /// The member.
         member: MemberId,
-        /// The ticket of its invitation.
+        /// Ticket from the member's invitation.
         ticket: String,
-        /// The folder's own random number.
+        /// Random id of the folder.
         folder: String,
     },
 }
 
-/// Who, why and when.
+/// Author, reason and time of a change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Attribution {
-    /// Who.
+    /// Author of the change.
     pub author: String,
-    /// Why.
+    /// Reason given for the change.
     pub reason: String,
-    /// When.
+    /// Unix time in milliseconds.
     pub at_ms: u64,
 }
 
-/// A new version of the fleet, on top of one of this serial and hash and no other.
+/// A new version of the fleet. It is refused unless the current version has the serial `on` and the hash `parent`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Commit {
-    /// The serial that it builds on; 0: none.
+    /// Serial of the version that it builds on; 0 for the first version.
     pub on: u64,
-    /// That version's hash; empty for none.
+    /// Hash of that version; empty for the first version.
     pub parent: String,
     /// The fleet, in its canonical form.
     pub text: String,
-    /// Who, why and when.
+    /// Author, reason and time.
     pub by: Attribution,
-    /// The id of the plan that it carries out; empty for none.
+    /// Id of the plan that the commit applies; empty for none.
     pub plan: String,
-    /// Parts of the proxies that get it one after the other, in 10,000; empty: all at once.
+    /// Roll-out stages: the share of proxies that gets the version in each, in parts of 10,000; empty: all at once.
     pub stages: Vec<u32>,
-    /// Least time between two stages, in milliseconds.
+    /// Minimum time between two stages, in milliseconds.
     pub pause_ms: u64,
 }
 
-/// A step of the roll-out of a version. It names the stage that it follows, so that none is skipped or taken twice.
+/// A step of a version's roll-out. It names the current stage, so that a delayed or repeated step skips no stage and
+/// applies to none twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutStep {
-    /// The version.
+    /// Serial of the version.
     pub serial: u64,
-    /// The stage that it is in now, from 0.
+    /// Index of the current stage, from 0.
     pub stage: usize,
-    /// What happens.
+    /// The action to take.
     pub to: RolloutAction,
 }
 
-/// Where a roll-out goes.
+/// Action on a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutAction {
-    /// On to the next stage, or to its end.
+    /// Starts the next stage, or ends the roll-out after the last one.
     Next,
-    /// No further, for this reason.
+    /// Halts the roll-out, for this reason.
     Halt(String),
-    /// On again after a halt.
+    /// Resumes a halted roll-out.
     Resume,
 }
 
-/// What discovery is believed to say of a pool.
+/// An update of a pool's endpoints, from discovery's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolUpdate {
-    /// The pool.
+    /// Pool name.
     pub pool: String,
-    /// The version of discovery's list.
+    /// Revision of discovery's list.
     pub rev: u64,
-    /// What is not named is gone.
+    /// The update is a full list: endpoints that it does not contain are removed.
     pub whole: bool,
-    /// It has stood long enough to be believed against an older word that had a higher version: the source may have
-    /// begun to count anew.
+    /// The list has been stable long enough to override an earlier drain of a higher revision: the source may have
+    /// restarted its revisions.
     pub settled: bool,
-    /// Endpoints by uid; none: it is gone.
+    /// Endpoints by uid; `None` removes the endpoint.
     pub endpoints: BTreeMap<String, Option<Endpoint>>,
 }
 
-/// An endpoint as it is listed.
+/// An endpoint as discovery lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// All that discovery says of it, in its own words (JSON).
+    /// Discovery's entry for the endpoint, as unmodified JSON.
     pub said: String,
-    /// Whether it drains.
+    /// Whether the endpoint is draining.
     pub draining: bool,
-    /// When its process started, Unix time in milliseconds; 0: long ago.
+    /// Start of its process, Unix time in milliseconds; 0 counts as long ago.
     pub boot_ms: u64,
 }
 
-/// A change of the members, of which there is one at a time.
+/// A membership change. Only one may be in progress at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberChange {
-    /// A new one, which learns and does not vote.
+    /// Adds a member as a learner, without a vote.
     Add {
-        /// Its number: the next that was never given.
+        /// Id of the new member: the next unused one.
         member: MemberId,
-        /// Its name.
+        /// Name of the new member.
         name: String,
-        /// Where other members reach it.
+        /// Address at which other members reach it.
         address: String,
-        /// What its folder must show once.
+        /// Ticket that the member's folder must present once.
         ticket: String,
     },
-    /// A learner votes from now on.
+    /// Makes a learner a voter.
     Promote {
-        /// Which.
+        /// The learner to promote.
         member: MemberId,
     },
-    /// A member is no more.
+    /// Removes a member.
     Remove {
-        /// Which.
+        /// The member to remove.
         member: MemberId,
     },
 }
 
 impl MemberChange {
-    /// Whom it is about.
+    /// The member that is added, promoted or removed.
     pub fn member(&self) -> MemberId {
         match self {
             MemberChange::Add { member, .. }
@@ -185,31 +186,31 @@
     }
 }
 
-/// What came of a command.
+/// Outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It is done.
+    /// The command was applied.
     Done,
-    /// It is this version of the fleet now.
+    /// The fleet was committed as the version of this serial.
     Committed(u64),
-    /// The plan had been applied as this version; nothing was done.
+    /// The plan had already been applied as the version of this serial; nothing was changed.
     Before(u64),
-    /// The state is no longer the one that it builds on.
+    /// The current version is not the one that the commit builds on.
     Moved {
-        /// The serial that it builds on.
+        /// The serial that the commit builds on.
         expected: u64,
-        /// The serial that is there.
+        /// The current serial.
         found: u64,
-        /// Who made that, and why.
+        /// Author and reason of the current version.
         by: String,
     },
-    /// Nothing was done, for this reason.
+    /// The command was refused for this reason, and nothing was changed.
     Refused(String),
 }
 
 impl Outcome {
-    /// Whether it changed anything or had done so before.
+    /// Whether the command took effect, now or at an earlier attempt.
     pub fn is_done(&self) -> bool {
         matches!(self, Outcome::Done | Outcome::Committed(_) | Outcome::Before(_))
     }
--- a/crates/agree/src/disk.rs
+++ b/crates/agree/src/disk.rs
@@ -1,10 +1,10 @@
-//! A member's folder: who it is, its last snapshot, its log and its promises, durable before anybody is told.
+//! A member's storage folder: its identity, last snapshot, log and hard state, made durable before they are acknowledged.
 //!
 //! ```text
-//! head             identity, names of the snapshot and of the segment; replaced by rename
-//! snapshot-INDEX   the state up to there, sealed; written whole before the head names it
-//! segment-N        records, appended; written whole before the head names it. Its entries begin at or before the
-//!                  snapshot: others may be a little behind
+//! member           the head: identity, names of the snapshot and of the segment; replaced by rename
+//! snapshot-INDEX   the state up to that index, sealed; fully written before the head refers to it
+//! segment-N        records, appended; fully written before the head refers to it. Its entries begin at or before the
+//!                  snapshot, because other members may lag a little
 //! ```
 
 use crate::record::{self, Entry, HardStateRecord, Record};
@@ -20,28 +20,29 @@
 const SNAPSHOT_MAGIC: &str = "runtrack-snapshot";
 const FORMAT: u32 = 1;
 
-/// Why a member's folder can't be used.
+/// Why a member's folder cannot be used.
 #[derive(Debug, Error)]
 pub enum DiskError {
-    /// The system refuses something.
+    /// A file operation failed.
     #[error("{file}: {error}")]
     File {
         /// The file.
         file: String,
-        /// What the system says.
+        /// The I/O error.
         error: io::Error,
     },
-    /// A file is not what was written. The member must be removed and another one added: what it had promised is lost.
+    /// A file's content is not what was written. The member must be replaced by a new one, because its votes and
+    /// acknowledgements may be lost.
     #[error(
         "{file}: damaged: {problem}. Remove this member from the cluster, and add a new one with an empty folder"
     )]
     Damaged {
         /// The file.
         file: String,
-        /// What does not fit.
+        /// What is wrong with it.
         problem: String,
     },
-    /// A newer version wrote it.
+    /// A file was written by a newer version of the program.
     #[error("{file}: format {found}, this version reads up to {FORMAT}")]
     Newer {
         /// The file.
@@ -49,66 +50,66 @@
         /// Its format.
         found: u32,
     },
-    /// There is no member in the folder.
+    /// The folder holds no member.
     #[error(
         "there is no member here: `runtrackctl cluster init` makes a cluster, `runtrackctl cluster join` takes an invitation"
     )]
     NoMember,
-    /// There is one already.
+    /// The folder already holds the member with this id.
     #[error("there is a member here already: number {0}")]
     Member(u64),
 }
 
-/// Who a member is.
+/// A member's identity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
-    /// The cluster's lineage.
+    /// Lineage of the cluster.
     pub lineage: String,
-    /// Its number in it.
+    /// Member id.
     pub member: u64,
-    /// The ticket of its invitation; empty for the first member.
+    /// Ticket of its invitation; empty for the first member.
     pub ticket: String,
-    /// A random number of this folder's: no two folders have the same.
+    /// Random id of this folder; no two folders have the same one.
     pub folder: String,
-    /// Where the others were reached when it was invited, by number.
+    /// Ids and addresses of the other members at the time of the invitation.
     pub others: Vec<(u64, String)>,
 }
 
-/// An invitation: what a new member's folder is made of. The folder's own random number is for who takes it to make.
+/// Invitation for a new member, from which its folder is created. Whoever accepts it generates the folder's random id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Invitation {
-    /// The new member's name, for people.
+    /// Display name of the new member.
     pub name: String,
-    /// Who it will be.
+    /// Identity of the new member.
     pub identity: Identity,
 }
 
-/// Where a snapshot stands in the log.
+/// Metadata of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotMeta {
-    /// The last index in it; 0: nothing yet.
+    /// Index of the last entry that it contains; 0 for an empty state.
     pub index: u64,
-    /// That entry's term.
+    /// Term of that entry.
     pub term: u64,
-    /// Members that vote, as of then.
+    /// Voting members as of that entry.
     pub voters: Vec<u64>,
-    /// Members that learn.
+    /// Learners as of that entry.
     pub learners: Vec<u64>,
-    /// SHA-256 of its text, in hex; empty for none.
+    /// SHA-256 of its text, in hex; empty if there is no text.
     pub hash: String,
-    /// Its size in bytes.
+    /// Size of its text in bytes.
     pub size: u64,
 }
 
-/// The entry before the first one of the log.
+/// Position of the entry that precedes the first one of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogBase {
-    /// Its index; 0: there was none.
+    /// Index of that entry; 0 if there was none.
     pub index: u64,
-    /// Its term.
+    /// Term of that entry.
     pub term: u64,
 }
 
@@ -121,26 +122,26 @@
     segment: u64,
 }
 
-/// What a folder holds.
+/// What was read from a folder when it was opened.
 #[derive(Clone, Debug)]
 pub struct RecoveredState {
-    /// Where the snapshot stands.
+    /// Metadata of the snapshot.
     pub place: SnapshotMeta,
-    /// Its text; none before the first.
+    /// Text of the snapshot; `None` before the first one.
     pub snapshot: Option<String>,
-    /// What was promised last.
+    /// The last hard state.
     pub promise: HardStateRecord,
-    /// The entry before the first of these.
+    /// Position before the first of `entries`.
     pub base: LogBase,
     /// The log's entries.
     pub entries: Vec<Entry>,
 }
 
-/// A member's folder, open.
+/// A member's open storage folder.
 pub struct MemberStore<F> {
     files: F,
     head: Head,
-    /// Bytes of the segment, and how many of them are durable.
+    /// Length of the segment in bytes, and how many of them are durable.
     length: u64,
     durable: u64,
     promise: HardStateRecord,
@@ -163,7 +164,7 @@
     format!("segment-{number:08}")
 }
 
-/// A sealed file's text; none where there is no such file.
+/// Reads a sealed file's text; `None` if there is no such file.
 fn sealed(files: &impl Files, name: &str, magic: &str) -> Result<Option<String>, DiskError> {
     let bytes = match files.read(name) {
         Ok(bytes) => bytes,
@@ -177,7 +178,7 @@
     }
 }
 
-/// Who the member of a folder is, if there is one.
+/// Identity of the member in a folder; `None` if it holds none.
 pub fn identity(files: &impl Files) -> Result<Option<Identity>, DiskError> {
     let Some(text) = sealed(files, HEAD, HEAD_MAGIC)? else { return Ok(None) };
     let head: Head = serde_json::from_str(&text).map_err(|problem| damaged(HEAD, problem))?;
@@ -185,7 +186,7 @@
 }
 
 impl<F: Files> MemberStore<F> {
-    /// Makes a member in an empty folder, with a snapshot to begin with, or with nothing, to learn all from others.
+    /// Creates a member in an empty folder, with an initial snapshot, or without one if it gets its state from others.
     pub fn make(
         files: F,
         identity: Identity,
@@ -206,7 +207,7 @@
         Ok(disk)
     }
 
-    /// Opens a member's folder. A torn tail of the log is cut off: nothing in it was answered for.
+    /// Opens a member's folder. A torn tail of the log is truncated, since nothing in it was acknowledged.
     pub fn open(files: F) -> Result<(MemberStore<F>, RecoveredState), DiskError> {
         let text = sealed(&files, HEAD, HEAD_MAGIC)?.ok_or(DiskError::NoMember)?;
         let head: Head = serde_json::from_str(&text).map_err(|problem| damaged(HEAD, problem))?;
@@ -258,7 +259,7 @@
         if sound < bytes.len() {
             files.truncate(&name, sound as u64).map_err(file(&name))?;
         }
-        // What was read may be in the system's memory alone, after a crash of the process.
+        // After a crash of the process, the bytes read may be only in the page cache.
         files.sync(&name).map_err(file(&name))?;
         let length = sound as u64;
         let mut disk = MemberStore { files, head, length, durable: length, promise };
@@ -266,17 +267,17 @@
         Ok((disk, RecoveredState { place, snapshot, promise, base, entries }))
     }
 
-    /// Who this is.
+    /// Identity of the member.
     pub fn identity(&self) -> &Identity {
         &self.head.identity
     }
 
-    /// Where the last snapshot stands.
+    /// Metadata of the last snapshot.
     pub fn snapshot(&self) -> &SnapshotMeta {
         &self.head.snapshot
     }
 
-    /// The text of the last snapshot.
+    /// Text of the last snapshot.
     pub fn snapshot_text(&self) -> Result<Option<String>, DiskError> {
         match self.head.snapshot.hash.is_empty() {
             true => Ok(None),
@@ -284,13 +285,13 @@
         }
     }
 
-    /// Bytes of the log behind the last snapshot.
+    /// Length of the current log segment, in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Makes entries and a promise durable. Where this fails nothing may be answered for, and the folder must be opened
-    /// anew.
+    /// Makes entries and the hard state durable. After an error nothing of them may be acknowledged, and the folder must
+    /// be reopened.
     pub fn save(&mut self, entries: Vec<Entry>, promise: Option<HardStateRecord>) -> Result<(), DiskError> {
         let promise = promise.filter(|promise| *promise != self.promise);
         if entries.is_empty() && promise.is_none() {
@@ -313,7 +314,7 @@
         self.mark()
     }
 
-    /// Says of all before it that it is durable. The mark itself need not be.
+    /// Appends a marker that all bytes before it are durable. The marker itself is not synced.
     fn mark(&mut self) -> Result<(), DiskError> {
         let name = segment_name(self.head.segment);
         let bytes = record::write(&Record::default(), self.durable);
@@ -322,8 +323,8 @@
         Ok(())
     }
 
-    /// Puts a snapshot and the entries that are still needed in place of all there was: at once or not at all. `text`
-    /// is none only for a member that knows nothing yet.
+    /// Atomically replaces the whole content by a snapshot and the log entries that are still needed. `text` is `None`
+    /// only for a member without any state yet.
     pub fn replace(
         &mut self,
         mut place: SnapshotMeta,
@@ -357,7 +358,7 @@
         self.files.sync_folder().map_err(file("."))?;
         (self.head, self.promise) = (head, promise);
         (self.length, self.durable) = (bytes.len() as u64, bytes.len() as u64);
-        // What nothing refers to any more may stay where it can't be removed.
+        // A failure to remove old files is harmless: nothing refers to them any more.
         if old.segment > 0 {
             let _ = self.files.remove(&segment_name(old.segment));
         }
--- a/crates/agree/src/host/link.rs
+++ b/crates/agree/src/host/link.rs
@@ -1,4 +1,4 @@
-//! Links to the other members: a bounded queue each, a connection that is made again, and nobody waits for anybody.
+//! Outgoing links to the other members: each has a bounded queue and reconnects on its own, and none blocks another.
 
 use super::server::{Ack, AskOut, Chunk, FetchOut};
 use super::server::{
@@ -24,34 +24,34 @@
 use tonic::{Code, Request, Status};
 use tonic_prost::ProstCodec;
 
-/// Messages that wait for one member at most, and their bytes: beyond them the newest is dropped, and the agreement
-/// sends again what is still needed.
+/// Limits of a link's queue, in messages and in bytes. Beyond them the newest message is dropped; Raft retransmits what
+/// is still needed.
 const MESSAGES: usize = 1_024;
 const BYTES: usize = 16 << 20;
-/// A connection that is not up after this long is given up.
+/// Timeout of a connection attempt.
 const CONNECT: Duration = Duration::from_secs(1);
-/// The first wait before another is tried; doubles up to the last.
+/// Reconnect delay: the initial one, which doubles up to the maximum.
 const AGAIN: Duration = Duration::from_millis(50);
 const AGAIN_MOST: Duration = Duration::from_secs(1);
-/// A peer whose machine is gone says nothing: asked this often ...
+/// HTTP/2 keep-alive interval, which detects peers whose machine has failed.
 const PING: Duration = Duration::from_secs(2);
-/// ... and given up after so long without an answer.
+/// Time without a keep-alive answer after which a connection is closed.
 const PONG: Duration = Duration::from_secs(3);
-/// A snapshot's part that does not come within this time is asked for again.
+/// Timeout of one chunk of a snapshot, after which the rest is requested again.
 const PART: Duration = Duration::from_secs(3);
-/// A snapshot that has not come after so many tries is given up: it is offered again.
+/// Attempts at fetching a snapshot, after which the fetch fails until the snapshot is offered again.
 const TRIES: u32 = 20;
 
-/// How a link stands.
+/// Status of a link.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LinkStatus {
-    /// Where the member is reached.
+    /// Address of the member.
     pub address: String,
-    /// Whether a connection is up.
+    /// Whether a connection is established.
     pub connected: bool,
-    /// Why the last one was not made, or ended.
+    /// Why the last connection attempt failed, or the last connection ended.
     pub problem: Option<String>,
-    /// Messages that were dropped since the process began.
+    /// Number of messages dropped since the process started.
     pub dropped: u64,
 }
 
@@ -83,11 +83,11 @@
         }
     }
 
-    /// Puts a message behind the others; tells whether one was dropped.
+    /// Appends a message to the queue; returns whether it was dropped.
     fn push(&self, message: PeerMessage) -> bool {
         let mut queue = locked(&self.queue);
         if message.is_heartbeat() {
-            // Of these only the newest says anything.
+            // A heartbeat supersedes the queued ones of its kind.
             let mut freed = 0;
             queue.messages.retain(|old| {
                 let stays = old.kind != message.kind || !old.is_heartbeat();
@@ -139,12 +139,12 @@
     }
 }
 
-/// All links.
+/// The links to all other members.
 pub(crate) struct Links {
     identity: Arc<Identity>,
     tls: Option<ClientTlsConfig>,
     orders: mpsc::Sender<Order>,
-    /// Links run where the service does, not on the agreement's thread.
+    /// Links run on the service's runtime, not on the node's thread.
     runtime: Runtime,
     held: Mutex<BTreeMap<MemberId, Held>>,
 }
@@ -158,7 +158,7 @@
         Links { identity, tls, orders, runtime: Runtime::current(), held: Mutex::default() }
     }
 
-    /// Keeps links to these members and no others.
+    /// Opens links to new members and closes those to members that are gone or have moved.
     pub(crate) fn keep(self: &Arc<Self>, members: &BTreeMap<MemberId, String>) {
         let mut held = locked(&self.held);
         held.retain(|member, held| {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Sends a message; what is dropped is told to the agreement.
+    /// Queues a message; returns false if it was dropped, so that the node can be told.
     pub(crate) fn send(&self, message: PeerMessage) -> bool {
         let held = locked(&self.held);
         held.get(&message.to).is_some_and(|held| !held.link.push(message))
@@ -225,7 +225,7 @@
         held.get(&member).and_then(|held| locked(&held.link.channel).clone())
     }
 
-    /// Asks another member for what only a leader may do.
+    /// Sends a leader-only request to another member.
     pub(crate) async fn ask(
         &self,
         member: MemberId,
@@ -233,7 +233,7 @@
         within: Duration,
     ) -> Result<(), RequestError> {
         let Some(channel) = self.channel(member) else { return Err(RequestError::OutcomeUnknown) };
-        let text = serde_json::to_string(asked).unwrap_or_default(); // fails only for maps with odd keys
+        let text = serde_json::to_string(asked).unwrap_or_default(); // can only fail for maps whose keys are not strings
         let mut request = Request::from_parts(self.hello(member), Default::default(), AskOut { text });
         request.set_timeout(within);
         let mut client = tonic::client::Grpc::new(channel);
@@ -249,7 +249,7 @@
         timeout(within, answer).await.unwrap_or(Err(RequestError::OutcomeUnknown))
     }
 
-    /// Sends a note, if a connection is up.
+    /// Sends a note if a connection is established.
     pub(crate) fn note(&self, member: MemberId, kind: String, text: String) {
         let Some(channel) = self.channel(member) else { return };
         let mut request =
@@ -263,7 +263,7 @@
         }));
     }
 
-    /// Fetches a snapshot's text in parts, going on where a link broke, and hands it to the member.
+    /// Fetches a snapshot's text in chunks, resuming after broken connections, and passes it to the worker.
     pub(crate) fn fetch(self: &Arc<Self>, fetch: SnapshotFetch) {
         let links = self.clone();
         self.runtime.spawn(async move {
@@ -324,7 +324,7 @@
     }
 }
 
-/// What lies at the bottom of an error: its top says `transport error`.
+/// The root cause of an error; the outermost text is only `transport error`.
 fn deepest(problem: &dyn std::error::Error) -> String {
     let mut at = problem;
     while let Some(below) = at.source() {
@@ -333,7 +333,7 @@
     at.to_string()
 }
 
-/// Keeps a link up for as long as it is held.
+/// Connects and reconnects a link until its task is aborted.
 async fn run(links: Arc<Links>, member: MemberId, link: Arc<Link>) {
     let mut wait = AGAIN;
     loop {
@@ -348,7 +348,7 @@
                     wait = AGAIN;
                 }
                 if status.code() == Code::NotFound {
-                    // It knows for certain that this member is none any more.
+                    // The peer knows that this member was removed.
                     let _ = links.orders.send(Order::Removed(status.message().to_owned())).await;
                 }
                 status.message().to_owned()
@@ -358,7 +358,7 @@
             let mut status = locked(&link.status);
             (status.connected, status.problem) = (false, Some(problem));
         }
-        // What waited is old by the time that there is a connection again.
+        // Queued messages would be stale by the time the link is connected again.
         link.clear();
         let _ = links.orders.send(Order::Lost(member)).await;
         sleep(wait).await;
@@ -366,7 +366,7 @@
     }
 }
 
-/// Sends what is queued until the connection ends; tells whether the other side had taken the stream, and how it ended.
+/// Sends queued messages until the connection ends. Returns whether the peer had accepted the stream, and why it ended.
 async fn deliver(
     links: &Arc<Links>,
     member: MemberId,
@@ -391,7 +391,7 @@
     }
     let request = Request::from_parts(links.hello(member), Default::default(), ReceiverStream::new(take));
     let codec = ProstCodec::<PeerMessage, Ack>::default();
-    // The other side says yes first, by headers, and ends the stream only when the link does.
+    // The peer accepts the stream by sending response headers, and ends it only when the link ends.
     let answer = client.streaming(request, PathAndQuery::from_static(PATH_DELIVER), codec);
     let talk = async {
         let mut acks = match answer.await {
--- a/crates/agree/src/host/mod.rs
+++ b/crates/agree/src/host/mod.rs
@@ -1,7 +1,7 @@
-//! A member in service: the clock, the disk, the links to the others, round a [`Node`](crate::Node).
+//! Runs a [`Node`](crate::Node) in a process, with a clock, a folder on disk and links to the other members.
 //!
-//! The member runs on a thread of its own, so that a slow disk delays nothing but itself. Everybody else holds a
-//! [`Handle`]: a view of what is agreed, and orders.
+//! The node runs on its own thread, so that a slow disk delays nothing else. The rest of the process uses a [`Handle`],
+//! which provides a view of the replicated state and submits requests.
 
 mod link;
 mod server;
@@ -24,20 +24,20 @@
 use tokio::time::Instant;
 use tonic::transport::ClientTlsConfig;
 
-/// Orders that wait for the member at most: beyond them messages of peers are dropped, which they send again, and writes
-/// are refused.
+/// Capacity of the worker's queue. When it is full, messages from peers are dropped, which Raft retransmits, and
+/// requests are refused.
 const ORDERS: usize = 4_096;
 
-/// How a member runs.
+/// Settings of a running member.
 #[derive(Clone)]
 pub struct Settings {
-    /// One tick of the agreement.
+    /// Length of a Raft tick.
     pub tick: Duration,
-    /// Its patience, in ticks.
+    /// Raft timing, in ticks, and log size.
     pub tuning: Tuning,
-    /// How it shows itself to the others, and knows them; none: plain text.
+    /// TLS configuration of the links to other members; `None` for plain text.
     pub tls: Option<ClientTlsConfig>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
@@ -48,33 +48,33 @@
 }
 
 impl Settings {
-    /// After so long without a leader, or without a majority, a member says that there is none.
+    /// Minimum election timeout.
     pub fn election_timeout(&self) -> Duration {
         self.tick * self.tuning.election_ticks as u32
     }
 }
 
-/// What is known of the cluster here and now.
+/// This member's current view of the cluster.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// What is agreed, as far as it is applied here; none: nothing was heard yet.
+    /// The replicated state as applied here; `None` before any state was received.
     pub state: Option<Arc<State>>,
-    /// How this member stands; none while its folder can't be used.
+    /// Status of this member; `None` while its folder cannot be used.
     pub status: Option<MemberStatus>,
-    /// When this member was last in touch with a majority: as its leader, or through the leader.
+    /// Last contact with a majority, directly as the leader or through the leader.
     pub last_quorum_contact: Option<Instant>,
-    /// Why its folder can't be used.
+    /// Why the folder cannot be used.
     pub storage_error: Option<String>,
-    /// Why it is no member any more.
+    /// Why this member no longer belongs to the cluster.
     pub removed: Option<String>,
-    /// How the links to the others stand.
+    /// Status of the links to the other members.
     pub links: BTreeMap<MemberId, LinkStatus>,
-    /// Times that the leader changed since this process began.
+    /// Number of leader changes since the process started.
     pub elections: u64,
 }
 
 impl View {
-    /// Whether a majority was heard of within this time.
+    /// Whether this member was in contact with a majority within this time.
     pub fn has_majority(&self, within: Duration) -> bool {
         self.removed.is_none() && self.last_quorum_contact.is_some_and(|at| at.elapsed() <= within)
     }
@@ -85,22 +85,22 @@
     }
 }
 
-/// Why a write, a read or a change was not done, or may not have been.
+/// Why a request failed, or why its outcome is not known.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RequestError {
-    /// Nothing was heard of it in time: it may come to pass yet. The same id may be asked again.
+    /// No outcome is known in time; the request may still take effect. It may be repeated with the same id.
     #[error(
         "no majority has answered in time: whether it took place is not known. Repeat it with the same id"
     )]
     Unknown,
-    /// It was not done.
+    /// The request was refused and has no effect.
     #[error("{0}")]
     Refused(String),
 }
 
 pub(crate) type Reply<T> = oneshot::Sender<Result<T, RequestError>>;
 
-/// What the member is asked.
+/// Input of the member's worker thread.
 pub(crate) enum Order {
     Message(crate::PeerMessage),
     Write { id: String, command: Command, until: Instant, reply: Reply<(u64, Outcome)> },
@@ -115,7 +115,7 @@
     Stop,
 }
 
-/// A member's handle.
+/// Handle of a running member.
 #[derive(Clone)]
 pub struct Handle {
     identity: Arc<Identity>,
@@ -126,7 +126,7 @@
     links: Arc<link::Links>,
 }
 
-/// Starts the member of a folder. The service for its peers comes with it.
+/// Starts the member in a folder. Returns its handle and the gRPC service that its peers call.
 pub fn start(folder: Folder, settings: Settings) -> Result<(Handle, PeerService), crate::NodeError> {
     let node = crate::Node::open(folder.clone(), settings.tuning, settings.seed)?;
     let identity = Arc::new(node.identity().clone());
@@ -154,28 +154,28 @@
 }
 
 impl Handle {
-    /// Who this member is.
+    /// Identity of this member.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// What is known now.
+    /// The current view.
     pub fn view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 
-    /// To wait for what is known to change.
+    /// A receiver that is notified when the view changes.
     pub fn watch(&self) -> watch::Receiver<Arc<View>> {
         self.view.clone()
     }
 
-    /// Whether this member is in touch with a majority.
+    /// Whether this member is in contact with a majority.
     pub fn has_majority(&self) -> bool {
-        // A follower hears of the leader each heartbeat, and of its loss within its patience.
+        // A follower hears from the leader with each heartbeat, and notices its loss within an election timeout.
         self.view().has_majority(self.election_timeout * 2)
     }
 
-    /// How long this member waits before it says that there is no majority.
+    /// Time without contact after which this member reports that it has no majority.
     pub fn quorum_timeout(&self) -> Duration {
         self.election_timeout * 2
     }
@@ -198,7 +198,8 @@
         }
     }
 
-    /// Has a command agreed. With an id, a repeat with that id is answered and not run again, at any member.
+    /// Replicates a command, and returns its log index and outcome. A repeat with the same non-empty id, at any member,
+    /// gets the first one's outcome and is not applied again.
     pub async fn write(
         &self,
         id: &str,
@@ -209,19 +210,19 @@
         self.ask(within, |until, reply| Order::Write { id, command, until, reply }).await
     }
 
-    /// Has a command agreed some time; nobody waits for it, and it may be lost.
+    /// Proposes a command without waiting for its outcome; it may be lost.
     pub fn propose(&self, command: Command) {
         let until = Instant::now() + self.election_timeout * 4;
         let (reply, _) = oneshot::channel();
         let _ = self.orders.try_send(Order::Write { id: String::new(), command, until, reply });
     }
 
-    /// The state as a majority has it now: it holds all that was written before this was asked.
+    /// Linearizable read: returns a state that includes all writes acknowledged before the call.
     pub async fn read(&self, within: Duration) -> Result<Arc<State>, RequestError> {
         self.ask(within, |until, reply| Order::Read { until, reply }).await
     }
 
-    /// Has the members changed, through whoever leads.
+    /// Changes the membership, through the current leader.
     pub async fn change(
         &self,
         id: &str,
@@ -232,12 +233,12 @@
         self.at_leader(asked, within).await
     }
 
-    /// Hands leadership to another member, through whoever leads.
+    /// Transfers leadership to another member, through the current leader.
     pub async fn transfer(&self, to: MemberId, within: Duration) -> Result<(), RequestError> {
         self.at_leader(server::Asked::Transfer { to }, within).await
     }
 
-    /// Carries out at this member what only a leader may.
+    /// Runs a leader-only request on this member.
     pub(crate) async fn lead(&self, asked: server::Asked, within: Duration) -> Result<(), RequestError> {
         match asked {
             server::Asked::Change { id, change } => {
@@ -259,7 +260,7 @@
                 leader if leader == self.identity.member => self.lead(asked.clone(), left).await,
                 leader => self.links.ask(leader, &asked, left).await,
             };
-            // The leader may have changed in between.
+            // The leader may have changed in the meantime.
             if done != Err(RequestError::OutcomeUnknown) || Instant::now() + self.election_timeout >= end {
                 return done;
             }
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Tells the leader something that is no matter of the log: only the newest of each kind counts. It may be lost.
+    /// Sends a note to the leader outside the log. Only the newest note of each kind is kept, and it may be lost.
     pub fn note(&self, kind: &str, text: String) {
         let leader = self.view().status.as_ref().map_or(0, |status| status.leader);
         match leader {
@@ -277,12 +278,12 @@
         }
     }
 
-    /// The newest notes of a kind, by member, that are no older than this.
+    /// The newest note of a kind from each member, if it is not older than `no_older`.
     pub fn notes(&self, kind: &str, no_older: Duration) -> BTreeMap<MemberId, String> {
         self.notes.of(kind, no_older)
     }
 
-    /// Ends the member; what is agreed stays on its disk.
+    /// Stops the member; its state stays on disk.
     pub fn stop(&self) {
         let _ = self.orders.try_send(Order::Stop);
     }
--- a/crates/agree/src/host/server.rs
+++ b/crates/agree/src/host/server.rs
@@ -1,4 +1,4 @@
-//! What a member serves to its peers: it takes messages, gives snapshots, and does what only a leader may.
+//! gRPC service for the other members: receives Raft messages, serves snapshots, and runs leader-only requests.
 
 use super::{Handle, Order, RequestError};
 use crate::command::{Command, MemberChange, MemberId};
@@ -25,18 +25,18 @@
 pub(super) const PATH_FETCH: &str = "/runtrack.cluster.v1.Peers/Fetch";
 pub(super) const PATH_ASK: &str = "/runtrack.cluster.v1.Peers/Ask";
 pub(super) const PATH_NOTE: &str = "/runtrack.cluster.v1.Peers/Note";
-/// Who asks, in each call's headers.
+/// Headers that identify the caller and the called member in each call.
 pub(super) const LINEAGE: &str = "runtrack-lineage";
 pub(super) const FROM: &str = "runtrack-from";
 pub(super) const TO: &str = "runtrack-to";
 pub(super) const TICKET: &str = "runtrack-ticket";
 pub(super) const FOLDER: &str = "runtrack-folder";
 
-/// Bytes of a snapshot in one part.
+/// Size of a snapshot chunk, in bytes.
 const PART: usize = 64 << 10;
-/// How long a change of members may take at the leader.
+/// Timeout of a leader-only request at the leader.
 const ASK: Duration = Duration::from_secs(10);
-/// Longest note, in bytes; of each member so many kinds.
+/// Limits of notes: the maximum size in bytes, and the maximum number of kinds per member.
 const NOTE_MOST: usize = 4 << 20;
 const KINDS_MOST: usize = 16;
 
@@ -47,7 +47,7 @@
 pub(super) struct FetchOut {
     #[prost(string, tag = "1")]
     pub(super) hash: String,
-    /// The first byte that is wanted.
+    /// Offset of the first requested byte.
     #[prost(uint64, tag = "2")]
     pub(super) from: u64,
 }
@@ -72,7 +72,7 @@
     pub(super) text: String,
 }
 
-/// What only a leader may do.
+/// A request that only the leader may run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Asked {
@@ -80,10 +80,10 @@
     Transfer { to: MemberId },
 }
 
-/// A member's newest notes by kind, and when they came.
+/// A member's newest notes by kind, with their time of arrival.
 type OfMember = BTreeMap<String, (Instant, String)>;
 
-/// The newest of what members told of each kind.
+/// The newest note of each kind from each member.
 #[derive(Default)]
 pub(crate) struct Notes(Mutex<BTreeMap<MemberId, OfMember>>);
 
@@ -106,11 +106,11 @@
     }
 }
 
-/// Answers that come through a channel.
+/// Response stream that is fed through a channel.
 type Answers<T> = ReceiverStream<Result<T, Status>>;
 type Pinned<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// The service for peers.
+/// The gRPC service that a member's peers call.
 #[derive(Clone)]
 pub struct PeerService {
     handle: Handle,
@@ -121,7 +121,7 @@
         PeerService { handle }
     }
 
-    /// Who calls, if it may.
+    /// Checks the caller's headers, and returns its member id if it is admitted.
     fn admit(&self, headers: &MetadataMap) -> Result<MemberId, Status> {
         let text = |name| headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default();
         let identity = self.handle.identity();
@@ -165,7 +165,7 @@
                 self.handle.propose(Command::Seen { member: from, ticket, folder });
                 Ok(from)
             }
-            // One that this member has not heard of yet.
+            // The caller may have been added by an entry that this member has not applied yet.
             _ => Ok(from),
         }
     }
@@ -231,7 +231,7 @@
                 let mut known = peers.handle.watch();
                 let status = loop {
                     tokio::select! {
-                        // It may be removed while it is connected.
+                        // The peer may be removed while it is connected.
                         changed = known.changed() => {
                             if changed.is_err() {
                                 break Status::unavailable("the member ends");
@@ -242,7 +242,7 @@
                         }
                         message = messages.message() => match message {
                             Ok(Some(message)) if message.from == from => {
-                                // Where it is overrun it drops: what matters is sent again.
+                                // When the queue is full the message is dropped; Raft retransmits what is needed.
                                 let _ = peers.handle.orders.try_send(Order::Message(message));
                             }
                             Ok(Some(message)) => {
--- a/crates/agree/src/host/work.rs
+++ b/crates/agree/src/host/work.rs
@@ -1,4 +1,4 @@
-//! The member's thread: orders and ticks in, one turn of the node, and what follows from it out.
+//! The member's worker thread: feeds requests and ticks to the node, sends its output and answers requests.
 
 use super::link::Links;
 use super::{Order, Reply, RequestError, Settings, View};
@@ -15,17 +15,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-/// Orders taken in one turn, so that one sync stands for many.
+/// Maximum number of events taken from the queue at once, so that one sync covers many writes.
 const BATCH: usize = 256;
-/// A folder that can't be used is opened anew this often.
+/// Interval at which a folder that cannot be used is reopened.
 const REOPEN: Duration = Duration::from_secs(1);
-/// A member that was offered a snapshot and fetches nothing for so long is offered it again.
+/// A member that was offered a snapshot and has fetched nothing for this long is offered it again.
 const FETCH_IDLE: Duration = Duration::from_secs(10);
 
 struct Write {
     proposal: Proposal,
     until: Instant,
-    /// When it was proposed last, and to which leader of which term.
+    /// Time, term and leader of the last proposal.
     proposed: Option<(Instant, u64, MemberId)>,
     replies: Vec<Reply<(u64, Outcome)>>,
 }
@@ -56,7 +56,7 @@
     settings: Settings,
     links: Arc<Links>,
     show: watch::Sender<Arc<View>>,
-    /// Held so that the channel stays open for as long as the member runs.
+    /// Keeps the channel open for as long as the member runs.
     _orders: mpsc::Sender<Order>,
     draws: Pcg32,
     writes: BTreeMap<String, Write>,
@@ -64,7 +64,7 @@
     next_read: u64,
     changes: Vec<Change>,
     transfers: Vec<Transfer>,
-    /// When members that are sent a snapshot fetched last.
+    /// Time of the last fetch by each member that is being sent a snapshot.
     fetching: BTreeMap<MemberId, Instant>,
     reopen_at: Instant,
     last_quorum_contact: Option<Instant>,
@@ -119,10 +119,10 @@
         }
     }
 
-    /// Runs until it is told to stop.
+    /// Runs until it is stopped.
     pub(super) async fn run(mut self, mut orders: mpsc::Receiver<Order>) {
         let mut ticks = interval(self.settings.tick);
-        // A process that was stopped has not lived through the ticks that it missed.
+        // Ticks missed while the process was suspended must not count towards timeouts.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
         let mut batch = Vec::new();
         loop {
@@ -142,7 +142,7 @@
                 }
                 self.take(order);
             }
-            // What came meanwhile goes into the same sync.
+            // Events that arrived in the meantime share the same sync.
             while let Ok(order) = orders.try_recv() {
                 if matches!(order, Order::Stop) {
                     return;
@@ -174,7 +174,7 @@
             Order::Text { hash, reply } => {
                 let node = self.node.as_ref().filter(|node| node.snapshot().hash == hash);
                 let text = node.and_then(|node| node.snapshot_text().ok().flatten());
-                let _ = reply.send(text.map(Arc::from)); // fails where the asker has gone
+                let _ = reply.send(text.map(Arc::from)); // fails if the caller is gone
             }
             Order::Fetched(text) => {
                 let Some(node) = &mut self.node else { return };
@@ -185,7 +185,7 @@
                         }
                     }
                     Err(why) => {
-                        eprintln!("agreement: the snapshot did not come: {why}");
+                        eprintln!("agreement: cannot fetch the snapshot: {why}");
                         node.snapshot_fetch_failed();
                     }
                 }
@@ -211,7 +211,7 @@
             let why = format!("a write's id has {} bytes, and {MAX_WRITE_ID_BYTES} is the most", id.len());
             return drop(reply.send(Err(RequestError::Refused(why))));
         }
-        // Without an id of its client's it gets one of this member's, to be known by.
+        // A write without a client's id gets a random one, by which its outcome is found.
         let id = match id.is_empty() {
             true => format!("m{:016x}{:016x}", self.draws.next_u64(), self.draws.next_u64()),
             false => id,
@@ -245,14 +245,14 @@
         }
     }
 
-    /// Looks at the clock.
+    /// Does what is due by the clock: reopens the folder, tracks contact with a majority, and retries snapshots.
     fn look(&mut self) {
         let now = Instant::now();
         if self.node.is_none() && now >= self.reopen_at {
             self.reopen_at = now + REOPEN;
             match Node::open(self.folder.clone(), self.settings.tuning, self.settings.seed) {
                 Ok(node) => {
-                    eprintln!("agreement: the folder can be used again");
+                    eprintln!("agreement: the storage folder is usable again");
                     (self.node, self.storage_error) = (Some(node), None);
                 }
                 Err(problem) => self.report_storage_error(&problem),
@@ -262,7 +262,7 @@
         if node.is_leader() {
             let status = node.status();
             let heard = status.peers.values().filter(|peer| peer.heard).count() + 1;
-            // The library itself steps down once it has not heard a majority for an election time-out.
+            // The library itself steps down after an election timeout without contact with a majority.
             let voters = node.state().map_or(1, |state| state.members.values().filter(|m| m.voter).count());
             if heard * 2 > voters {
                 self.last_quorum_contact = Some(now);
@@ -280,12 +280,14 @@
     fn report_storage_error(&mut self, problem: &NodeError) {
         let problem = problem.to_string();
         if self.storage_error.as_ref() != Some(&problem) {
-            eprintln!("agreement: {problem}; what is agreed is served on, and nothing is promised");
+            eprintln!(
+                "agreement: {problem}; serving the last applied state, accepting no entries or votes"
+            );
         }
         self.storage_error = Some(problem);
     }
 
-    /// One turn: what waits is proposed, the node does what there is to do, and who waits is answered.
+    /// Runs one iteration: proposes pending requests, drives the node, and answers finished requests.
     fn turn(&mut self) {
         let now = Instant::now();
         self.propose(now);
@@ -330,7 +332,7 @@
             let due =
                 write.proposed.is_none_or(|(at, of, to)| now >= at + again || (of, to) != (term, leader));
             if leader != 0 && due {
-                // What it refuses, for want of room or of a leader, is proposed again.
+                // Refused proposals, for lack of room or of a leader, are proposed again.
                 let _ = node.propose(&write.proposal);
                 write.proposed = Some((now, term, leader));
             }
@@ -370,7 +372,7 @@
                 write.replies.drain(..).for_each(|reply| drop(reply.send(Ok((index, outcome.clone())))));
                 return false;
             }
-            // Proposed, it may come to pass yet, whatever ails this member now.
+            // A proposed write may still take effect, even if this member has failed since.
             let failure = match (now >= write.until, write.proposed) {
                 (true, Some(_)) => Some(RequestError::OutcomeUnknown),
                 (over, _) => failure(over),
@@ -414,7 +416,7 @@
         }
     }
 
-    /// Shows what is known, and keeps links to those that are members.
+    /// Publishes the view, and updates the links to the current members.
     fn publish(&mut self) {
         let before = self.show.borrow().clone();
         let (state, status) = match &self.node {
@@ -452,7 +454,7 @@
             links: self.links.statuses(),
             elections: self.elections,
         };
-        // Those who wait are woken only by news.
+        // Receivers are only notified of relevant changes.
         let same_state = match (&before.state, &view.state) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
             (a, b) => a.is_none() && b.is_none(),
--- a/crates/agree/src/lib.rs
+++ b/crates/agree/src/lib.rs
@@ -1,12 +1,13 @@
-//! One ordered log for several control instances.
+//! A replicated state machine for the control instances, on Raft.
 //!
-//! [`State`] is what is agreed: commands in, outcomes and effects out, no I/O. [`Node`] is a member: it takes ticks,
-//! messages and proposals, keeps its promises on a [`MemberStore`], and gives messages and what was applied. Consensus itself is
-//! the library `raft`'s. Neither opens a socket nor asks a clock: the same code runs in service and in a virtual world.
+//! [`State`] is the replicated state: it applies commands and returns outcomes and effects, without I/O. [`Node`] is one
+//! Raft member: it takes ticks, messages and proposals, persists entries and votes in a [`MemberStore`], and returns
+//! messages to send and the commands that were applied. The consensus algorithm itself is that of the `raft` crate.
+//! Neither opens sockets nor reads a clock, so the same code runs in production and in the simulator.
 //!
-//! [`host`] is the thin shell round a node: a thread with a clock, gRPC links to the others, the folder of a real disk.
+//! [`host`] runs a node in a process: on a thread with a clock, with gRPC links to the other members and a folder on disk.
 //!
-//! What it does not do: it trusts members, and a member that lies can do what it likes.
+//! Members trust each other: Byzantine faults are not tolerated.
 
 pub mod command;
 mod disk;
--- a/crates/agree/src/memory.rs
+++ b/crates/agree/src/memory.rs
@@ -1,4 +1,4 @@
-//! The log as the library reads it: what is durable, in memory.
+//! In-memory copy of the durable log, which the raft library reads through its `Storage` trait.
 
 use crate::disk::{LogBase, RecoveredState, SnapshotMeta};
 use crate::record::{self, HardStateRecord};
@@ -6,17 +6,17 @@
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 use std::cell::Cell;
 
-/// The log's entries, and where the last snapshot stands: at or behind their beginning.
+/// The log's entries and the metadata of the last snapshot, whose index is at or after the start of the log.
 pub struct Memory {
     place: SnapshotMeta,
     promise: HardStateRecord,
     base: LogBase,
     entries: Vec<Entry>,
-    /// A member needs a snapshot that the last one can't be.
+    /// Set when a member needs a newer snapshot than the last one.
     wanted: Cell<bool>,
 }
 
-/// As the library has it.
+/// Converts an entry to the library's type.
 pub fn entry_in(entry: record::Entry) -> Entry {
     let kind = if entry.kind == 0 { EntryType::EntryNormal } else { EntryType::EntryConfChangeV2 };
     Entry {
@@ -29,7 +29,7 @@
     }
 }
 
-/// As the log has it.
+/// Converts an entry from the library's type.
 pub fn entry_out(entry: &Entry) -> record::Entry {
     record::Entry {
         index: entry.index,
@@ -40,7 +40,7 @@
     }
 }
 
-/// As the log has it.
+/// Converts the hard state from the library's type.
 pub fn promise_out(hard: &HardState) -> HardStateRecord {
     HardStateRecord { term: hard.term, vote: hard.vote, commit: hard.commit }
 }
@@ -50,34 +50,34 @@
 }
 
 impl Memory {
-    /// What a folder holds.
+    /// Builds the log from what was read from a folder.
     pub fn new(found: RecoveredState) -> Memory {
         let RecoveredState { place, promise, base, entries, .. } = found;
         let entries = entries.into_iter().map(entry_in).collect();
         Memory { place, promise, base, entries, wanted: Cell::new(false) }
     }
 
-    /// Whether a member needs a snapshot that the last one can't be; asked once.
+    /// Whether a member needs a newer snapshot than the last one; resets the flag.
     pub fn takes_wanted(&self) -> bool {
         self.wanted.take()
     }
 
-    /// Where the last snapshot stands.
+    /// Metadata of the last snapshot.
     pub fn place(&self) -> &SnapshotMeta {
         &self.place
     }
 
-    /// The last promise.
+    /// The last hard state.
     pub fn promise(&self) -> HardStateRecord {
         self.promise
     }
 
-    /// The last index.
+    /// Index of the last entry.
     pub fn last(&self) -> u64 {
         self.base.index + self.entries.len() as u64
     }
 
-    /// Entries that were made durable.
+    /// Appends entries that were made durable; they replace existing ones from the same index on.
     pub fn append(&mut self, entries: &[Entry]) {
         if let Some(first) = entries.first() {
             self.entries.truncate((first.index - self.base.index - 1) as usize);
@@ -85,28 +85,28 @@
         }
     }
 
-    /// A promise that was made durable.
+    /// Sets the hard state that was made durable.
     pub fn promised(&mut self, promise: HardStateRecord) {
         self.promise = promise;
     }
 
-    /// The log up to an index is agreed.
+    /// Advances the commit index.
     pub fn committed(&mut self, index: u64) {
         self.promise.commit = self.promise.commit.max(index);
     }
 
-    /// The entries behind an index, as the log has them.
+    /// The entries after an index, in the format of the log file.
     pub fn behind(&self, index: u64) -> Vec<record::Entry> {
         let from = index.saturating_sub(self.base.index) as usize;
         self.entries.get(from..).unwrap_or_default().iter().map(entry_out).collect()
     }
 
-    /// The entry of an index, or what stands in its place before the first.
+    /// Index and term of an entry, or of the position before the first one.
     pub fn base_at(&self, index: u64) -> LogBase {
         LogBase { index, term: Storage::term(self, index).unwrap_or_default() }
     }
 
-    /// The first index at or behind one from which on the entries have no more than so many bytes.
+    /// The lowest index after which the entries have at most this many bytes.
     pub fn within(&self, most: u64) -> u64 {
         let mut size = 0;
         let kept = self.entries.iter().rev().take_while(|entry| {
@@ -116,13 +116,13 @@
         self.last() - kept.count() as u64
     }
 
-    /// Another snapshot, and the log from a later entry on.
+    /// Sets a new snapshot and compacts the log up to `base`.
     pub fn replace(&mut self, place: SnapshotMeta, base: LogBase) {
         let kept = self.entries.split_off(self.entries.len().min((base.index - self.base.index) as usize));
         (self.place, self.base, self.entries) = (place, base, kept);
     }
 
-    /// A snapshot that came from elsewhere: nothing of the log stays.
+    /// Sets a snapshot that was received from another member; the log is discarded.
     pub fn install(&mut self, place: SnapshotMeta, promise: HardStateRecord) {
         (self.base, self.promise) = (LogBase { index: place.index, term: place.term }, promise);
         self.place = place;
@@ -140,7 +140,7 @@
     }
 }
 
-/// The members as the library has them.
+/// Converts a snapshot's membership to the library's type.
 pub fn members(place: &SnapshotMeta) -> ConfState {
     ConfState::from((place.voters.clone(), place.learners.clone()))
 }
@@ -187,7 +187,7 @@
     }
 
     fn snapshot(&self, least: u64, to: u64) -> raft::Result<Snapshot> {
-        // A member takes none from before it was one.
+        // A member does not accept a snapshot from before it was added.
         let known = self.place.voters.contains(&to) || self.place.learners.contains(&to);
         if self.place.index < least || self.place.index == 0 || !known {
             self.wanted.set(true);
@@ -198,7 +198,7 @@
         meta.index = self.place.index;
         meta.term = self.place.term;
         meta.set_conf_state(members(&self.place));
-        // The text itself is fetched by whoever needs it.
+        // Only the metadata travels in the message; the receiver fetches the text separately.
         snapshot.data = serde_json::to_vec(&self.place).unwrap_or_default().into();
         Ok(snapshot)
     }
--- a/crates/agree/src/message.rs
+++ b/crates/agree/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between members, as they travel. The library's own parser is never given a stranger's bytes: messages are
-//! taken apart here, field by field.
+//! Wire format of the messages between members. Bytes from the network never reach the raft library's own parser:
+//! messages are decoded here, field by field.
 
 use crate::disk::SnapshotMeta;
 use crate::memory::{entry_in, entry_out};
@@ -7,52 +7,52 @@
 use prost::Message as _;
 use raft::eraftpb::{ConfState, Message, MessageType, Snapshot};
 
-/// Longest message that is taken, in bytes: a fleet's text, and some room.
+/// Maximum size of a message, in bytes: the text of a fleet, with some headroom.
 pub const MAX_MESSAGE_BYTES: usize = 96 << 20;
 
 /// A message from one member to another.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PeerMessage {
-    /// Which: the library's number.
+    /// Message type, as the library numbers them.
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// To whom.
+    /// Receiver's member id.
     #[prost(uint64, tag = "2")]
     pub to: u64,
-    /// From whom.
+    /// Sender's member id.
     #[prost(uint64, tag = "3")]
     pub from: u64,
-    /// The sender's term.
+    /// Sender's term.
     #[prost(uint64, tag = "4")]
     pub term: u64,
-    /// Of the entry before those that come.
+    /// Term of the entry that precedes `entries`.
     #[prost(uint64, tag = "5")]
     pub log_term: u64,
-    /// Likewise.
+    /// Index of the entry that precedes `entries`.
     #[prost(uint64, tag = "6")]
     pub index: u64,
-    /// What comes.
+    /// Log entries to append.
     #[prost(message, repeated, tag = "7")]
     pub entries: Vec<Entry>,
-    /// Up to where the log is agreed.
+    /// Commit index.
     #[prost(uint64, tag = "8")]
     pub commit: u64,
-    /// That entry's term.
+    /// Term of the entry at the commit index.
     #[prost(uint64, tag = "9")]
     pub commit_term: u64,
-    /// Where a snapshot stands that is to be fetched, as JSON.
+    /// Metadata of a snapshot that the receiver is to fetch, as the JSON of a [`SnapshotMeta`].
     #[prost(string, tag = "10")]
     pub snapshot: String,
-    /// The index that a snapshot is asked for.
+    /// Index for which a snapshot is requested.
     #[prost(uint64, tag = "11")]
     pub request_snapshot: u64,
-    /// A refusal.
+    /// Whether the request was rejected.
     #[prost(bool, tag = "12")]
     pub reject: bool,
-    /// Where the logs may meet.
+    /// After a rejected append: the index at which the logs may match.
     #[prost(uint64, tag = "13")]
     pub reject_hint: u64,
-    /// What a read is known by.
+    /// Identifies a read request.
     #[prost(bytes = "bytes", tag = "14")]
     pub context: bytes::Bytes,
     /// The sender's priority in elections.
@@ -60,7 +60,7 @@
     pub priority: i64,
 }
 
-/// The library's kinds by their numbers.
+/// The library's message types, indexed by number.
 const KINDS: [MessageType; 19] = [
     MessageType::MsgHup,
     MessageType::MsgBeat,
@@ -83,7 +83,7 @@
     MessageType::MsgRequestPreVoteResponse,
 ];
 
-/// Kinds that a member only tells itself.
+/// Message types that a member only sends to itself.
 const LOCAL: [MessageType; 5] = [
     MessageType::MsgHup,
     MessageType::MsgBeat,
@@ -93,7 +93,7 @@
 ];
 
 impl PeerMessage {
-    /// A message of the library's.
+    /// Converts a message of the library.
     pub(crate) fn from_raft(message: &Message) -> PeerMessage {
         let snapshot = message.snapshot.as_ref().map(|snapshot| &snapshot.data[..]).unwrap_or_default();
         PeerMessage {
@@ -115,10 +115,10 @@
         }
     }
 
-    /// The library's message; none where no member sends such a one to another.
+    /// Converts to the library's message; `None` if members never send such a message to each other.
     pub(crate) fn into_raft(self) -> Option<Message> {
         let kind = *KINDS.get(self.kind as usize).filter(|kind| !LOCAL.contains(kind))?;
-        // The library would parse a change of members by itself. The leader makes its own.
+        // The library would parse a proposed membership change itself. Only the leader proposes those, locally.
         if kind == MessageType::MsgPropose && self.entries.iter().any(|entry| entry.kind != 0) {
             return None;
         }
@@ -151,20 +151,20 @@
         Some(message)
     }
 
-    /// Where the snapshot stands that this message asks its receiver to take.
+    /// Metadata of the snapshot that this message offers; `None` if it offers none.
     pub fn place(&self) -> Option<SnapshotMeta> {
         let sends = KINDS.get(self.kind as usize) == Some(&MessageType::MsgSnapshot);
         if sends { serde_json::from_str(&self.snapshot).ok() } else { None }
     }
 
-    /// Whether only the newest of its kind is worth sending.
+    /// Whether this is a plain heartbeat or its response, which a newer one supersedes.
     pub fn is_heartbeat(&self) -> bool {
         let kind = KINDS.get(self.kind as usize);
         matches!(kind, Some(MessageType::MsgHeartbeat | MessageType::MsgHeartbeatResponse))
             && self.context.is_empty()
     }
 
-    /// Its bytes as they travel.
+    /// Encoded size in bytes.
     pub fn size(&self) -> usize {
         self.encoded_len()
     }
--- a/crates/agree/src/node.rs
+++ b/crates/agree/src/node.rs
@@ -1,5 +1,5 @@
-//! A member: ticks, messages and proposals go in; messages and what was applied come out, once what they rest on is
-//! durable. No socket, no clock.
+//! A Raft member without I/O of its own besides its storage folder: it takes ticks, messages and proposals, and returns
+//! messages and applied commands once the entries and votes that they depend on are durable. It uses no socket or clock.
 
 use crate::command::{MemberChange, MemberId, Outcome, Proposal};
 use crate::disk::{DiskError, Identity, LogBase, MemberStore, SnapshotMeta};
@@ -17,59 +17,57 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Bytes of entries in one message.
+/// Maximum size of the entries in one message, in bytes.
 const MESSAGE_BYTES: u64 = 1 << 20;
-/// Messages with entries on their way to one member.
+/// Maximum number of unacknowledged append messages per member.
 const INFLIGHT: usize = 64;
-/// Bytes that are proposed and not agreed yet: beyond them proposals are refused, so that a leader without a majority
-/// does not fill its memory.
+/// Maximum size of uncommitted entries, in bytes. Beyond it proposals are refused, so that a leader without a majority
+/// does not exhaust its memory.
 const UNCOMMITTED_MOST: u64 = 64 << 20;
-/// Bytes of committed entries that are applied in one turn.
+/// Maximum size of the committed entries applied per ready state, in bytes.
 const APPLY_BYTES: u64 = 16 << 20;
-/// Of that, entries that stay before a snapshot for members that are a little behind: a quarter in any case, and half
-/// where a member that is heard lacks so much.
+/// Entries kept before a snapshot for lagging members, as divisors of `log_bytes`: always a quarter, and up to half if
+/// a reachable member still needs them.
 const TAIL: u64 = 4;
 const TAIL_MOST: u64 = 2;
-/// A learner may vote once it lacks no more entries than this.
+/// Maximum number of missing entries with which a learner may be promoted to a voter.
 const CAUGHT_UP: u64 = 64;
 
-/// Why a member can't go on.
+/// Why a member cannot continue.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// Its folder.
+    /// Its folder cannot be used.
     #[error(transparent)]
     Disk(#[from] DiskError),
-    /// The log holds what this version does not know: to skip it would part it from the others.
-    #[error(
-        "entry {index} of the log is not understood ({problem}): a newer version wrote it, run that one"
-    )]
+    /// The log holds an entry that this version does not know. Skipping it would make this member's state diverge.
+    #[error("log entry {index} cannot be read ({problem}): a newer version wrote it, run that one")]
     Entry {
-        /// Where.
+        /// Index of the entry.
         index: u64,
         /// What is wrong with it.
         problem: String,
     },
-    /// A snapshot is not understood.
-    #[error("the snapshot of index {index} is not understood: {problem}")]
+    /// A snapshot cannot be parsed.
+    #[error("the snapshot of index {index} cannot be read: {problem}")]
     Snapshot {
-        /// Where.
+        /// Index of the snapshot.
         index: u64,
         /// What is wrong with it.
         problem: String,
     },
-    /// The library refuses.
-    #[error("the agreement: {0}")]
+    /// The raft library reports an error.
+    #[error("raft: {0}")]
     Raft(#[from] raft::Error),
 }
 
-/// How fast members lose patience, in ticks, and how long their logs get.
+/// Raft timing, in ticks, and the size at which the log is compacted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// A leader shows itself this often.
+    /// Interval of the leader's heartbeats.
     pub heartbeat_ticks: usize,
-    /// A member that has heard of no leader for so long, up to twice that, stands for election.
+    /// Minimum election timeout; the actual timeout is random, up to twice this.
     pub election_ticks: usize,
-    /// A log beyond this size, and twice the snapshot's, is cut behind a new snapshot.
+    /// A log larger than this, and than twice the last snapshot, is compacted behind a new snapshot. In bytes.
     pub log_bytes: u64,
 }
 
@@ -79,94 +77,94 @@
     }
 }
 
-/// What a member is at present.
+/// A member's current role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// It follows a leader, or waits for one.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// It asks whether it should stand for election, or stands.
+    /// Candidate in an election or pre-election.
     Candidate,
-    /// It leads.
+    /// Leader of the current term.
     Leader,
 }
 
-/// How another member stands towards the leader.
+/// Replication progress of another member, as seen by the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerProgress {
-    /// Up to where it has the log.
+    /// Index of the last entry known to be replicated to it.
     pub matched: u64,
-    /// It was heard within the last election time-out.
+    /// Whether it was heard from within the last election timeout.
     pub heard: bool,
-    /// It is being sent a snapshot.
+    /// Whether it is being sent a snapshot.
     pub snapshot: bool,
 }
 
-/// How a member stands.
+/// Status of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its number.
+    /// Member id.
     pub member: MemberId,
-    /// What it is.
+    /// Current role.
     pub role: Role,
-    /// Whether it votes.
+    /// Whether it votes; otherwise it is a learner.
     pub voter: bool,
-    /// The term.
+    /// Current term.
     pub term: u64,
-    /// Who leads, as far as it knows; 0: nobody.
+    /// The leader, as far as it knows; 0 for none.
     pub leader: MemberId,
-    /// Up to where the log is agreed, as far as it knows.
+    /// Commit index, as far as it knows.
     pub committed: u64,
-    /// Up to where it is applied.
+    /// Index of the last applied entry.
     pub applied: u64,
-    /// The last entry that it has.
+    /// Index of the last entry in its log.
     pub last: u64,
-    /// The index of its last snapshot.
+    /// Index of its last snapshot.
     pub snapshot: u64,
-    /// The others, where it leads.
+    /// Progress of the other members, on the leader only.
     pub peers: BTreeMap<MemberId, PeerProgress>,
 }
 
 /// A command that was applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// Its index.
+    /// Log index.
     pub index: u64,
-    /// The term of the leader that put it there.
+    /// Term of the leader that proposed it.
     pub term: u64,
     /// The write's id; may be empty.
     pub id: String,
-    /// What came of it.
+    /// Outcome of the command.
     pub outcome: Outcome,
-    /// What it changed.
+    /// Parts of the state that it changed.
     pub effects: Effects,
 }
 
-/// A snapshot that is to be fetched from another member, and given by [`Node::fetched`].
+/// A snapshot to fetch from another member and to pass to [`Node::snapshot_fetched`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotFetch {
-    /// From whom.
+    /// The member to fetch it from.
     pub from: MemberId,
-    /// Which.
+    /// The snapshot to fetch.
     pub snapshot: SnapshotMeta,
 }
 
-/// What a turn has brought.
+/// Output of [`Node::drive`].
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Messages to others; what they say is durable.
+    /// Messages to send; everything that they acknowledge is durable.
     pub messages: Vec<PeerMessage>,
-    /// Commands that were applied, in order.
+    /// Commands that were applied, in log order.
     pub applied: Vec<Applied>,
-    /// Reads that may be answered from the state as it is now, by the numbers they were asked under.
+    /// Numbers of the reads that may now be answered from the current state.
     pub reads: Vec<u64>,
     /// A snapshot to fetch.
     pub fetch: Option<SnapshotFetch>,
-    /// The state came whole from elsewhere.
+    /// Whether the state was replaced by a snapshot from another member.
     pub installed: bool,
 }
 
-/// A change of members, as the log holds it.
+/// A membership change as it is encoded in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Change {
@@ -174,20 +172,20 @@
     change: MemberChange,
 }
 
-/// A member.
+/// A member of the Raft group.
 pub struct Node<F: Files> {
     disk: MemberStore<F>,
     raw: RawNode<Memory>,
     state: Option<Arc<State>>,
     tuning: Tuning,
     seed: u64,
-    /// Elections that it has stood for or asked about, and the last draw's reasons.
+    /// Number of elections and pre-elections that it has started, which enters the random election timeout.
     campaigns: u64,
-    /// A snapshot that was offered and is being fetched.
+    /// The snapshot offer whose text is being fetched, with its metadata.
     offered: Option<(PeerMessage, SnapshotMeta)>,
-    /// A snapshot's text that was fetched.
+    /// Hash and text of a snapshot that was fetched.
     text: Option<(String, String)>,
-    /// Reads that the leader has answered with an index, until that is applied.
+    /// Reads confirmed by the leader, as number and read index, until that index is applied.
     reads: VecDeque<(u64, u64)>,
     voters: Vec<MemberId>,
     learners: Vec<MemberId>,
@@ -195,7 +193,7 @@
 }
 
 impl<F: Files> Node<F> {
-    /// Makes the first member of a new cluster in an empty folder, with the state that it begins with.
+    /// Creates the first member of a new cluster in an empty folder, with its initial state.
     pub fn bootstrap(files: F, identity: Identity, state: &State) -> Result<(), NodeError> {
         let mut state = state.clone();
         (state.index, state.served) = (1, 1);
@@ -206,13 +204,13 @@
         Ok(())
     }
 
-    /// Makes a member that was invited, in an empty folder.
+    /// Creates an invited member in an empty folder.
     pub fn join(files: F, identity: Identity) -> Result<(), NodeError> {
         MemberStore::make(files, identity, None)?;
         Ok(())
     }
 
-    /// Opens a member's folder. Runs of equal seeds, ticks and messages are equal.
+    /// Opens a member's folder. Runs with equal seeds, ticks and messages are identical.
     pub fn open(files: F, tuning: Tuning, seed: u64) -> Result<Node<F>, NodeError> {
         let (disk, mut found) = MemberStore::open(files)?;
         let (id, place) = (disk.identity().member, found.place.clone());
@@ -255,8 +253,8 @@
         Ok(node)
     }
 
-    /// The library draws the time-out of elections from the thread's own generator; here it follows from the seed, the
-    /// member, the term and how often it has campaigned.
+    /// Sets the random election timeout, derived from the seed, the member, the term and the number of campaigns. The
+    /// library's own value comes from a thread-local random generator and would not be reproducible.
     fn draw(&mut self) {
         let raft = &self.raw.raft;
         let mut sum = Sha256::new();
@@ -269,52 +267,52 @@
         self.raw.raft.set_randomized_election_timeout(timeout);
     }
 
-    /// Who this is.
+    /// Identity of this member.
     pub fn identity(&self) -> &Identity {
         self.disk.identity()
     }
 
-    /// What is agreed, as far as it is applied here; none for a new member that has heard nothing yet.
+    /// The replicated state as applied here; `None` for a new member that has not received any state yet.
     pub fn state(&self) -> Option<&State> {
         self.state.as_deref()
     }
 
-    /// The same, to be kept: what is applied later does not change it.
+    /// An immutable copy of [`Node::state`] that later commands do not change.
     pub fn shared_state(&self) -> Option<Arc<State>> {
         self.state.clone()
     }
 
-    /// Whether it leads.
+    /// Whether this member leads.
     pub fn is_leader(&self) -> bool {
         self.raw.raft.state == StateRole::Leader && !self.is_removed()
     }
 
-    /// The term.
+    /// Current term.
     pub fn term(&self) -> u64 {
         self.raw.raft.term
     }
 
-    /// Who leads, as far as it knows; 0: nobody.
+    /// The leader, as far as this member knows; 0 for none.
     pub fn leader(&self) -> MemberId {
         self.raw.raft.leader_id
     }
 
-    /// Where the last snapshot stands.
+    /// Metadata of the last snapshot.
     pub fn snapshot(&self) -> &SnapshotMeta {
         self.disk.snapshot()
     }
 
-    /// The text of the last snapshot.
+    /// Text of the last snapshot.
     pub fn snapshot_text(&self) -> Result<Option<String>, DiskError> {
         self.disk.snapshot_text()
     }
 
-    /// Bytes of the log.
+    /// Length of the current log segment, in bytes.
     pub fn log_bytes(&self) -> u64 {
         self.disk.length()
     }
 
-    /// How it stands.
+    /// Current status of this member.
     pub fn status(&self) -> MemberStatus {
         let raft = &self.raw.raft;
         let role = match raft.state {
@@ -341,13 +339,13 @@
         }
     }
 
-    /// Whether this member knows that it was removed. It may have led by then: the library can't go on with a leader that
-    /// is none of its members, so such a one takes no part any more, and the others elect another.
+    /// Whether this member knows that it was removed. It may have been the leader, and the library cannot continue with
+    /// a leader that is not a member; so a removed member stops participating, and the others elect a new leader.
     fn is_removed(&self) -> bool {
         self.state.as_ref().is_some_and(|state| state.removed.contains_key(&self.raw.raft.id))
     }
 
-    /// Time goes on by one tick.
+    /// Advances the clock by one tick.
     pub fn tick(&mut self) {
         if self.is_removed() {
             return;
@@ -360,7 +358,7 @@
         self.draw();
     }
 
-    /// Takes a message. What no member sends to this one is dropped.
+    /// Handles a message from another member. Invalid or misaddressed messages are dropped.
     pub fn step(&mut self, message: PeerMessage) {
         if message.to != self.raw.raft.id || self.is_removed() {
             return;
@@ -369,7 +367,7 @@
             return;
         }
         if let Some(place) = message.place() {
-            // Its text comes first; until then the leader waits.
+            // The message is processed once the snapshot's text has been fetched; the leader waits until then.
             let known = place.index <= self.raw.raft.raft_log.committed;
             let there = self.text.as_ref().is_some_and(|(hash, _)| *hash == place.hash);
             if !known && !there {
@@ -382,17 +380,17 @@
             }
         }
         if let Some(message) = message.into_raft() {
-            let _ = self.raw.step(message); // what it refuses is a message that has lost its meaning
+            let _ = self.raw.step(message); // only stale messages are refused
             self.draw();
         }
     }
 
-    /// Whether a message asks for a vote, or was sent, by one that is no member any more.
+    /// Whether the sender of a message was removed from the cluster.
     fn is_stranger(&self, message: &PeerMessage) -> bool {
         self.state.as_ref().is_some_and(|state| state.removed.contains_key(&message.from))
     }
 
-    /// The text of a snapshot that was to be fetched. Tells whether it is the right one.
+    /// Passes in the text of the snapshot that was to be fetched. Returns whether its hash matches the offer.
     pub fn snapshot_fetched(&mut self, text: String) -> bool {
         let Some((message, place)) = self.offered.take() else { return false };
         let hash = seal::hash(&text);
@@ -405,33 +403,37 @@
         true
     }
 
-    /// A snapshot could not be fetched: it is asked for again when it is offered again.
+    /// Reports that the offered snapshot could not be fetched. It is requested again at the leader's next offer.
     pub fn snapshot_fetch_failed(&mut self) {
         self.offered = None;
     }
 
-    /// What was sent to a member is lost.
+    /// Reports that messages to a member were lost.
     pub fn report_unreachable(&mut self, member: MemberId) {
         self.raw.report_unreachable(member);
     }
 
-    /// A member has fetched no snapshot for too long: it is offered again.
+    /// Reports that a member has stopped fetching its snapshot, so that the snapshot is offered again.
     pub fn retry_snapshot(&mut self, member: MemberId) {
         self.raw.report_snapshot(member, SnapshotStatus::Failure);
     }
 
-    /// Proposes a command, here or through the leader. An error says that it was not; without one it may be lost, too:
-    /// only what is applied has happened.
+    /// Proposes a command, directly or through the leader. After `Ok` the proposal may still be lost; a command has taken
+    /// effect only once it is applied.
+    ///
+    /// # Errors
+    ///
+    /// The command was not proposed.
     pub fn propose(&mut self, proposal: &Proposal) -> Result<(), NodeError> {
         if self.is_removed() {
             return Err(raft::Error::ProposalDropped.into());
         }
-        let data = serde_json::to_vec(proposal).unwrap_or_default(); // fails only for maps with odd keys
+        let data = serde_json::to_vec(proposal).unwrap_or_default(); // can only fail for maps whose keys are not strings
         Ok(self.raw.propose(Vec::new(), data)?)
     }
 
-    /// Asks for the right to answer a read from the state as it will be then; [`Output::reads`] names the number. It may
-    /// be lost: ask again.
+    /// Requests a linearizable read. Once the local state is recent enough, [`Output::reads`] contains `number`. The
+    /// request may be lost and must then be repeated.
     pub fn request_read(&mut self, number: u64) {
         if (mutant("stale-read") && self.is_leader()) || mutant("lone-read") {
             return self.out.reads.push(number);
@@ -441,12 +443,16 @@
         }
     }
 
-    /// Hands leadership to another member, if this one leads.
+    /// Transfers leadership to another member, if this one leads.
     pub fn transfer_leader(&mut self, to: MemberId) {
         self.raw.transfer_leader(to);
     }
 
-    /// Proposes a change of members. Only the leader may, and none while another one is under way.
+    /// Proposes a membership change. Only the leader may do so, and only while no other change is in progress.
+    ///
+    /// # Errors
+    ///
+    /// Why the change was refused.
     pub fn change_members(&mut self, id: &str, change: &MemberChange) -> Result<(), String> {
         let Some(state) = self.state.as_ref().filter(|_| self.is_leader()) else {
             return Err("this member does not lead".to_owned());
@@ -476,7 +482,7 @@
                 let last = self.raw.raft.raft_log.last_index();
                 let progress = self.raw.raft.prs().get(member);
                 let lacks = progress.map_or(last, |p| last.saturating_sub(p.matched));
-                // One that is still being sent a snapshot has nothing: its vote would hold up what is agreed.
+                // A learner that is still receiving a snapshot has no log yet; its vote would delay commits.
                 let follows =
                     |p: &Progress| p.recent_active && p.state != ProgressState::Snapshot && p.matched > 0;
                 if lacks > CAUGHT_UP || !progress.is_some_and(follows) {
@@ -491,8 +497,11 @@
         proposed.map_err(|problem| problem.to_string())
     }
 
-    /// Does what there is to do: makes promises durable, applies what is agreed, and gives what follows from it. After an
-    /// error the member is to be dropped, and its folder opened anew.
+    /// Processes all pending work: persists entries and hard state, applies committed entries, and returns the output.
+    ///
+    /// # Errors
+    ///
+    /// After an error the node must be dropped and its folder reopened.
     pub fn drive(&mut self) -> Result<Output, NodeError> {
         while !self.is_removed() && self.raw.has_ready() {
             let mut ready = self.raw.ready();
@@ -606,7 +615,7 @@
         Ok(())
     }
 
-    /// Puts a snapshot in the place of a log that has grown long, or where a member needs one.
+    /// Compacts the log behind a new snapshot if the log has grown too long or a member needs a newer snapshot.
     fn shorten(&mut self) -> Result<(), NodeError> {
         let wanted = self.raw.store().takes_wanted();
         let place = self.raw.store().place().clone();
@@ -617,7 +626,7 @@
         };
         let (index, text) = (state.index, state.snapshot());
         let (store, raft) = (self.raw.store(), &self.raw.raft);
-        // What a member that is heard lacks stays, within bounds.
+        // Entries that a reachable member still needs are kept, within bounds.
         let heard = raft.prs().iter().filter(|(id, p)| **id != raft.id && p.recent_active);
         let lacked = heard.map(|(_, progress)| progress.matched).min().unwrap_or(index);
         let lacked = if self.is_leader() { lacked } else { index };
--- a/crates/agree/src/record.rs
+++ b/crates/agree/src/record.rs
@@ -1,58 +1,58 @@
-//! Records of the log's file: how they are written, and what a file that was cut off or damaged still says.
+//! Record format of the log file, and recovery from a truncated or damaged file.
 
 use prost::Message;
 use sha2::{Digest, Sha256};
 
-/// What a record begins with.
+/// Magic bytes at the start of a record.
 const MAGIC: [u8; 4] = *b"rtL1";
-/// Magic, length, bytes that were durable, and a hash over these.
+/// Size of a record's header: magic, body length, number of bytes known to be durable, and a hash over these.
 const HEAD: usize = 4 + 4 + 8 + 8;
-/// Bytes of the hash behind a body.
+/// Size of the hash that follows the body, in bytes.
 const SUM: usize = 16;
-/// Longest body: a fleet's text and some room.
+/// Maximum size of a body, in bytes: the text of a fleet, with some headroom.
 const BODY_MOST: usize = 96 << 20;
 
-/// An entry of the log.
+/// A log entry.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Entry {
-    /// Its place.
+    /// Position in the log.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// The term of the leader that put it there.
+    /// Term of the leader that proposed it.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// 0: a command; 1: a change of members.
+    /// 0 for a command, 1 for a membership change.
     #[prost(uint32, tag = "3")]
     pub kind: u32,
-    /// The command.
+    /// The encoded command.
     #[prost(bytes = "bytes", tag = "4")]
     pub data: bytes::Bytes,
-    /// The change of members.
+    /// The encoded membership change.
     #[prost(bytes = "bytes", tag = "5")]
     pub context: bytes::Bytes,
 }
 
-/// What a member has promised.
+/// Raft's hard state: what a member must not forget across restarts, besides the log.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct HardStateRecord {
-    /// The term.
+    /// Current term.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// Who got its vote in it; 0: nobody.
+    /// The member voted for in this term; 0 for none.
     #[prost(uint64, tag = "2")]
     pub vote: u64,
-    /// Up to where the log is known to be agreed.
+    /// Commit index.
     #[prost(uint64, tag = "3")]
     pub commit: u64,
 }
 
-/// What one append holds. An entry replaces all that stood at its place and behind it.
+/// Content of one append. An entry replaces the entry of the same index and all later ones.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Record {
-    /// Entries, in order.
+    /// Entries, in order of their indexes.
     #[prost(message, repeated, tag = "1")]
     pub entries: Vec<Entry>,
-    /// A promise, if it has changed. A record with neither is a mark: what is before it is durable.
+    /// The hard state, if it has changed. A record with neither is a marker that all bytes before it are durable.
     #[prost(message, optional, tag = "2")]
     pub promise: Option<HardStateRecord>,
 }
@@ -62,7 +62,7 @@
     std::array::from_fn(|place| digest[place])
 }
 
-/// A record's bytes, for a file of which so many were durable before.
+/// Encodes a record; `durable` is the number of bytes of the file that are known to be durable.
 pub fn write(record: &Record, durable: u64) -> Vec<u8> {
     let body = record.encode_to_vec();
     let mut bytes = Vec::with_capacity(HEAD + body.len() + SUM);
@@ -75,7 +75,7 @@
     bytes
 }
 
-/// A record's length and what was durable before it, if its head is sound.
+/// Decodes a record's header: the length of the body and the number of durable bytes; `None` if it is not intact.
 fn head(bytes: &[u8]) -> Option<(usize, u64)> {
     let head = bytes.get(..HEAD)?;
     if head[..4] != MAGIC || head[16..] != sum::<8>(&head[..16]) {
@@ -86,7 +86,7 @@
     (length <= BODY_MOST).then_some((length, durable))
 }
 
-/// The record at a file's place, and where the next one begins.
+/// Decodes the record at offset `at`: the record, the number of durable bytes, and the offset of the next record.
 fn record(bytes: &[u8], at: usize) -> Option<(Record, u64, usize)> {
     let (length, durable) = head(&bytes[at..])?;
     let body = bytes.get(at + HEAD..at + HEAD + length)?;
@@ -97,13 +97,16 @@
     Some((Record::decode(body).ok()?, durable, end))
 }
 
-/// A file's records and how many of its bytes are sound. Where a record is broken that was durable, because a sound
-/// one behind it says so, that is damage, and its place is given. Else it is a torn tail, which nobody was told of.
+/// Returns a file's records and the length of its intact part. The rest is a torn tail, which was never acknowledged.
+///
+/// # Errors
+///
+/// The offset of a broken record, if an intact record behind it states that it was durable: then the file is damaged.
 pub fn read(bytes: &[u8]) -> Result<(Vec<Record>, usize), usize> {
     let (mut records, mut at) = (Vec::new(), 0);
     while let Some((found, durable, end)) = record(bytes, at) {
         if durable > at as u64 {
-            return Err(at); // its own place was not there yet: it belongs elsewhere
+            return Err(at); // it claims bytes beyond its own offset as durable, so it was written for another place
         }
         records.push(found);
         at = end;
@@ -130,7 +133,7 @@
         }
     }
 
-    /// A file of so many records, each synced before the next, with a mark behind each or not.
+    /// A file of this many records, each synced before the next, optionally with a marker after each.
     fn file(records: u64, marks: bool) -> (Vec<u8>, Vec<usize>) {
         let (mut bytes, mut ends) = (Vec::new(), vec![0]);
         for index in 1..=records {
@@ -172,7 +175,7 @@
                 spoilt[at] ^= flip;
                 match read(&spoilt) {
                     Err(_) => assert!(at < last_mark, "byte {at}"),
-                    // Nothing vouches for the last mark, and nothing was said in it.
+                    // No later record confirms the last marker, and the marker itself carries no data.
                     Ok((records, _)) => assert!(at >= last_mark && records.len() == 11, "byte {at}"),
                 }
             }
@@ -183,7 +186,7 @@
     fn of_a_torn_append_nothing_is_taken_for_damage() {
         let (durable, _) = file(4, false);
         let mut bytes = durable.clone();
-        // One append of three records, of which the middle one never reached the disk.
+        // One append of three records, of which the middle one did not reach the disk.
         for index in 5..=7 {
             let written = write(&entry(index), durable.len() as u64);
             match index {
--- a/crates/agree/src/state.rs
+++ b/crates/agree/src/state.rs
@@ -1,5 +1,5 @@
-//! The replicated state: commands go in by their index in the log, outcomes and effects come out. No I/O, no clock, no
-//! hash order: equal logs give equal states, to the byte of their snapshots.
+//! The replicated state machine: applies commands in log order, and returns outcomes and effects. It does no I/O, reads
+//! no clock and depends on no hash order, so equal logs give equal states, with byte-identical snapshots.
 
 use crate::command::{
     Command, Commit, Endpoint, MAX_WRITE_ID_BYTES, MemberChange, MemberId, Outcome, PoolUpdate, Proposal,
@@ -11,66 +11,66 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Outcomes remembered for repeats. A client repeats for minutes at most; this many writes take longer.
+/// Number of outcomes kept to answer repeated writes. Clients repeat for minutes at most; this many writes take longer.
 pub const MAX_OUTCOMES: usize = 4_096;
-/// Bytes of versions' texts that are kept: beyond it the oldest go, but for those that are in use.
+/// Maximum total size of the kept versions' texts, in bytes. Beyond it the oldest versions not in use are dropped.
 pub const MAX_TEXT_BYTES: usize = 64 << 20;
-/// Members, learners included. Each one costs the leader a stream and the log a copy.
+/// Maximum number of members, including learners. Each one costs the leader a stream and a copy of the log.
 pub const MAX_MEMBERS: usize = 16;
-/// Removed members that are remembered, so that they can be told.
+/// Number of removed members that are remembered, so that they can be told of their removal.
 const REMOVED_MOST: usize = 1_000;
-/// Longest name of a member, pool or endpoint, in bytes.
+/// Maximum length of the name of a member, pool or endpoint, in bytes.
 const NAME_MOST: usize = 256;
 
 /// A member of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// Its name, for people.
+    /// Display name.
     pub name: String,
-    /// Where other members reach it.
+    /// Address at which other members reach it.
     pub address: String,
-    /// Whether it votes.
+    /// Whether it votes; otherwise it is a learner.
     pub voter: bool,
-    /// What its folder must show once.
+    /// Ticket that its folder must present once.
     pub ticket: String,
-    /// Its folder's own random number, once it has shown itself.
+    /// Random id of its folder, once the member has made contact.
     pub folder: Option<String>,
 }
 
-/// One that was a member.
+/// A member that was removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RemovedMember {
-    /// Its name.
+    /// Display name.
     pub name: String,
-    /// The index of its removal.
+    /// Log index of the removal.
     pub index: u64,
 }
 
-/// A roll-out under way.
+/// A staged roll-out in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
-    /// The version.
+    /// Serial of the version that is rolled out.
     pub serial: u64,
-    /// The one that proxies have until they get it.
+    /// Serial of the previous version, which the remaining proxies keep.
     pub from: u64,
-    /// The stage that it is in, from 0.
+    /// Index of the current stage, from 0.
     pub stage: usize,
-    /// Why it goes no further, until somebody says so.
+    /// Why the roll-out is halted, until it is resumed.
     pub halted: Option<String>,
 }
 
-/// What is listed of a pool.
+/// The endpoints of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// The version of discovery's list.
+    /// Revision of discovery's list.
     pub rev: u64,
     /// Endpoints by uid.
     pub endpoints: BTreeMap<String, Endpoint>,
-    /// Of those that drain, the version of the list that said so.
+    /// For each draining endpoint, the revision of the list that reported the drain.
     pub drained_at: BTreeMap<String, u64>,
 }
 
@@ -81,55 +81,55 @@
     outcome: Outcome,
 }
 
-/// Everything that is agreed. A clone shares what is large.
+/// The replicated state. Clones share the large parts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct State {
-    /// Made once, with the cluster.
+    /// Identifies the cluster; set once, when it is created.
     pub lineage: String,
-    /// Orders the versions that proxies are told after those of earlier lineages; made with the lineage.
+    /// Orders the configuration versions of this lineage after those of earlier lineages; set with the lineage.
     pub epoch: u64,
-    /// The last index that was applied.
+    /// Index of the last entry that was applied.
     pub index: u64,
-    /// The last index that may change what proxies are told.
+    /// Index of the last entry that may have changed the proxies' configuration.
     pub served: u64,
-    /// Versions of the fleet, the newest last.
+    /// Versions of the fleet, oldest first.
     pub versions: Vec<Version>,
     texts: BTreeMap<u64, Arc<str>>,
-    /// The roll-out under way.
+    /// The roll-out in progress.
     pub rollout: Option<Rollout>,
-    /// Pools that follow discovery.
+    /// Pools that follow discovery, by name.
     pub pools: BTreeMap<String, Arc<Pool>>,
-    /// Endpoints that somebody holds back, by pool and uid.
+    /// Endpoints on hold by an operator, by pool and uid.
     pub held: BTreeSet<(String, String)>,
-    /// Members by number.
+    /// Members by id.
     pub members: BTreeMap<MemberId, Member>,
-    /// Those that were members, by number.
+    /// Removed members by id.
     pub removed: BTreeMap<MemberId, RemovedMember>,
     next_member: MemberId,
     answered: Arc<BTreeMap<u64, Answered>>,
 }
 
-/// What a command has changed.
+/// The parts of the state that a command has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Effects {
     /// The fleet's current version.
     pub version: bool,
     /// The roll-out.
     pub rollout: bool,
-    /// What is listed, held or drains.
+    /// Endpoints of pools, holds or drains.
     pub pools: bool,
     /// The members.
     pub members: bool,
 }
 
 impl Effects {
-    /// Whether what proxies are told may change.
+    /// Whether the proxies' configuration may have changed.
     pub fn affects_proxies(&self) -> bool {
         self.version || self.rollout || self.pools
     }
 
-    /// Both together.
+    /// Combines the effects of two commands.
     pub fn union(self, other: Effects) -> Effects {
         Effects {
             version: self.version | other.version,
@@ -152,7 +152,7 @@
 }
 
 impl State {
-    /// A new cluster of one member, whose folder has this random number.
+    /// The state of a new cluster of one member, whose folder has this random id.
     pub fn new(lineage: &str, epoch: u64, name: &str, address: &str, folder: &str) -> State {
         let member = Member {
             name: name.to_owned(),
@@ -178,8 +178,7 @@
         }
     }
 
-    /// With the versions that a state of one instance had, the newest last; of those whose text is not given nothing is
-    /// kept.
+    /// Adds the versions of a single-instance store, oldest first, with their texts.
     pub fn with_versions(mut self, versions: impl IntoIterator<Item = (Version, String)>) -> State {
         for (version, text) in versions {
             self.texts.insert(version.serial, text.into());
@@ -189,7 +188,7 @@
         self
     }
 
-    /// The number that the next new member gets.
+    /// Id of the next member to be added.
     pub fn next_member(&self) -> MemberId {
         self.next_member
     }
@@ -204,29 +203,29 @@
         self.current().map_or(0, |version| version.serial)
     }
 
-    /// A version's text, if it is still kept.
+    /// Text of a version, if it is still kept.
     pub fn text(&self, serial: u64) -> Option<&str> {
         self.texts.get(&serial).map(AsRef::as_ref)
     }
 
-    /// What came of the write of this id, if that is known, and at which index.
+    /// Index and outcome of the write with this id, if they are still kept.
     pub fn outcome(&self, id: &str) -> Option<(u64, &Outcome)> {
         if id.is_empty() {
             return None;
         }
-        // A repeat is likelier of a late write than of an early one.
+        // Newest first: most repeats are of recent writes.
         let found = self.answered.iter().rev().find(|(_, answered)| answered.id == id);
         found.map(|(index, answered)| (*index, &answered.outcome))
     }
 
-    /// Whether an endpoint is to get nothing new.
+    /// Whether an endpoint is draining or on hold, so that it gets no new requests.
     pub fn is_draining(&self, pool: &str, uid: &str) -> bool {
         let listed = self.pools.get(pool).and_then(|pool| pool.endpoints.get(uid));
         listed.is_some_and(|endpoint| endpoint.draining)
             || self.held.contains(&(pool.to_owned(), uid.to_owned()))
     }
 
-    /// Takes a command.
+    /// Applies the command of the entry at `index`.
     pub fn apply(&mut self, index: u64, proposal: Proposal) -> Applied {
         self.index = index;
         let Proposal { id, command } = proposal;
@@ -287,7 +286,8 @@
             return refused("another version is being rolled out: resume that, or abort it");
         }
         let serial = on + 1;
-        // What is not staged goes to all at once, and ends a roll-out: so does going back in a hurry.
+        // A commit without stages goes to all proxies at once and ends a roll-out in progress, so an urgent rollback
+        // does not have to wait for one.
         let staged = !stages.is_empty() && on > 0;
         self.rollout = staged.then_some(Rollout { serial, from: on, stage: 0, halted: None });
         self.versions.push(Version {
@@ -306,8 +306,8 @@
         (Outcome::Committed(serial), VERSION)
     }
 
-    /// Forgets versions that are too many or too long, the oldest first; not the current one nor those that a roll-out
-    /// needs.
+    /// Drops the oldest versions while their number or the size of their texts exceeds its limit, but neither the
+    /// current version nor those that the roll-out in progress needs.
     fn trim(&mut self) {
         let needed = self.rollout.as_ref().map_or(u64::MAX, |rollout| rollout.from);
         loop {
@@ -362,7 +362,8 @@
             };
             let older =
                 pool.endpoints.get(&uid).filter(|old| old.draining && old.boot_ms >= endpoint.boot_ms);
-            // Only a newer word of the source takes a drain back, or one that has stood.
+            // A drain is only cancelled by a list of a higher revision than the one that reported it, or by a settled
+            // list.
             let said_at = pool.drained_at.get(&uid).copied().unwrap_or_default();
             if !endpoint.draining && older.is_some() && rev <= said_at && !settled && !mutant("undrained") {
                 endpoint.draining = true;
@@ -420,7 +421,7 @@
         }
     }
 
-    /// Why a change of members makes no sense; none: it may be made.
+    /// Why a membership change is not valid; `None` if it is.
     pub fn change_rejection(&self, change: &MemberChange) -> Option<String> {
         let known = self.members.get(&change.member());
         match change {
@@ -457,7 +458,7 @@
         }
     }
 
-    /// Takes a change of members; with an outcome other than `Done` nothing has changed.
+    /// Applies a membership change; with an outcome other than `Done` nothing has changed.
     pub fn change_members(&mut self, index: u64, id: String, change: MemberChange) -> Applied {
         self.index = index;
         if let Some((_, outcome)) = self.outcome(&id) {
@@ -493,21 +494,25 @@
         applied
     }
 
-    /// An entry of the log that says nothing.
+    /// Advances the index past an empty entry.
     pub fn skip(&mut self, index: u64) {
         self.index = index;
     }
 
-    /// The state in its canonical form: equal states give equal bytes.
+    /// Serializes the state in its canonical form: equal states give equal bytes.
     pub fn snapshot(&self) -> String {
         let mut state = self.clone();
         if mutant("snapshot-forgets-writes") {
             state.answered = Arc::default();
         }
-        serde_json::to_string(&state).unwrap_or_default() // fails only for maps with keys that are no text
+        serde_json::to_string(&state).unwrap_or_default() // can only fail for maps whose keys are not strings
     }
 
-    /// The state of a snapshot, or what is wrong with that.
+    /// Parses a snapshot.
+    ///
+    /// # Errors
+    ///
+    /// A description of what is wrong with the text.
     pub fn from_snapshot(text: &str) -> Result<State, String> {
         serde_json::from_str(text).map_err(|problem| problem.to_string())
     }
--- a/crates/agree/tests/disks.rs
+++ b/crates/agree/tests/disks.rs
@@ -1,4 +1,4 @@
-//! Members whose disks fail, are cut off or are damaged: what was answered for is never forgotten.
+//! Members whose disks fail, lose power or are damaged: nothing that was acknowledged is lost.
 
 mod support;
 
@@ -10,7 +10,8 @@
 use std::collections::BTreeSet;
 use support::*;
 
-/// Writes at a member alone until its disk fails, and gives the ids of those that were acknowledged.
+/// Writes to a single-member cluster until its disk fails. Returns the ids of the acknowledged writes, and whether all
+/// writes succeeded.
 fn writes(node: &mut Node<Disk>, count: u64, size: usize) -> (BTreeSet<String>, bool) {
     let mut acknowledged = BTreeSet::new();
     for n in 0..count {
@@ -39,7 +40,7 @@
 
 #[test]
 fn a_power_cut_at_any_operation_forgets_nothing_that_was_acknowledged() {
-    // Large texts, so that the log is cut behind a snapshot on the way.
+    // Large texts, so that the log is compacted behind a snapshot during the run.
     let made = || {
         let disk = Disk::default();
         let state = runtrack_agree::State::new("lineage-1", 7, "m1", "a1", "folder-1");
@@ -54,7 +55,7 @@
         let (all, _) = writes(&mut node, whole, size);
         assert!(
             all.len() as u64 + 1 >= whole && node.snapshot().index > 1,
-            "it made a snapshot on the way"
+            "no snapshot was made during the run"
         );
         disk.done() - before
     };
@@ -70,7 +71,7 @@
             let node = lone(&left);
             let state = node.state().expect("it has a state");
             for id in &acknowledged {
-                assert!(state.outcome(id).is_some(), "cut {cut}, seed {seed}: {id} is forgotten");
+                assert!(state.outcome(id).is_some(), "cut {cut}, seed {seed}: {id} is lost");
             }
             kept += acknowledged.len();
         }
@@ -85,7 +86,7 @@
         let mut written = Vec::new();
         for n in 0..12 {
             let victim = 1 + u64::from(cluster.draws.next_u32() % 3);
-            // In the middle of a turn: its disk is cut off at one of its next operations.
+            // The power fails in the middle of an iteration, at one of the disk's next operations.
             let disk = cluster.disks[&victim].clone();
             let at = disk.done() + cluster.draws.next_u32() as usize % 6;
             disk.fail(Some((at, true)));
@@ -131,10 +132,7 @@
                 Ok(mut node) => {
                     node.drive().expect("a sound disk");
                     let standing = node.status();
-                    assert!(
-                        standing.committed >= applied,
-                        "{name}, byte {at}: what was agreed is forgotten"
-                    );
+                    assert!(standing.committed >= applied, "{name}, byte {at}: committed entries are lost");
                     harmless += 1;
                 }
             }
@@ -180,7 +178,7 @@
     cluster.cut_off(behind, false);
     cluster.settle();
     assert!(cluster.state(behind).index >= index);
-    // A repeat of a write from before the snapshot is answered, not run twice.
+    // A repeat of a write from before the snapshot is answered and not applied again.
     let serial = cluster.state(behind).serial();
     let again = cluster.applied.values().filter(|applied| applied.id == "v3").count();
     assert_eq!(again, 1);
--- a/crates/agree/tests/host.rs
+++ b/crates/agree/tests/host.rs
@@ -1,4 +1,4 @@
-//! Members as a service has them: threads, folders, gRPC on loopback.
+//! Members running as in production: on threads, with real folders and gRPC over loopback.
 
 mod support;
 
@@ -14,7 +14,7 @@
 
 const WITHIN: Duration = Duration::from_secs(15);
 
-/// A member that runs, and the port that it listens at.
+/// A running member and the address that it listens on.
 struct Member {
     _place: Place,
     at: SocketAddr,
@@ -44,7 +44,7 @@
         Member { _place: place, at, handle, server }
     }
 
-    /// Adds one to a cluster, by an invitation of this member's.
+    /// Adds a member to the cluster, by an invitation from this member.
     async fn invite(&self, member: u64) -> Member {
         let (place, at) = (Place::new(), SocketAddr::from(([127, 0, 0, 1], free_port())));
         let (name, ticket) = (format!("m{member}"), format!("ticket-{member}"));
@@ -96,9 +96,9 @@
 async fn three_members_decide_as_one_over_their_links() {
     let members = three().await;
     for (n, member) in members.iter().enumerate() {
-        member.hold(n as u64).await; // through whichever member
+        member.hold(n as u64).await; // any member accepts writes
     }
-    // A repeat is answered at any member, and not run again.
+    // A repeat is answered at any member and not applied again.
     for member in &members {
         member.hold(0).await;
         let read = member.handle.read(WITHIN).await.expect("a majority");
@@ -123,7 +123,7 @@
     members[2].server.abort();
     members[0].hold(7).await;
     assert!(members[0].handle.has_majority());
-    // The last one alone decides nothing, and says so.
+    // A single remaining member commits nothing, and reports that it has no majority.
     members[1].handle.stop();
     members[1].server.abort();
     until("it has noticed", || !members[0].handle.has_majority()).await;
@@ -162,7 +162,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_folder_under_one_number_and_another_lineage_are_told_why_not() {
     let members = three().await;
-    // The third one's folder is lost, and the invitation used again.
+    // The third member's folder is lost, and its invitation is used again.
     members[2].handle.stop();
     members[2].server.abort();
     let problem_of = |handle: &Handle| {
@@ -181,6 +181,6 @@
     let at = SocketAddr::from(([127, 0, 0, 1], free_port()));
     let (handle, _server) = run(&place, at);
     until("it is refused", || problem_of(&handle).contains("two clusters")).await;
-    // And the cluster goes on.
+    // The cluster still accepts writes.
     members[0].hold(1).await;
 }
--- a/crates/agree/tests/members.rs
+++ b/crates/agree/tests/members.rs
@@ -1,4 +1,4 @@
-//! Members that agree, come, go, and are cut off.
+//! Replication, elections, reads and membership changes, with members that are partitioned or removed.
 
 mod support;
 
@@ -131,13 +131,13 @@
     let mut cluster = Cluster::of(3, 7);
     let leader = cluster.leader().expect("somebody");
     let gone = (1..=3).find(|member| *member != leader).expect("one of the others");
-    // It does not hear of its removal.
+    // It does not learn of its removal.
     cluster.cut_off(gone, true);
     cluster.change(&MemberChange::Remove { member: gone });
     cluster.settle_without(gone);
     cluster.cut_off(gone, false);
     let term = cluster.nodes[&leader].status().term;
-    // With the third one away the leader can't decide: the removed one does not make up a majority.
+    // With the third member partitioned the leader cannot commit: the removed member must not count towards a majority.
     let third = (1..=3).find(|member| *member != leader && *member != gone).expect("the third");
     cluster.cut_off(third, true);
     let write = proposal("alone", hold(1));
--- a/crates/agree/tests/states.rs
+++ b/crates/agree/tests/states.rs
@@ -1,4 +1,4 @@
-//! The replicated state by itself.
+//! The replicated state machine in isolation.
 
 mod support;
 
@@ -126,7 +126,7 @@
     assert_eq!(state.rollout.as_ref().map(|rollout| rollout.stage), Some(1));
     assert_eq!(run(&mut state, step(2, 1, RolloutAction::Next)).0, Outcome::Done);
     assert_eq!(state.rollout, None);
-    // Going back in a hurry ends one.
+    // A commit without stages, such as an urgent rollback, ends the roll-out.
     let command = staged(&state, "three");
     run(&mut state, command);
     let command = commit(&state, "two");
@@ -140,11 +140,11 @@
     run(&mut state, listed(5, true, &[("a", Some(up(1))), ("b", Some(up(1)))]));
     assert!(run(&mut state, draining("a", 1, 9)).1.pools);
     assert!(state.is_draining("p", "a") && !state.is_draining("p", "b"));
-    // An instance that was away brings an older list.
+    // A control instance that was partitioned proposes an older list.
     run(&mut state, listed(7, true, &[("a", Some(up(1))), ("b", Some(up(1)))]));
-    assert!(state.is_draining("p", "a"), "undone by an older word");
+    assert!(state.is_draining("p", "a"), "undone by an older list");
     run(&mut state, listed(10, false, &[("a", Some(up(1)))]));
-    assert!(!state.is_draining("p", "a"), "a newer word");
+    assert!(!state.is_draining("p", "a"), "a newer list");
     run(&mut state, draining("a", 1, 12));
     run(&mut state, listed(11, false, &[("a", Some(up(2)))]));
     assert!(!state.is_draining("p", "a"), "another process");
@@ -152,7 +152,7 @@
         matches!(run(&mut state, draining("a", 1, 13)).0, Outcome::Refused(_)),
         "the one before it drained"
     );
-    // A source that counts anew is believed once that has stood.
+    // A source that restarted its revisions is accepted once its list is settled.
     run(&mut state, draining("a", 2, 14));
     let Command::Listed(anew) = listed(1, true, &[("a", Some(up(2)))]) else { unreachable!() };
     run(&mut state, Command::Listed(PoolUpdate { settled: true, ..anew }));
--- a/crates/agree/tests/support/mod.rs
+++ b/crates/agree/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Members over disks that can be cut off and links that lose what they like, on one clock of ticks.
+//! A simulated cluster: members on disks that can fail and links that can be cut, driven by one tick clock.
 #![allow(dead_code)]
 
 use rand_core::{RngCore, SeedableRng};
@@ -27,7 +27,7 @@
     Proposal { id: id.to_owned(), command }
 }
 
-/// A version on top of the one that a state has.
+/// A commit on top of the current version of a state.
 pub fn commit(state: &State, text: &str) -> Command {
     let parent = state.current().map(|version| version.hash.clone()).unwrap_or_default();
     Command::Commit(Commit {
@@ -41,7 +41,7 @@
     })
 }
 
-/// Something small that each write does.
+/// A small command; each `n` holds a different endpoint.
 pub fn hold(n: u64) -> Command {
     Command::Hold { pool: "p".to_owned(), uid: format!("e{n}"), held: true, by: Attribution::default() }
 }
@@ -49,12 +49,12 @@
 pub struct Cluster {
     pub nodes: BTreeMap<MemberId, Node<Disk>>,
     pub disks: BTreeMap<MemberId, Disk>,
-    /// Messages on their way.
+    /// Messages in flight.
     pub wire: VecDeque<PeerMessage>,
-    /// Links that are cut, from and to.
+    /// Links that are cut, as sender and receiver.
     pub cut: BTreeSet<(MemberId, MemberId)>,
     pub draws: Pcg32,
-    /// What each member applied, by index: a write's id and its outcome must be the same everywhere.
+    /// Applied commands by index; a command's id and outcome must be the same on all members.
     pub applied: BTreeMap<u64, Applied>,
     /// Leaders by term.
     pub leaders: BTreeMap<u64, MemberId>,
@@ -64,7 +64,7 @@
 }
 
 impl Cluster {
-    /// A cluster of one.
+    /// A cluster of one member.
     pub fn new(seed: u64) -> Cluster {
         let disk = Disk::default();
         let state = State::new("lineage-1", 7, "m1", "a1", "folder-1");
@@ -85,7 +85,7 @@
         cluster
     }
 
-    /// A cluster of so many, all of which vote.
+    /// A cluster of this many voting members.
     pub fn of(members: u64, seed: u64) -> Cluster {
         let mut cluster = Cluster::new(seed);
         for member in 2..=members {
@@ -100,7 +100,7 @@
         self.nodes.insert(member, node);
     }
 
-    /// A member's power goes: what it had not synced may be lost.
+    /// Cuts a member's power: unsynced data may be lost.
     pub fn power_off(&mut self, member: MemberId) {
         self.nodes.remove(&member);
         let left = self.disks[&member].after_cut(&mut self.draws);
@@ -113,7 +113,7 @@
         self.start(member);
     }
 
-    /// Adds a learner and waits until it has shown itself.
+    /// Adds a learner and records its first contact.
     pub fn add(&mut self, member: MemberId) {
         let (name, address) = (format!("m{member}"), format!("a{member}"));
         let change = MemberChange::Add { member, name, address, ticket: format!("ticket-{member}") };
@@ -135,7 +135,7 @@
         self.change(&MemberChange::Promote { member });
     }
 
-    /// Makes a change of members and waits until it is applied where it leads.
+    /// Proposes a membership change until it is applied on the leader.
     pub fn change(&mut self, change: &MemberChange) {
         let id = format!("change-{change:?}").chars().take(60).collect::<String>();
         for _ in 0..200 {
@@ -154,7 +154,7 @@
         panic!("never made: {change:?}");
     }
 
-    /// The one that leads in the highest term among those that run.
+    /// The running leader with the highest term.
     pub fn leader(&self) -> Option<MemberId> {
         let standing = self
             .nodes
@@ -164,7 +164,7 @@
         standing.max().map(|(_, id)| id)
     }
 
-    /// Proposes a command at the leader until it is applied there; gives its index.
+    /// Proposes a command on the leader until it is applied; returns its index.
     pub fn write(&mut self, id: &str, command: Command) -> u64 {
         let id = if id.is_empty() { format!("write-{}", self.draws.next_u64()) } else { id.to_owned() };
         for _ in 0..200 {
@@ -186,7 +186,7 @@
         self.nodes[&member].state().expect("it has heard")
     }
 
-    /// One tick for all, and what comes of it.
+    /// Runs one tick on all members, and delivers the resulting messages.
     pub fn turn(&mut self) {
         self.ticks += 1;
         let members: Vec<MemberId> = self.nodes.keys().copied().collect();
@@ -239,14 +239,14 @@
             let node = self.nodes.get_mut(&member).expect("it runs");
             match text {
                 Some(text) => {
-                    assert!(node.snapshot_fetched(text), "the text of the snapshot that was offered")
+                    assert!(node.snapshot_fetched(text), "the fetched text does not match the offer")
                 }
                 None => node.snapshot_fetch_failed(),
             }
         }
     }
 
-    /// Takes turns until a condition holds.
+    /// Runs ticks until a condition holds.
     pub fn until(&mut self, what: &str, holds: impl Fn(&Cluster) -> bool) {
         for _ in 0..2_000 {
             if holds(self) {
@@ -257,7 +257,7 @@
         panic!("never came: {what}");
     }
 
-    /// Waits until all that run have applied the same, and looks that they hold the same.
+    /// Waits until all running members have applied the same entries, and checks that their states are equal.
     pub fn settle(&mut self) {
         self.until("all have applied the same", |c| {
             let applied: BTreeSet<u64> = c.nodes.values().map(|node| node.status().applied).collect();
@@ -266,10 +266,10 @@
         });
         let snapshots: BTreeSet<String> =
             self.nodes.values().map(|node| node.state().expect("it has heard").snapshot()).collect();
-        assert_eq!(snapshots.len(), 1, "equal logs, unequal states");
+        assert_eq!(snapshots.len(), 1, "states differ after equal logs");
     }
 
-    /// Waits until all but one have applied the same.
+    /// Waits until all members but one have applied the same entries.
     pub fn settle_without(&mut self, member: MemberId) {
         self.until("the others have applied the same", |c| {
             let others = c.nodes.iter().filter(|(id, _)| **id != member);
@@ -278,7 +278,7 @@
         });
     }
 
-    /// Cuts a member off from all others, both ways, or heals that.
+    /// Cuts all links between a member and the others, in both directions, or restores them.
     pub fn cut_off(&mut self, member: MemberId, cut: bool) {
         for other in self.disks.keys().copied().filter(|other| *other != member) {
             for link in [(member, other), (other, member)] {
--- a/crates/store/benches/cuts.rs
+++ b/crates/store/benches/cuts.rs
@@ -1,4 +1,4 @@
-//! A hundred thousand simulated cuts of a commit: at each operation, with another loss of what was not synced.
+//! 100,000 simulated power cuts during a commit: at each file operation, with random losses of unsynced data.
 //!
 //! `cargo bench -p runtrack-store --bench cuts`
 
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -1,35 +1,35 @@
-//! What the store asks of a file system, and a folder of the real one.
+//! The file operations that the store needs, and their implementation on a real folder.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A flat folder. Nothing is durable before it was synced: a file's bytes by `sync`, names by `sync_folder`.
+/// A flat folder of files. Changes are durable only after a sync: a file's content by `sync`, its name by `sync_folder`.
 pub trait Files {
-    /// A file's bytes.
+    /// Reads a whole file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Makes a file of these bytes, in place of what it held.
+    /// Writes a whole file, replacing its previous content.
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Adds bytes behind those of a file, which is made if it is not there. Where it fails part of them may be there.
+    /// Appends to a file, which is created if it does not exist. On an error, part of the bytes may have been written.
     fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Leaves only so many bytes of a file.
+    /// Truncates a file to `length` bytes.
     fn truncate(&self, name: &str, length: u64) -> io::Result<()>;
-    /// Makes a file's bytes durable.
+    /// Makes a file's content durable.
     fn sync(&self, name: &str) -> io::Result<()>;
-    /// Gives a file another name, in place of whoever had that: at once or not at all.
+    /// Atomically renames a file, replacing any file of the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Makes names durable.
+    /// Makes created, renamed and removed names durable.
     fn sync_folder(&self) -> io::Result<()>;
 }
 
-/// A folder of the file system.
+/// A folder in the real file system.
 #[derive(Clone, Debug)]
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// This folder, made if it is not there.
+    /// Opens the folder, which is created if it does not exist.
     pub fn new(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         Ok(Folder(path.to_owned()))
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,12 +1,13 @@
-//! Durable, versioned state in a folder: one atomic commit, recovery to the old state or the new, a lock.
+//! Durable, versioned state in a folder, with atomic commits, crash recovery and a writer lock.
 //!
-//! A version is a file of its own, written and synced under its final name before anything refers to it. What
-//! refers to it is the head: lineage, history and the hash of each version, replaced as a whole by a rename. So a
-//! commit has happened exactly if the head of it is there, and what a cut leaves behind is never looked at.
+//! Each version is stored in its own file, written and synced under its final name before anything refers to it. The
+//! head file refers to the versions: it holds the lineage, the history and the hash of each version, and is replaced as
+//! a whole by a rename. A commit has therefore happened exactly if the head contains it, and files left behind by a
+//! power cut are never read.
 //!
-//! A head of an older format is read as it is; the first commit writes the newest one, and keeps the old head as
-//! `head.FORMAT`. Given its name back, it makes an older program serve the last version of then, as long as that one
-//! is kept.
+//! A head of an older format is read as it is; the first commit writes the newest format and keeps the old head as
+//! `head.FORMAT`. Renaming that file back to `head` lets an older program serve the version that was current before the
+//! migration, as long as that version is still kept.
 
 mod files;
 mod lock;
@@ -19,35 +20,35 @@
 use std::io;
 use thiserror::Error;
 
-/// The format of the head that this version writes, and the newest that it reads. Format 1 knew of no plans and no
-/// stages: a program that reads no other would take a head with those for a damaged one.
+/// Format of the head that this version writes, and the newest that it reads. Format 1 has neither plans nor stages: a
+/// program that reads only format 1 would report a head that contains them as damaged.
 pub const FORMAT: u32 = 2;
-/// The format of versions' texts.
+/// Format of the files that hold the versions' texts.
 const TEXT_FORMAT: u32 = 1;
-/// Versions kept, the current one included.
+/// Number of versions kept, including the current one.
 pub const MAX_VERSIONS: usize = 100;
 
 const MAGIC: &str = "runtrack-state";
 const HEAD: &str = "head";
 const HEAD_NEW: &str = "head.new";
 
-/// Why the store can't do what it was asked.
+/// Why a store operation failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The file layer failed; the state is the one before.
+    /// A file operation failed; the state is unchanged.
     #[error("{file}: {error}")]
     File {
         /// The file.
         file: String,
-        /// What the system said.
+        /// The I/O error.
         error: io::Error,
     },
-    /// A file is not what was written.
+    /// A file's content is not what was written.
     #[error("{file}: damaged: {problem}")]
     Damaged {
         /// The file.
         file: String,
-        /// What does not fit.
+        /// What is wrong with it.
         problem: String,
     },
     /// A file was written by a newer version.
@@ -57,23 +58,23 @@
         file: String,
         /// Its format.
         found: u32,
-        /// The newest that is read.
+        /// The newest format that this version reads.
         known: u32,
     },
-    /// The state is no longer the one that a commit builds on.
+    /// The current version is not the one that the commit builds on.
     #[error("the state has moved: expected serial {expected}, found {found}{}", by.as_ref().map(|by| format!(" by {by}")).unwrap_or_default())]
     Moved {
         /// The serial that the commit builds on.
         expected: u64,
-        /// The serial that is there.
+        /// The current serial.
         found: u64,
-        /// Who made it, and why.
+        /// Author and reason of the current version.
         by: Option<String>,
     },
-    /// There is no such version, or it is no longer kept.
+    /// The version does not exist or is no longer kept.
     #[error("serial {0} is not kept")]
     VersionNotFound(u64),
-    /// Somebody else is writing.
+    /// Another writer holds the lock; the text is the owner that it gave.
     #[error("locked by {0}")]
     Locked(String),
 }
@@ -82,25 +83,25 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// Rises by one a commit; the first is 1.
+    /// Sequence number: 1 for the first version, one more with each commit.
     pub serial: u64,
     /// SHA-256 of the text, in hex.
     pub hash: String,
-    /// The hash of the version before; empty for the first.
+    /// Hash of the previous version; empty for the first.
     pub parent: String,
-    /// Who made it.
+    /// Author of the change.
     pub author: String,
-    /// Why.
+    /// Reason given for the change.
     pub reason: String,
-    /// When, by its author's clock: Unix time in milliseconds.
+    /// Time of the commit by the author's clock, Unix time in milliseconds.
     pub at_ms: u64,
-    /// The id of the plan that it came from; empty for none.
+    /// Id of the plan that the version came from; empty for none.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub plan: String,
-    /// Parts of the proxies that get it one after the other, in 10,000; empty: all at once.
+    /// Roll-out stages: the share of proxies that gets the version in each, in parts of 10,000; empty: all at once.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub stages: Vec<u32>,
-    /// Least time between two stages, in milliseconds.
+    /// Minimum time between two stages, in milliseconds.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub pause_ms: u64,
 }
@@ -109,16 +110,16 @@
     *number == 0
 }
 
-/// Who commits, why and when, and how it is to be handed out.
+/// Metadata of a commit: author, reason, time, and how the version is rolled out.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CommitInfo<'a> {
-    /// Who.
+    /// Author of the change.
     pub author: &'a str,
-    /// Why.
+    /// Reason given for the change.
     pub reason: &'a str,
     /// Unix time in milliseconds.
     pub at_ms: u64,
-    /// The plan that it carries out; empty for none.
+    /// Id of the plan that the commit applies; empty for none.
     pub plan: &'a str,
     /// As in [`Version`].
     pub stages: &'a [u32],
@@ -130,25 +131,25 @@
 #[serde(deny_unknown_fields)]
 struct Head {
     lineage: String,
-    /// The newest last; empty before the first commit.
+    /// Oldest first; empty before the first commit.
     versions: Vec<Version>,
 }
 
-/// The state in a folder.
+/// The versioned state in a folder.
 pub struct Store<F> {
     files: F,
     head: Head,
-    /// The format that the head was read in.
+    /// Format of the head as it was read.
     format: u32,
 }
 
 impl<F: Files> Store<F> {
-    /// Opens what is there; none where nothing has been made.
+    /// Opens an existing store; `None` if there is none.
     pub fn open(files: F) -> Result<Option<Self>, StoreError> {
         Ok(read_head(&files)?.map(|(format, head)| Store { files, head, format }))
     }
 
-    /// Opens what is there, or makes an empty state of this lineage, a random text of the caller's.
+    /// Opens an existing store, or creates an empty one with this lineage, a random text chosen by the caller.
     pub fn open_or_create(files: F, lineage: &str) -> Result<Self, StoreError> {
         let (format, head) = match read_head(&files)? {
             Some(read) => read,
@@ -161,7 +162,7 @@
         Ok(Store { files, head, format })
     }
 
-    /// Made once, with the state.
+    /// Identifies the store; set once, when it is created.
     pub fn lineage(&self) -> &str {
         &self.head.lineage
     }
@@ -176,12 +177,12 @@
         self.head.versions.last()
     }
 
-    /// The versions that are kept, the newest last.
+    /// The versions that are kept, oldest first.
     pub fn history(&self) -> &[Version] {
         &self.head.versions
     }
 
-    /// A version's text.
+    /// Reads a version's text and checks its hash.
     pub fn text(&self, serial: u64) -> Result<String, StoreError> {
         let version = self.head.versions.iter().find(|version| version.serial == serial);
         let version = version.ok_or(StoreError::VersionNotFound(serial))?;
@@ -194,11 +195,12 @@
         Ok(text)
     }
 
-    /// Makes a new version, on top of the one of this serial and no other. When this returns it is durable; where
-    /// it fails the state is the one before, but for a failure in the last step, of which only `open` can say
-    /// which of the two it has left. The caller holds the [`Lock`].
+    /// Commits a new version on top of the version `base_serial`, which must be the current one. The commit is durable
+    /// when this returns. On an error the state is unchanged, except after a failure of the last step (the rename of the
+    /// head or the sync of the folder): then only `open` can tell whether the commit took effect. The caller must hold
+    /// the [`Lock`].
     pub fn commit(&mut self, on: u64, text: &str, entry: CommitInfo) -> Result<&Version, StoreError> {
-        // Another process may have written since this one has read.
+        // Another process may have committed since the head was read.
         (self.format, self.head) = read_head(&self.files)?.ok_or_else(|| damaged(HEAD, "it is missing"))?;
         let found = self.serial();
         if found != on {
@@ -229,7 +231,7 @@
         let dropped: Vec<Version> = head.versions.drain(..over).collect();
         write_head(&self.files, &head)?;
         (self.head, self.format) = (head, FORMAT);
-        // What is no longer kept may stay where it can't be removed: nothing refers to it.
+        // A failure to remove an old version is harmless: nothing refers to it any more.
         for version in dropped {
             let _ = self.files.remove(&state_name(version.serial));
         }
@@ -254,7 +256,7 @@
     StoreError::Damaged { file: name.to_owned(), problem: problem.to_string() }
 }
 
-/// A sealed file's format and text; none where there is no such file.
+/// Reads a sealed file's format and text; `None` if there is no such file.
 fn read_sealed(files: &impl Files, name: &str, known: u32) -> Result<Option<(u32, String)>, StoreError> {
     let bytes = match files.read(name) {
         Ok(bytes) => bytes,
--- a/crates/store/src/lock.rs
+++ b/crates/store/src/lock.rs
@@ -1,4 +1,4 @@
-//! One writer at a time.
+//! Lock file that admits one writer at a time.
 
 use crate::StoreError;
 use std::fs::{File, OpenOptions, TryLockError};
@@ -7,12 +7,12 @@
 
 const NAME: &str = "lock";
 
-/// The right to write, until it is dropped or its process ends, however that ends: the kernel holds it, so no
-/// clock is asked and no crashed owner keeps it.
+/// An exclusive lock on the folder, held until it is dropped or its process ends. The kernel releases it when the
+/// process ends in any way, so a crashed owner leaves no stale lock and no time-out is needed.
 pub struct Lock(File);
 
 impl Lock {
-    /// Takes the lock of a folder, or says who has it.
+    /// Acquires the lock of a folder, or fails with [`StoreError::Locked`] and the name of its owner.
     pub fn acquire(folder: &Path, owner: &str) -> Result<Lock, StoreError> {
         let failed = |error| StoreError::File { file: NAME.to_owned(), error };
         let mut options = OpenOptions::new();
@@ -28,7 +28,7 @@
             }
             Err(TryLockError::Error(error)) => return Err(failed(error)),
         }
-        // Only to be told to others; what a crashed owner left is replaced.
+        // The owner's name only serves other processes' error messages; one left by a crashed owner is overwritten.
         file.set_len(0)
             .and_then(|()| file.rewind())
             .and_then(|()| file.write_all(owner.as_bytes()))
--- a/crates/store/src/seal.rs
+++ b/crates/store/src/seal.rs
@@ -1,4 +1,5 @@
-//! A text under one line that says what it is, in which format, and its hash: damage shows wherever it is.
+//! Sealed texts: a header line with the kind, the format and the hash of the text, which reveals damage anywhere in
+//! the file.
 
 use sha2::{Digest, Sha256};
 use thiserror::Error;
@@ -6,25 +7,25 @@
 /// Why a sealed text can't be used.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SealError {
-    /// The first line is not one of ours.
-    #[error("its first line is not ours")]
+    /// The header line is missing, malformed, or of another kind of file.
+    #[error("its header line is not valid")]
     BadHeader,
     /// A newer version wrote it.
     #[error("format {found}, this version reads up to {known}")]
     Newer {
         /// Its format.
         found: u32,
-        /// The newest that is read.
+        /// The newest format that this version reads.
         known: u32,
     },
-    /// A format that nobody ever wrote.
-    #[error("there never was a format {0}")]
+    /// A format number that no version writes.
+    #[error("format {0} does not exist")]
     UnknownFormat(u32),
-    /// Bytes are missing, added or changed.
-    #[error("its hash does not fit")]
+    /// The text does not match its hash: bytes are missing, added or changed.
+    #[error("its hash does not match")]
     HashMismatch,
     /// Not UTF-8.
-    #[error("it is no text")]
+    #[error("it is not valid UTF-8")]
     NotUtf8,
 }
 
@@ -33,12 +34,12 @@
     Sha256::digest(text).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The text under its line.
+/// Prefixes a text with its header line.
 pub fn seal(magic: &str, format: u32, text: &str) -> Vec<u8> {
     format!("{magic} {format} {}\n{text}", hash(text)).into_bytes()
 }
 
-/// What was sealed, and in which of the formats up to the newest that is known.
+/// Checks a sealed text, and returns its format and the text. Formats above `known` are refused.
 pub fn open<'b>(magic: &str, known: u32, bytes: &'b [u8]) -> Result<(u32, &'b str), SealError> {
     let text = std::str::from_utf8(bytes).map_err(|_| SealError::NotUtf8)?;
     let (first, rest) = text.split_once('\n').ok_or(SealError::BadHeader)?;
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that can be cut off at any operation, and what the store makes of what is left.
+//! The store on a simulated disk that loses power, fills up or is damaged at any operation.
 
 mod support;
 
@@ -11,7 +11,7 @@
 fn a_commit_cut_off_anywhere_leaves_the_old_state_or_the_new() {
     let (mut old, mut new) = (0, 0);
     for versions in [0, 1, 3] {
-        // `cargo bench -p runtrack-store --bench cuts` does 100,000.
+        // `cargo bench -p runtrack-store --bench cuts` runs 100,000 cuts.
         let (kept, made) = cuts(versions, 0..200);
         (old, new) = (old + kept, new + made);
     }
@@ -60,7 +60,7 @@
                 bad[at] ^= flip;
                 disk.write(&name, &bad).unwrap();
                 let Ok(Some(store)) = Store::open(disk.clone()) else {
-                    assert_eq!(name, "head", "only the head is read at the start");
+                    assert_eq!(name, "head", "opening reads only the head");
                     continue;
                 };
                 assert_ne!(name, "head", "byte {at}");
@@ -111,7 +111,7 @@
     assert_eq!(whole(&disk), versions);
 }
 
-/// As the first format had it: the same head, which knew of no plans and no stages.
+/// Rewrites the head in format 1, which has neither plans nor stages, and returns its bytes.
 fn in_format_1(disk: &Disk) -> Vec<u8> {
     let head = String::from_utf8(disk.read("head").unwrap()).unwrap();
     let (_, text) = head.split_once('\n').unwrap();
@@ -135,7 +135,7 @@
     store.commit(3, &text(4), entry("maker")).unwrap();
     assert_eq!(disk.read("head.1").unwrap(), old, "it is written once");
     disk.write("head", &old).unwrap();
-    assert_eq!(whole(&disk), 2, "the old head is a head");
+    assert_eq!(whole(&disk), 2, "the kept head can be restored");
 }
 
 #[test]
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -1,9 +1,9 @@
-//! The store on a real folder: locks, kills, read-only.
+//! The store on a real folder: commits, the lock, racing writers, a folder that cannot be written.
 
 use runtrack_store::{CommitInfo, Folder, Lock, Store, StoreError};
 use std::path::PathBuf;
 
-/// A folder of its own, removed at the end.
+/// A temporary folder, removed when dropped.
 struct Place(PathBuf);
 
 impl Place {
@@ -85,7 +85,7 @@
 #[test]
 fn a_folder_in_which_nothing_can_be_written_is_refused() {
     let place = Place::new("refused");
-    // A folder stands where the head would go: it can be neither read nor replaced, whoever runs this.
+    // A folder in place of the head file can be neither read nor replaced, also when the test runs as root.
     std::fs::create_dir(place.0.join("head")).unwrap();
     let refused = Store::open_or_create(Folder::new(&place.0).unwrap(), "l").err().expect("refused");
     assert!(matches!(refused, StoreError::File { ref file, .. } if file == "head"), "{refused}");
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stores on a disk in memory, and what a commit that is cut off leaves of them.
+//! Stores on a simulated disk, and simulated power cuts during a commit.
 #![allow(dead_code)]
 
 use rand_core::SeedableRng;
@@ -14,7 +14,7 @@
     format!("{{\"serial\":{serial},\"pad\":\"{}\"}}", "x".repeat(serial as usize * 37 % 300))
 }
 
-/// A disk with so many versions.
+/// A disk that holds a store with this many versions.
 pub fn made(versions: u64) -> Disk {
     let disk = Disk::default();
     let mut store = Store::open_or_create(disk.clone(), "lineage-1").unwrap();
@@ -24,18 +24,19 @@
     disk
 }
 
-/// The serial of what is there, after a look at all of it.
+/// Reads all versions back and checks their texts; returns the current serial.
 pub fn whole(disk: &Disk) -> u64 {
     let store = Store::open(disk.clone()).expect("readable").expect("there");
     assert_eq!(store.lineage(), "lineage-1");
     for version in store.history() {
-        assert_eq!(store.text(version.serial).expect("readable"), text(version.serial), "a mix");
+        assert_eq!(store.text(version.serial).expect("readable"), text(version.serial), "mixed states");
     }
     store.serial()
 }
 
-/// Cuts a commit off at each of its operations, with so many losses of what was not synced for each, on a store with
-/// so many versions; gives how often the old state and how often the new one was there. Anything else panics.
+/// Cuts the power at each file operation of a commit, on a store with `versions` versions, once per seed: the seed
+/// decides which unsynced data is lost. Returns how often the old state and how often the new state was found; any other
+/// state panics.
 pub fn cuts(versions: u64, seeds: std::ops::Range<u64>) -> (usize, usize) {
     let (mut old, mut new) = (0, 0);
     let steps = {
@@ -54,9 +55,9 @@
             let left = disk.after_cut(&mut Pcg32::seed_from_u64(seed));
             let serial = whole(&left);
             assert!(serial == versions || serial == versions + 1, "{serial} of {versions}");
-            assert!(!done || serial == versions + 1, "told done, and lost: cut {cut}, seed {seed}");
+            assert!(!done || serial == versions + 1, "acknowledged commit lost: cut {cut}, seed {seed}");
             (old, new) = (old + usize::from(serial == versions), new + usize::from(serial > versions));
-            // What was left behind stands in nobody's way.
+            // Leftover files must not prevent the next commit.
             let mut store = Store::open(left.clone()).unwrap().unwrap();
             store.commit(serial, &text(serial + 1), entry("next")).unwrap();
             assert_eq!(whole(&left), serial + 1);
