--- a/crates/agree/src/disk.rs
+++ b/crates/agree/src/disk.rs
@@ -126,11 +126,11 @@
 #[derive(Clone, Debug)]
 pub struct RecoveredState {
     /// Metadata of the snapshot.
-    pub place: SnapshotMeta,
+    pub snapshot_meta: SnapshotMeta,
     /// Text of the snapshot; `None` before the first one.
-    pub snapshot: Option<String>,
+    pub snapshot_text: Option<String>,
     /// The last hard state.
-    pub promise: HardStateRecord,
+    pub hard_state: HardStateRecord,
     /// Position before the first of `entries`.
     pub base: LogBase,
     /// The log's entries.
@@ -144,10 +144,10 @@
     /// Length of the segment in bytes, and how many of them are durable.
     length: u64,
     durable: u64,
-    promise: HardStateRecord,
+    hard_state: HardStateRecord,
 }
 
-fn file(name: &str) -> impl FnOnce(io::Error) -> DiskError {
+fn file_error(name: &str) -> impl FnOnce(io::Error) -> DiskError {
     let file = name.to_owned();
     |error| DiskError::File { file, error }
 }
@@ -165,11 +165,11 @@
 }
 
 /// Reads a sealed file's text; `None` if there is no such file.
-fn sealed(files: &impl Files, name: &str, magic: &str) -> Result<Option<String>, DiskError> {
+fn read_sealed(files: &impl Files, name: &str, magic: &str) -> Result<Option<String>, DiskError> {
     let bytes = match files.read(name) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(error) => return Err(file(name)(error)),
+        Err(error) => return Err(file_error(name)(error)),
     };
     match seal::open(magic, FORMAT, &bytes) {
         Ok((_, text)) => Ok(Some(text.to_owned())),
@@ -180,17 +180,17 @@
 
 /// Identity of the member in a folder; `None` if it holds none.
 pub fn identity(files: &impl Files) -> Result<Option<Identity>, DiskError> {
-    let Some(text) = sealed(files, HEAD, HEAD_MAGIC)? else { return Ok(None) };
+    let Some(text) = read_sealed(files, HEAD, HEAD_MAGIC)? else { return Ok(None) };
     let head: Head = serde_json::from_str(&text).map_err(|problem| damaged(HEAD, problem))?;
     Ok(Some(head.identity))
 }
 
 impl<F: Files> MemberStore<F> {
     /// Creates a member in an empty folder, with an initial snapshot, or without one if it gets its state from others.
-    pub fn make(
+    pub fn create(
         files: F,
         identity: Identity,
-        begin: Option<(SnapshotMeta, &str)>,
+        initial: Option<(SnapshotMeta, &str)>,
     ) -> Result<MemberStore<F>, DiskError> {
         if let Some(there) = self::identity(&files)? {
             return Err(DiskError::Member(there.member));
@@ -198,27 +198,27 @@
         let head =
             Head { identity, snapshot: SnapshotMeta::default(), base: LogBase::default(), segment: 0 };
         let mut disk =
-            MemberStore { files, head, length: 0, durable: 0, promise: HardStateRecord::default() };
-        let (place, text) =
-            begin.map_or((SnapshotMeta::default(), None), |(place, text)| (place, Some(text)));
-        let base = LogBase { index: place.index, term: place.term };
-        let promise = HardStateRecord { term: place.term, vote: 0, commit: place.index };
-        disk.replace(place, text, promise, base, &[])?;
+            MemberStore { files, head, length: 0, durable: 0, hard_state: HardStateRecord::default() };
+        let (snapshot_meta, text) = initial
+            .map_or((SnapshotMeta::default(), None), |(snapshot_meta, text)| (snapshot_meta, Some(text)));
+        let base = LogBase { index: snapshot_meta.index, term: snapshot_meta.term };
+        let hard_state = HardStateRecord { term: snapshot_meta.term, vote: 0, commit: snapshot_meta.index };
+        disk.replace(snapshot_meta, text, hard_state, base, &[])?;
         Ok(disk)
     }
 
     /// Opens a member's folder. A torn tail of the log is truncated, since nothing in it was acknowledged.
     pub fn open(files: F) -> Result<(MemberStore<F>, RecoveredState), DiskError> {
-        let text = sealed(&files, HEAD, HEAD_MAGIC)?.ok_or(DiskError::NoMember)?;
+        let text = read_sealed(&files, HEAD, HEAD_MAGIC)?.ok_or(DiskError::NoMember)?;
         let head: Head = serde_json::from_str(&text).map_err(|problem| damaged(HEAD, problem))?;
-        let (place, base) = (head.snapshot.clone(), head.base);
-        let snapshot = match place.hash.is_empty() {
+        let (snapshot_meta, base) = (head.snapshot.clone(), head.base);
+        let snapshot_text = match snapshot_meta.hash.is_empty() {
             true => None,
             false => {
-                let name = snapshot_name(place.index);
-                let text = sealed(&files, &name, SNAPSHOT_MAGIC)?
+                let name = snapshot_name(snapshot_meta.index);
+                let text = read_sealed(&files, &name, SNAPSHOT_MAGIC)?
                     .ok_or_else(|| damaged(&name, "it is missing"))?;
-                if seal::hash(&text) != place.hash {
+                if seal::hash(&text) != snapshot_meta.hash {
                     return Err(damaged(&name, "it is not the snapshot that the head names"));
                 }
                 Some(text)
@@ -230,13 +230,13 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
                 return Err(damaged(&name, "it is missing"));
             }
-            Err(error) => return Err(file(&name)(error)),
+            Err(error) => return Err(file_error(&name)(error)),
         };
-        let (records, sound) = record::read(&bytes)
+        let (records, intact) = record::decode_all(&bytes)
             .map_err(|at| damaged(&name, format!("the record at byte {at} is broken")))?;
-        let (mut promise, mut entries) = (HardStateRecord::default(), Vec::<Entry>::new());
+        let (mut hard_state, mut entries) = (HardStateRecord::default(), Vec::<Entry>::new());
         for record in records {
-            promise = record.promise.unwrap_or(promise);
+            hard_state = record.hard_state.unwrap_or(hard_state);
             for entry in record.entries {
                 let next = base.index + 1 + entries.len() as u64;
                 if entry.index > next || entry.index <= base.index {
@@ -250,21 +250,21 @@
             }
         }
         let last = base.index + entries.len() as u64;
-        if promise.commit.max(place.index) > last {
+        if hard_state.commit.max(snapshot_meta.index) > last {
             return Err(damaged(
                 &name,
-                format!("entries up to {} were agreed, and {last} is the last", promise.commit),
+                format!("entries up to {} were agreed, and {last} is the last", hard_state.commit),
             ));
         }
-        if sound < bytes.len() {
-            files.truncate(&name, sound as u64).map_err(file(&name))?;
+        if intact < bytes.len() {
+            files.truncate(&name, intact as u64).map_err(file_error(&name))?;
         }
         // After a crash of the process, the bytes read may be only in the page cache.
-        files.sync(&name).map_err(file(&name))?;
-        let length = sound as u64;
-        let mut disk = MemberStore { files, head, length, durable: length, promise };
-        disk.mark()?;
-        Ok((disk, RecoveredState { place, snapshot, promise, base, entries }))
+        files.sync(&name).map_err(file_error(&name))?;
+        let length = intact as u64;
+        let mut disk = MemberStore { files, head, length, durable: length, hard_state };
+        disk.append_marker()?;
+        Ok((disk, RecoveredState { snapshot_meta, snapshot_text, hard_state, base, entries }))
     }
 
     /// Identity of the member.
@@ -281,44 +281,48 @@
     pub fn snapshot_text(&self) -> Result<Option<String>, DiskError> {
         match self.head.snapshot.hash.is_empty() {
             true => Ok(None),
-            false => sealed(&self.files, &snapshot_name(self.head.snapshot.index), SNAPSHOT_MAGIC),
+            false => read_sealed(&self.files, &snapshot_name(self.head.snapshot.index), SNAPSHOT_MAGIC),
         }
     }
 
     /// Length of the current log segment, in bytes.
-    pub fn length(&self) -> u64 {
+    pub fn segment_bytes(&self) -> u64 {
         self.length
     }
 
     /// Makes entries and the hard state durable. After an error nothing of them may be acknowledged, and the folder must
     /// be reopened.
-    pub fn save(&mut self, entries: Vec<Entry>, promise: Option<HardStateRecord>) -> Result<(), DiskError> {
-        let promise = promise.filter(|promise| *promise != self.promise);
-        if entries.is_empty() && promise.is_none() {
+    pub fn save(
+        &mut self,
+        entries: Vec<Entry>,
+        hard_state: Option<HardStateRecord>,
+    ) -> Result<(), DiskError> {
+        let hard_state = hard_state.filter(|hard_state| *hard_state != self.hard_state);
+        if entries.is_empty() && hard_state.is_none() {
             return Ok(());
         }
-        let lazy = mutant(if entries.is_empty() { "vote-unsynced" } else { "entry-unsynced" });
-        let record = Record { entries, promise };
+        let skip_sync = mutant(if entries.is_empty() { "vote-unsynced" } else { "entry-unsynced" });
+        let record = Record { entries, hard_state };
         let name = segment_name(self.head.segment);
-        let bytes = record::write(&record, self.durable);
-        self.files.append(&name, &bytes).map_err(file(&name))?;
-        if lazy {
-            (self.length, self.promise) =
-                (self.length + bytes.len() as u64, promise.unwrap_or(self.promise));
+        let bytes = record::encode(&record, self.durable);
+        self.files.append(&name, &bytes).map_err(file_error(&name))?;
+        if skip_sync {
+            (self.length, self.hard_state) =
+                (self.length + bytes.len() as u64, hard_state.unwrap_or(self.hard_state));
             return Ok(());
         }
-        self.files.sync(&name).map_err(file(&name))?;
+        self.files.sync(&name).map_err(file_error(&name))?;
         self.length += bytes.len() as u64;
         self.durable = self.length;
-        self.promise = promise.unwrap_or(self.promise);
-        self.mark()
+        self.hard_state = hard_state.unwrap_or(self.hard_state);
+        self.append_marker()
     }
 
     /// Appends a marker that all bytes before it are durable. The marker itself is not synced.
-    fn mark(&mut self) -> Result<(), DiskError> {
+    fn append_marker(&mut self) -> Result<(), DiskError> {
         let name = segment_name(self.head.segment);
-        let bytes = record::write(&Record::default(), self.durable);
-        self.files.append(&name, &bytes).map_err(file(&name))?;
+        let bytes = record::encode(&Record::default(), self.durable);
+        self.files.append(&name, &bytes).map_err(file_error(&name))?;
         self.length += bytes.len() as u64;
         Ok(())
     }
@@ -327,44 +331,46 @@
     /// only for a member without any state yet.
     pub fn replace(
         &mut self,
-        mut place: SnapshotMeta,
+        mut snapshot_meta: SnapshotMeta,
         text: Option<&str>,
-        promise: HardStateRecord,
+        hard_state: HardStateRecord,
         base: LogBase,
         entries: &[Entry],
     ) -> Result<(), DiskError> {
         let old = self.head.clone();
-        let mut changed = false;
+        let mut replaced = false;
         if let Some(text) = text {
-            (place.hash, place.size) = (seal::hash(text), text.len() as u64);
-            if place != old.snapshot {
-                let name = snapshot_name(place.index);
-                self.files.write(&name, &seal::seal(SNAPSHOT_MAGIC, FORMAT, text)).map_err(file(&name))?;
-                self.files.sync(&name).map_err(file(&name))?;
-                changed = old.snapshot.index != place.index && !old.snapshot.hash.is_empty();
+            (snapshot_meta.hash, snapshot_meta.size) = (seal::hash(text), text.len() as u64);
+            if snapshot_meta != old.snapshot {
+                let name = snapshot_name(snapshot_meta.index);
+                self.files
+                    .write(&name, &seal::seal(SNAPSHOT_MAGIC, FORMAT, text))
+                    .map_err(file_error(&name))?;
+                self.files.sync(&name).map_err(file_error(&name))?;
+                replaced = old.snapshot.index != snapshot_meta.index && !old.snapshot.hash.is_empty();
             }
         }
         let segment = old.segment + 1;
         let name = segment_name(segment);
-        let bytes = record::write(&Record { entries: entries.to_vec(), promise: Some(promise) }, 0);
-        self.files.write(&name, &bytes).map_err(file(&name))?;
-        self.files.sync(&name).map_err(file(&name))?;
-        self.files.sync_folder().map_err(file("."))?;
-        let head = Head { identity: old.identity, snapshot: place, base, segment };
+        let bytes = record::encode(&Record { entries: entries.to_vec(), hard_state: Some(hard_state) }, 0);
+        self.files.write(&name, &bytes).map_err(file_error(&name))?;
+        self.files.sync(&name).map_err(file_error(&name))?;
+        self.files.sync_folder().map_err(file_error("."))?;
+        let head = Head { identity: old.identity, snapshot: snapshot_meta, base, segment };
         let text = serde_json::to_string(&head).map_err(|problem| damaged(HEAD, problem))?;
-        self.files.write(HEAD_NEW, &seal::seal(HEAD_MAGIC, FORMAT, &text)).map_err(file(HEAD_NEW))?;
-        self.files.sync(HEAD_NEW).map_err(file(HEAD_NEW))?;
-        self.files.rename(HEAD_NEW, HEAD).map_err(file(HEAD))?;
-        self.files.sync_folder().map_err(file("."))?;
-        (self.head, self.promise) = (head, promise);
+        self.files.write(HEAD_NEW, &seal::seal(HEAD_MAGIC, FORMAT, &text)).map_err(file_error(HEAD_NEW))?;
+        self.files.sync(HEAD_NEW).map_err(file_error(HEAD_NEW))?;
+        self.files.rename(HEAD_NEW, HEAD).map_err(file_error(HEAD))?;
+        self.files.sync_folder().map_err(file_error("."))?;
+        (self.head, self.hard_state) = (head, hard_state);
         (self.length, self.durable) = (bytes.len() as u64, bytes.len() as u64);
         // A failure to remove old files is harmless: nothing refers to them any more.
         if old.segment > 0 {
             let _ = self.files.remove(&segment_name(old.segment));
         }
-        if changed {
+        if replaced {
             let _ = self.files.remove(&snapshot_name(old.snapshot.index));
         }
-        self.mark()
+        self.append_marker()
     }
 }
--- a/crates/agree/src/host/link.rs
+++ b/crates/agree/src/host/link.rs
@@ -1,10 +1,11 @@
 //! Outgoing links to the other members: each has a bounded queue and reconnects on its own, and none blocks another.
 
-use super::server::{Ack, AskOut, Chunk, FetchOut};
+use super::server::{Ack, AskRequest, Chunk, FetchRequest};
 use super::server::{
-    Asked, FOLDER, FROM, LINEAGE, NoteOut, PATH_ASK, PATH_DELIVER, PATH_FETCH, PATH_NOTE, TICKET, TO,
+    FOLDER_HEADER, FROM_HEADER, LINEAGE_HEADER, LeaderRequest, NoteRequest, PATH_ASK, PATH_DELIVER,
+    PATH_FETCH, PATH_NOTE, TICKET_HEADER, TO_HEADER,
 };
-use super::{Order, RequestError};
+use super::{Event, RequestError};
 use crate::command::MemberId;
 use crate::disk::{Identity, SnapshotMeta};
 use crate::message::{MAX_MESSAGE_BYTES, PeerMessage};
@@ -26,21 +27,21 @@
 
 /// Limits of a link's queue, in messages and in bytes. Beyond them the newest message is dropped; Raft retransmits what
 /// is still needed.
-const MESSAGES: usize = 1_024;
-const BYTES: usize = 16 << 20;
+const MAX_QUEUED_MESSAGES: usize = 1_024;
+const MAX_QUEUED_BYTES: usize = 16 << 20;
 /// Timeout of a connection attempt.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Reconnect delay: the initial one, which doubles up to the maximum.
-const AGAIN: Duration = Duration::from_millis(50);
-const AGAIN_MOST: Duration = Duration::from_secs(1);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
 /// HTTP/2 keep-alive interval, which detects peers whose machine has failed.
-const PING: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Time without a keep-alive answer after which a connection is closed.
-const PONG: Duration = Duration::from_secs(3);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Timeout of one chunk of a snapshot, after which the rest is requested again.
-const PART: Duration = Duration::from_secs(3);
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(3);
 /// Attempts at fetching a snapshot, after which the fetch fails until the snapshot is offered again.
-const TRIES: u32 = 20;
+const MAX_FETCH_ATTEMPTS: u32 = 20;
 
 /// Status of a link.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
@@ -64,20 +65,20 @@
 /// A link to one member.
 struct Link {
     queue: Mutex<Queue>,
-    wake: Notify,
+    notify: Notify,
     status: Mutex<LinkStatus>,
     channel: Mutex<Option<Channel>>,
 }
 
-fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Link {
     fn new(address: &str) -> Link {
         Link {
             queue: Mutex::default(),
-            wake: Notify::new(),
+            notify: Notify::new(),
             status: Mutex::new(LinkStatus { address: address.to_owned(), ..LinkStatus::default() }),
             channel: Mutex::default(),
         }
@@ -85,55 +86,55 @@
 
     /// Appends a message to the queue; returns whether it was dropped.
     fn push(&self, message: PeerMessage) -> bool {
-        let mut queue = locked(&self.queue);
+        let mut queue = lock(&self.queue);
         if message.is_heartbeat() {
             // A heartbeat supersedes the queued ones of its kind.
-            let mut freed = 0;
+            let mut removed_bytes = 0;
             queue.messages.retain(|old| {
-                let stays = old.kind != message.kind || !old.is_heartbeat();
-                freed += if stays { 0 } else { old.size() };
-                stays
+                let keeps = old.kind != message.kind || !old.is_heartbeat();
+                removed_bytes += if keeps { 0 } else { old.size() };
+                keeps
             });
-            queue.bytes -= freed;
+            queue.bytes -= removed_bytes;
         }
         let size = message.size();
-        if queue.messages.len() >= MESSAGES || queue.bytes + size > BYTES.max(size) {
+        if queue.messages.len() >= MAX_QUEUED_MESSAGES || queue.bytes + size > MAX_QUEUED_BYTES.max(size) {
             drop(queue);
-            locked(&self.status).dropped += 1;
+            lock(&self.status).dropped += 1;
             return true;
         }
         queue.bytes += size;
         queue.messages.push_back(message);
         drop(queue);
-        self.wake.notify_one();
+        self.notify.notify_one();
         false
     }
 
     async fn next(&self) -> PeerMessage {
         loop {
-            let woken = self.wake.notified();
+            let notified = self.notify.notified();
             {
-                let mut queue = locked(&self.queue);
+                let mut queue = lock(&self.queue);
                 if let Some(message) = queue.messages.pop_front() {
                     queue.bytes -= message.size();
                     return message;
                 }
             }
-            woken.await;
+            notified.await;
         }
     }
 
     fn clear(&self) {
-        *locked(&self.queue) = Queue::default();
+        *lock(&self.queue) = Queue::default();
     }
 }
 
-struct Held {
+struct RunningLink {
     link: Arc<Link>,
     task: AbortHandle,
 }
 
-impl Drop for Held {
+impl Drop for RunningLink {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -143,103 +144,108 @@
 pub(crate) struct Links {
     identity: Arc<Identity>,
     tls: Option<ClientTlsConfig>,
-    orders: mpsc::Sender<Order>,
+    events: mpsc::Sender<Event>,
     /// Links run on the service's runtime, not on the node's thread.
     runtime: Runtime,
-    held: Mutex<BTreeMap<MemberId, Held>>,
+    running: Mutex<BTreeMap<MemberId, RunningLink>>,
 }
 
 impl Links {
     pub(crate) fn new(
         identity: Arc<Identity>,
         tls: Option<ClientTlsConfig>,
-        orders: mpsc::Sender<Order>,
+        events: mpsc::Sender<Event>,
     ) -> Links {
-        Links { identity, tls, orders, runtime: Runtime::current(), held: Mutex::default() }
+        Links { identity, tls, events, runtime: Runtime::current(), running: Mutex::default() }
     }
 
     /// Opens links to new members and closes those to members that are gone or have moved.
-    pub(crate) fn keep(self: &Arc<Self>, members: &BTreeMap<MemberId, String>) {
-        let mut held = locked(&self.held);
-        held.retain(|member, held| {
-            members.get(member).is_some_and(|at| *at == locked(&held.link.status).address)
+    pub(crate) fn set_members(self: &Arc<Self>, members: &BTreeMap<MemberId, String>) {
+        let mut running = lock(&self.running);
+        running.retain(|member, running| {
+            members.get(member).is_some_and(|at| *at == lock(&running.link.status).address)
         });
         for (&member, address) in members {
-            if member == self.identity.member || held.contains_key(&member) {
+            if member == self.identity.member || running.contains_key(&member) {
                 continue;
             }
             let link = Arc::new(Link::new(address));
-            let task = self.runtime.spawn(run(self.clone(), member, link.clone())).abort_handle();
-            held.insert(member, Held { link, task });
+            let task = self.runtime.spawn(maintain(self.clone(), member, link.clone())).abort_handle();
+            running.insert(member, RunningLink { link, task });
         }
     }
 
     /// Queues a message; returns false if it was dropped, so that the node can be told.
     pub(crate) fn send(&self, message: PeerMessage) -> bool {
-        let held = locked(&self.held);
-        held.get(&message.to).is_some_and(|held| !held.link.push(message))
+        let running = lock(&self.running);
+        running.get(&message.to).is_some_and(|running| !running.link.push(message))
     }
 
     pub(crate) fn statuses(&self) -> BTreeMap<MemberId, LinkStatus> {
-        locked(&self.held)
+        lock(&self.running)
             .iter()
-            .map(|(member, held)| (*member, locked(&held.link.status).clone()))
+            .map(|(member, running)| (*member, lock(&running.link.status).clone()))
             .collect()
     }
 
-    fn hello(&self, to: MemberId) -> MetadataMap {
-        let mut hello = MetadataMap::new();
+    fn call_metadata(&self, to: MemberId) -> MetadataMap {
+        let mut metadata = MetadataMap::new();
         let Identity { lineage, member, ticket, folder, .. } = &*self.identity;
         let (from, to) = (member.to_string(), to.to_string());
-        for (name, value) in
-            [(LINEAGE, lineage), (FROM, &from), (TO, &to), (TICKET, ticket), (FOLDER, folder)]
-        {
+        for (name, value) in [
+            (LINEAGE_HEADER, lineage),
+            (FROM_HEADER, &from),
+            (TO_HEADER, &to),
+            (TICKET_HEADER, ticket),
+            (FOLDER_HEADER, folder),
+        ] {
             if let Ok(value) = value.parse() {
-                hello.insert(name, value);
+                metadata.insert(name, value);
             }
         }
-        hello
+        metadata
     }
 
     async fn connect(&self, address: &str) -> Result<Channel, String> {
         let scheme = if self.tls.is_some() { "https" } else { "http" };
         let endpoint = Endpoint::from_shared(format!("{scheme}://{address}")).map_err(|e| e.to_string())?;
         let endpoint = endpoint
-            .connect_timeout(CONNECT)
+            .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true)
-            .http2_keep_alive_interval(PING)
-            .keep_alive_timeout(PONG)
+            .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+            .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
             .keep_alive_while_idle(true);
         let endpoint = match &self.tls {
             Some(tls) => endpoint.tls_config(tls.clone()).map_err(|e| e.to_string())?,
             None => endpoint,
         };
-        match timeout(CONNECT, endpoint.connect()).await {
-            Ok(channel) => channel.map_err(|problem| deepest(&problem)),
-            Err(_) => Err(format!("no connection within {CONNECT:?}")),
+        match timeout(CONNECT_TIMEOUT, endpoint.connect()).await {
+            Ok(channel) => channel.map_err(|problem| root_cause(&problem)),
+            Err(_) => Err(format!("no connection within {CONNECT_TIMEOUT:?}")),
         }
     }
 
     fn channel(&self, member: MemberId) -> Option<Channel> {
-        let held = locked(&self.held);
-        held.get(&member).and_then(|held| locked(&held.link.channel).clone())
+        let running = lock(&self.running);
+        running.get(&member).and_then(|running| lock(&running.link.channel).clone())
     }
 
     /// Sends a leader-only request to another member.
     pub(crate) async fn ask(
         &self,
         member: MemberId,
-        asked: &Asked,
+        request: &LeaderRequest,
         within: Duration,
     ) -> Result<(), RequestError> {
         let Some(channel) = self.channel(member) else { return Err(RequestError::OutcomeUnknown) };
-        let text = serde_json::to_string(asked).unwrap_or_default(); // can only fail for maps whose keys are not strings
-        let mut request = Request::from_parts(self.hello(member), Default::default(), AskOut { text });
+        let text = serde_json::to_string(request).unwrap_or_default(); // only fails for non-string map keys
+        let mut request =
+            Request::from_parts(self.call_metadata(member), Default::default(), AskRequest { text });
         request.set_timeout(within);
         let mut client = tonic::client::Grpc::new(channel);
         let answer = async {
             client.ready().await.map_err(|_| RequestError::OutcomeUnknown)?;
-            let codec = ProstCodec::<AskOut, Ack>::default();
+            let codec = ProstCodec::<AskRequest, Ack>::default();
             let answer = client.unary(request, PathAndQuery::from_static(PATH_ASK), codec).await;
             answer.map(|_| ()).map_err(|status| match status.code() {
                 Code::FailedPrecondition => RequestError::Refused(status.message().to_owned()),
@@ -253,12 +259,12 @@
     pub(crate) fn note(&self, member: MemberId, kind: String, text: String) {
         let Some(channel) = self.channel(member) else { return };
         let mut request =
-            Request::from_parts(self.hello(member), Default::default(), NoteOut { kind, text });
-        request.set_timeout(CONNECT);
-        self.runtime.spawn(timeout(CONNECT, async move {
+            Request::from_parts(self.call_metadata(member), Default::default(), NoteRequest { kind, text });
+        request.set_timeout(CONNECT_TIMEOUT);
+        self.runtime.spawn(timeout(CONNECT_TIMEOUT, async move {
             let mut client = tonic::client::Grpc::new(channel);
             client.ready().await.ok()?;
-            let codec = ProstCodec::<NoteOut, Ack>::default();
+            let codec = ProstCodec::<NoteRequest, Ack>::default();
             client.unary(request, PathAndQuery::from_static(PATH_NOTE), codec).await.ok()
         }));
     }
@@ -268,7 +274,7 @@
         let links = self.clone();
         self.runtime.spawn(async move {
             let fetched = links.fetch_all(&fetch).await;
-            let _ = links.orders.send(Order::Fetched(fetched)).await;
+            let _ = links.events.send(Event::SnapshotFetched(fetched)).await;
         });
     }
 
@@ -279,22 +285,22 @@
         }
         let mut bytes: Vec<u8> = Vec::new();
         let mut problem = String::new();
-        for _ in 0..TRIES {
+        for _ in 0..MAX_FETCH_ATTEMPTS {
             let before = bytes.len();
-            if let Err(why) = self.fetch_on(fetch.from, hash, *size, &mut bytes).await {
+            if let Err(why) = self.fetch_rest(fetch.from, hash, *size, &mut bytes).await {
                 problem = why;
             }
             if bytes.len() as u64 >= *size {
                 return String::from_utf8(bytes).map_err(|_| "it is no text".to_owned());
             }
             if bytes.len() == before {
-                sleep(AGAIN_MOST / 4).await;
+                sleep(MAX_RECONNECT_DELAY / 4).await;
             }
         }
         Err(format!("{} of {size} bytes came: {problem}", bytes.len()))
     }
 
-    async fn fetch_on(
+    async fn fetch_rest(
         &self,
         from: MemberId,
         hash: &str,
@@ -303,20 +309,21 @@
     ) -> Result<(), String> {
         let channel = self.channel(from).ok_or("there is no connection")?;
         let mut client = tonic::client::Grpc::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
-        let ask = FetchOut { hash: hash.to_owned(), from: bytes.len() as u64 };
-        let request = Request::from_parts(self.hello(from), Default::default(), ask);
-        let begin = async {
-            client.ready().await.map_err(|problem| deepest(&problem))?;
-            let codec = ProstCodec::<FetchOut, Chunk>::default();
+        let fetch_request = FetchRequest { hash: hash.to_owned(), from: bytes.len() as u64 };
+        let request = Request::from_parts(self.call_metadata(from), Default::default(), fetch_request);
+        let open_stream = async {
+            client.ready().await.map_err(|problem| root_cause(&problem))?;
+            let codec = ProstCodec::<FetchRequest, Chunk>::default();
             let stream =
                 client.server_streaming(request, PathAndQuery::from_static(PATH_FETCH), codec).await;
             stream.map_err(|status| status.message().to_owned())
         };
-        let mut parts = timeout(PART, begin).await.map_err(|_| "it does not answer")??.into_inner();
+        let mut chunks =
+            timeout(CHUNK_TIMEOUT, open_stream).await.map_err(|_| "it does not answer")??.into_inner();
         while (bytes.len() as u64) < size {
-            let part = timeout(PART, parts.message()).await.map_err(|_| "it fell silent")?;
-            match part.map_err(|status| status.message().to_owned())? {
-                Some(part) => bytes.extend_from_slice(&part.bytes),
+            let chunk = timeout(CHUNK_TIMEOUT, chunks.message()).await.map_err(|_| "it fell silent")?;
+            match chunk.map_err(|status| status.message().to_owned())? {
+                Some(chunk) => bytes.extend_from_slice(&chunk.bytes),
                 None => break,
             }
         }
@@ -325,44 +332,44 @@
 }
 
 /// The root cause of an error; the outermost text is only `transport error`.
-fn deepest(problem: &dyn std::error::Error) -> String {
-    let mut at = problem;
-    while let Some(below) = at.source() {
-        at = below;
+fn root_cause(problem: &dyn std::error::Error) -> String {
+    let mut error = problem;
+    while let Some(source) = error.source() {
+        error = source;
     }
-    at.to_string()
+    error.to_string()
 }
 
 /// Connects and reconnects a link until its task is aborted.
-async fn run(links: Arc<Links>, member: MemberId, link: Arc<Link>) {
-    let mut wait = AGAIN;
+async fn maintain(links: Arc<Links>, member: MemberId, link: Arc<Link>) {
+    let mut delay = RECONNECT_DELAY;
     loop {
-        let address = locked(&link.status).address.clone();
+        let address = lock(&link.status).address.clone();
         let problem = match links.connect(&address).await {
             Err(problem) => problem,
             Ok(channel) => {
-                *locked(&link.channel) = Some(channel.clone());
-                let (up, status) = deliver(&links, member, &link, channel).await;
-                *locked(&link.channel) = None;
-                if up {
-                    wait = AGAIN;
+                *lock(&link.channel) = Some(channel.clone());
+                let (accepted, status) = deliver(&links, member, &link, channel).await;
+                *lock(&link.channel) = None;
+                if accepted {
+                    delay = RECONNECT_DELAY;
                 }
                 if status.code() == Code::NotFound {
                     // The peer knows that this member was removed.
-                    let _ = links.orders.send(Order::Removed(status.message().to_owned())).await;
+                    let _ = links.events.send(Event::Removed(status.message().to_owned())).await;
                 }
                 status.message().to_owned()
             }
         };
         {
-            let mut status = locked(&link.status);
+            let mut status = lock(&link.status);
             (status.connected, status.problem) = (false, Some(problem));
         }
         // Queued messages would be stale by the time the link is connected again.
         link.clear();
-        let _ = links.orders.send(Order::Lost(member)).await;
-        sleep(wait).await;
-        wait = (wait * 2).min(AGAIN_MOST);
+        let _ = links.events.send(Event::LinkLost(member)).await;
+        sleep(delay).await;
+        delay = (delay * 2).min(MAX_RECONNECT_DELAY);
     }
 }
 
@@ -373,13 +380,13 @@
     link: &Arc<Link>,
     channel: Channel,
 ) -> (bool, Status) {
-    let (give, take) = mpsc::channel(1);
-    let pump = {
+    let (sender, receiver) = mpsc::channel(1);
+    let forward = {
         let link = link.clone();
         async move {
             loop {
                 let message = link.next().await;
-                if give.send(message).await.is_err() {
+                if sender.send(message).await.is_err() {
                     return;
                 }
             }
@@ -387,19 +394,20 @@
     };
     let mut client = tonic::client::Grpc::new(channel).max_encoding_message_size(2 * MAX_MESSAGE_BYTES);
     if let Err(problem) = client.ready().await {
-        return (false, Status::unavailable(deepest(&problem)));
+        return (false, Status::unavailable(root_cause(&problem)));
     }
-    let request = Request::from_parts(links.hello(member), Default::default(), ReceiverStream::new(take));
+    let request =
+        Request::from_parts(links.call_metadata(member), Default::default(), ReceiverStream::new(receiver));
     let codec = ProstCodec::<PeerMessage, Ack>::default();
     // The peer accepts the stream by sending response headers, and ends it only when the link ends.
     let answer = client.streaming(request, PathAndQuery::from_static(PATH_DELIVER), codec);
-    let talk = async {
+    let responses = async {
         let mut acks = match answer.await {
             Ok(answer) => answer.into_inner(),
             Err(status) => return (false, status),
         };
         {
-            let mut status = locked(&link.status);
+            let mut status = lock(&link.status);
             (status.connected, status.problem) = (true, None);
         }
         loop {
@@ -411,7 +419,7 @@
         }
     };
     tokio::select! {
-        ended = talk => ended,
-        () = pump => (true, Status::unavailable("the link has ended")),
+        result = responses => result,
+        () = forward => (true, Status::unavailable("the link has ended")),
     }
 }
--- a/crates/agree/src/host/mod.rs
+++ b/crates/agree/src/host/mod.rs
@@ -26,7 +26,7 @@
 
 /// Capacity of the worker's queue. When it is full, messages from peers are dropped, which Raft retransmits, and
 /// requests are refused.
-const ORDERS: usize = 4_096;
+const MAX_QUEUED_EVENTS: usize = 4_096;
 
 /// Settings of a running member.
 #[derive(Clone)]
@@ -101,16 +101,16 @@
 pub(crate) type Reply<T> = oneshot::Sender<Result<T, RequestError>>;
 
 /// Input of the member's worker thread.
-pub(crate) enum Order {
+pub(crate) enum Event {
     Message(crate::PeerMessage),
-    Write { id: String, command: Command, until: Instant, reply: Reply<(u64, Outcome)> },
-    Read { until: Instant, reply: Reply<Arc<State>> },
-    Change { id: String, change: MemberChange, until: Instant, reply: Reply<()> },
-    Transfer { to: MemberId, until: Instant, reply: Reply<()> },
-    Text { hash: String, reply: oneshot::Sender<Option<Arc<str>>> },
-    Fetched(Result<String, String>),
-    Lost(MemberId),
-    Fetching(MemberId),
+    Write { id: String, command: Command, deadline: Instant, reply: Reply<(u64, Outcome)> },
+    Read { deadline: Instant, reply: Reply<Arc<State>> },
+    Change { id: String, change: MemberChange, deadline: Instant, reply: Reply<()> },
+    Transfer { to: MemberId, deadline: Instant, reply: Reply<()> },
+    SnapshotText { hash: String, reply: oneshot::Sender<Option<Arc<str>>> },
+    SnapshotFetched(Result<String, String>),
+    LinkLost(MemberId),
+    SnapshotProgress(MemberId),
     Removed(String),
     Stop,
 }
@@ -120,7 +120,7 @@
 pub struct Handle {
     identity: Arc<Identity>,
     election_timeout: Duration,
-    orders: mpsc::Sender<Order>,
+    events: mpsc::Sender<Event>,
     view: watch::Receiver<Arc<View>>,
     notes: Arc<server::Notes>,
     links: Arc<link::Links>,
@@ -130,23 +130,23 @@
 pub fn start(folder: Folder, settings: Settings) -> Result<(Handle, PeerService), crate::NodeError> {
     let node = crate::Node::open(folder.clone(), settings.tuning, settings.seed)?;
     let identity = Arc::new(node.identity().clone());
-    let (orders, asked) = mpsc::channel(ORDERS);
-    let links = Arc::new(link::Links::new(identity.clone(), settings.tls.clone(), orders.clone()));
+    let (events, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let links = Arc::new(link::Links::new(identity.clone(), settings.tls.clone(), events.clone()));
     let notes: Arc<server::Notes> = Arc::default();
-    let (show, view) = watch::channel(Arc::new(work::view_of(&node)));
+    let (view_sender, view) = watch::channel(Arc::new(work::initial_view(&node)));
     let handle = Handle {
         identity: identity.clone(),
         election_timeout: settings.election_timeout(),
-        orders: orders.clone(),
+        events: events.clone(),
         view,
         notes: notes.clone(),
         links: links.clone(),
     };
     let peers = PeerService::new(handle.clone());
-    let worker = work::Worker::new(node, folder, settings, links, show, orders);
+    let worker = work::Worker::new(node, folder, settings, links, view_sender, events);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
     let spawned = runtime.and_then(|runtime| {
-        let run = move || runtime.block_on(worker.run(asked));
+        let run = move || runtime.block_on(worker.run(receiver));
         std::thread::Builder::new().name("agreement".to_owned()).spawn(run)
     });
     spawned.map_err(|error: io::Error| crate::DiskError::File { file: "a thread".to_owned(), error })?;
@@ -180,19 +180,19 @@
         self.election_timeout * 2
     }
 
-    async fn ask<T>(
+    async fn request<T>(
         &self,
         within: Duration,
-        order: impl FnOnce(Instant, Reply<T>) -> Order,
+        event: impl FnOnce(Instant, Reply<T>) -> Event,
     ) -> Result<T, RequestError> {
         let (reply, answer) = oneshot::channel();
-        let until = Instant::now() + within;
-        if self.orders.try_send(order(until, reply)).is_err() {
+        let deadline = Instant::now() + within;
+        if self.events.try_send(event(deadline, reply)).is_err() {
             return Err(RequestError::Refused(
                 "the member is overrun with orders, or ends: ask again later".to_owned(),
             ));
         }
-        match tokio::time::timeout_at(until + self.election_timeout, answer).await {
+        match tokio::time::timeout_at(deadline + self.election_timeout, answer).await {
             Ok(Ok(answer)) => answer,
             _ => Err(RequestError::OutcomeUnknown),
         }
@@ -207,19 +207,19 @@
         within: Duration,
     ) -> Result<(u64, Outcome), RequestError> {
         let id = id.to_owned();
-        self.ask(within, |until, reply| Order::Write { id, command, until, reply }).await
+        self.request(within, |deadline, reply| Event::Write { id, command, deadline, reply }).await
     }
 
     /// Proposes a command without waiting for its outcome; it may be lost.
     pub fn propose(&self, command: Command) {
-        let until = Instant::now() + self.election_timeout * 4;
+        let deadline = Instant::now() + self.election_timeout * 4;
         let (reply, _) = oneshot::channel();
-        let _ = self.orders.try_send(Order::Write { id: String::new(), command, until, reply });
+        let _ = self.events.try_send(Event::Write { id: String::new(), command, deadline, reply });
     }
 
     /// Linearizable read: returns a state that includes all writes acknowledged before the call.
     pub async fn read(&self, within: Duration) -> Result<Arc<State>, RequestError> {
-        self.ask(within, |until, reply| Order::Read { until, reply }).await
+        self.request(within, |deadline, reply| Event::Read { deadline, reply }).await
     }
 
     /// Changes the membership, through the current leader.
@@ -229,40 +229,52 @@
         change: MemberChange,
         within: Duration,
     ) -> Result<(), RequestError> {
-        let asked = server::Asked::Change { id: id.to_owned(), change };
-        self.at_leader(asked, within).await
+        let request = server::LeaderRequest::Change { id: id.to_owned(), change };
+        self.run_at_leader(request, within).await
     }
 
     /// Transfers leadership to another member, through the current leader.
     pub async fn transfer(&self, to: MemberId, within: Duration) -> Result<(), RequestError> {
-        self.at_leader(server::Asked::Transfer { to }, within).await
+        self.run_at_leader(server::LeaderRequest::Transfer { to }, within).await
     }
 
     /// Runs a leader-only request on this member.
-    pub(crate) async fn lead(&self, asked: server::Asked, within: Duration) -> Result<(), RequestError> {
-        match asked {
-            server::Asked::Change { id, change } => {
-                self.ask(within, |until, reply| Order::Change { id, change, until, reply }).await
+    pub(crate) async fn run_as_leader(
+        &self,
+        request: server::LeaderRequest,
+        within: Duration,
+    ) -> Result<(), RequestError> {
+        match request {
+            server::LeaderRequest::Change { id, change } => {
+                self.request(within, |deadline, reply| Event::Change { id, change, deadline, reply }).await
             }
-            server::Asked::Transfer { to } => {
-                self.ask(within, |until, reply| Order::Transfer { to, until, reply }).await
+            server::LeaderRequest::Transfer { to } => {
+                self.request(within, |deadline, reply| Event::Transfer { to, deadline, reply }).await
             }
         }
     }
 
-    async fn at_leader(&self, asked: server::Asked, within: Duration) -> Result<(), RequestError> {
-        let end = Instant::now() + within;
+    async fn run_at_leader(
+        &self,
+        request: server::LeaderRequest,
+        within: Duration,
+    ) -> Result<(), RequestError> {
+        let deadline = Instant::now() + within;
         loop {
             let leader = self.view().status.as_ref().map_or(0, |status| status.leader);
-            let left = end.saturating_duration_since(Instant::now());
-            let done = match leader {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let result = match leader {
                 0 => Err(RequestError::OutcomeUnknown),
-                leader if leader == self.identity.member => self.lead(asked.clone(), left).await,
-                leader => self.links.ask(leader, &asked, left).await,
+                leader if leader == self.identity.member => {
+                    self.run_as_leader(request.clone(), remaining).await
+                }
+                leader => self.links.ask(leader, &request, remaining).await,
             };
             // The leader may have changed in the meantime.
-            if done != Err(RequestError::OutcomeUnknown) || Instant::now() + self.election_timeout >= end {
-                return done;
+            if result != Err(RequestError::OutcomeUnknown)
+                || Instant::now() + self.election_timeout >= deadline
+            {
+                return result;
             }
             tokio::time::sleep(self.election_timeout / 4).await;
         }
@@ -273,18 +285,18 @@
         let leader = self.view().status.as_ref().map_or(0, |status| status.leader);
         match leader {
             0 => {}
-            leader if leader == self.identity.member => self.notes.take(leader, kind.to_owned(), text),
+            leader if leader == self.identity.member => self.notes.insert(leader, kind.to_owned(), text),
             leader => self.links.note(leader, kind.to_owned(), text),
         }
     }
 
-    /// The newest note of a kind from each member, if it is not older than `no_older`.
-    pub fn notes(&self, kind: &str, no_older: Duration) -> BTreeMap<MemberId, String> {
-        self.notes.of(kind, no_older)
+    /// The newest note of a kind from each member, if it is not older than `max_age`.
+    pub fn notes(&self, kind: &str, max_age: Duration) -> BTreeMap<MemberId, String> {
+        self.notes.newest(kind, max_age)
     }
 
     /// Stops the member; its state stays on disk.
     pub fn stop(&self) {
-        let _ = self.orders.try_send(Order::Stop);
+        let _ = self.events.try_send(Event::Stop);
     }
 }
--- a/crates/agree/src/host/server.rs
+++ b/crates/agree/src/host/server.rs
@@ -1,6 +1,6 @@
 //! gRPC service for the other members: receives Raft messages, serves snapshots, and runs leader-only requests.
 
-use super::{Handle, Order, RequestError};
+use super::{Event, Handle, RequestError};
 use crate::command::{Command, MemberChange, MemberId};
 use crate::message::{MAX_MESSAGE_BYTES, PeerMessage};
 use serde::{Deserialize, Serialize};
@@ -26,25 +26,25 @@
 pub(super) const PATH_ASK: &str = "/runtrack.cluster.v1.Peers/Ask";
 pub(super) const PATH_NOTE: &str = "/runtrack.cluster.v1.Peers/Note";
 /// Headers that identify the caller and the called member in each call.
-pub(super) const LINEAGE: &str = "runtrack-lineage";
-pub(super) const FROM: &str = "runtrack-from";
-pub(super) const TO: &str = "runtrack-to";
-pub(super) const TICKET: &str = "runtrack-ticket";
-pub(super) const FOLDER: &str = "runtrack-folder";
+pub(super) const LINEAGE_HEADER: &str = "runtrack-lineage";
+pub(super) const FROM_HEADER: &str = "runtrack-from";
+pub(super) const TO_HEADER: &str = "runtrack-to";
+pub(super) const TICKET_HEADER: &str = "runtrack-ticket";
+pub(super) const FOLDER_HEADER: &str = "runtrack-folder";
 
 /// Size of a snapshot chunk, in bytes.
-const PART: usize = 64 << 10;
+const CHUNK_BYTES: usize = 64 << 10;
 /// Timeout of a leader-only request at the leader.
-const ASK: Duration = Duration::from_secs(10);
+const LEADER_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// Limits of notes: the maximum size in bytes, and the maximum number of kinds per member.
-const NOTE_MOST: usize = 4 << 20;
-const KINDS_MOST: usize = 16;
+const MAX_NOTE_BYTES: usize = 4 << 20;
+const MAX_NOTE_KINDS: usize = 16;
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Ack {}
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct FetchOut {
+pub(super) struct FetchRequest {
     #[prost(string, tag = "1")]
     pub(super) hash: String,
     /// Offset of the first requested byte.
@@ -59,13 +59,13 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct AskOut {
+pub(super) struct AskRequest {
     #[prost(string, tag = "1")]
     pub(super) text: String,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct NoteOut {
+pub(super) struct NoteRequest {
     #[prost(string, tag = "1")]
     pub(super) kind: String,
     #[prost(string, tag = "2")]
@@ -75,31 +75,31 @@
 /// A request that only the leader may run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Asked {
+pub(crate) enum LeaderRequest {
     Change { id: String, change: MemberChange },
     Transfer { to: MemberId },
 }
 
 /// A member's newest notes by kind, with their time of arrival.
-type OfMember = BTreeMap<String, (Instant, String)>;
+type MemberNotes = BTreeMap<String, (Instant, String)>;
 
 /// The newest note of each kind from each member.
 #[derive(Default)]
-pub(crate) struct Notes(Mutex<BTreeMap<MemberId, OfMember>>);
+pub(crate) struct Notes(Mutex<BTreeMap<MemberId, MemberNotes>>);
 
 impl Notes {
-    pub(crate) fn take(&self, from: MemberId, kind: String, text: String) {
+    pub(crate) fn insert(&self, from: MemberId, kind: String, text: String) {
         let mut notes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let of_member = notes.entry(from).or_default();
-        if of_member.contains_key(&kind) || of_member.len() < KINDS_MOST {
-            of_member.insert(kind, (Instant::now(), text));
+        let member_notes = notes.entry(from).or_default();
+        if member_notes.contains_key(&kind) || member_notes.len() < MAX_NOTE_KINDS {
+            member_notes.insert(kind, (Instant::now(), text));
         }
     }
 
-    pub(crate) fn of(&self, kind: &str, no_older: Duration) -> BTreeMap<MemberId, String> {
+    pub(crate) fn newest(&self, kind: &str, max_age: Duration) -> BTreeMap<MemberId, String> {
         let notes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let fresh = notes.iter().filter_map(|(member, notes)| {
-            let (_, text) = notes.get(kind).filter(|(at, _)| at.elapsed() <= no_older)?;
+            let (_, text) = notes.get(kind).filter(|(at, _)| at.elapsed() <= max_age)?;
             Some((*member, text.clone()))
         });
         fresh.collect()
@@ -107,8 +107,8 @@
 }
 
 /// Response stream that is fed through a channel.
-type Answers<T> = ReceiverStream<Result<T, Status>>;
-type Pinned<T> = Pin<Box<dyn Future<Output = T> + Send>>;
+type ReplyStream<T> = ReceiverStream<Result<T, Status>>;
+type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
 /// The gRPC service that a member's peers call.
 #[derive(Clone)]
@@ -125,43 +125,47 @@
     fn admit(&self, headers: &MetadataMap) -> Result<MemberId, Status> {
         let text = |name| headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default();
         let identity = self.handle.identity();
-        if text(LINEAGE) != identity.lineage {
-            let what = format!(
+        if text(LINEAGE_HEADER) != identity.lineage {
+            let reason = format!(
                 "this is a member of the cluster {}, and the caller belongs to {}: they are two clusters",
                 identity.lineage,
-                text(LINEAGE)
+                text(LINEAGE_HEADER)
             );
-            return Err(Status::permission_denied(what));
+            return Err(Status::permission_denied(reason));
         }
-        if text(TO) != identity.member.to_string() {
-            let what = format!("this is member {}, and member {} was called", identity.member, text(TO));
-            return Err(Status::permission_denied(what));
+        if text(TO_HEADER) != identity.member.to_string() {
+            let reason =
+                format!("this is member {}, and member {} was called", identity.member, text(TO_HEADER));
+            return Err(Status::permission_denied(reason));
         }
-        let from: MemberId = text(FROM).parse().map_err(|_| Status::invalid_argument("who calls?"))?;
+        let from: MemberId =
+            text(FROM_HEADER).parse().map_err(|_| Status::invalid_argument("who calls?"))?;
         let view = self.handle.view();
         let Some(state) = &view.state else { return Ok(from) };
         if let Some(removed) = state.removed.get(&from) {
-            let what = format!(
+            let reason = format!(
                 "member {from}, {}, was removed from the cluster at index {}: add a new one in its place",
                 removed.name, removed.index
             );
-            return Err(Status::not_found(what));
+            return Err(Status::not_found(reason));
         }
         match state.members.get(&from) {
-            Some(member) if member.folder.as_deref().is_some_and(|folder| folder != text(FOLDER)) => {
-                let what = format!(
+            Some(member)
+                if member.folder.as_deref().is_some_and(|folder| folder != text(FOLDER_HEADER)) =>
+            {
+                let reason = format!(
                     "number {from} belongs to another folder, that of {}: a folder that was lost or copied can't take \
                      its place. Remove the member, and add a new one",
                     member.name
                 );
-                Err(Status::permission_denied(what))
+                Err(Status::permission_denied(reason))
             }
             Some(member) if member.folder.is_none() => {
-                if member.ticket != text(TICKET) {
-                    let what = format!("the invitation is not that of member {from}");
-                    return Err(Status::permission_denied(what));
+                if member.ticket != text(TICKET_HEADER) {
+                    let reason = format!("the invitation is not that of member {from}");
+                    return Err(Status::permission_denied(reason));
                 }
-                let (ticket, folder) = (text(TICKET).to_owned(), text(FOLDER).to_owned());
+                let (ticket, folder) = (text(TICKET_HEADER).to_owned(), text(FOLDER_HEADER).to_owned());
                 self.handle.propose(Command::Seen { member: from, ticket, folder });
                 Ok(from)
             }
@@ -178,7 +182,7 @@
 impl Service<http::Request<Body>> for PeerService {
     type Response = http::Response<Body>;
     type Error = Infallible;
-    type Future = Pinned<Result<Self::Response, Infallible>>;
+    type Future = BoxFuture<Result<Self::Response, Infallible>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
@@ -192,20 +196,22 @@
                 PATH_DELIVER => {
                     let grpc = Grpc::new(ProstCodec::<Ack, PeerMessage>::default());
                     grpc.max_decoding_message_size(2 * MAX_MESSAGE_BYTES)
-                        .streaming(Deliver(peers), request)
+                        .streaming(DeliverHandler(peers), request)
                         .await
                 }
                 PATH_FETCH => {
-                    Grpc::new(ProstCodec::<Chunk, FetchOut>::default())
-                        .server_streaming(FetchAt(peers), request)
+                    Grpc::new(ProstCodec::<Chunk, FetchRequest>::default())
+                        .server_streaming(FetchHandler(peers), request)
                         .await
                 }
                 PATH_ASK => {
-                    Grpc::new(ProstCodec::<Ack, AskOut>::default()).unary(AskAt(peers), request).await
+                    Grpc::new(ProstCodec::<Ack, AskRequest>::default())
+                        .unary(AskHandler(peers), request)
+                        .await
                 }
                 PATH_NOTE => {
-                    let grpc = Grpc::new(ProstCodec::<Ack, NoteOut>::default());
-                    grpc.max_decoding_message_size(NOTE_MOST).unary(NoteAt(peers), request).await
+                    let grpc = Grpc::new(ProstCodec::<Ack, NoteRequest>::default());
+                    grpc.max_decoding_message_size(MAX_NOTE_BYTES).unary(NoteHandler(peers), request).await
                 }
                 _ => Status::unimplemented(path).into_http(),
             })
@@ -213,103 +219,104 @@
     }
 }
 
-struct Deliver(PeerService);
+struct DeliverHandler(PeerService);
 
-impl StreamingService<PeerMessage> for Deliver {
+impl StreamingService<PeerMessage> for DeliverHandler {
     type Response = Ack;
-    type ResponseStream = Answers<Ack>;
-    type Future = Pinned<Result<Response<Answers<Ack>>, Status>>;
+    type ResponseStream = ReplyStream<Ack>;
+    type Future = BoxFuture<Result<Response<ReplyStream<Ack>>, Status>>;
 
     fn call(&mut self, request: Request<Streaming<PeerMessage>>) -> Self::Future {
         let peers = self.0.clone();
         Box::pin(async move {
             let from = peers.admit(request.metadata())?;
-            let hello = request.metadata().clone();
+            let headers = request.metadata().clone();
             let mut messages = request.into_inner();
-            let (give, take) = mpsc::channel(1);
+            let (sender, receiver) = mpsc::channel(1);
             tokio::spawn(async move {
-                let mut known = peers.handle.watch();
+                let mut view_changes = peers.handle.watch();
                 let status = loop {
                     tokio::select! {
                         // The peer may be removed while it is connected.
-                        changed = known.changed() => {
+                        changed = view_changes.changed() => {
                             if changed.is_err() {
                                 break Status::unavailable("the member ends");
                             }
-                            if let Err(status) = peers.admit(&hello) {
+                            if let Err(status) = peers.admit(&headers) {
                                 break status;
                             }
                         }
                         message = messages.message() => match message {
                             Ok(Some(message)) if message.from == from => {
                                 // When the queue is full the message is dropped; Raft retransmits what is needed.
-                                let _ = peers.handle.orders.try_send(Order::Message(message));
+                                let _ = peers.handle.events.try_send(Event::Message(message));
                             }
                             Ok(Some(message)) => {
-                                let what = format!("member {from} speaks for member {}", message.from);
-                                break Status::permission_denied(what);
+                                let reason = format!("member {from} speaks for member {}", message.from);
+                                break Status::permission_denied(reason);
                             }
                             Ok(None) => break Status::ok("the link has ended"),
                             Err(status) => break status,
                         }
                     }
                 };
-                let _ = give.send(Err(status)).await;
+                let _ = sender.send(Err(status)).await;
             });
-            Ok(Response::new(Answers::new(take)))
+            Ok(Response::new(ReplyStream::new(receiver)))
         })
     }
 }
 
-struct FetchAt(PeerService);
+struct FetchHandler(PeerService);
 
-impl ServerStreamingService<FetchOut> for FetchAt {
+impl ServerStreamingService<FetchRequest> for FetchHandler {
     type Response = Chunk;
-    type ResponseStream = Answers<Chunk>;
-    type Future = Pinned<Result<Response<Answers<Chunk>>, Status>>;
+    type ResponseStream = ReplyStream<Chunk>;
+    type Future = BoxFuture<Result<Response<ReplyStream<Chunk>>, Status>>;
 
-    fn call(&mut self, request: Request<FetchOut>) -> Self::Future {
+    fn call(&mut self, request: Request<FetchRequest>) -> Self::Future {
         let peers = self.0.clone();
         Box::pin(async move {
             let from = peers.admit(request.metadata())?;
-            let FetchOut { hash, from: first } = request.into_inner();
+            let FetchRequest { hash, from: offset } = request.into_inner();
             let (reply, text) = oneshot::channel();
-            let sent = peers.handle.orders.send(Order::Text { hash, reply }).await;
+            let sent = peers.handle.events.send(Event::SnapshotText { hash, reply }).await;
             sent.map_err(|_| Status::unavailable("the member ends"))?;
             let text = text.await.ok().flatten();
             let text = text.ok_or_else(|| Status::aborted("there is a newer snapshot by now"))?;
-            let (give, take) = mpsc::channel(1);
+            let (sender, receiver) = mpsc::channel(1);
             tokio::spawn(async move {
-                let bytes = text.as_bytes().get(first as usize..).unwrap_or_default();
-                for part in bytes.chunks(PART) {
-                    let part = Chunk { bytes: bytes::Bytes::copy_from_slice(part) };
-                    if give.send(Ok(part)).await.is_err() {
+                let bytes = text.as_bytes().get(offset as usize..).unwrap_or_default();
+                for chunk in bytes.chunks(CHUNK_BYTES) {
+                    let chunk = Chunk { bytes: bytes::Bytes::copy_from_slice(chunk) };
+                    if sender.send(Ok(chunk)).await.is_err() {
                         return;
                     }
-                    let _ = peers.handle.orders.try_send(Order::Fetching(from));
+                    let _ = peers.handle.events.try_send(Event::SnapshotProgress(from));
                 }
             });
-            Ok(Response::new(Answers::new(take)))
+            Ok(Response::new(ReplyStream::new(receiver)))
         })
     }
 }
 
-struct AskAt(PeerService);
+struct AskHandler(PeerService);
 
-impl UnaryService<AskOut> for AskAt {
+impl UnaryService<AskRequest> for AskHandler {
     type Response = Ack;
-    type Future = Pinned<Result<Response<Ack>, Status>>;
+    type Future = BoxFuture<Result<Response<Ack>, Status>>;
 
-    fn call(&mut self, request: Request<AskOut>) -> Self::Future {
+    fn call(&mut self, request: Request<AskRequest>) -> Self::Future {
         let peers = self.0.clone();
         Box::pin(async move {
             peers.admit(request.metadata())?;
-            let asked = serde_json::from_str(&request.into_inner().text);
-            let asked: Asked = asked.map_err(|e| Status::invalid_argument(e.to_string()))?;
+            let leader_request = serde_json::from_str(&request.into_inner().text);
+            let leader_request: LeaderRequest =
+                leader_request.map_err(|e| Status::invalid_argument(e.to_string()))?;
             if !peers.handle.view().is_leader() {
                 return Err(Status::unavailable("this member does not lead"));
             }
-            match peers.handle.lead(asked, ASK).await {
+            match peers.handle.run_as_leader(leader_request, LEADER_REQUEST_TIMEOUT).await {
                 Ok(()) => Ok(Response::new(Ack {})),
                 Err(RequestError::Refused(why)) => Err(Status::failed_precondition(why)),
                 Err(RequestError::OutcomeUnknown) => {
@@ -320,18 +327,18 @@
     }
 }
 
-struct NoteAt(PeerService);
+struct NoteHandler(PeerService);
 
-impl UnaryService<NoteOut> for NoteAt {
+impl UnaryService<NoteRequest> for NoteHandler {
     type Response = Ack;
-    type Future = Pinned<Result<Response<Ack>, Status>>;
+    type Future = BoxFuture<Result<Response<Ack>, Status>>;
 
-    fn call(&mut self, request: Request<NoteOut>) -> Self::Future {
+    fn call(&mut self, request: Request<NoteRequest>) -> Self::Future {
         let peers = self.0.clone();
         Box::pin(async move {
             let from = peers.admit(request.metadata())?;
-            let NoteOut { kind, text } = request.into_inner();
-            peers.handle.notes.take(from, kind, text);
+            let NoteRequest { kind, text } = request.into_inner();
+            peers.handle.notes.insert(from, kind, text);
             Ok(Response::new(Ack {}))
         })
     }
--- a/crates/agree/src/host/work.rs
+++ b/crates/agree/src/host/work.rs
@@ -1,7 +1,7 @@
 //! The member's worker thread: feeds requests and ticks to the node, sends its output and answers requests.
 
 use super::link::Links;
-use super::{Order, Reply, RequestError, Settings, View};
+use super::{Event, Reply, RequestError, Settings, View};
 use crate::command::{Command, MAX_WRITE_ID_BYTES, MemberChange, MemberId, Outcome, Proposal};
 use crate::node::{Node, NodeError, Output};
 use crate::state::State;
@@ -16,37 +16,37 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 /// Maximum number of events taken from the queue at once, so that one sync covers many writes.
-const BATCH: usize = 256;
+const MAX_BATCH_EVENTS: usize = 256;
 /// Interval at which a folder that cannot be used is reopened.
-const REOPEN: Duration = Duration::from_secs(1);
+const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
 /// A member that was offered a snapshot and has fetched nothing for this long is offered it again.
-const FETCH_IDLE: Duration = Duration::from_secs(10);
+const SNAPSHOT_FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Write {
     proposal: Proposal,
-    until: Instant,
+    deadline: Instant,
     /// Time, term and leader of the last proposal.
     proposed: Option<(Instant, u64, MemberId)>,
     replies: Vec<Reply<(u64, Outcome)>>,
 }
 
 struct Read {
-    until: Instant,
-    asked: Option<Instant>,
+    deadline: Instant,
+    requested: Option<Instant>,
     reply: Reply<Arc<State>>,
 }
 
 struct Change {
     id: String,
     change: MemberChange,
-    until: Instant,
+    deadline: Instant,
     proposed: bool,
     reply: Reply<()>,
 }
 
 struct Transfer {
     to: MemberId,
-    until: Instant,
+    deadline: Instant,
     reply: Reply<()>,
 }
 
@@ -55,17 +55,17 @@
     folder: Folder,
     settings: Settings,
     links: Arc<Links>,
-    show: watch::Sender<Arc<View>>,
+    view_sender: watch::Sender<Arc<View>>,
     /// Keeps the channel open for as long as the member runs.
-    _orders: mpsc::Sender<Order>,
-    draws: Pcg32,
+    _events: mpsc::Sender<Event>,
+    rng: Pcg32,
     writes: BTreeMap<String, Write>,
     reads: BTreeMap<u64, Read>,
     next_read: u64,
     changes: Vec<Change>,
     transfers: Vec<Transfer>,
     /// Time of the last fetch by each member that is being sent a snapshot.
-    fetching: BTreeMap<MemberId, Instant>,
+    snapshot_progress: BTreeMap<MemberId, Instant>,
     reopen_at: Instant,
     last_quorum_contact: Option<Instant>,
     storage_error: Option<String>,
@@ -74,7 +74,7 @@
     elections: u64,
 }
 
-pub(super) fn view_of(node: &Node<Folder>) -> View {
+pub(super) fn initial_view(node: &Node<Folder>) -> View {
     View {
         state: node.shared_state(),
         status: Some(node.status()),
@@ -92,24 +92,24 @@
         folder: Folder,
         settings: Settings,
         links: Arc<Links>,
-        show: watch::Sender<Arc<View>>,
-        orders: mpsc::Sender<Order>,
+        view_sender: watch::Sender<Arc<View>>,
+        events: mpsc::Sender<Event>,
     ) -> Worker {
-        let draws = Pcg32::seed_from_u64(settings.seed);
+        let rng = Pcg32::seed_from_u64(settings.seed);
         Worker {
             node: Some(node),
             folder,
             settings,
             links,
-            show,
-            _orders: orders,
-            draws,
+            view_sender,
+            _events: events,
+            rng,
             writes: BTreeMap::new(),
             reads: BTreeMap::new(),
             next_read: 1,
             changes: Vec::new(),
             transfers: Vec::new(),
-            fetching: BTreeMap::new(),
+            snapshot_progress: BTreeMap::new(),
             reopen_at: Instant::now(),
             last_quorum_contact: None,
             storage_error: None,
@@ -120,7 +120,7 @@
     }
 
     /// Runs until it is stopped.
-    pub(super) async fn run(mut self, mut orders: mpsc::Receiver<Order>) {
+    pub(super) async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         let mut ticks = interval(self.settings.tick);
         // Ticks missed while the process was suspended must not count towards timeouts.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
@@ -132,51 +132,51 @@
                     if let Some(node) = self.node.as_mut().filter(|_| self.removed.is_none()) {
                         node.tick();
                     }
-                    self.look();
+                    self.on_tick();
                 }
-                taken = orders.recv_many(&mut batch, BATCH) => if taken == 0 { return },
+                taken = events.recv_many(&mut batch, MAX_BATCH_EVENTS) => if taken == 0 { return },
             }
-            for order in batch.drain(..) {
-                if matches!(order, Order::Stop) {
+            for event in batch.drain(..) {
+                if matches!(event, Event::Stop) {
                     return;
                 }
-                self.take(order);
+                self.handle_event(event);
             }
             // Events that arrived in the meantime share the same sync.
-            while let Ok(order) = orders.try_recv() {
-                if matches!(order, Order::Stop) {
+            while let Ok(event) = events.try_recv() {
+                if matches!(event, Event::Stop) {
                     return;
                 }
-                self.take(order);
+                self.handle_event(event);
             }
-            self.turn();
+            self.run_iteration();
         }
     }
 
-    fn take(&mut self, order: Order) {
-        match order {
-            Order::Message(message) => {
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Message(message) => {
                 let Some(node) = &mut self.node else { return };
                 if message.from == node.leader() && message.from != 0 {
                     self.last_quorum_contact = Some(Instant::now());
                 }
                 node.step(message);
             }
-            Order::Write { id, command, until, reply } => self.write(id, command, until, reply),
-            Order::Read { until, reply } => {
-                self.reads.insert(self.next_read, Read { until, asked: None, reply });
+            Event::Write { id, command, deadline, reply } => self.write(id, command, deadline, reply),
+            Event::Read { deadline, reply } => {
+                self.reads.insert(self.next_read, Read { deadline, requested: None, reply });
                 self.next_read += 1;
             }
-            Order::Change { id, change, until, reply } => {
-                self.changes.push(Change { id, change, until, proposed: false, reply });
+            Event::Change { id, change, deadline, reply } => {
+                self.changes.push(Change { id, change, deadline, proposed: false, reply });
             }
-            Order::Transfer { to, until, reply } => self.transfer(to, until, reply),
-            Order::Text { hash, reply } => {
+            Event::Transfer { to, deadline, reply } => self.transfer(to, deadline, reply),
+            Event::SnapshotText { hash, reply } => {
                 let node = self.node.as_ref().filter(|node| node.snapshot().hash == hash);
                 let text = node.and_then(|node| node.snapshot_text().ok().flatten());
                 let _ = reply.send(text.map(Arc::from)); // fails if the caller is gone
             }
-            Order::Fetched(text) => {
+            Event::SnapshotFetched(text) => {
                 let Some(node) = &mut self.node else { return };
                 match text {
                     Ok(text) => {
@@ -190,44 +190,44 @@
                     }
                 }
             }
-            Order::Lost(member) => {
+            Event::LinkLost(member) => {
                 if let Some(node) = &mut self.node {
                     node.report_unreachable(member);
                 }
             }
-            Order::Fetching(member) => drop(self.fetching.insert(member, Instant::now())),
-            Order::Removed(why) => {
+            Event::SnapshotProgress(member) => drop(self.snapshot_progress.insert(member, Instant::now())),
+            Event::Removed(why) => {
                 if self.removed.is_none() {
                     eprintln!("agreement: {why}");
                 }
                 self.removed = Some(why);
             }
-            Order::Stop => {}
+            Event::Stop => {}
         }
     }
 
-    fn write(&mut self, id: String, command: Command, until: Instant, reply: Reply<(u64, Outcome)>) {
+    fn write(&mut self, id: String, command: Command, deadline: Instant, reply: Reply<(u64, Outcome)>) {
         if id.len() > MAX_WRITE_ID_BYTES {
             let why = format!("a write's id has {} bytes, and {MAX_WRITE_ID_BYTES} is the most", id.len());
             return drop(reply.send(Err(RequestError::Refused(why))));
         }
         // A write without a client's id gets a random one, by which its outcome is found.
         let id = match id.is_empty() {
-            true => format!("m{:016x}{:016x}", self.draws.next_u64(), self.draws.next_u64()),
+            true => format!("m{:016x}{:016x}", self.rng.next_u64(), self.rng.next_u64()),
             false => id,
         };
-        let fresh = || Write {
+        let new_write = || Write {
             proposal: Proposal { id: id.clone(), command },
-            until,
+            deadline,
             proposed: None,
             replies: Vec::new(),
         };
-        let write = self.writes.entry(id.clone()).or_insert_with(fresh);
-        write.until = write.until.max(until);
+        let write = self.writes.entry(id.clone()).or_insert_with(new_write);
+        write.deadline = write.deadline.max(deadline);
         write.replies.push(reply);
     }
 
-    fn transfer(&mut self, to: MemberId, until: Instant, reply: Reply<()>) {
+    fn transfer(&mut self, to: MemberId, deadline: Instant, reply: Reply<()>) {
         let Some(node) = &mut self.node else { return };
         let member = node.state().and_then(|state| state.members.get(&to));
         let why = match member {
@@ -240,16 +240,16 @@
             Some(why) => drop(reply.send(Err(RequestError::Refused(why.to_owned())))),
             None => {
                 node.transfer_leader(to);
-                self.transfers.push(Transfer { to, until, reply });
+                self.transfers.push(Transfer { to, deadline, reply });
             }
         }
     }
 
     /// Does what is due by the clock: reopens the folder, tracks contact with a majority, and retries snapshots.
-    fn look(&mut self) {
+    fn on_tick(&mut self) {
         let now = Instant::now();
         if self.node.is_none() && now >= self.reopen_at {
-            self.reopen_at = now + REOPEN;
+            self.reopen_at = now + REOPEN_INTERVAL;
             match Node::open(self.folder.clone(), self.settings.tuning, self.settings.seed) {
                 Ok(node) => {
                     eprintln!("agreement: the storage folder is usable again");
@@ -268,9 +268,9 @@
                 self.last_quorum_contact = Some(now);
             }
             for (member, _) in status.peers.iter().filter(|(_, peer)| peer.snapshot) {
-                let last = *self.fetching.entry(*member).or_insert(now);
-                if now >= last + FETCH_IDLE {
-                    self.fetching.remove(member);
+                let last = *self.snapshot_progress.entry(*member).or_insert(now);
+                if now >= last + SNAPSHOT_FETCH_TIMEOUT {
+                    self.snapshot_progress.remove(member);
                     node.retry_snapshot(*member);
                 }
             }
@@ -280,24 +280,22 @@
     fn report_storage_error(&mut self, problem: &NodeError) {
         let problem = problem.to_string();
         if self.storage_error.as_ref() != Some(&problem) {
-            eprintln!(
-                "agreement: {problem}; serving the last applied state, accepting no entries or votes"
-            );
+            eprintln!("agreement: {problem}; serving the last applied state without taking part in Raft");
         }
         self.storage_error = Some(problem);
     }
 
     /// Runs one iteration: proposes pending requests, drives the node, and answers finished requests.
-    fn turn(&mut self) {
+    fn run_iteration(&mut self) {
         let now = Instant::now();
-        self.propose(now);
+        self.propose_requests(now);
         let output = match self.node.as_mut().map(Node::drive) {
             None => None,
             Some(Ok(output)) => Some(output),
             Some(Err(problem)) => {
                 self.report_storage_error(&problem);
                 self.node = None;
-                self.reopen_at = now + REOPEN;
+                self.reopen_at = now + REOPEN_INTERVAL;
                 None
             }
         };
@@ -320,17 +318,18 @@
                 }
             }
         }
-        self.answer(now);
-        self.publish();
+        self.answer_requests(now);
+        self.publish_view();
     }
 
-    fn propose(&mut self, now: Instant) {
-        let again = self.settings.election_timeout() / 2;
+    fn propose_requests(&mut self, now: Instant) {
+        let retry_interval = self.settings.election_timeout() / 2;
         let Some(node) = &mut self.node else { return };
         let (leader, term) = (node.leader(), node.term());
         for write in self.writes.values_mut() {
-            let due =
-                write.proposed.is_none_or(|(at, of, to)| now >= at + again || (of, to) != (term, leader));
+            let due = write
+                .proposed
+                .is_none_or(|(at, of, to)| now >= at + retry_interval || (of, to) != (term, leader));
             if leader != 0 && due {
                 // Refused proposals, for lack of room or of a leader, are proposed again.
                 let _ = node.propose(&write.proposal);
@@ -338,9 +337,11 @@
             }
         }
         for (number, read) in &mut self.reads {
-            if (leader != 0 || mutant("lone-read")) && read.asked.is_none_or(|at| now >= at + again) {
+            if (leader != 0 || mutant("lone-read"))
+                && read.requested.is_none_or(|at| now >= at + retry_interval)
+            {
                 node.request_read(*number);
-                read.asked = Some(now);
+                read.requested = Some(now);
             }
         }
         let mut waiting = Vec::new();
@@ -359,12 +360,12 @@
         self.changes = waiting;
     }
 
-    fn answer(&mut self, now: Instant) {
+    fn answer_requests(&mut self, now: Instant) {
         let state = self.node.as_ref().and_then(Node::shared_state);
         let unavailable = self.removed.clone().or_else(|| self.storage_error.clone());
-        let failure = |over: bool| match &unavailable {
+        let failure = |expired: bool| match &unavailable {
             Some(why) => Some(RequestError::Refused(why.clone())),
-            None => over.then_some(RequestError::OutcomeUnknown),
+            None => expired.then_some(RequestError::OutcomeUnknown),
         };
         self.writes.retain(|id, write| {
             let outcome = state.as_ref().and_then(|state| state.outcome(id));
@@ -373,9 +374,9 @@
                 return false;
             }
             // A proposed write may still take effect, even if this member has failed since.
-            let failure = match (now >= write.until, write.proposed) {
+            let failure = match (now >= write.deadline, write.proposed) {
                 (true, Some(_)) => Some(RequestError::OutcomeUnknown),
-                (over, _) => failure(over),
+                (expired, _) => failure(expired),
             };
             if let Some(failure) = failure {
                 write.replies.drain(..).for_each(|reply| drop(reply.send(Err(failure.clone()))));
@@ -383,9 +384,10 @@
             }
             true
         });
-        let over: Vec<u64> = self.reads.iter().filter(|(_, r)| now >= r.until).map(|(n, _)| *n).collect();
-        let lost = if unavailable.is_some() { self.reads.keys().copied().collect() } else { over };
-        for number in lost {
+        let expired: Vec<u64> =
+            self.reads.iter().filter(|(_, r)| now >= r.deadline).map(|(n, _)| *n).collect();
+        let failed = if unavailable.is_some() { self.reads.keys().copied().collect() } else { expired };
+        for number in failed {
             if let Some(read) = self.reads.remove(&number) {
                 let _ = read.reply.send(Err(failure(true).unwrap_or(RequestError::OutcomeUnknown)));
             }
@@ -396,7 +398,7 @@
             let answer = match outcome {
                 Some(Outcome::Refused(why)) => Some(Err(RequestError::Refused(why.clone()))),
                 Some(_) => Some(Ok(())),
-                None if now >= change.until => Some(Err(RequestError::OutcomeUnknown)),
+                None if now >= change.deadline => Some(Err(RequestError::OutcomeUnknown)),
                 None => None,
             };
             match answer {
@@ -408,7 +410,7 @@
         for transfer in std::mem::take(&mut self.transfers) {
             if leader == transfer.to {
                 let _ = transfer.reply.send(Ok(()));
-            } else if now >= transfer.until {
+            } else if now >= transfer.deadline {
                 let _ = transfer.reply.send(Err(RequestError::OutcomeUnknown));
             } else {
                 self.transfers.push(transfer);
@@ -417,8 +419,8 @@
     }
 
     /// Publishes the view, and updates the links to the current members.
-    fn publish(&mut self) {
-        let before = self.show.borrow().clone();
+    fn publish_view(&mut self) {
+        let before = self.view_sender.borrow().clone();
         let (state, status) = match &self.node {
             Some(node) => (node.shared_state(), Some(node.status())),
             None => (before.state.clone(), None),
@@ -428,13 +430,13 @@
             self.elections += 1;
         }
         self.leader = leader;
-        let me = self.node.as_ref().map_or(0, |node| node.identity().member);
-        if let Some(removed) = state.as_ref().and_then(|state| state.removed.get(&me)) {
-            let what = format!(
+        let member_id = self.node.as_ref().map_or(0, |node| node.identity().member);
+        if let Some(removed) = state.as_ref().and_then(|state| state.removed.get(&member_id)) {
+            let reason = format!(
                 "this member, {}, was removed from the cluster at index {}",
                 removed.name, removed.index
             );
-            self.removed.get_or_insert(what);
+            self.removed.get_or_insert(reason);
         }
         if let Some(node) = &self.node {
             let members: BTreeMap<MemberId, String> = match &state {
@@ -463,8 +465,8 @@
             && before.status.as_ref().map(|s| (s.leader, s.role, s.voter))
                 == view.status.as_ref().map(|s| (s.leader, s.role, s.voter))
             && (&before.storage_error, &before.removed) == (&view.storage_error, &view.removed);
-        self.show.send_if_modified(|shown| {
-            *shown = Arc::new(view);
+        self.view_sender.send_if_modified(|current| {
+            *current = Arc::new(view);
             !same
         });
     }
--- a/crates/agree/src/memory.rs
+++ b/crates/agree/src/memory.rs
@@ -7,17 +7,17 @@
 use std::cell::Cell;
 
 /// The log's entries and the metadata of the last snapshot, whose index is at or after the start of the log.
-pub struct Memory {
-    place: SnapshotMeta,
-    promise: HardStateRecord,
+pub struct MemStorage {
+    snapshot_meta: SnapshotMeta,
+    hard_state: HardStateRecord,
     base: LogBase,
     entries: Vec<Entry>,
     /// Set when a member needs a newer snapshot than the last one.
-    wanted: Cell<bool>,
+    snapshot_wanted: Cell<bool>,
 }
 
 /// Converts an entry to the library's type.
-pub fn entry_in(entry: record::Entry) -> Entry {
+pub fn entry_to_raft(entry: record::Entry) -> Entry {
     let kind = if entry.kind == 0 { EntryType::EntryNormal } else { EntryType::EntryConfChangeV2 };
     Entry {
         entry_type: kind,
@@ -30,7 +30,7 @@
 }
 
 /// Converts an entry from the library's type.
-pub fn entry_out(entry: &Entry) -> record::Entry {
+pub fn entry_from_raft(entry: &Entry) -> record::Entry {
     record::Entry {
         index: entry.index,
         term: entry.term,
@@ -41,35 +41,35 @@
 }
 
 /// Converts the hard state from the library's type.
-pub fn promise_out(hard: &HardState) -> HardStateRecord {
+pub fn hard_state_from_raft(hard: &HardState) -> HardStateRecord {
     HardStateRecord { term: hard.term, vote: hard.vote, commit: hard.commit }
 }
 
-fn bytes(entry: &Entry) -> u64 {
+fn entry_bytes(entry: &Entry) -> u64 {
     (entry.data.len() + entry.context.len() + 24) as u64
 }
 
-impl Memory {
+impl MemStorage {
     /// Builds the log from what was read from a folder.
-    pub fn new(found: RecoveredState) -> Memory {
-        let RecoveredState { place, promise, base, entries, .. } = found;
-        let entries = entries.into_iter().map(entry_in).collect();
-        Memory { place, promise, base, entries, wanted: Cell::new(false) }
+    pub fn new(recovered: RecoveredState) -> MemStorage {
+        let RecoveredState { snapshot_meta, hard_state, base, entries, .. } = recovered;
+        let entries = entries.into_iter().map(entry_to_raft).collect();
+        MemStorage { snapshot_meta, hard_state, base, entries, snapshot_wanted: Cell::new(false) }
     }
 
     /// Whether a member needs a newer snapshot than the last one; resets the flag.
-    pub fn takes_wanted(&self) -> bool {
-        self.wanted.take()
+    pub fn take_snapshot_wanted(&self) -> bool {
+        self.snapshot_wanted.take()
     }
 
     /// Metadata of the last snapshot.
-    pub fn place(&self) -> &SnapshotMeta {
-        &self.place
+    pub fn snapshot_meta(&self) -> &SnapshotMeta {
+        &self.snapshot_meta
     }
 
     /// The last hard state.
-    pub fn promise(&self) -> HardStateRecord {
-        self.promise
+    pub fn hard_state(&self) -> HardStateRecord {
+        self.hard_state
     }
 
     /// Index of the last entry.
@@ -86,19 +86,19 @@
     }
 
     /// Sets the hard state that was made durable.
-    pub fn promised(&mut self, promise: HardStateRecord) {
-        self.promise = promise;
+    pub fn set_hard_state(&mut self, hard_state: HardStateRecord) {
+        self.hard_state = hard_state;
     }
 
     /// Advances the commit index.
-    pub fn committed(&mut self, index: u64) {
-        self.promise.commit = self.promise.commit.max(index);
+    pub fn set_commit(&mut self, index: u64) {
+        self.hard_state.commit = self.hard_state.commit.max(index);
     }
 
     /// The entries after an index, in the format of the log file.
-    pub fn behind(&self, index: u64) -> Vec<record::Entry> {
+    pub fn entries_after(&self, index: u64) -> Vec<record::Entry> {
         let from = index.saturating_sub(self.base.index) as usize;
-        self.entries.get(from..).unwrap_or_default().iter().map(entry_out).collect()
+        self.entries.get(from..).unwrap_or_default().iter().map(entry_from_raft).collect()
     }
 
     /// Index and term of an entry, or of the position before the first one.
@@ -107,64 +107,65 @@
     }
 
     /// The lowest index after which the entries have at most this many bytes.
-    pub fn within(&self, most: u64) -> u64 {
+    pub fn tail_start(&self, max_bytes: u64) -> u64 {
         let mut size = 0;
         let kept = self.entries.iter().rev().take_while(|entry| {
-            size += bytes(entry);
+            size += entry_bytes(entry);
             size <= most
         });
         self.last() - kept.count() as u64
     }
 
     /// Sets a new snapshot and compacts the log up to `base`.
-    pub fn replace(&mut self, place: SnapshotMeta, base: LogBase) {
+    pub fn compact(&mut self, snapshot_meta: SnapshotMeta, base: LogBase) {
         let kept = self.entries.split_off(self.entries.len().min((base.index - self.base.index) as usize));
-        (self.place, self.base, self.entries) = (place, base, kept);
+        (self.snapshot_meta, self.base, self.entries) = (snapshot_meta, base, kept);
     }
 
     /// Sets a snapshot that was received from another member; the log is discarded.
-    pub fn install(&mut self, place: SnapshotMeta, promise: HardStateRecord) {
-        (self.base, self.promise) = (LogBase { index: place.index, term: place.term }, promise);
-        self.place = place;
+    pub fn install(&mut self, snapshot_meta: SnapshotMeta, hard_state: HardStateRecord) {
+        (self.base, self.hard_state) =
+            (LogBase { index: snapshot_meta.index, term: snapshot_meta.term }, hard_state);
+        self.snapshot_meta = snapshot_meta;
         self.entries.clear();
     }
 
-    fn place_of(&self, index: u64) -> raft::Result<usize> {
+    fn offset_of(&self, index: u64) -> raft::Result<usize> {
         match index.checked_sub(self.base.index + 1) {
             None => Err(Error::Store(StorageError::Compacted)),
-            Some(place) if place as usize > self.entries.len() => {
+            Some(offset) if offset as usize > self.entries.len() => {
                 Err(Error::Store(StorageError::Unavailable))
             }
-            Some(place) => Ok(place as usize),
+            Some(offset) => Ok(offset as usize),
         }
     }
 }
 
 /// Converts a snapshot's membership to the library's type.
-pub fn members(place: &SnapshotMeta) -> ConfState {
-    ConfState::from((place.voters.clone(), place.learners.clone()))
+pub fn conf_state(snapshot_meta: &SnapshotMeta) -> ConfState {
+    ConfState::from((snapshot_meta.voters.clone(), snapshot_meta.learners.clone()))
 }
 
-impl Storage for Memory {
+impl Storage for MemStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let HardStateRecord { term, vote, commit } = self.promise;
-        let hard = HardState { term, vote, commit, ..HardState::default() };
-        Ok(RaftState::new(hard, members(&self.place)))
+        let HardStateRecord { term, vote, commit } = self.hard_state;
+        let hard_state = HardState { term, vote, commit, ..HardState::default() };
+        Ok(RaftState::new(hard_state, conf_state(&self.snapshot_meta)))
     }
 
     fn entries(
         &self,
         low: u64,
         high: u64,
-        most: impl Into<Option<u64>>,
+        max_bytes: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        let (low, high) = (self.place_of(low)?, self.place_of(high)?);
-        let most = most.into().unwrap_or(u64::MAX);
+        let (low, high) = (self.offset_of(low)?, self.offset_of(high)?);
+        let max_bytes = max_bytes.into().unwrap_or(u64::MAX);
         let mut size = 0;
         let within = |entry: &&Entry| {
             let first = size == 0;
-            size += bytes(entry);
+            size += entry_bytes(entry);
             first || size <= most
         };
         Ok(self.entries[low..high].iter().take_while(within).cloned().collect())
@@ -174,7 +175,7 @@
         if index == self.base.index {
             return Ok(self.base.term);
         }
-        let entry = self.entries.get(self.place_of(index)?);
+        let entry = self.entries.get(self.offset_of(index)?);
         entry.map(|entry| entry.term).ok_or(Error::Store(StorageError::Unavailable))
     }
 
@@ -188,18 +189,19 @@
 
     fn snapshot(&self, least: u64, to: u64) -> raft::Result<Snapshot> {
         // A member does not accept a snapshot from before it was added.
-        let known = self.place.voters.contains(&to) || self.place.learners.contains(&to);
-        if self.place.index < least || self.place.index == 0 || !known {
-            self.wanted.set(true);
+        let is_member =
+            self.snapshot_meta.voters.contains(&to) || self.snapshot_meta.learners.contains(&to);
+        if self.snapshot_meta.index < least || self.snapshot_meta.index == 0 || !is_member {
+            self.snapshot_wanted.set(true);
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         let mut snapshot = Snapshot::default();
         let meta = snapshot.mut_metadata();
-        meta.index = self.place.index;
-        meta.term = self.place.term;
-        meta.set_conf_state(members(&self.place));
+        meta.index = self.snapshot_meta.index;
+        meta.term = self.snapshot_meta.term;
+        meta.set_conf_state(conf_state(&self.snapshot_meta));
         // Only the metadata travels in the message; the receiver fetches the text separately.
-        snapshot.data = serde_json::to_vec(&self.place).unwrap_or_default().into();
+        snapshot.data = serde_json::to_vec(&self.snapshot_meta).unwrap_or_default().into();
         Ok(snapshot)
     }
 }
--- a/crates/agree/src/message.rs
+++ b/crates/agree/src/message.rs
@@ -2,7 +2,7 @@
 //! messages are decoded here, field by field.
 
 use crate::disk::SnapshotMeta;
-use crate::memory::{entry_in, entry_out};
+use crate::memory::{entry_from_raft, entry_to_raft};
 use crate::record::Entry;
 use prost::Message as _;
 use raft::eraftpb::{ConfState, Message, MessageType, Snapshot};
@@ -61,7 +61,7 @@
 }
 
 /// The library's message types, indexed by number.
-const KINDS: [MessageType; 19] = [
+const MESSAGE_TYPES: [MessageType; 19] = [
     MessageType::MsgHup,
     MessageType::MsgBeat,
     MessageType::MsgPropose,
@@ -84,7 +84,7 @@
 ];
 
 /// Message types that a member only sends to itself.
-const LOCAL: [MessageType; 5] = [
+const LOCAL_MESSAGE_TYPES: [MessageType; 5] = [
     MessageType::MsgHup,
     MessageType::MsgBeat,
     MessageType::MsgUnreachable,
@@ -103,7 +103,7 @@
             term: message.term,
             log_term: message.log_term,
             index: message.index,
-            entries: message.entries.iter().map(entry_out).collect(),
+            entries: message.entries.iter().map(entry_from_raft).collect(),
             commit: message.commit,
             commit_term: message.commit_term,
             snapshot: String::from_utf8_lossy(snapshot).into_owned(),
@@ -117,7 +117,8 @@
 
     /// Converts to the library's message; `None` if members never send such a message to each other.
     pub(crate) fn into_raft(self) -> Option<Message> {
-        let kind = *KINDS.get(self.kind as usize).filter(|kind| !LOCAL.contains(kind))?;
+        let kind =
+            *MESSAGE_TYPES.get(self.kind as usize).filter(|kind| !LOCAL_MESSAGE_TYPES.contains(kind))?;
         // The library would parse a proposed membership change itself. Only the leader proposes those, locally.
         if kind == MessageType::MsgPropose && self.entries.iter().any(|entry| entry.kind != 0) {
             return None;
@@ -129,7 +130,7 @@
             term: self.term,
             log_term: self.log_term,
             index: self.index,
-            entries: self.entries.into_iter().map(entry_in).collect::<Vec<_>>().into(),
+            entries: self.entries.into_iter().map(entry_to_raft).collect::<Vec<_>>().into(),
             commit: self.commit,
             commit_term: self.commit_term,
             request_snapshot: self.request_snapshot,
@@ -140,11 +141,11 @@
             ..Message::default()
         };
         if kind == MessageType::MsgSnapshot {
-            let place: SnapshotMeta = serde_json::from_str(&self.snapshot).ok()?;
+            let snapshot_meta: SnapshotMeta = serde_json::from_str(&self.snapshot).ok()?;
             let mut snapshot = Snapshot::default();
             let meta = snapshot.mut_metadata();
-            (meta.index, meta.term) = (place.index, place.term);
-            meta.set_conf_state(ConfState::from((place.voters, place.learners)));
+            (meta.index, meta.term) = (snapshot_meta.index, snapshot_meta.term);
+            meta.set_conf_state(ConfState::from((snapshot_meta.voters, snapshot_meta.learners)));
             snapshot.data = self.snapshot.into_bytes().into();
             message.set_snapshot(snapshot);
         }
@@ -152,14 +153,14 @@
     }
 
     /// Metadata of the snapshot that this message offers; `None` if it offers none.
-    pub fn place(&self) -> Option<SnapshotMeta> {
-        let sends = KINDS.get(self.kind as usize) == Some(&MessageType::MsgSnapshot);
-        if sends { serde_json::from_str(&self.snapshot).ok() } else { None }
+    pub fn snapshot_meta(&self) -> Option<SnapshotMeta> {
+        let is_snapshot = MESSAGE_TYPES.get(self.kind as usize) == Some(&MessageType::MsgSnapshot);
+        if is_snapshot { serde_json::from_str(&self.snapshot).ok() } else { None }
     }
 
     /// Whether this is a plain heartbeat or its response, which a newer one supersedes.
     pub fn is_heartbeat(&self) -> bool {
-        let kind = KINDS.get(self.kind as usize);
+        let kind = MESSAGE_TYPES.get(self.kind as usize);
         matches!(kind, Some(MessageType::MsgHeartbeat | MessageType::MsgHeartbeatResponse))
             && self.context.is_empty()
     }
--- a/crates/agree/src/node.rs
+++ b/crates/agree/src/node.rs
@@ -3,7 +3,7 @@
 
 use crate::command::{MemberChange, MemberId, Outcome, Proposal};
 use crate::disk::{DiskError, Identity, LogBase, MemberStore, SnapshotMeta};
-use crate::memory::{Memory, entry_out, members, promise_out};
+use crate::memory::{MemStorage, conf_state, entry_from_raft, hard_state_from_raft};
 use crate::message::PeerMessage;
 use crate::record::HardStateRecord;
 use crate::state::{Effects, State};
@@ -18,20 +18,20 @@
 use thiserror::Error;
 
 /// Maximum size of the entries in one message, in bytes.
-const MESSAGE_BYTES: u64 = 1 << 20;
+const MAX_APPEND_BYTES: u64 = 1 << 20;
 /// Maximum number of unacknowledged append messages per member.
-const INFLIGHT: usize = 64;
+const MAX_INFLIGHT_MESSAGES: usize = 64;
 /// Maximum size of uncommitted entries, in bytes. Beyond it proposals are refused, so that a leader without a majority
 /// does not exhaust its memory.
-const UNCOMMITTED_MOST: u64 = 64 << 20;
+const MAX_UNCOMMITTED_BYTES: u64 = 64 << 20;
 /// Maximum size of the committed entries applied per ready state, in bytes.
-const APPLY_BYTES: u64 = 16 << 20;
+const MAX_APPLY_BYTES: u64 = 16 << 20;
 /// Entries kept before a snapshot for lagging members, as divisors of `log_bytes`: always a quarter, and up to half if
 /// a reachable member still needs them.
-const TAIL: u64 = 4;
-const TAIL_MOST: u64 = 2;
+const TAIL_DIVISOR: u64 = 4;
+const MAX_TAIL_DIVISOR: u64 = 2;
 /// Maximum number of missing entries with which a learner may be promoted to a voter.
-const CAUGHT_UP: u64 = 64;
+const MAX_PROMOTION_LAG: u64 = 64;
 
 /// Why a member cannot continue.
 #[derive(Debug, Error)]
@@ -167,15 +167,15 @@
 /// A membership change as it is encoded in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Change {
+struct LoggedChange {
     id: String,
     change: MemberChange,
 }
 
 /// A member of the Raft group.
 pub struct Node<F: Files> {
-    disk: MemberStore<F>,
-    raw: RawNode<Memory>,
+    storage: MemberStore<F>,
+    raw: RawNode<MemStorage>,
     state: Option<Arc<State>>,
     tuning: Tuning,
     seed: u64,
@@ -184,12 +184,12 @@
     /// The snapshot offer whose text is being fetched, with its metadata.
     offered: Option<(PeerMessage, SnapshotMeta)>,
     /// Hash and text of a snapshot that was fetched.
-    text: Option<(String, String)>,
+    fetched_text: Option<(String, String)>,
     /// Reads confirmed by the leader, as number and read index, until that index is applied.
     reads: VecDeque<(u64, u64)>,
     voters: Vec<MemberId>,
     learners: Vec<MemberId>,
-    out: Output,
+    output: Output,
 }
 
 impl<F: Files> Node<F> {
@@ -198,64 +198,64 @@
         let mut state = state.clone();
         (state.index, state.served) = (1, 1);
         let text = state.snapshot();
-        let place =
+        let snapshot_meta =
             SnapshotMeta { index: 1, term: 1, voters: vec![identity.member], ..SnapshotMeta::default() };
-        MemberStore::make(files, identity, Some((place, &text)))?;
+        MemberStore::create(files, identity, Some((snapshot_meta, &text)))?;
         Ok(())
     }
 
     /// Creates an invited member in an empty folder.
     pub fn join(files: F, identity: Identity) -> Result<(), NodeError> {
-        MemberStore::make(files, identity, None)?;
+        MemberStore::create(files, identity, None)?;
         Ok(())
     }
 
     /// Opens a member's folder. Runs with equal seeds, ticks and messages are identical.
     pub fn open(files: F, tuning: Tuning, seed: u64) -> Result<Node<F>, NodeError> {
-        let (disk, mut found) = MemberStore::open(files)?;
-        let (id, place) = (disk.identity().member, found.place.clone());
-        let state = match &found.snapshot {
-            Some(text) => Some(Arc::new(read_snapshot(&place, text)?)),
+        let (storage, mut recovered) = MemberStore::open(files)?;
+        let (id, snapshot_meta) = (storage.identity().member, recovered.snapshot_meta.clone());
+        let state = match &recovered.snapshot_text {
+            Some(text) => Some(Arc::new(read_snapshot(&snapshot_meta, text)?)),
             None => None,
         };
-        found.promise.commit = found.promise.commit.max(place.index);
-        let conf = members(&place);
+        recovered.hard_state.commit = recovered.hard_state.commit.max(snapshot_meta.index);
+        let conf = conf_state(&snapshot_meta);
         let config = Config {
             id,
             election_tick: tuning.election_ticks,
             heartbeat_tick: tuning.heartbeat_ticks,
-            applied: place.index,
-            max_size_per_msg: MESSAGE_BYTES,
-            max_inflight_msgs: INFLIGHT,
+            applied: snapshot_meta.index,
+            max_size_per_msg: MAX_APPEND_BYTES,
+            max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
             check_quorum: true,
             pre_vote: true,
-            max_uncommitted_size: UNCOMMITTED_MOST,
-            max_committed_size_per_ready: APPLY_BYTES,
+            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+            max_committed_size_per_ready: MAX_APPLY_BYTES,
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, Memory::new(found), &logger)?;
+        let raw = RawNode::new(&config, MemStorage::new(recovered), &logger)?;
         let mut node = Node {
-            disk,
+            storage,
             raw,
             state,
             tuning,
             seed,
             campaigns: 0,
             offered: None,
-            text: None,
+            fetched_text: None,
             reads: VecDeque::new(),
             voters: conf.voters.clone(),
             learners: conf.learners.clone(),
-            out: Output::default(),
+            output: Output::default(),
         };
-        node.draw();
+        node.randomize_election_timeout();
         Ok(node)
     }
 
     /// Sets the random election timeout, derived from the seed, the member, the term and the number of campaigns. The
     /// library's own value comes from a thread-local random generator and would not be reproducible.
-    fn draw(&mut self) {
+    fn randomize_election_timeout(&mut self) {
         let raft = &self.raw.raft;
         let mut sum = Sha256::new();
         for part in [self.seed, raft.id, raft.term, self.campaigns] {
@@ -269,7 +269,7 @@
 
     /// Identity of this member.
     pub fn identity(&self) -> &Identity {
-        self.disk.identity()
+        self.storage.identity()
     }
 
     /// The replicated state as applied here; `None` for a new member that has not received any state yet.
@@ -299,17 +299,17 @@
 
     /// Metadata of the last snapshot.
     pub fn snapshot(&self) -> &SnapshotMeta {
-        self.disk.snapshot()
+        self.storage.snapshot()
     }
 
     /// Text of the last snapshot.
     pub fn snapshot_text(&self) -> Result<Option<String>, DiskError> {
-        self.disk.snapshot_text()
+        self.storage.snapshot_text()
     }
 
     /// Length of the current log segment, in bytes.
     pub fn log_bytes(&self) -> u64 {
-        self.disk.length()
+        self.storage.segment_bytes()
     }
 
     /// Current status of this member.
@@ -334,7 +334,7 @@
             committed: raft.raft_log.committed,
             applied: self.state.as_ref().map_or(0, |state| state.index),
             last: raft.raft_log.last_index(),
-            snapshot: self.disk.snapshot().index,
+            snapshot: self.storage.snapshot().index,
             peers: peers.collect(),
         }
     }
@@ -355,7 +355,7 @@
         if !self.is_leader() && self.raw.raft.election_elapsed < elapsed {
             self.campaigns += 1;
         }
-        self.draw();
+        self.randomize_election_timeout();
     }
 
     /// Handles a message from another member. Invalid or misaddressed messages are dropped.
@@ -363,42 +363,43 @@
         if message.to != self.raw.raft.id || self.is_removed() {
             return;
         }
-        if !mutant("removed-votes") && self.is_stranger(&message) {
+        if !mutant("removed-votes") && self.is_from_removed_member(&message) {
             return;
         }
-        if let Some(place) = message.place() {
+        if let Some(snapshot_meta) = message.snapshot_meta() {
             // The message is processed once the snapshot's text has been fetched; the leader waits until then.
-            let known = place.index <= self.raw.raft.raft_log.committed;
-            let there = self.text.as_ref().is_some_and(|(hash, _)| *hash == place.hash);
-            if !known && !there {
-                let same = self.offered.as_ref().is_some_and(|(_, offered)| *offered == place);
-                if !same {
-                    self.out.fetch = Some(SnapshotFetch { from: message.from, snapshot: place.clone() });
+            let is_committed = snapshot_meta.index <= self.raw.raft.raft_log.committed;
+            let has_text = self.fetched_text.as_ref().is_some_and(|(hash, _)| *hash == snapshot_meta.hash);
+            if !is_committed && !has_text {
+                let is_repeat = self.offered.as_ref().is_some_and(|(_, offered)| *offered == snapshot_meta);
+                if !is_repeat {
+                    self.output.fetch =
+                        Some(SnapshotFetch { from: message.from, snapshot: snapshot_meta.clone() });
                 }
-                self.offered = Some((message, place));
+                self.offered = Some((message, snapshot_meta));
                 return;
             }
         }
         if let Some(message) = message.into_raft() {
             let _ = self.raw.step(message); // only stale messages are refused
-            self.draw();
+            self.randomize_election_timeout();
         }
     }
 
     /// Whether the sender of a message was removed from the cluster.
-    fn is_stranger(&self, message: &PeerMessage) -> bool {
+    fn is_from_removed_member(&self, message: &PeerMessage) -> bool {
         self.state.as_ref().is_some_and(|state| state.removed.contains_key(&message.from))
     }
 
     /// Passes in the text of the snapshot that was to be fetched. Returns whether its hash matches the offer.
     pub fn snapshot_fetched(&mut self, text: String) -> bool {
-        let Some((message, place)) = self.offered.take() else { return false };
+        let Some((message, snapshot_meta)) = self.offered.take() else { return false };
         let hash = seal::hash(&text);
-        if hash != place.hash {
-            self.offered = Some((message, place));
+        if hash != snapshot_meta.hash {
+            self.offered = Some((message, snapshot_meta));
             return false;
         }
-        self.text = Some((hash, text));
+        self.fetched_text = Some((hash, text));
         self.step(message);
         true
     }
@@ -428,7 +429,7 @@
         if self.is_removed() {
             return Err(raft::Error::ProposalDropped.into());
         }
-        let data = serde_json::to_vec(proposal).unwrap_or_default(); // can only fail for maps whose keys are not strings
+        let data = serde_json::to_vec(proposal).unwrap_or_default(); // only fails for non-string map keys
         Ok(self.raw.propose(Vec::new(), data)?)
     }
 
@@ -436,7 +437,7 @@
     /// request may be lost and must then be repeated.
     pub fn request_read(&mut self, number: u64) {
         if (mutant("stale-read") && self.is_leader()) || mutant("lone-read") {
-            return self.out.reads.push(number);
+            return self.output.reads.push(number);
         }
         if !self.is_removed() {
             self.raw.read_index(number.to_le_bytes().to_vec());
@@ -481,17 +482,19 @@
             MemberChange::Promote { .. } => {
                 let last = self.raw.raft.raft_log.last_index();
                 let progress = self.raw.raft.prs().get(member);
-                let lacks = progress.map_or(last, |p| last.saturating_sub(p.matched));
+                let missing = progress.map_or(last, |p| last.saturating_sub(p.matched));
                 // A learner that is still receiving a snapshot has no log yet; its vote would delay commits.
-                let follows =
+                let is_replicating =
                     |p: &Progress| p.recent_active && p.state != ProgressState::Snapshot && p.matched > 0;
-                if lacks > CAUGHT_UP || !progress.is_some_and(follows) {
-                    return Err(format!("it has not caught up: it lacks {lacks} entries, or is not heard"));
+                if missing > MAX_PROMOTION_LAG || !progress.is_some_and(is_replicating) {
+                    return Err(format!(
+                        "it has not caught up: it lacks {missing} entries, or is not heard"
+                    ));
                 }
             }
             _ => {}
         }
-        let context = Change { id: id.to_owned(), change: change.clone() };
+        let context = LoggedChange { id: id.to_owned(), change: change.clone() };
         let context = serde_json::to_vec(&context).unwrap_or_default();
         let proposed = self.raw.propose_conf_change(context, conf_change(kind, member));
         proposed.map_err(|problem| problem.to_string())
@@ -505,22 +508,22 @@
     pub fn drive(&mut self) -> Result<Output, NodeError> {
         while !self.is_removed() && self.raw.has_ready() {
             let mut ready = self.raw.ready();
-            self.send(ready.take_messages());
-            let promise = ready.hs().map(promise_out);
+            self.queue_messages(ready.take_messages());
+            let hard_state = ready.hs().map(hard_state_from_raft);
             if !ready.snapshot().is_empty() {
-                self.install(&ready.snapshot().clone(), promise)?;
+                self.install_snapshot(&ready.snapshot().clone(), hard_state)?;
             }
             let entries = ready.take_entries();
-            self.disk.save(entries.iter().map(entry_out).collect(), promise)?;
+            self.storage.save(entries.iter().map(entry_from_raft).collect(), hard_state)?;
             self.raw.mut_store().append(&entries);
-            if let Some(promise) = promise {
-                self.raw.mut_store().promised(promise);
+            if let Some(hard_state) = hard_state {
+                self.raw.mut_store().set_hard_state(hard_state);
             }
             for read in ready.take_read_states() {
                 let number: Option<[u8; 8]> = read.request_ctx.as_slice().try_into().ok();
                 self.reads.extend(number.map(|number| (u64::from_le_bytes(number), read.index)));
             }
-            self.send(ready.take_persisted_messages());
+            self.queue_messages(ready.take_persisted_messages());
             let committed = ready.take_committed_entries();
             self.apply(committed)?;
             if self.is_removed() {
@@ -528,56 +531,60 @@
             }
             let mut light = self.raw.advance_append(ready);
             if let Some(commit) = light.commit_index() {
-                self.raw.mut_store().committed(commit);
+                self.raw.mut_store().set_commit(commit);
             }
-            self.send(light.take_messages());
+            self.queue_messages(light.take_messages());
             self.apply(light.take_committed_entries())?;
             if self.is_removed() {
                 break;
             }
             self.raw.advance_apply();
-            self.draw();
+            self.randomize_election_timeout();
         }
-        self.shorten()?;
+        self.compact_log()?;
         let applied = self.state.as_ref().map_or(0, |state| state.index);
         let (done, left) =
             std::mem::take(&mut self.reads).into_iter().partition(|(_, index)| *index <= applied);
         self.reads = left;
         let done: VecDeque<(u64, u64)> = done;
-        self.out.reads.extend(done.into_iter().map(|(number, _)| number));
-        Ok(std::mem::take(&mut self.out))
+        self.output.reads.extend(done.into_iter().map(|(number, _)| number));
+        Ok(std::mem::take(&mut self.output))
     }
 
-    fn send(&mut self, messages: Vec<raft::eraftpb::Message>) {
-        self.out.messages.extend(messages.iter().map(PeerMessage::from_raft));
+    fn queue_messages(&mut self, messages: Vec<raft::eraftpb::Message>) {
+        self.output.messages.extend(messages.iter().map(PeerMessage::from_raft));
     }
 
-    fn install(&mut self, snapshot: &Snapshot, promise: Option<HardStateRecord>) -> Result<(), NodeError> {
-        let damage = |problem: &str| {
+    fn install_snapshot(
+        &mut self,
+        snapshot: &Snapshot,
+        hard_state: Option<HardStateRecord>,
+    ) -> Result<(), NodeError> {
+        let invalid = |problem: &str| {
             let index = snapshot.get_metadata().index;
             NodeError::Snapshot { index, problem: problem.to_owned() }
         };
-        let place: SnapshotMeta =
-            serde_json::from_slice(&snapshot.data).map_err(|e| damage(&e.to_string()))?;
-        let (_, text) = self.text.take().ok_or_else(|| damage("its text never came"))?;
-        let state = read_snapshot(&place, &text)?;
-        let promise = promise.unwrap_or(self.raw.store().promise());
-        let promise = HardStateRecord { commit: place.index, ..promise };
-        let base = LogBase { index: place.index, term: place.term };
-        self.disk.replace(place.clone(), Some(&text), promise, base, &[])?;
-        (self.voters, self.learners) = (place.voters.clone(), place.learners.clone());
-        self.raw.mut_store().install(place, promise);
+        let snapshot_meta: SnapshotMeta =
+            serde_json::from_slice(&snapshot.data).map_err(|e| invalid(&e.to_string()))?;
+        let (_, text) = self.fetched_text.take().ok_or_else(|| invalid("its text was not received"))?;
+        let state = read_snapshot(&snapshot_meta, &text)?;
+        let hard_state = hard_state.unwrap_or(self.raw.store().hard_state());
+        let hard_state = HardStateRecord { commit: snapshot_meta.index, ..hard_state };
+        let base = LogBase { index: snapshot_meta.index, term: snapshot_meta.term };
+        self.storage.replace(snapshot_meta.clone(), Some(&text), hard_state, base, &[])?;
+        (self.voters, self.learners) = (snapshot_meta.voters.clone(), snapshot_meta.learners.clone());
+        self.raw.mut_store().install(snapshot_meta, hard_state);
         self.state = Some(Arc::new(state));
-        self.out.installed = true;
+        self.output.installed = true;
         Ok(())
     }
 
     fn apply(&mut self, entries: Vec<Entry>) -> Result<(), NodeError> {
         for entry in entries {
             let (index, term) = (entry.index, entry.term);
-            let damage = |problem: String| NodeError::Entry { index, problem };
+            let invalid = |problem: String| NodeError::Entry { index, problem };
             let Some(state) = self.state.as_mut().map(Arc::make_mut) else {
-                return Err(damage("there is no state yet".to_owned()));
+                return Err(invalid("there is no state yet".to_owned()));
             };
             let (id, (outcome, effects)) = match entry.entry_type {
                 EntryType::EntryNormal if entry.data.is_empty() => {
@@ -586,25 +593,25 @@
                 }
                 EntryType::EntryNormal => {
                     let proposal: Proposal =
-                        serde_json::from_slice(&entry.data).map_err(|e| damage(e.to_string()))?;
+                        serde_json::from_slice(&entry.data).map_err(|e| invalid(e.to_string()))?;
                     (proposal.id.clone(), state.apply(index, proposal))
                 }
                 _ => {
-                    let Change { id, change } =
-                        serde_json::from_slice(&entry.context).map_err(|e| damage(e.to_string()))?;
+                    let LoggedChange { id, change } =
+                        serde_json::from_slice(&entry.context).map_err(|e| invalid(e.to_string()))?;
                     let applied = state.change_members(index, id.clone(), change.clone());
                     if applied.0 == Outcome::Done && applied.1.members {
-                        self.reconfigure(&change)?;
+                        self.apply_conf_change(&change)?;
                     }
                     (id, applied)
                 }
             };
-            self.out.applied.push(Applied { index, term, id, outcome, effects });
+            self.output.applied.push(Applied { index, term, id, outcome, effects });
         }
         Ok(())
     }
 
-    fn reconfigure(&mut self, change: &MemberChange) -> Result<(), NodeError> {
+    fn apply_conf_change(&mut self, change: &MemberChange) -> Result<(), NodeError> {
         let (kind, member) = match change {
             MemberChange::Add { member, .. } => (ConfChangeType::AddLearnerNode, *member),
             MemberChange::Promote { member } => (ConfChangeType::AddNode, *member),
@@ -616,11 +623,12 @@
     }
 
     /// Compacts the log behind a new snapshot if the log has grown too long or a member needs a newer snapshot.
-    fn shorten(&mut self) -> Result<(), NodeError> {
-        let wanted = self.raw.store().takes_wanted();
-        let place = self.raw.store().place().clone();
-        let long = self.disk.length() > self.tuning.log_bytes.max(2 * place.size);
-        let Some(state) = self.state.as_ref().filter(|state| (long || wanted) && state.index > place.index)
+    fn compact_log(&mut self) -> Result<(), NodeError> {
+        let is_wanted = self.raw.store().take_snapshot_wanted();
+        let snapshot_meta = self.raw.store().snapshot_meta().clone();
+        let is_long = self.storage.segment_bytes() > self.tuning.log_bytes.max(2 * snapshot_meta.size);
+        let Some(state) =
+            self.state.as_ref().filter(|state| (is_long || is_wanted) && state.index > snapshot_meta.index)
         else {
             return Ok(());
         };
@@ -628,12 +636,13 @@
         let (store, raft) = (self.raw.store(), &self.raw.raft);
         // Entries that a reachable member still needs are kept, within bounds.
         let heard = raft.prs().iter().filter(|(id, p)| **id != raft.id && p.recent_active);
-        let lacked = heard.map(|(_, progress)| progress.matched).min().unwrap_or(index);
-        let lacked = if self.is_leader() { lacked } else { index };
-        let [tail, most] = [TAIL, TAIL_MOST].map(|part| store.within(self.tuning.log_bytes / part));
-        let base = store.base_at(lacked.min(tail).max(most).min(index));
+        let needed_after = heard.map(|(_, progress)| progress.matched).min().unwrap_or(index);
+        let needed_after = if self.is_leader() { needed_after } else { index };
+        let [tail, longest_tail] = [TAIL_DIVISOR, MAX_TAIL_DIVISOR]
+            .map(|divisor| store.tail_start(self.tuning.log_bytes / divisor));
+        let base = store.base_at(needed_after.min(tail).max(longest_tail).min(index));
         let at = store.base_at(index);
-        let mut place = SnapshotMeta {
+        let mut snapshot_meta = SnapshotMeta {
             index,
             term: at.term,
             voters: self.voters.clone(),
@@ -641,12 +650,12 @@
             hash: seal::hash(&text),
             size: text.len() as u64,
         };
-        place.voters.sort_unstable();
-        place.learners.sort_unstable();
-        let promise = HardStateRecord { commit: raft.raft_log.committed, ..store.promise() };
-        let entries = store.behind(base.index);
-        self.disk.replace(place.clone(), Some(&text), promise, base, &entries)?;
-        self.raw.mut_store().replace(place, base);
+        snapshot_meta.voters.sort_unstable();
+        snapshot_meta.learners.sort_unstable();
+        let hard_state = HardStateRecord { commit: raft.raft_log.committed, ..store.hard_state() };
+        let entries = store.entries_after(base.index);
+        self.storage.replace(snapshot_meta.clone(), Some(&text), hard_state, base, &entries)?;
+        self.raw.mut_store().compact(snapshot_meta, base);
         Ok(())
     }
 }
@@ -656,6 +665,7 @@
     ConfChangeV2 { changes: vec![single].into(), ..ConfChangeV2::default() }
 }
 
-fn read_snapshot(place: &SnapshotMeta, text: &str) -> Result<State, NodeError> {
-    State::from_snapshot(text).map_err(|problem| NodeError::Snapshot { index: place.index, problem })
+fn read_snapshot(snapshot_meta: &SnapshotMeta, text: &str) -> Result<State, NodeError> {
+    State::from_snapshot(text)
+        .map_err(|problem| NodeError::Snapshot { index: snapshot_meta.index, problem })
 }
--- a/crates/agree/src/record.rs
+++ b/crates/agree/src/record.rs
@@ -6,11 +6,11 @@
 /// Magic bytes at the start of a record.
 const MAGIC: [u8; 4] = *b"rtL1";
 /// Size of a record's header: magic, body length, number of bytes known to be durable, and a hash over these.
-const HEAD: usize = 4 + 4 + 8 + 8;
+const HEADER_BYTES: usize = 4 + 4 + 8 + 8;
 /// Size of the hash that follows the body, in bytes.
-const SUM: usize = 16;
+const HASH_BYTES: usize = 16;
 /// Maximum size of a body, in bytes: the text of a fleet, with some headroom.
-const BODY_MOST: usize = 96 << 20;
+const MAX_BODY_BYTES: usize = 96 << 20;
 
 /// A log entry.
 #[derive(Clone, PartialEq, Eq, Message)]
@@ -54,44 +54,44 @@
     pub entries: Vec<Entry>,
     /// The hard state, if it has changed. A record with neither is a marker that all bytes before it are durable.
     #[prost(message, optional, tag = "2")]
-    pub promise: Option<HardStateRecord>,
+    pub hard_state: Option<HardStateRecord>,
 }
 
-fn sum<const N: usize>(bytes: &[u8]) -> [u8; N] {
+fn truncated_hash<const N: usize>(bytes: &[u8]) -> [u8; N] {
     let digest = Sha256::digest(bytes);
-    std::array::from_fn(|place| digest[place])
+    std::array::from_fn(|offset| digest[offset])
 }
 
 /// Encodes a record; `durable` is the number of bytes of the file that are known to be durable.
-pub fn write(record: &Record, durable: u64) -> Vec<u8> {
+pub fn encode(record: &Record, durable: u64) -> Vec<u8> {
     let body = record.encode_to_vec();
-    let mut bytes = Vec::with_capacity(HEAD + body.len() + SUM);
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len() + HASH_BYTES);
     bytes.extend(MAGIC);
     bytes.extend((body.len() as u32).to_le_bytes());
     bytes.extend(durable.to_le_bytes());
-    bytes.extend(sum::<8>(&bytes));
+    bytes.extend(truncated_hash::<8>(&bytes));
     bytes.extend(&body);
-    bytes.extend(sum::<SUM>(&body));
+    bytes.extend(truncated_hash::<HASH_BYTES>(&body));
     bytes
 }
 
 /// Decodes a record's header: the length of the body and the number of durable bytes; `None` if it is not intact.
-fn head(bytes: &[u8]) -> Option<(usize, u64)> {
-    let head = bytes.get(..HEAD)?;
-    if head[..4] != MAGIC || head[16..] != sum::<8>(&head[..16]) {
+fn decode_header(bytes: &[u8]) -> Option<(usize, u64)> {
+    let header = bytes.get(..HEADER_BYTES)?;
+    if header[..4] != MAGIC || header[16..] != truncated_hash::<8>(&header[..16]) {
         return None;
     }
-    let length = u32::from_le_bytes(head[4..8].try_into().ok()?) as usize;
-    let durable = u64::from_le_bytes(head[8..16].try_into().ok()?);
-    (length <= BODY_MOST).then_some((length, durable))
+    let length = u32::from_le_bytes(header[4..8].try_into().ok()?) as usize;
+    let durable = u64::from_le_bytes(header[8..16].try_into().ok()?);
+    (length <= MAX_BODY_BYTES).then_some((length, durable))
 }
 
 /// Decodes the record at offset `at`: the record, the number of durable bytes, and the offset of the next record.
-fn record(bytes: &[u8], at: usize) -> Option<(Record, u64, usize)> {
-    let (length, durable) = head(&bytes[at..])?;
-    let body = bytes.get(at + HEAD..at + HEAD + length)?;
-    let end = at + HEAD + length + SUM;
-    if bytes.get(at + HEAD + length..end)? != sum::<SUM>(body) {
+fn decode_record(bytes: &[u8], at: usize) -> Option<(Record, u64, usize)> {
+    let (length, durable) = decode_header(&bytes[at..])?;
+    let body = bytes.get(at + HEADER_BYTES..at + HEADER_BYTES + length)?;
+    let end = at + HEADER_BYTES + length + HASH_BYTES;
+    if bytes.get(at + HEADER_BYTES + length..end)? != truncated_hash::<HASH_BYTES>(body) {
         return None;
     }
     Some((Record::decode(body).ok()?, durable, end))
@@ -102,19 +102,20 @@
 /// # Errors
 ///
 /// The offset of a broken record, if an intact record behind it states that it was durable: then the file is damaged.
-pub fn read(bytes: &[u8]) -> Result<(Vec<Record>, usize), usize> {
+pub fn decode_all(bytes: &[u8]) -> Result<(Vec<Record>, usize), usize> {
     let (mut records, mut at) = (Vec::new(), 0);
-    while let Some((found, durable, end)) = record(bytes, at) {
+    while let Some((record, durable, end)) = decode_record(bytes, at) {
         if durable > at as u64 {
-            return Err(at); // it claims bytes beyond its own offset as durable, so it was written for another place
+            // It claims bytes beyond its own offset as durable, so it was written for another offset.
+            return Err(at);
         }
-        records.push(found);
+        records.push(record);
         at = end;
     }
-    let behind = at..bytes.len().saturating_sub(HEAD - 1);
-    let damaged = behind.into_iter().any(|place| {
-        bytes[place..].starts_with(&MAGIC)
-            && record(bytes, place).is_some_and(|(_, durable, _)| durable > at as u64)
+    let rest = at..bytes.len().saturating_sub(HEADER_BYTES - 1);
+    let damaged = rest.into_iter().any(|offset| {
+        bytes[offset..].starts_with(&MAGIC)
+            && decode_record(bytes, offset).is_some_and(|(_, durable, _)| durable > at as u64)
     });
     if damaged { Err(at) } else { Ok((records, at)) }
 }
@@ -129,7 +130,11 @@
             vec![Entry { index, term: 1 + index / 3, kind: 0, data, context: Default::default() }];
         Record {
             entries,
-            promise: index.is_multiple_of(2).then_some(HardStateRecord { term: 1, vote: 2, commit: index }),
+            hard_state: index.is_multiple_of(2).then_some(HardStateRecord {
+                term: 1,
+                vote: 2,
+                commit: index,
+            }),
         }
     }
 
@@ -137,9 +142,9 @@
     fn file(records: u64, marks: bool) -> (Vec<u8>, Vec<usize>) {
         let (mut bytes, mut ends) = (Vec::new(), vec![0]);
         for index in 1..=records {
-            bytes.extend(write(&entry(index), bytes.len() as u64));
+            bytes.extend(encode(&entry(index), bytes.len() as u64));
             if marks {
-                bytes.extend(write(&Record::default(), bytes.len() as u64));
+                bytes.extend(encode(&Record::default(), bytes.len() as u64));
             }
             ends.push(bytes.len());
         }
@@ -149,31 +154,31 @@
     #[test]
     fn what_was_written_is_read() {
         let (bytes, _) = file(9, false);
-        let (records, sound) = read(&bytes).expect("sound");
+        let (records, intact) = decode_all(&bytes).expect("sound");
         assert_eq!(records, (1..=9).map(entry).collect::<Vec<_>>());
-        assert_eq!(sound, bytes.len());
-        assert_eq!(read(&[]), Ok((Vec::new(), 0)));
+        assert_eq!(intact, bytes.len());
+        assert_eq!(decode_all(&[]), Ok((Vec::new(), 0)));
     }
 
     #[test]
     fn a_cut_anywhere_leaves_the_records_before_it() {
         let (bytes, ends) = file(9, false);
         for cut in 0..bytes.len() {
-            let (records, sound) = read(&bytes[..cut]).expect("a torn tail is no damage");
-            let whole = ends.iter().filter(|&&end| end <= cut).count() - 1;
-            assert_eq!((records.len(), sound), (whole, ends[whole]), "cut at {cut}");
+            let (records, intact) = decode_all(&bytes[..cut]).expect("a torn tail is no damage");
+            let complete = ends.iter().filter(|&&end| end <= cut).count() - 1;
+            assert_eq!((records.len(), intact), (complete, ends[complete]), "cut at {cut}");
         }
     }
 
     #[test]
     fn a_flipped_byte_in_what_a_mark_covers_is_damage_wherever_it_is() {
         let (bytes, ends) = file(6, true);
-        let last_mark = ends[6] - write(&Record::default(), 0).len();
+        let last_mark = ends[6] - encode(&Record::default(), 0).len();
         for at in 0..bytes.len() {
             for flip in [0x01, 0x80] {
-                let mut spoilt = bytes.clone();
-                spoilt[at] ^= flip;
-                match read(&spoilt) {
+                let mut corrupted = bytes.clone();
+                corrupted[at] ^= flip;
+                match decode_all(&corrupted) {
                     Err(_) => assert!(at < last_mark, "byte {at}"),
                     // No later record confirms the last marker, and the marker itself carries no data.
                     Ok((records, _)) => assert!(at >= last_mark && records.len() == 11, "byte {at}"),
@@ -188,13 +193,13 @@
         let mut bytes = durable.clone();
         // One append of three records, of which the middle one did not reach the disk.
         for index in 5..=7 {
-            let written = write(&entry(index), durable.len() as u64);
+            let written = encode(&entry(index), durable.len() as u64);
             match index {
                 6 => bytes.extend(vec![0; written.len()]),
                 _ => bytes.extend(written),
             }
         }
-        let (records, _) = read(&bytes).expect("torn");
+        let (records, _) = decode_all(&bytes).expect("torn");
         assert_eq!(records.len(), 5);
     }
 }
--- a/crates/agree/src/state.rs
+++ b/crates/agree/src/state.rs
@@ -18,9 +18,9 @@
 /// Maximum number of members, including learners. Each one costs the leader a stream and a copy of the log.
 pub const MAX_MEMBERS: usize = 16;
 /// Number of removed members that are remembered, so that they can be told of their removal.
-const REMOVED_MOST: usize = 1_000;
+const MAX_REMOVED_MEMBERS: usize = 1_000;
 /// Maximum length of the name of a member, pool or endpoint, in bytes.
-const NAME_MOST: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 
 /// A member of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -76,7 +76,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Answered {
+struct WriteOutcome {
     id: String,
     outcome: Outcome,
 }
@@ -107,7 +107,7 @@
     /// Removed members by id.
     pub removed: BTreeMap<MemberId, RemovedMember>,
     next_member: MemberId,
-    answered: Arc<BTreeMap<u64, Answered>>,
+    answered: Arc<BTreeMap<u64, WriteOutcome>>,
 }
 
 /// The parts of the state that a command has changed.
@@ -184,7 +184,7 @@
             self.texts.insert(version.serial, text.into());
             self.versions.push(version);
         }
-        self.trim();
+        self.trim_versions();
         self
     }
 
@@ -239,32 +239,32 @@
             return (outcome.clone(), Effects::default());
         }
         let (outcome, effects) = match command {
-            Command::Commit(commit) => self.commit(commit),
-            Command::Rollout(step) => self.step(step),
-            Command::Listed(listed) => self.listed(listed),
-            Command::Draining { pool, uid, boot_ms, rev } => self.draining(&pool, &uid, boot_ms, rev),
-            Command::Hold { pool, uid, held, .. } => self.hold(pool, uid, held),
-            Command::Seen { member, ticket, folder } => self.seen(member, &ticket, folder),
+            Command::Commit(commit) => self.apply_commit(commit),
+            Command::Rollout(step) => self.apply_rollout_step(step),
+            Command::Listed(update) => self.apply_pool_update(update),
+            Command::Draining { pool, uid, boot_ms, rev } => self.apply_draining(&pool, &uid, boot_ms, rev),
+            Command::Hold { pool, uid, held, .. } => self.apply_hold(pool, uid, held),
+            Command::Seen { member, ticket, folder } => self.apply_seen(member, &ticket, folder),
         };
         if effects.affects_proxies() {
             self.served = index;
         }
-        self.remember(index, id, &outcome);
+        self.record_outcome(index, id, &outcome);
         (outcome, effects)
     }
 
-    fn remember(&mut self, index: u64, id: String, outcome: &Outcome) {
+    fn record_outcome(&mut self, index: u64, id: String, outcome: &Outcome) {
         if id.is_empty() {
             return;
         }
         let answered = Arc::make_mut(&mut self.answered);
-        answered.insert(index, Answered { id, outcome: outcome.clone() });
+        answered.insert(index, WriteOutcome { id, outcome: outcome.clone() });
         while answered.len() > MAX_OUTCOMES {
             answered.pop_first();
         }
     }
 
-    fn commit(&mut self, commit: Commit) -> Applied {
+    fn apply_commit(&mut self, commit: Commit) -> Applied {
         let Commit { on, parent, text, by, plan, stages, pause_ms } = commit;
         if let Some(version) = self.versions.iter().find(|v| !plan.is_empty() && v.plan == plan) {
             return (Outcome::Before(version.serial), Effects::default());
@@ -302,13 +302,13 @@
             pause_ms,
         });
         self.texts.insert(serial, text.into());
-        self.trim();
+        self.trim_versions();
         (Outcome::Committed(serial), VERSION)
     }
 
     /// Drops the oldest versions while their number or the size of their texts exceeds its limit, but neither the
     /// current version nor those that the roll-out in progress needs.
-    fn trim(&mut self) {
+    fn trim_versions(&mut self) {
         let needed = self.rollout.as_ref().map_or(u64::MAX, |rollout| rollout.from);
         loop {
             let bytes: usize = self.texts.values().map(|text| text.len()).sum();
@@ -322,7 +322,7 @@
         }
     }
 
-    fn step(&mut self, step: RolloutStep) -> Applied {
+    fn apply_rollout_step(&mut self, step: RolloutStep) -> Applied {
         let stages = self.current().map_or(0, |version| version.stages.len());
         let Some(rollout) = &mut self.rollout else { return refused("no version is being rolled out") };
         if (rollout.serial, rollout.stage) != (step.serial, step.stage) {
@@ -338,16 +338,16 @@
                 rollout.stage += 1;
                 if rollout.stage >= stages {
                     self.rollout = None;
-                    self.trim();
+                    self.trim_versions();
                 }
             }
         }
         (Outcome::Done, ROLLOUT)
     }
 
-    fn listed(&mut self, listed: PoolUpdate) -> Applied {
-        let PoolUpdate { pool: name, rev, whole, settled, endpoints } = listed;
-        if name.len() > NAME_MOST {
+    fn apply_pool_update(&mut self, update: PoolUpdate) -> Applied {
+        let PoolUpdate { pool: name, rev, whole, settled, endpoints } = update;
+        if name.len() > MAX_NAME_BYTES {
             return refused("the pool's name is too long");
         }
         let before = self.pools.get(&name);
@@ -360,12 +360,17 @@
                 pool.endpoints.remove(&uid);
                 continue;
             };
-            let older =
+            let drained_before =
                 pool.endpoints.get(&uid).filter(|old| old.draining && old.boot_ms >= endpoint.boot_ms);
             // A drain is only cancelled by a list of a higher revision than the one that reported it, or by a settled
             // list.
-            let said_at = pool.drained_at.get(&uid).copied().unwrap_or_default();
-            if !endpoint.draining && older.is_some() && rev <= said_at && !settled && !mutant("undrained") {
+            let drain_rev = pool.drained_at.get(&uid).copied().unwrap_or_default();
+            if !endpoint.draining
+                && drained_before.is_some()
+                && rev <= drain_rev
+                && !settled
+                && !mutant("undrained")
+            {
                 endpoint.draining = true;
             }
             match endpoint.draining {
@@ -376,12 +381,12 @@
         }
         pool.drained_at.retain(|uid, _| pool.endpoints.contains_key(uid));
         pool.rev = rev;
-        let same = before.is_some_and(|before| **before == pool);
+        let unchanged = before.is_some_and(|before| **before == pool);
         self.pools.insert(name, pool.into());
-        (Outcome::Done, if same { Effects::default() } else { POOLS })
+        (Outcome::Done, if unchanged { Effects::default() } else { POOLS })
     }
 
-    fn draining(&mut self, pool: &str, uid: &str, boot_ms: u64, rev: u64) -> Applied {
+    fn apply_draining(&mut self, pool: &str, uid: &str, boot_ms: u64, rev: u64) -> Applied {
         let Some(pool) = self.pools.get_mut(pool).map(Arc::make_mut) else {
             return refused("there is no such pool");
         };
@@ -389,24 +394,24 @@
         if endpoint.boot_ms > boot_ms {
             return refused("another process runs there now");
         }
-        let said_at = pool.drained_at.entry(uid.to_owned()).or_insert(rev);
-        *said_at = rev.max(*said_at);
-        let news = !std::mem::replace(&mut endpoint.draining, true);
-        (Outcome::Done, if news { POOLS } else { Effects::default() })
+        let drain_rev = pool.drained_at.entry(uid.to_owned()).or_insert(rev);
+        *drain_rev = rev.max(*drain_rev);
+        let changed = !std::mem::replace(&mut endpoint.draining, true);
+        (Outcome::Done, if changed { POOLS } else { Effects::default() })
     }
 
-    fn hold(&mut self, pool: String, uid: String, held: bool) -> Applied {
-        if pool.len() > NAME_MOST || uid.len() > NAME_MOST {
+    fn apply_hold(&mut self, pool: String, uid: String, held: bool) -> Applied {
+        if pool.len() > MAX_NAME_BYTES || uid.len() > MAX_NAME_BYTES {
             return refused("a name is too long");
         }
-        let news = match held {
+        let changed = match held {
             true => self.held.insert((pool, uid)),
             false => self.held.remove(&(pool, uid)),
         };
-        (Outcome::Done, if news { POOLS } else { Effects::default() })
+        (Outcome::Done, if changed { POOLS } else { Effects::default() })
     }
 
-    fn seen(&mut self, member: MemberId, ticket: &str, folder: String) -> Applied {
+    fn apply_seen(&mut self, member: MemberId, ticket: &str, folder: String) -> Applied {
         let Some(known) = self.members.get_mut(&member) else { return refused("there is no such member") };
         match &known.folder {
             Some(seen) if *seen == folder => (Outcome::Done, Effects::default()),
@@ -435,9 +440,9 @@
                 Some(format!("there is a member at {address} already"))
             }
             MemberChange::Add { name, address, .. }
-                if name.is_empty() || name.len().max(address.len()) > NAME_MOST =>
+                if name.is_empty() || name.len().max(address.len()) > MAX_NAME_BYTES =>
             {
-                Some(format!("a member needs a name, and name and address may have {NAME_MOST} bytes"))
+                Some(format!("a member needs a name, and name and address may have {MAX_NAME_BYTES} bytes"))
             }
             MemberChange::Add { .. } if self.members.len() >= MAX_MEMBERS => {
                 Some(format!("there are {MAX_MEMBERS} members, the most there may be"))
@@ -469,8 +474,8 @@
             None => {
                 match change {
                     MemberChange::Add { member, name, address, ticket } => {
-                        let member_ = Member { name, address, voter: false, ticket, folder: None };
-                        self.members.insert(member, member_);
+                        let new_member = Member { name, address, voter: false, ticket, folder: None };
+                        self.members.insert(member, new_member);
                         self.next_member = member + 1;
                     }
                     MemberChange::Promote { member } => {
@@ -482,7 +487,7 @@
                         if let Some(known) = self.members.remove(&member) {
                             self.removed.insert(member, RemovedMember { name: known.name, index });
                         }
-                        while self.removed.len() > REMOVED_MOST {
+                        while self.removed.len() > MAX_REMOVED_MEMBERS {
                             self.removed.pop_first();
                         }
                     }
@@ -490,7 +495,7 @@
                 (Outcome::Done, MEMBERS)
             }
         };
-        self.remember(index, id, &applied.0);
+        self.record_outcome(index, id, &applied.0);
         applied
     }
 
@@ -505,7 +510,7 @@
         if mutant("snapshot-forgets-writes") {
             state.answered = Arc::default();
         }
-        serde_json::to_string(&state).unwrap_or_default() // can only fail for maps whose keys are not strings
+        serde_json::to_string(&state).unwrap_or_default() // only fails for non-string map keys
     }
 
     /// Parses a snapshot.
--- a/crates/agree/tests/disks.rs
+++ b/crates/agree/tests/disks.rs
@@ -12,7 +12,7 @@
 
 /// Writes to a single-member cluster until its disk fails. Returns the ids of the acknowledged writes, and whether all
 /// writes succeeded.
-fn writes(node: &mut Node<Disk>, count: u64, size: usize) -> (BTreeSet<String>, bool) {
+fn write_until_failure(node: &mut Node<Disk>, count: u64, size: usize) -> (BTreeSet<String>, bool) {
     let mut acknowledged = BTreeSet::new();
     for n in 0..count {
         node.tick();
@@ -28,7 +28,7 @@
     (acknowledged, true)
 }
 
-fn lone(disk: &Disk) -> Node<Disk> {
+fn single_member(disk: &Disk) -> Node<Disk> {
     let mut node = Node::open(disk.clone(), TUNING, 1).expect("a sound folder");
     for _ in 0..40 {
         node.tick();
@@ -41,20 +41,20 @@
 #[test]
 fn a_power_cut_at_any_operation_forgets_nothing_that_was_acknowledged() {
     // Large texts, so that the log is compacted behind a snapshot during the run.
-    let made = || {
+    let new_disk = || {
         let disk = Disk::default();
         let state = runtrack_agree::State::new("lineage-1", 7, "m1", "a1", "folder-1");
         Node::bootstrap(disk.clone(), identity(1), &state).expect("made");
         disk
     };
-    let (whole, size) = (8, 4_000);
+    let (count, size) = (8, 4_000);
     let steps = {
-        let disk = made();
-        let mut node = lone(&disk);
+        let disk = new_disk();
+        let mut node = single_member(&disk);
         let before = disk.done();
-        let (all, _) = writes(&mut node, whole, size);
+        let (all, _) = write_until_failure(&mut node, count, size);
         assert!(
-            all.len() as u64 + 1 >= whole && node.snapshot().index > 1,
+            all.len() as u64 + 1 >= count && node.snapshot().index > 1,
             "no snapshot was made during the run"
         );
         disk.done() - before
@@ -62,13 +62,13 @@
     let mut kept = 0;
     for cut in 0..steps {
         for seed in 0..4 {
-            let disk = made();
-            let mut node = lone(&disk);
+            let disk = new_disk();
+            let mut node = single_member(&disk);
             disk.fail(Some((disk.done() + cut, true)));
-            let (acknowledged, _) = writes(&mut node, whole, size);
+            let (acknowledged, _) = write_until_failure(&mut node, count, size);
             drop(node);
-            let left = disk.after_cut(&mut Pcg32::seed_from_u64(seed));
-            let node = lone(&left);
+            let disk_after_cut = disk.after_cut(&mut Pcg32::seed_from_u64(seed));
+            let node = single_member(&disk_after_cut);
             let state = node.state().expect("it has a state");
             for id in &acknowledged {
                 assert!(state.outcome(id).is_some(), "cut {cut}, seed {seed}: {id} is lost");
@@ -82,13 +82,13 @@
 #[test]
 fn power_cuts_of_all_members_at_any_time_lose_nothing_and_elect_no_two() {
     for seed in 0..40 {
-        let mut cluster = Cluster::of(3, 1_000 + seed);
+        let mut cluster = Cluster::with_members(3, 1_000 + seed);
         let mut written = Vec::new();
         for n in 0..12 {
-            let victim = 1 + u64::from(cluster.draws.next_u32() % 3);
+            let victim = 1 + u64::from(cluster.rng.next_u32() % 3);
             // The power fails in the middle of an iteration, at one of the disk's next operations.
             let disk = cluster.disks[&victim].clone();
-            let at = disk.done() + cluster.draws.next_u32() as usize % 6;
+            let at = disk.done() + cluster.rng.next_u32() as usize % 6;
             disk.fail(Some((at, true)));
             if n % 4 == 3 {
                 (1..=3).for_each(|member| cluster.power_off(member));
@@ -99,7 +99,7 @@
             written.push(id);
             cluster.power_cycle(victim);
         }
-        cluster.settle();
+        cluster.wait_for_equal_states();
         for id in written {
             assert!(
                 (1..=3).all(|member| cluster.state(member).outcome(&id).is_some()),
@@ -111,11 +111,11 @@
 
 #[test]
 fn a_flipped_byte_anywhere_in_a_members_folder_is_refused_or_harmless() {
-    let mut cluster = Cluster::of(3, 20);
+    let mut cluster = Cluster::with_members(3, 20);
     for n in 0..4 {
         cluster.write("", hold(n));
     }
-    cluster.settle();
+    cluster.wait_for_equal_states();
     let applied = cluster.state(2).index;
     let disk = cluster.disks[&2].clone();
     drop(cluster);
@@ -131,8 +131,8 @@
                 Err(other) => panic!("{name}, byte {at}: {other}"),
                 Ok(mut node) => {
                     node.drive().expect("a sound disk");
-                    let standing = node.status();
-                    assert!(standing.committed >= applied, "{name}, byte {at}: committed entries are lost");
+                    let status = node.status();
+                    assert!(status.committed >= applied, "{name}, byte {at}: committed entries are lost");
                     harmless += 1;
                 }
             }
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_full_disk_takes_a_leader_out_and_it_comes_back() {
-    let mut cluster = Cluster::of(3, 21);
+    let mut cluster = Cluster::with_members(3, 21);
     for n in 0..5 {
         cluster.write("", hold(n));
     }
@@ -155,16 +155,16 @@
     assert!(matches!(&cluster.errors[..], [(member, NodeError::Disk(_))] if *member == leader));
     let index = cluster.write("", hold(6));
     cluster.start(leader);
-    cluster.settle();
+    cluster.wait_for_equal_states();
     assert!(cluster.state(leader).index >= index);
     assert_eq!(cluster.state(leader).held.len(), 7);
 }
 
 #[test]
 fn a_member_far_behind_is_given_a_snapshot_and_the_log_stays_bounded() {
-    let mut cluster = Cluster::of(3, 22);
+    let mut cluster = Cluster::with_members(3, 22);
     let behind = (1..=3).find(|member| Some(*member) != cluster.leader()).expect("one of the others");
-    cluster.cut_off(behind, true);
+    cluster.set_partitioned(behind, true);
     let mut index = 0;
     for n in 0..30 {
         let leader = cluster.leader().expect("somebody");
@@ -175,8 +175,8 @@
     let bytes = cluster.nodes[&leader].log_bytes();
     let snapshot = cluster.nodes[&leader].snapshot().clone();
     assert!(snapshot.index > 10 && bytes < 300_000, "snapshot {}, log of {bytes} bytes", snapshot.index);
-    cluster.cut_off(behind, false);
-    cluster.settle();
+    cluster.set_partitioned(behind, false);
+    cluster.wait_for_equal_states();
     assert!(cluster.state(behind).index >= index);
     // A repeat of a write from before the snapshot is answered and not applied again.
     let serial = cluster.state(behind).serial();
@@ -186,7 +186,7 @@
     let leader = cluster.leader().expect("somebody");
     cluster.nodes.get_mut(&leader).expect("it runs").propose(&proposal("v3", repeat)).expect("taken");
     for _ in 0..20 {
-        cluster.turn();
+        cluster.tick_all();
     }
     assert_eq!(cluster.state(leader).serial(), serial);
 }
--- a/crates/agree/tests/members.rs
+++ b/crates/agree/tests/members.rs
@@ -21,11 +21,11 @@
 #[test]
 fn three_and_five_members_agree_on_what_was_written() {
     for members in [3, 5] {
-        let mut cluster = Cluster::of(members, members);
+        let mut cluster = Cluster::with_members(members, members);
         for n in 0..50 {
             cluster.write("", hold(n));
         }
-        cluster.settle();
+        cluster.wait_for_equal_states();
         for member in 1..=members {
             assert_eq!(cluster.state(member).held.len(), 50);
         }
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_write_through_any_member_reaches_the_log() {
-    let mut cluster = Cluster::of(3, 2);
+    let mut cluster = Cluster::with_members(3, 2);
     let leader = cluster.leader().expect("somebody");
     for (n, member) in (1..=3).enumerate() {
         let write = proposal(&format!("by-{member}"), hold(n as u64));
@@ -45,17 +45,17 @@
 
 #[test]
 fn a_leader_that_is_cut_off_steps_down_and_its_writes_do_not_count() {
-    let mut cluster = Cluster::of(3, 3);
+    let mut cluster = Cluster::with_members(3, 3);
     let old = cluster.leader().expect("somebody");
-    cluster.cut_off(old, true);
+    cluster.set_partitioned(old, true);
     let lost = proposal("lost", hold(99));
     cluster.nodes.get_mut(&old).expect("it runs").propose(&lost).expect("it believes that it leads");
     cluster.until("another leads", |c| c.leader().is_some_and(|leader| leader != old));
     cluster.write("kept", hold(1));
     cluster.until("the old one has stepped down", |c| !c.nodes[&old].is_leader());
     assert!(cluster.state(old).outcome("lost").is_none());
-    cluster.cut_off(old, false);
-    cluster.settle();
+    cluster.set_partitioned(old, false);
+    cluster.wait_for_equal_states();
     for member in 1..=3 {
         assert!(cluster.state(member).outcome("kept").is_some());
         assert!(cluster.state(member).outcome("lost").is_none());
@@ -64,34 +64,34 @@
 
 #[test]
 fn a_member_that_was_cut_off_disturbs_nobody_when_it_is_back() {
-    let mut cluster = Cluster::of(3, 4);
+    let mut cluster = Cluster::with_members(3, 4);
     let leader = cluster.leader().expect("somebody");
     let other = (1..=3).find(|member| *member != leader).expect("one of the others");
     let term = cluster.nodes[&leader].status().term;
-    cluster.cut_off(other, true);
+    cluster.set_partitioned(other, true);
     for _ in 0..500 {
-        cluster.turn();
+        cluster.tick_all();
     }
-    cluster.cut_off(other, false);
+    cluster.set_partitioned(other, false);
     for _ in 0..100 {
-        cluster.turn();
+        cluster.tick_all();
     }
     assert_eq!((cluster.leader(), cluster.nodes[&leader].status().term), (Some(leader), term));
 }
 
 #[test]
 fn a_read_is_not_answered_by_a_leader_that_is_none_any_more() {
-    let mut cluster = Cluster::of(3, 5);
+    let mut cluster = Cluster::with_members(3, 5);
     let old = cluster.leader().expect("somebody");
     cluster.write("", hold(1));
     cluster.nodes.get_mut(&old).expect("it runs").request_read(1);
     cluster.until("it is answered", |c| c.reads.contains(&(old, 1)));
-    cluster.cut_off(old, true);
+    cluster.set_partitioned(old, true);
     cluster.nodes.get_mut(&old).expect("it runs").request_read(2);
     cluster.until("another leads", |c| c.leader().is_some_and(|leader| leader != old));
     cluster.write("", hold(2));
     for _ in 0..50 {
-        cluster.turn();
+        cluster.tick_all();
     }
     assert!(!cluster.reads.contains(&(old, 2)), "it could not know what was written meanwhile");
     // A read through a follower sees what was written before it.
@@ -103,7 +103,7 @@
 
 #[test]
 fn all_members_are_replaced_one_after_the_other() {
-    let mut cluster = Cluster::of(3, 6);
+    let mut cluster = Cluster::with_members(3, 6);
     for n in 0..30 {
         cluster.write("", hold(n));
     }
@@ -119,7 +119,7 @@
         cluster.nodes.remove(&old);
         cluster.write("", hold(100 + old));
     }
-    cluster.settle();
+    cluster.wait_for_equal_states();
     let members: Vec<u64> = cluster.state(4).members.keys().copied().collect();
     assert_eq!(members, [4, 5, 6]);
     assert_eq!(cluster.state(5).held.len(), 33);
@@ -128,22 +128,22 @@
 
 #[test]
 fn a_removed_member_counts_for_nothing() {
-    let mut cluster = Cluster::of(3, 7);
+    let mut cluster = Cluster::with_members(3, 7);
     let leader = cluster.leader().expect("somebody");
     let gone = (1..=3).find(|member| *member != leader).expect("one of the others");
     // It does not learn of its removal.
-    cluster.cut_off(gone, true);
+    cluster.set_partitioned(gone, true);
     cluster.change(&MemberChange::Remove { member: gone });
-    cluster.settle_without(gone);
-    cluster.cut_off(gone, false);
+    cluster.wait_for_equal_states_without(gone);
+    cluster.set_partitioned(gone, false);
     let term = cluster.nodes[&leader].status().term;
     // With the third member partitioned the leader cannot commit: the removed member must not count towards a majority.
     let third = (1..=3).find(|member| *member != leader && *member != gone).expect("the third");
-    cluster.cut_off(third, true);
+    cluster.set_partitioned(third, true);
     let write = proposal("alone", hold(1));
     let _ = cluster.nodes.get_mut(&leader).expect("it runs").propose(&write);
     for _ in 0..100 {
-        cluster.turn();
+        cluster.tick_all();
     }
     assert!(cluster.state(leader).outcome("alone").is_none());
     assert!(cluster.leaders.iter().all(|(_, leader)| *leader != gone) || term > 0);
@@ -152,7 +152,7 @@
 
 #[test]
 fn changes_that_make_no_sense_are_refused_in_words() {
-    let mut cluster = Cluster::of(3, 8);
+    let mut cluster = Cluster::with_members(3, 8);
     let leader = cluster.leader().expect("somebody");
     let node = cluster.nodes.get_mut(&leader).expect("it runs");
     let add = |member: u64, name: &str, address: &str| MemberChange::Add {
@@ -180,7 +180,7 @@
 
 #[test]
 fn a_second_folder_under_one_number_is_refused() {
-    let mut cluster = Cluster::of(3, 9);
+    let mut cluster = Cluster::with_members(3, 9);
     cluster.add(4);
     let seen = |folder: &str| Command::Seen {
         member: 4,
@@ -206,7 +206,7 @@
 
 #[test]
 fn a_link_that_flaps_costs_no_elections() {
-    let mut cluster = Cluster::of(3, 10);
+    let mut cluster = Cluster::with_members(3, 10);
     let leader = cluster.leader().expect("somebody");
     let term = cluster.nodes[&leader].status().term;
     let other = 1 + leader % 3;
@@ -214,12 +214,12 @@
         let down = turn % 2 == 0;
         for link in [(leader, other), (other, leader)] {
             if down {
-                cluster.cut.insert(link)
+                cluster.cut_links.insert(link)
             } else {
-                cluster.cut.remove(&link)
+                cluster.cut_links.remove(&link)
             };
         }
-        cluster.turn();
+        cluster.tick_all();
     }
     let now = cluster.nodes[&leader].status();
     assert_eq!((now.term, cluster.leader()), (term, Some(leader)));
@@ -228,16 +228,16 @@
 #[test]
 fn a_link_that_is_cut_one_way_leaves_one_leader_and_writes_go_on() {
     for way in [true, false] {
-        let mut cluster = Cluster::of(3, 11);
+        let mut cluster = Cluster::with_members(3, 11);
         let leader = cluster.leader().expect("somebody");
         for other in (1..=3).filter(|other| *other != leader) {
-            cluster.cut.insert(if way { (leader, other) } else { (other, leader) });
+            cluster.cut_links.insert(if way { (leader, other) } else { (other, leader) });
         }
         for n in 0..10 {
             cluster.write("", hold(n));
         }
-        cluster.cut.clear();
-        cluster.settle();
+        cluster.cut_links.clear();
+        cluster.wait_for_equal_states();
         assert_eq!(cluster.state(leader).held.len(), 10);
     }
 }
--- a/crates/agree/tests/support/mod.rs
+++ b/crates/agree/tests/support/mod.rs
@@ -50,10 +50,10 @@
     pub nodes: BTreeMap<MemberId, Node<Disk>>,
     pub disks: BTreeMap<MemberId, Disk>,
     /// Messages in flight.
-    pub wire: VecDeque<PeerMessage>,
+    pub in_flight: VecDeque<PeerMessage>,
     /// Links that are cut, as sender and receiver.
-    pub cut: BTreeSet<(MemberId, MemberId)>,
-    pub draws: Pcg32,
+    pub cut_links: BTreeSet<(MemberId, MemberId)>,
+    pub rng: Pcg32,
     /// Applied commands by index; a command's id and outcome must be the same on all members.
     pub applied: BTreeMap<u64, Applied>,
     /// Leaders by term.
@@ -72,9 +72,9 @@
         let mut cluster = Cluster {
             nodes: BTreeMap::new(),
             disks: [(1, disk)].into(),
-            wire: VecDeque::new(),
-            cut: BTreeSet::new(),
-            draws: Pcg32::seed_from_u64(seed),
+            in_flight: VecDeque::new(),
+            cut_links: BTreeSet::new(),
+            rng: Pcg32::seed_from_u64(seed),
             applied: BTreeMap::new(),
             leaders: BTreeMap::new(),
             reads: Vec::new(),
@@ -86,7 +86,7 @@
     }
 
     /// A cluster of this many voting members.
-    pub fn of(members: u64, seed: u64) -> Cluster {
+    pub fn with_members(members: u64, seed: u64) -> Cluster {
         let mut cluster = Cluster::new(seed);
         for member in 2..=members {
             cluster.add(member);
@@ -103,9 +103,9 @@
     /// Cuts a member's power: unsynced data may be lost.
     pub fn power_off(&mut self, member: MemberId) {
         self.nodes.remove(&member);
-        let left = self.disks[&member].after_cut(&mut self.draws);
+        let left = self.disks[&member].after_cut(&mut self.rng);
         self.disks.insert(member, left);
-        self.wire.retain(|message| message.to != member);
+        self.in_flight.retain(|message| message.to != member);
     }
 
     pub fn power_cycle(&mut self, member: MemberId) {
@@ -144,7 +144,7 @@
             let node = self.nodes.get_mut(&leader).expect("it runs");
             let done = node.change_members(&id, change);
             for _ in 0..5 {
-                self.turn();
+                self.tick_all();
             }
             if self.applied.values().any(|applied| applied.id == id && applied.outcome.is_done()) {
                 return;
@@ -166,14 +166,14 @@
 
     /// Proposes a command on the leader until it is applied; returns its index.
     pub fn write(&mut self, id: &str, command: Command) -> u64 {
-        let id = if id.is_empty() { format!("write-{}", self.draws.next_u64()) } else { id.to_owned() };
+        let id = if id.is_empty() { format!("write-{}", self.rng.next_u64()) } else { id.to_owned() };
         for _ in 0..200 {
             self.until("somebody leads", |c| c.leader().is_some());
             let leader = self.leader().expect("just seen");
             let node = self.nodes.get_mut(&leader).expect("it runs");
             let _ = node.propose(&proposal(&id, command.clone()));
             for _ in 0..30 {
-                self.turn();
+                self.tick_all();
                 if let Some(applied) = self.applied.values().find(|applied| applied.id == id) {
                     return applied.index;
                 }
@@ -187,7 +187,7 @@
     }
 
     /// Runs one tick on all members, and delivers the resulting messages.
-    pub fn turn(&mut self) {
+    pub fn tick_all(&mut self) {
         self.ticks += 1;
         let members: Vec<MemberId> = self.nodes.keys().copied().collect();
         for member in &members {
@@ -199,8 +199,8 @@
             for member in &members {
                 self.drive(*member);
             }
-            for message in std::mem::take(&mut self.wire) {
-                if self.cut.contains(&(message.from, message.to)) {
+            for message in std::mem::take(&mut self.in_flight) {
+                if self.cut_links.contains(&(message.from, message.to)) {
                     continue;
                 }
                 if let Some(node) = self.nodes.get_mut(&message.to) {
@@ -225,14 +225,15 @@
             let before = *self.leaders.entry(term).or_insert(member);
             assert_eq!(before, member, "two lead in term {term}");
         }
-        self.wire.extend(messages);
+        self.in_flight.extend(messages);
         self.reads.extend(reads.into_iter().map(|number| (member, number)));
         for applied in applied {
             let before = self.applied.entry(applied.index).or_insert_with(|| applied.clone());
             assert_eq!(before, &applied, "two members disagree on entry {}", applied.index);
         }
         if let Some(fetch) = fetch {
-            let from = self.nodes.get(&fetch.from).filter(|_| !self.cut.contains(&(fetch.from, member)));
+            let from =
+                self.nodes.get(&fetch.from).filter(|_| !self.cut_links.contains(&(fetch.from, member)));
             let text = from
                 .filter(|from| *from.snapshot() == fetch.snapshot)
                 .and_then(|from| from.snapshot_text().ok()?);
@@ -252,13 +253,13 @@
             if holds(self) {
                 return;
             }
-            self.turn();
+            self.tick_all();
         }
         panic!("never came: {what}");
     }
 
     /// Waits until all running members have applied the same entries, and checks that their states are equal.
-    pub fn settle(&mut self) {
+    pub fn wait_for_equal_states(&mut self) {
         self.until("all have applied the same", |c| {
             let applied: BTreeSet<u64> = c.nodes.values().map(|node| node.status().applied).collect();
             let last = c.leader().map(|leader| c.nodes[&leader].status().last);
@@ -270,7 +271,7 @@
     }
 
     /// Waits until all members but one have applied the same entries.
-    pub fn settle_without(&mut self, member: MemberId) {
+    pub fn wait_for_equal_states_without(&mut self, member: MemberId) {
         self.until("the others have applied the same", |c| {
             let others = c.nodes.iter().filter(|(id, _)| **id != member);
             let applied: BTreeSet<u64> = others.map(|(_, node)| node.status().applied).collect();
@@ -279,13 +280,13 @@
     }
 
     /// Cuts all links between a member and the others, in both directions, or restores them.
-    pub fn cut_off(&mut self, member: MemberId, cut: bool) {
+    pub fn set_partitioned(&mut self, member: MemberId, cut: bool) {
         for other in self.disks.keys().copied().filter(|other| *other != member) {
             for link in [(member, other), (other, member)] {
                 if cut {
-                    self.cut.insert(link)
+                    self.cut_links.insert(link)
                 } else {
-                    self.cut.remove(&link)
+                    self.cut_links.remove(&link)
                 };
             }
         }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -186,7 +186,7 @@
     pub fn text(&self, serial: u64) -> Result<String, StoreError> {
         let version = self.head.versions.iter().find(|version| version.serial == serial);
         let version = version.ok_or(StoreError::VersionNotFound(serial))?;
-        let name = state_name(serial);
+        let name = version_file_name(serial);
         let (_, text) =
             read_sealed(&self.files, &name, TEXT_FORMAT)?.ok_or_else(|| damaged(&name, "it is missing"))?;
         if seal::hash(&text) != version.hash {
@@ -199,56 +199,61 @@
     /// when this returns. On an error the state is unchanged, except after a failure of the last step (the rename of the
     /// head or the sync of the folder): then only `open` can tell whether the commit took effect. The caller must hold
     /// the [`Lock`].
-    pub fn commit(&mut self, on: u64, text: &str, entry: CommitInfo) -> Result<&Version, StoreError> {
+    pub fn commit(
+        &mut self,
+        base_serial: u64,
+        text: &str,
+        info: CommitInfo,
+    ) -> Result<&Version, StoreError> {
         // Another process may have committed since the head was read.
         (self.format, self.head) = read_head(&self.files)?.ok_or_else(|| damaged(HEAD, "it is missing"))?;
         let found = self.serial();
-        if found != on {
+        if found != base_serial {
             let by = self.current().map(|version| format!("{} ({})", version.author, version.reason));
-            return Err(StoreError::Moved { expected: on, found, by });
+            return Err(StoreError::Moved { expected: base_serial, found, by });
         }
         let version = Version {
             serial: found + 1,
             hash: seal::hash(text),
             parent: self.current().map(|version| version.hash.clone()).unwrap_or_default(),
-            author: entry.author.to_owned(),
-            reason: entry.reason.to_owned(),
-            at_ms: entry.at_ms,
-            plan: entry.plan.to_owned(),
-            stages: entry.stages.to_vec(),
-            pause_ms: entry.pause_ms,
+            author: info.author.to_owned(),
+            reason: info.reason.to_owned(),
+            at_ms: info.at_ms,
+            plan: info.plan.to_owned(),
+            stages: info.stages.to_vec(),
+            pause_ms: info.pause_ms,
         };
-        let name = state_name(version.serial);
+        let name = version_file_name(version.serial);
         self.write_durably(&name, &seal::seal(MAGIC, TEXT_FORMAT, text))?;
         if self.format < FORMAT {
-            let old = self.files.read(HEAD).map_err(|error| file(HEAD, error))?;
-            self.write_durably(&format!("{HEAD}.{}", self.format), &old)?;
+            let old_head = self.files.read(HEAD).map_err(|error| file_error(HEAD, error))?;
+            self.write_durably(&format!("{HEAD}.{}", self.format), &old_head)?;
         }
-        self.files.sync_folder().map_err(|error| file(".", error))?;
+        self.files.sync_folder().map_err(|error| file_error(".", error))?;
         let mut head = self.head.clone();
         head.versions.push(version);
-        let over = head.versions.len().saturating_sub(MAX_VERSIONS);
-        let dropped: Vec<Version> = head.versions.drain(..over).collect();
+        let excess = head.versions.len().saturating_sub(MAX_VERSIONS);
+        let dropped: Vec<Version> = head.versions.drain(..excess).collect();
         write_head(&self.files, &head)?;
         (self.head, self.format) = (head, FORMAT);
         // A failure to remove an old version is harmless: nothing refers to it any more.
         for version in dropped {
-            let _ = self.files.remove(&state_name(version.serial));
+            let _ = self.files.remove(&version_file_name(version.serial));
         }
         Ok(&self.head.versions[self.head.versions.len() - 1])
     }
 
     fn write_durably(&self, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
-        self.files.write(name, bytes).map_err(|error| file(name, error))?;
-        self.files.sync(name).map_err(|error| file(name, error))
+        self.files.write(name, bytes).map_err(|error| file_error(name, error))?;
+        self.files.sync(name).map_err(|error| file_error(name, error))
     }
 }
 
-fn state_name(serial: u64) -> String {
+fn version_file_name(serial: u64) -> String {
     format!("state-{serial:010}")
 }
 
-fn file(name: &str, error: io::Error) -> StoreError {
+fn file_error(name: &str, error: io::Error) -> StoreError {
     StoreError::File { file: name.to_owned(), error }
 }
 
@@ -261,7 +266,7 @@
     let bytes = match files.read(name) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(error) => return Err(file(name, error)),
+        Err(error) => return Err(file_error(name, error)),
     };
     match seal::open(MAGIC, known, &bytes) {
         Ok((format, text)) => Ok(Some((format, text.to_owned()))),
@@ -284,8 +289,10 @@
 
 fn write_head(files: &impl Files, head: &Head) -> Result<(), StoreError> {
     let text = serde_json::to_string(head).map_err(|e| damaged(HEAD, e))?;
-    files.write(HEAD_NEW, &seal::seal(MAGIC, FORMAT, &text)).map_err(|error| file(HEAD_NEW, error))?;
-    files.sync(HEAD_NEW).map_err(|error| file(HEAD_NEW, error))?;
-    files.rename(HEAD_NEW, HEAD).map_err(|error| file(HEAD, error))?;
-    files.sync_folder().map_err(|error| file(".", error))
+    files
+        .write(HEAD_NEW, &seal::seal(MAGIC, FORMAT, &text))
+        .map_err(|error| file_error(HEAD_NEW, error))?;
+    files.sync(HEAD_NEW).map_err(|error| file_error(HEAD_NEW, error))?;
+    files.rename(HEAD_NEW, HEAD).map_err(|error| file_error(HEAD, error))?;
+    files.sync_folder().map_err(|error| file_error(".", error))
 }
--- a/crates/store/src/seal.rs
+++ b/crates/store/src/seal.rs
@@ -42,15 +42,15 @@
 /// Checks a sealed text, and returns its format and the text. Formats above `known` are refused.
 pub fn open<'b>(magic: &str, known: u32, bytes: &'b [u8]) -> Result<(u32, &'b str), SealError> {
     let text = std::str::from_utf8(bytes).map_err(|_| SealError::NotUtf8)?;
-    let (first, rest) = text.split_once('\n').ok_or(SealError::BadHeader)?;
-    let parts: Vec<&str> = first.split(' ').collect();
-    let &[found, format, sum] = &parts[..] else { return Err(SealError::BadHeader) };
+    let (header, rest) = text.split_once('\n').ok_or(SealError::BadHeader)?;
+    let parts: Vec<&str> = header.split(' ').collect();
+    let &[found_magic, format, hash_hex] = &parts[..] else { return Err(SealError::BadHeader) };
     let format: u32 = format.parse().map_err(|_| SealError::BadHeader)?;
     match () {
-        () if found != magic => Err(SealError::BadHeader),
+        () if found_magic != magic => Err(SealError::BadHeader),
         () if format > known => Err(SealError::Newer { found: format, known }),
         () if format == 0 => Err(SealError::UnknownFormat(format)),
-        () if hash(rest) != sum => Err(SealError::HashMismatch),
+        () if hash(rest) != hash_hex => Err(SealError::HashMismatch),
         () => Ok((format, rest)),
     }
 }
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -4,17 +4,17 @@
 use std::path::PathBuf;
 
 /// A temporary folder, removed when dropped.
-struct Place(PathBuf);
+struct TempFolder(PathBuf);
 
-impl Place {
-    fn new(name: &str) -> Place {
+impl TempFolder {
+    fn new(name: &str) -> TempFolder {
         let path = std::env::temp_dir().join(format!("runtrack-store-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Place(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Place {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -22,40 +22,40 @@
 
 #[test]
 fn what_is_committed_is_there_for_the_next_who_opens() {
-    let place = Place::new("there");
-    let mut store = Store::open_or_create(Folder::new(&place.0).unwrap(), "l").unwrap();
+    let folder = TempFolder::new("there");
+    let mut store = Store::open_or_create(Folder::new(&folder.0).unwrap(), "l").unwrap();
     let entry = CommitInfo { author: "somchai", reason: "songkran", at_ms: 7, ..CommitInfo::default() };
     let version = store.commit(0, "one", entry).unwrap().clone();
     assert_eq!((version.serial, &version.parent[..]), (1, ""));
     let next = store.commit(1, "two", entry).unwrap().clone();
     assert_eq!(next.parent, version.hash);
-    let store = Store::open(Folder::new(&place.0).unwrap()).unwrap().unwrap();
+    let store = Store::open(Folder::new(&folder.0).unwrap()).unwrap().unwrap();
     assert_eq!(store.history(), [version, next]);
     assert_eq!((store.text(1).unwrap(), store.text(2).unwrap()), ("one".to_owned(), "two".to_owned()));
 }
 
 #[test]
 fn a_second_writer_is_told_who_has_the_lock_and_gets_it_afterwards() {
-    let place = Place::new("lock");
-    let held = Lock::acquire(&place.0, "somchai on kiosk-1, pid 7").unwrap();
-    let refused = Lock::acquire(&place.0, "malee").err().expect("refused");
+    let folder = TempFolder::new("lock");
+    let held = Lock::acquire(&folder.0, "somchai on kiosk-1, pid 7").unwrap();
+    let refused = Lock::acquire(&folder.0, "malee").err().expect("refused");
     assert_eq!(refused.to_string(), "locked by somchai on kiosk-1, pid 7");
     drop(held);
-    Lock::acquire(&place.0, "malee").unwrap();
+    Lock::acquire(&folder.0, "malee").unwrap();
 }
 
 #[test]
 fn of_writers_that_race_each_serial_goes_to_one() {
     const WRITERS: usize = 8;
-    const EACH: usize = 10;
-    let place = Place::new("race");
-    Store::open_or_create(Folder::new(&place.0).unwrap(), "l").unwrap();
+    const COMMITS_PER_WRITER: usize = 10;
+    let folder = TempFolder::new("race");
+    Store::open_or_create(Folder::new(&folder.0).unwrap(), "l").unwrap();
     std::thread::scope(|scope| {
         for writer in 0..WRITERS {
-            let path = &place.0;
+            let path = &folder.0;
             scope.spawn(move || {
                 let mut done = 0;
-                while done < EACH {
+                while done < COMMITS_PER_WRITER {
                     let _lock = match Lock::acquire(path, &format!("writer {writer}")) {
                         Ok(lock) => lock,
                         Err(StoreError::Locked(_)) => {
@@ -65,17 +65,17 @@
                         Err(e) => panic!("{e}"),
                     };
                     let mut store = Store::open(Folder::new(path).unwrap()).unwrap().unwrap();
-                    let (on, author) = (store.serial(), format!("writer {writer}"));
+                    let (base_serial, author) = (store.serial(), format!("writer {writer}"));
                     let entry =
                         CommitInfo { author: &author, reason: "race", at_ms: 0, ..CommitInfo::default() };
-                    store.commit(on, &format!("{writer} {done}"), entry).unwrap();
+                    store.commit(base_serial, &format!("{writer} {done}"), entry).unwrap();
                     done += 1;
                 }
             });
         }
     });
-    let store = Store::open(Folder::new(&place.0).unwrap()).unwrap().unwrap();
-    assert_eq!(store.serial(), (WRITERS * EACH) as u64);
+    let store = Store::open(Folder::new(&folder.0).unwrap()).unwrap().unwrap();
+    assert_eq!(store.serial(), (WRITERS * COMMITS_PER_WRITER) as u64);
     for version in store.history() {
         let text = store.text(version.serial).unwrap();
         assert!(version.author.ends_with(text.split(' ').next().unwrap()), "{version:?}: {text}");
@@ -84,9 +84,9 @@
 
 #[test]
 fn a_folder_in_which_nothing_can_be_written_is_refused() {
-    let place = Place::new("refused");
+    let folder = TempFolder::new("refused");
     // A folder in place of the head file can be neither read nor replaced, also when the test runs as root.
-    std::fs::create_dir(place.0.join("head")).unwrap();
-    let refused = Store::open_or_create(Folder::new(&place.0).unwrap(), "l").err().expect("refused");
+    std::fs::create_dir(folder.0.join("head")).unwrap();
+    let refused = Store::open_or_create(Folder::new(&folder.0).unwrap(), "l").err().expect("refused");
     assert!(matches!(refused, StoreError::File { ref file, .. } if file == "head"), "{refused}");
 }
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -15,7 +15,7 @@
 }
 
 /// A disk that holds a store with this many versions.
-pub fn made(versions: u64) -> Disk {
+pub fn disk_with_versions(versions: u64) -> Disk {
     let disk = Disk::default();
     let mut store = Store::open_or_create(disk.clone(), "lineage-1").unwrap();
     for serial in 1..=versions {
@@ -25,7 +25,7 @@
 }
 
 /// Reads all versions back and checks their texts; returns the current serial.
-pub fn whole(disk: &Disk) -> u64 {
+pub fn check_all_versions(disk: &Disk) -> u64 {
     let store = Store::open(disk.clone()).expect("readable").expect("there");
     assert_eq!(store.lineage(), "lineage-1");
     for version in store.history() {
@@ -37,10 +37,10 @@
 /// Cuts the power at each file operation of a commit, on a store with `versions` versions, once per seed: the seed
 /// decides which unsynced data is lost. Returns how often the old state and how often the new state was found; any other
 /// state panics.
-pub fn cuts(versions: u64, seeds: std::ops::Range<u64>) -> (usize, usize) {
+pub fn cut_commits(versions: u64, seeds: std::ops::Range<u64>) -> (usize, usize) {
     let (mut old, mut new) = (0, 0);
     let steps = {
-        let disk = made(versions);
+        let disk = disk_with_versions(versions);
         let before = disk.done();
         let mut store = Store::open(disk.clone()).unwrap().unwrap();
         store.commit(versions, &text(versions + 1), entry("maker")).unwrap();
@@ -48,19 +48,19 @@
     };
     for cut in 0..=steps {
         for seed in seeds.clone() {
-            let disk = made(versions);
+            let disk = disk_with_versions(versions);
             let mut store = Store::open(disk.clone()).unwrap().unwrap();
             disk.fail(Some((disk.done() + cut, true)));
             let done = store.commit(versions, &text(versions + 1), entry("maker")).is_ok();
             let left = disk.after_cut(&mut Pcg32::seed_from_u64(seed));
-            let serial = whole(&left);
+            let serial = check_all_versions(&left);
             assert!(serial == versions || serial == versions + 1, "{serial} of {versions}");
             assert!(!done || serial == versions + 1, "acknowledged commit lost: cut {cut}, seed {seed}");
             (old, new) = (old + usize::from(serial == versions), new + usize::from(serial > versions));
             // Leftover files must not prevent the next commit.
             let mut store = Store::open(left.clone()).unwrap().unwrap();
             store.commit(serial, &text(serial + 1), entry("next")).unwrap();
-            assert_eq!(whole(&left), serial + 1);
+            assert_eq!(check_all_versions(&left), serial + 1);
         }
     }
     (old, new)
