--- a/crates/agree/src/record.rs
+++ b/crates/agree/src/record.rs
@@ -152,7 +152,7 @@
     }
 
     #[test]
-    fn what_was_written_is_read() {
+    fn encoded_records_are_decoded() {
         let (bytes, _) = file(9, false);
         let (records, intact) = decode_all(&bytes).expect("sound");
         assert_eq!(records, (1..=9).map(entry).collect::<Vec<_>>());
@@ -161,7 +161,7 @@
     }
 
     #[test]
-    fn a_cut_anywhere_leaves_the_records_before_it() {
+    fn a_truncated_file_keeps_the_records_before_the_cut() {
         let (bytes, ends) = file(9, false);
         for cut in 0..bytes.len() {
             let (records, intact) = decode_all(&bytes[..cut]).expect("a torn tail is no damage");
@@ -171,7 +171,7 @@
     }
 
     #[test]
-    fn a_flipped_byte_in_what_a_mark_covers_is_damage_wherever_it_is() {
+    fn a_flipped_byte_before_a_marker_is_reported_as_damage() {
         let (bytes, ends) = file(6, true);
         let last_mark = ends[6] - encode(&Record::default(), 0).len();
         for at in 0..bytes.len() {
@@ -188,7 +188,7 @@
     }
 
     #[test]
-    fn of_a_torn_append_nothing_is_taken_for_damage() {
+    fn a_torn_append_is_not_reported_as_damage() {
         let (durable, _) = file(4, false);
         let mut bytes = durable.clone();
         // One append of three records, of which the middle one did not reach the disk.
--- a/crates/agree/tests/disks.rs
+++ b/crates/agree/tests/disks.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_power_cut_at_any_operation_forgets_nothing_that_was_acknowledged() {
+fn a_power_cut_at_any_operation_loses_no_acknowledged_write() {
     // Large texts, so that the log is compacted behind a snapshot during the run.
     let new_disk = || {
         let disk = Disk::default();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn power_cuts_of_all_members_at_any_time_lose_nothing_and_elect_no_two() {
+fn power_cuts_of_all_members_lose_no_write_and_elect_one_leader_per_term() {
     for seed in 0..40 {
         let mut cluster = Cluster::with_members(3, 1_000 + seed);
         let mut written = Vec::new();
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_full_disk_takes_a_leader_out_and_it_comes_back() {
+fn a_leader_with_a_full_disk_stops_and_rejoins_after_a_restart() {
     let mut cluster = Cluster::with_members(3, 21);
     for n in 0..5 {
         cluster.write("", hold(n));
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_member_far_behind_is_given_a_snapshot_and_the_log_stays_bounded() {
+fn a_lagging_member_receives_a_snapshot_and_the_log_stays_bounded() {
     let mut cluster = Cluster::with_members(3, 22);
     let behind = (1..=3).find(|member| Some(*member) != cluster.leader()).expect("one of the others");
     cluster.set_partitioned(behind, true);
--- a/crates/agree/tests/host.rs
+++ b/crates/agree/tests/host.rs
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn three_members_decide_as_one_over_their_links() {
+async fn three_members_replicate_writes_over_grpc() {
     let members = three_members().await;
     for (n, member) in members.iter().enumerate() {
         member.hold(n as u64).await; // any member accepts writes
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn leadership_is_handed_over_and_a_lost_leader_is_replaced() {
+async fn leadership_is_transferred_and_a_failed_leader_is_replaced() {
     let members = three_members().await;
     members[1].handle.transfer(3, TIMEOUT).await.expect("handed over");
     until("it is known", || {
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_member_far_behind_fetches_a_snapshot_and_a_removed_one_is_told() {
+async fn a_lagging_member_fetches_a_snapshot_and_a_removed_member_is_notified() {
     let members = three_members().await;
     let text = "z".repeat(20_000);
     for n in 0..8_u64 {
@@ -162,7 +162,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_folder_under_one_number_and_another_lineage_are_told_why_not() {
+async fn a_second_folder_with_the_same_id_and_a_foreign_lineage_are_refused_with_a_reason() {
     let members = three_members().await;
     // The third member's folder is lost, and its invitation is used again.
     members[2].handle.stop();
--- a/crates/agree/tests/members.rs
+++ b/crates/agree/tests/members.rs
@@ -7,7 +7,7 @@
 use support::*;
 
 #[test]
-fn a_cluster_of_one_decides_alone_and_remembers() {
+fn a_single_member_commits_alone_and_keeps_its_state_after_a_power_cycle() {
     let mut cluster = Cluster::new(1);
     for n in 0..20 {
         cluster.write("", hold(n));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn three_and_five_members_agree_on_what_was_written() {
+fn three_and_five_members_apply_the_same_writes() {
     for members in [3, 5] {
         let mut cluster = Cluster::with_members(members, members);
         for n in 0..50 {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_steps_down_and_its_writes_do_not_count() {
+fn a_partitioned_leader_steps_down_and_its_writes_are_not_committed() {
     let mut cluster = Cluster::with_members(3, 3);
     let old = cluster.leader().expect("somebody");
     cluster.set_partitioned(old, true);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_member_that_was_cut_off_disturbs_nobody_when_it_is_back() {
+fn a_member_returning_from_a_partition_does_not_disrupt_the_leader() {
     let mut cluster = Cluster::with_members(3, 4);
     let leader = cluster.leader().expect("somebody");
     let other = (1..=3).find(|member| *member != leader).expect("one of the others");
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_read_is_not_answered_by_a_leader_that_is_none_any_more() {
+fn a_deposed_leader_does_not_answer_reads() {
     let mut cluster = Cluster::with_members(3, 5);
     let old = cluster.leader().expect("somebody");
     cluster.write("", hold(1));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn all_members_are_replaced_one_after_the_other() {
+fn all_members_can_be_replaced_one_by_one() {
     let mut cluster = Cluster::with_members(3, 6);
     for n in 0..30 {
         cluster.write("", hold(n));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_removed_member_counts_for_nothing() {
+fn a_removed_member_does_not_count_towards_a_majority() {
     let mut cluster = Cluster::with_members(3, 7);
     let leader = cluster.leader().expect("somebody");
     let gone = (1..=3).find(|member| *member != leader).expect("one of the others");
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn changes_that_make_no_sense_are_refused_in_words() {
+fn invalid_membership_changes_are_refused_with_a_reason() {
     let mut cluster = Cluster::with_members(3, 8);
     let leader = cluster.leader().expect("somebody");
     let node = cluster.nodes.get_mut(&leader).expect("it runs");
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_second_folder_under_one_number_is_refused() {
+fn a_second_folder_with_the_same_member_id_is_refused() {
     let mut cluster = Cluster::with_members(3, 9);
     cluster.add(4);
     let seen = |folder: &str| Command::Seen {
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn no_folder_becomes_a_member_twice() {
+fn a_folder_cannot_be_initialized_twice() {
     let disk = Disk::default();
     Node::join(disk.clone(), identity(4)).expect("made");
     let again = Node::join(disk.clone(), identity(5)).expect_err("there is one");
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_link_that_flaps_costs_no_elections() {
+fn a_flapping_link_causes_no_elections() {
     let mut cluster = Cluster::with_members(3, 10);
     let leader = cluster.leader().expect("somebody");
     let term = cluster.nodes[&leader].status().term;
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_link_that_is_cut_one_way_leaves_one_leader_and_writes_go_on() {
+fn a_one_way_partition_leaves_one_leader_and_writes_continue() {
     for way in [true, false] {
         let mut cluster = Cluster::with_members(3, 11);
         let leader = cluster.leader().expect("somebody");
--- a/crates/agree/tests/states.rs
+++ b/crates/agree/tests/states.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn of_two_commits_on_one_version_the_second_is_told_that_it_moved() {
+fn of_two_commits_on_one_version_the_second_is_refused() {
     let mut state = state();
     let (first, second) = (commit(&state, "one"), commit(&state, "two"));
     assert_eq!(run(&mut state, first).0, Outcome::Committed(1));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_plan_is_carried_out_once() {
+fn a_plan_is_applied_once() {
     let mut state = state();
     let Command::Commit(plain) = commit(&state, "one") else { unreachable!() };
     let planned = Command::Commit(Commit { plan: "plan-1".to_owned(), ..plain });
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_write_is_run_once_however_often_it_comes_and_its_outcome_is_kept_in_snapshots() {
+fn repeated_writes_are_applied_once_and_outcomes_survive_snapshots() {
     let mut state = state();
     let write = proposal("w", commit(&state, "one"));
     assert_eq!(state.apply(2, write.clone()).0, Outcome::Committed(1));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn texts_are_bounded_and_what_a_rollout_needs_is_kept() {
+fn texts_are_bounded_and_versions_in_a_rollout_are_kept() {
     let mut state = state();
     let text = "z".repeat(MAX_TEXT_BYTES / 4);
     for n in 0..9 {
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_drain_is_taken_back_only_by_a_newer_word() {
+fn a_drain_is_cancelled_only_by_a_newer_list() {
     let mut state = state();
     run(&mut state, listed(5, true, &[("a", Some(up(1))), ("b", Some(up(1)))]));
     assert!(run(&mut state, draining("a", 1, 9)).1.pools);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn what_is_gone_and_comes_back_is_another_one() {
+fn an_endpoint_that_returns_after_removal_is_not_draining() {
     let mut state = state();
     run(&mut state, listed(5, true, &[("a", Some(up(1)))]));
     run(&mut state, draining("a", 1, 9));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_hold_outlasts_what_discovery_says() {
+fn a_hold_overrides_discovery() {
     let mut state = state();
     let hold = |held| Command::Hold {
         pool: "p".to_owned(),
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn what_says_nothing_new_changes_nothing_that_is_served() {
+fn redundant_updates_do_not_affect_proxies() {
     let mut state = state();
     let list = listed(5, true, &[("a", Some(up(1)))]);
     run(&mut state, list.clone());
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 #[test]
-fn a_commit_cut_off_anywhere_leaves_the_old_state_or_the_new() {
+fn a_power_cut_during_a_commit_leaves_the_old_or_the_new_state() {
     let (mut old, mut new) = (0, 0);
     for versions in [0, 1, 3] {
         // `cargo bench -p runtrack-store --bench cuts` runs 100,000 cuts.
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn making_a_store_cut_off_anywhere_leaves_none_or_an_empty_one() {
+fn a_power_cut_during_creation_leaves_no_store_or_an_empty_one() {
     for cut in 0..=4 {
         for seed in 0..100 {
             let disk = Disk::default();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_full_disk_refuses_a_commit_and_the_next_one_works() {
+fn a_commit_fails_on_a_full_disk_and_the_next_one_succeeds() {
     for at in 0..6 {
         let disk = disk_with_versions(2);
         let mut store = Store::open(disk.clone()).unwrap().unwrap();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_commit_on_a_state_that_has_moved_is_refused_and_says_who_moved_it() {
+fn a_commit_on_an_outdated_version_is_refused_and_names_the_author() {
     let disk = disk_with_versions(7);
     let mut late = Store::open(disk.clone()).unwrap().unwrap();
     let mut first = Store::open(disk.clone()).unwrap().unwrap();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn history_is_kept_to_its_bound_and_what_is_over_is_removed() {
+fn history_is_bounded_and_old_versions_are_removed() {
     let versions = runtrack_store::MAX_VERSIONS as u64 + 5;
     let disk = disk_with_versions(versions);
     let store = Store::open(disk.clone()).unwrap().unwrap();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_head_of_the_first_format_is_read_and_the_first_commit_migrates_and_keeps_it() {
+fn a_format_1_head_is_read_and_kept_by_the_first_commit() {
     let disk = disk_with_versions(2);
     let old = rewrite_head_in_format_1(&disk);
     assert_eq!(check_all_versions(&disk), 2);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_migration_cut_off_anywhere_leaves_the_old_format_or_the_new_with_the_old_kept() {
+fn a_power_cut_during_a_migration_leaves_the_old_or_the_new_format() {
     let steps = {
         let disk = disk_with_versions(2);
         rewrite_head_in_format_1(&disk);
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_is_committed_is_there_for_the_next_who_opens() {
+fn committed_versions_are_read_after_reopening() {
     let folder = TempFolder::new("there");
     let mut store = Store::open_or_create(Folder::new(&folder.0).unwrap(), "l").unwrap();
     let entry = CommitInfo { author: "somchai", reason: "songkran", at_ms: 7, ..CommitInfo::default() };
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_second_writer_is_told_who_has_the_lock_and_gets_it_afterwards() {
+fn a_second_writer_is_told_the_lock_owner_and_can_lock_later() {
     let folder = TempFolder::new("lock");
     let held = Lock::acquire(&folder.0, "somchai on kiosk-1, pid 7").unwrap();
     let refused = Lock::acquire(&folder.0, "malee").err().expect("refused");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn of_writers_that_race_each_serial_goes_to_one() {
+fn concurrent_writers_commit_distinct_serials() {
     const WRITERS: usize = 8;
     const COMMITS_PER_WRITER: usize = 10;
     let folder = TempFolder::new("race");
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_folder_in_which_nothing_can_be_written_is_refused() {
+fn a_store_whose_head_cannot_be_read_is_refused() {
     let folder = TempFolder::new("refused");
     // A folder in place of the head file can be neither read nor replaced, also when the test runs as root.
     std::fs::create_dir(folder.0.join("head")).unwrap();
