--- a/crates/agree/src/host/mod.rs
+++ b/crates/agree/src/host/mod.rs
@@ -92,7 +92,7 @@
     #[error(
         "no majority has answered in time: whether it took place is not known. Repeat it with the same id"
     )]
-    Unknown,
+    OutcomeUnknown,
     /// The request was refused and has no effect.
     #[error("{0}")]
     Refused(String),
--- a/crates/agree/src/host/work.rs
+++ b/crates/agree/src/host/work.rs
@@ -445,7 +445,7 @@
                 }
                 None => node.identity().others.iter().cloned().collect(),
             };
-            self.links.keep(&members);
+            self.links.set_members(&members);
         }
         let view = View {
             state,
--- a/crates/agree/src/memory.rs
+++ b/crates/agree/src/memory.rs
@@ -111,7 +111,7 @@
         let mut size = 0;
         let kept = self.entries.iter().rev().take_while(|entry| {
             size += entry_bytes(entry);
-            size <= most
+            size <= max_bytes
         });
         self.last() - kept.count() as u64
     }
@@ -166,7 +166,7 @@
         let within = |entry: &&Entry| {
             let first = size == 0;
             size += entry_bytes(entry);
-            first || size <= most
+            first || size <= max_bytes
         };
         Ok(self.entries[low..high].iter().take_while(within).cloned().collect())
     }
