--- a/crates/agree/src/state.rs
+++ b/crates/agree/src/state.rs
@@ -1,149 +1,149 @@
-//! The replicated state: commands go in by their index in the log, outcomes and effects come out. No I/O, no clock, no
-//! hash order: equal logs give equal states, to the byte of their snapshots.
+//! The replicated state machine: applies commands in log order, and returns outcomes and effects. It does no I/O, reads
+//! no clock and depends on no hash order, so equal logs give equal states, with byte-identical snapshots.
 
 use crate::command::{
-    Command, Commit, Endpoint, Listed, MemberChange, MemberId, Outcome, Proposal, Step, Towards,
-    WRITE_ID_MOST,
+    Command, Commit, Endpoint, MAX_WRITE_ID_BYTES, MemberChange, MemberId, Outcome, PoolUpdate, Proposal,
+    RolloutAction, RolloutStep,
 };
 use runtrack_net::mutant;
-use runtrack_store::{HISTORY, Version, seal};
+use runtrack_store::{MAX_VERSIONS, Version, seal};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Outcomes remembered for repeats. A client repeats for minutes at most; this many writes take longer.
-pub const OUTCOMES: usize = 4_096;
-/// Bytes of versions' texts that are kept: beyond it the oldest go, but for those that are in use.
-pub const TEXTS_MOST: usize = 64 << 20;
-/// Members, learners included. Each one costs the leader a stream and the log a copy.
-pub const MEMBERS_MOST: usize = 16;
-/// Removed members that are remembered, so that they can be told.
-const REMOVED_MOST: usize = 1_000;
-/// Longest name of a member, pool or endpoint, in bytes.
-const NAME_MOST: usize = 256;
+/// Number of outcomes kept to answer repeated writes. Clients repeat for minutes at most; this many writes take longer.
+pub const MAX_OUTCOMES: usize = 4_096;
+/// Maximum total size of the kept versions' texts, in bytes. Beyond it the oldest versions not in use are dropped.
+pub const MAX_TEXT_BYTES: usize = 64 << 20;
+/// Maximum number of members, including learners. Each one costs the leader a stream and a copy of the log.
+pub const MAX_MEMBERS: usize = 16;
+/// Number of removed members that are remembered, so that they can be told of their removal.
+const MAX_REMOVED_MEMBERS: usize = 1_000;
+/// Maximum length of the name of a member, pool or endpoint, in bytes.
+const MAX_NAME_BYTES: usize = 256;
 
 /// A member of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// Its name, for people.
+    /// Display name.
     pub name: String,
-    /// Where other members reach it.
+    /// Address at which other members reach it.
     pub address: String,
-    /// Whether it votes.
+    /// Whether it votes; otherwise it is a learner.
     pub voter: bool,
-    /// What its folder must show once.
+    /// Ticket that its folder must present once.
     pub ticket: String,
-    /// Its folder's own random number, once it has shown itself.
+    /// Random id of its folder, once the member has made contact.
     pub folder: Option<String>,
 }
 
-/// One that was a member.
+/// A member that was removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Removed {
-    /// Its name.
+pub struct RemovedMember {
+    /// Display name.
     pub name: String,
-    /// The index of its removal.
+    /// Log index of the removal.
     pub index: u64,
 }
 
-/// A roll-out under way.
+/// A staged roll-out in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
-    /// The version.
+    /// Serial of the version that is rolled out.
     pub serial: u64,
-    /// The one that proxies have until they get it.
+    /// Serial of the previous version, which the remaining proxies keep.
     pub from: u64,
-    /// The stage that it is in, from 0.
+    /// Index of the current stage, from 0.
     pub stage: usize,
-    /// Why it goes no further, until somebody says so.
+    /// Why the roll-out is halted, until it is resumed.
     pub halted: Option<String>,
 }
 
-/// What is listed of a pool.
+/// The endpoints of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// The version of discovery's list.
+    /// Revision of discovery's list.
     pub rev: u64,
     /// Endpoints by uid.
     pub endpoints: BTreeMap<String, Endpoint>,
-    /// Of those that drain, the version of the list that said so.
+    /// For each draining endpoint, the revision of the list that reported the drain.
     pub drained_at: BTreeMap<String, u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Answered {
+struct WriteOutcome {
     id: String,
     outcome: Outcome,
 }
 
-/// Everything that is agreed. A clone shares what is large.
+/// The replicated state. Clones share the large parts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct State {
-    /// Made once, with the cluster.
+    /// Identifies the cluster; set once, when it is created.
     pub lineage: String,
-    /// Orders the versions that proxies are told after those of earlier lineages; made with the lineage.
+    /// Orders the configuration versions of this lineage after those of earlier lineages; set with the lineage.
     pub epoch: u64,
-    /// The last index that was applied.
+    /// Index of the last entry that was applied.
     pub index: u64,
-    /// The last index that may change what proxies are told.
+    /// Index of the last entry that may have changed the proxies' configuration.
     pub served: u64,
-    /// Versions of the fleet, the newest last.
+    /// Versions of the fleet, oldest first.
     pub versions: Vec<Version>,
     texts: BTreeMap<u64, Arc<str>>,
-    /// The roll-out under way.
+    /// The roll-out in progress.
     pub rollout: Option<Rollout>,
-    /// Pools that follow discovery.
+    /// Pools that follow discovery, by name.
     pub pools: BTreeMap<String, Arc<Pool>>,
-    /// Endpoints that somebody holds back, by pool and uid.
+    /// Endpoints on hold by an operator, by pool and uid.
     pub held: BTreeSet<(String, String)>,
-    /// Members by number.
+    /// Members by id.
     pub members: BTreeMap<MemberId, Member>,
-    /// Those that were members, by number.
-    pub removed: BTreeMap<MemberId, Removed>,
+    /// Removed members by id.
+    pub removed: BTreeMap<MemberId, RemovedMember>,
     next_member: MemberId,
-    answered: Arc<BTreeMap<u64, Answered>>,
+    answered: Arc<BTreeMap<u64, WriteOutcome>>,
 }
 
-/// What a command has changed.
+/// The parts of the state that a command has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Effects {
     /// The fleet's current version.
     pub version: bool,
     /// The roll-out.
     pub rollout: bool,
-    /// What is listed, held or drains.
-    pub lists: bool,
+    /// Endpoints of pools, holds or drains.
+    pub pools: bool,
     /// The members.
     pub members: bool,
 }
 
 impl Effects {
-    /// Whether what proxies are told may change.
-    pub fn serves(&self) -> bool {
-        self.version || self.rollout || self.lists
+    /// Whether the proxies' configuration may have changed.
+    pub fn affects_proxies(&self) -> bool {
+        self.version || self.rollout || self.pools
     }
 
-    /// Both together.
-    pub fn and(self, other: Effects) -> Effects {
+    /// Combines the effects of two commands.
+    pub fn union(self, other: Effects) -> Effects {
         Effects {
             version: self.version | other.version,
             rollout: self.rollout | other.rollout,
-            lists: self.lists | other.lists,
+            pools: self.pools | other.pools,
             members: self.members | other.members,
         }
     }
 }
 
-const VERSION: Effects = Effects { version: true, rollout: true, lists: false, members: false };
-const ROLLOUT: Effects = Effects { version: false, rollout: true, lists: false, members: false };
-const LISTS: Effects = Effects { version: false, rollout: false, lists: true, members: false };
-const MEMBERS: Effects = Effects { version: false, rollout: false, lists: false, members: true };
+const VERSION: Effects = Effects { version: true, rollout: true, pools: false, members: false };
+const ROLLOUT: Effects = Effects { version: false, rollout: true, pools: false, members: false };
+const POOLS: Effects = Effects { version: false, rollout: false, pools: true, members: false };
+const MEMBERS: Effects = Effects { version: false, rollout: false, pools: false, members: true };
 
 type Applied = (Outcome, Effects);
 
@@ -152,7 +152,7 @@
 }
 
 impl State {
-    /// A new cluster of one member, whose folder has this random number.
+    /// The state of a new cluster of one member, whose folder has this random id.
     pub fn new(lineage: &str, epoch: u64, name: &str, address: &str, folder: &str) -> State {
         let member = Member {
             name: name.to_owned(),
@@ -178,18 +178,17 @@
         }
     }
 
-    /// With the versions that a state of one instance had, the newest last; of those whose text is not given nothing is
-    /// kept.
+    /// Adds the versions of a single-instance store, oldest first, with their texts.
     pub fn with_versions(mut self, versions: impl IntoIterator<Item = (Version, String)>) -> State {
         for (version, text) in versions {
             self.texts.insert(version.serial, text.into());
             self.versions.push(version);
         }
-        self.trim();
+        self.trim_versions();
         self
     }
 
-    /// The number that the next new member gets.
+    /// Id of the next member to be added.
     pub fn next_member(&self) -> MemberId {
         self.next_member
     }
@@ -204,35 +203,35 @@
         self.current().map_or(0, |version| version.serial)
     }
 
-    /// A version's text, if it is still kept.
+    /// Text of a version, if it is still kept.
     pub fn text(&self, serial: u64) -> Option<&str> {
         self.texts.get(&serial).map(AsRef::as_ref)
     }
 
-    /// What came of the write of this id, if that is known, and at which index.
+    /// Index and outcome of the write with this id, if they are still kept.
     pub fn outcome(&self, id: &str) -> Option<(u64, &Outcome)> {
         if id.is_empty() {
             return None;
         }
-        // A repeat is likelier of a late write than of an early one.
+        // Newest first: most repeats are of recent writes.
         let found = self.answered.iter().rev().find(|(_, answered)| answered.id == id);
         found.map(|(index, answered)| (*index, &answered.outcome))
     }
 
-    /// Whether an endpoint is to get nothing new.
-    pub fn drains(&self, pool: &str, uid: &str) -> bool {
+    /// Whether an endpoint is draining or on hold, so that it gets no new requests.
+    pub fn is_draining(&self, pool: &str, uid: &str) -> bool {
         let listed = self.pools.get(pool).and_then(|pool| pool.endpoints.get(uid));
         listed.is_some_and(|endpoint| endpoint.draining)
             || self.held.contains(&(pool.to_owned(), uid.to_owned()))
     }
 
-    /// Takes a command.
+    /// Applies the command of the entry at `index`.
     pub fn apply(&mut self, index: u64, proposal: Proposal) -> Applied {
         self.index = index;
         let Proposal { id, command } = proposal;
-        if id.len() > WRITE_ID_MOST {
+        if id.len() > MAX_WRITE_ID_BYTES {
             return refused(format!(
-                "a write's id has {} bytes, and {WRITE_ID_MOST} is the most",
+                "a write's id has {} bytes, and {MAX_WRITE_ID_BYTES} is the most",
                 id.len()
             ));
         }
@@ -240,32 +239,32 @@
             return (outcome.clone(), Effects::default());
         }
         let (outcome, effects) = match command {
-            Command::Commit(commit) => self.commit(commit),
-            Command::Rollout(step) => self.step(step),
-            Command::Listed(listed) => self.listed(listed),
-            Command::Draining { pool, uid, boot_ms, rev } => self.draining(&pool, &uid, boot_ms, rev),
-            Command::Hold { pool, uid, held, .. } => self.hold(pool, uid, held),
-            Command::Seen { member, ticket, folder } => self.seen(member, &ticket, folder),
+            Command::Commit(commit) => self.apply_commit(commit),
+            Command::Rollout(step) => self.apply_rollout_step(step),
+            Command::Listed(update) => self.apply_pool_update(update),
+            Command::Draining { pool, uid, boot_ms, rev } => self.apply_draining(&pool, &uid, boot_ms, rev),
+            Command::Hold { pool, uid, held, .. } => self.apply_hold(pool, uid, held),
+            Command::Seen { member, ticket, folder } => self.apply_seen(member, &ticket, folder),
         };
-        if effects.serves() {
+        if effects.affects_proxies() {
             self.served = index;
         }
-        self.remember(index, id, &outcome);
+        self.record_outcome(index, id, &outcome);
         (outcome, effects)
     }
 
-    fn remember(&mut self, index: u64, id: String, outcome: &Outcome) {
+    fn record_outcome(&mut self, index: u64, id: String, outcome: &Outcome) {
         if id.is_empty() {
             return;
         }
         let answered = Arc::make_mut(&mut self.answered);
-        answered.insert(index, Answered { id, outcome: outcome.clone() });
-        while answered.len() > OUTCOMES {
+        answered.insert(index, WriteOutcome { id, outcome: outcome.clone() });
+        while answered.len() > MAX_OUTCOMES {
             answered.pop_first();
         }
     }
 
-    fn commit(&mut self, commit: Commit) -> Applied {
+    fn apply_commit(&mut self, commit: Commit) -> Applied {
         let Commit { on, parent, text, by, plan, stages, pause_ms } = commit;
         if let Some(version) = self.versions.iter().find(|v| !plan.is_empty() && v.plan == plan) {
             return (Outcome::Before(version.serial), Effects::default());
@@ -276,18 +275,19 @@
             let (found, by) = (self.serial(), by.unwrap_or_else(|| "nobody".to_owned()));
             return (Outcome::Moved { expected: on, found, by }, Effects::default());
         }
-        if text.len() > TEXTS_MOST / 2 {
+        if text.len() > MAX_TEXT_BYTES / 2 {
             return refused(format!(
                 "the fleet has {} bytes, and {} is the most",
                 text.len(),
-                TEXTS_MOST / 2
+                MAX_TEXT_BYTES / 2
             ));
         }
         if !stages.is_empty() && self.rollout.is_some() {
             return refused("another version is being rolled out: resume that, or abort it");
         }
         let serial = on + 1;
-        // What is not staged goes to all at once, and ends a roll-out: so does going back in a hurry.
+        // A commit without stages goes to all proxies at once and ends a roll-out in progress, so an urgent rollback
+        // does not have to wait for one.
         let staged = !stages.is_empty() && on > 0;
         self.rollout = staged.then_some(Rollout { serial, from: on, stage: 0, halted: None });
         self.versions.push(Version {
@@ -302,18 +302,18 @@
             pause_ms,
         });
         self.texts.insert(serial, text.into());
-        self.trim();
+        self.trim_versions();
         (Outcome::Committed(serial), VERSION)
     }
 
-    /// Forgets versions that are too many or too long, the oldest first; not the current one nor those that a roll-out
-    /// needs.
-    fn trim(&mut self) {
+    /// Drops the oldest versions while their number or the size of their texts exceeds its limit, but neither the
+    /// current version nor those that the roll-out in progress needs.
+    fn trim_versions(&mut self) {
         let needed = self.rollout.as_ref().map_or(u64::MAX, |rollout| rollout.from);
         loop {
             let bytes: usize = self.texts.values().map(|text| text.len()).sum();
             let Some(oldest) = self.versions.first().map(|version| version.serial) else { return };
-            let over = self.versions.len() > HISTORY || bytes > TEXTS_MOST;
+            let over = self.versions.len() > MAX_VERSIONS || bytes > MAX_TEXT_BYTES;
             if !over || self.versions.len() == 1 || oldest >= needed {
                 return;
             }
@@ -322,7 +322,7 @@
         }
     }
 
-    fn step(&mut self, step: Step) -> Applied {
+    fn apply_rollout_step(&mut self, step: RolloutStep) -> Applied {
         let stages = self.current().map_or(0, |version| version.stages.len());
         let Some(rollout) = &mut self.rollout else { return refused("no version is being rolled out") };
         if (rollout.serial, rollout.stage) != (step.serial, step.stage) {
@@ -330,24 +330,24 @@
             return refused(format!("serial {serial} is in stage {stage}"));
         }
         match step.to {
-            Towards::Halt(why) => rollout.halted = Some(why),
-            Towards::Resume if rollout.halted.is_none() => return refused("no roll-out has halted"),
-            Towards::Resume => rollout.halted = None,
-            Towards::Next if rollout.halted.is_some() => return refused("the roll-out has halted"),
-            Towards::Next => {
+            RolloutAction::Halt(why) => rollout.halted = Some(why),
+            RolloutAction::Resume if rollout.halted.is_none() => return refused("no roll-out has halted"),
+            RolloutAction::Resume => rollout.halted = None,
+            RolloutAction::Next if rollout.halted.is_some() => return refused("the roll-out has halted"),
+            RolloutAction::Next => {
                 rollout.stage += 1;
                 if rollout.stage >= stages {
                     self.rollout = None;
-                    self.trim();
+                    self.trim_versions();
                 }
             }
         }
         (Outcome::Done, ROLLOUT)
     }
 
-    fn listed(&mut self, listed: Listed) -> Applied {
-        let Listed { pool: name, rev, whole, settled, endpoints } = listed;
-        if name.len() > NAME_MOST {
+    fn apply_pool_update(&mut self, update: PoolUpdate) -> Applied {
+        let PoolUpdate { pool: name, rev, whole, settled, endpoints } = update;
+        if name.len() > MAX_NAME_BYTES {
             return refused("the pool's name is too long");
         }
         let before = self.pools.get(&name);
@@ -360,11 +360,17 @@
                 pool.endpoints.remove(&uid);
                 continue;
             };
-            let older =
+            let drained_before =
                 pool.endpoints.get(&uid).filter(|old| old.draining && old.boot_ms >= endpoint.boot_ms);
-            // Only a newer word of the source takes a drain back, or one that has stood.
-            let said_at = pool.drained_at.get(&uid).copied().unwrap_or_default();
-            if !endpoint.draining && older.is_some() && rev <= said_at && !settled && !mutant("undrained") {
+            // A drain is only cancelled by a list of a higher revision than the one that reported it, or by a settled
+            // list.
+            let drain_rev = pool.drained_at.get(&uid).copied().unwrap_or_default();
+            if !endpoint.draining
+                && drained_before.is_some()
+                && rev <= drain_rev
+                && !settled
+                && !mutant("undrained")
+            {
                 endpoint.draining = true;
             }
             match endpoint.draining {
@@ -375,12 +381,12 @@
         }
         pool.drained_at.retain(|uid, _| pool.endpoints.contains_key(uid));
         pool.rev = rev;
-        let same = before.is_some_and(|before| **before == pool);
+        let unchanged = before.is_some_and(|before| **before == pool);
         self.pools.insert(name, pool.into());
-        (Outcome::Done, if same { Effects::default() } else { LISTS })
+        (Outcome::Done, if unchanged { Effects::default() } else { POOLS })
     }
 
-    fn draining(&mut self, pool: &str, uid: &str, boot_ms: u64, rev: u64) -> Applied {
+    fn apply_draining(&mut self, pool: &str, uid: &str, boot_ms: u64, rev: u64) -> Applied {
         let Some(pool) = self.pools.get_mut(pool).map(Arc::make_mut) else {
             return refused("there is no such pool");
         };
@@ -388,24 +394,24 @@
         if endpoint.boot_ms > boot_ms {
             return refused("another process runs there now");
         }
-        let said_at = pool.drained_at.entry(uid.to_owned()).or_insert(rev);
-        *said_at = rev.max(*said_at);
-        let news = !std::mem::replace(&mut endpoint.draining, true);
-        (Outcome::Done, if news { LISTS } else { Effects::default() })
+        let drain_rev = pool.drained_at.entry(uid.to_owned()).or_insert(rev);
+        *drain_rev = rev.max(*drain_rev);
+        let changed = !std::mem::replace(&mut endpoint.draining, true);
+        (Outcome::Done, if changed { POOLS } else { Effects::default() })
     }
 
-    fn hold(&mut self, pool: String, uid: String, held: bool) -> Applied {
-        if pool.len() > NAME_MOST || uid.len() > NAME_MOST {
+    fn apply_hold(&mut self, pool: String, uid: String, held: bool) -> Applied {
+        if pool.len() > MAX_NAME_BYTES || uid.len() > MAX_NAME_BYTES {
             return refused("a name is too long");
         }
-        let news = match held {
+        let changed = match held {
             true => self.held.insert((pool, uid)),
             false => self.held.remove(&(pool, uid)),
         };
-        (Outcome::Done, if news { LISTS } else { Effects::default() })
+        (Outcome::Done, if changed { POOLS } else { Effects::default() })
     }
 
-    fn seen(&mut self, member: MemberId, ticket: &str, folder: String) -> Applied {
+    fn apply_seen(&mut self, member: MemberId, ticket: &str, folder: String) -> Applied {
         let Some(known) = self.members.get_mut(&member) else { return refused("there is no such member") };
         match &known.folder {
             Some(seen) if *seen == folder => (Outcome::Done, Effects::default()),
@@ -420,8 +426,8 @@
         }
     }
 
-    /// Why a change of members makes no sense; none: it may be made.
-    pub fn objection(&self, change: &MemberChange) -> Option<String> {
+    /// Why a membership change is not valid; `None` if it is.
+    pub fn change_rejection(&self, change: &MemberChange) -> Option<String> {
         let known = self.members.get(&change.member());
         match change {
             MemberChange::Add { member, .. } if *member != self.next_member => {
@@ -434,12 +440,12 @@
                 Some(format!("there is a member at {address} already"))
             }
             MemberChange::Add { name, address, .. }
-                if name.is_empty() || name.len().max(address.len()) > NAME_MOST =>
+                if name.is_empty() || name.len().max(address.len()) > MAX_NAME_BYTES =>
             {
-                Some(format!("a member needs a name, and name and address may have {NAME_MOST} bytes"))
+                Some(format!("a member needs a name, and name and address may have {MAX_NAME_BYTES} bytes"))
             }
-            MemberChange::Add { .. } if self.members.len() >= MEMBERS_MOST => {
-                Some(format!("there are {MEMBERS_MOST} members, the most there may be"))
+            MemberChange::Add { .. } if self.members.len() >= MAX_MEMBERS => {
+                Some(format!("there are {MAX_MEMBERS} members, the most there may be"))
             }
             MemberChange::Add { .. } => None,
             _ if known.is_none() => Some("there is no such member".to_owned()),
@@ -457,19 +463,19 @@
         }
     }
 
-    /// Takes a change of members; with an outcome other than `Done` nothing has changed.
+    /// Applies a membership change; with an outcome other than `Done` nothing has changed.
     pub fn change_members(&mut self, index: u64, id: String, change: MemberChange) -> Applied {
         self.index = index;
         if let Some((_, outcome)) = self.outcome(&id) {
             return (outcome.clone(), Effects::default());
         }
-        let applied = match self.objection(&change) {
+        let applied = match self.change_rejection(&change) {
             Some(why) => refused(why),
             None => {
                 match change {
                     MemberChange::Add { member, name, address, ticket } => {
-                        let member_ = Member { name, address, voter: false, ticket, folder: None };
-                        self.members.insert(member, member_);
+                        let new_member = Member { name, address, voter: false, ticket, folder: None };
+                        self.members.insert(member, new_member);
                         self.next_member = member + 1;
                     }
                     MemberChange::Promote { member } => {
@@ -479,9 +485,9 @@
                     }
                     MemberChange::Remove { member } => {
                         if let Some(known) = self.members.remove(&member) {
-                            self.removed.insert(member, Removed { name: known.name, index });
+                            self.removed.insert(member, RemovedMember { name: known.name, index });
                         }
-                        while self.removed.len() > REMOVED_MOST {
+                        while self.removed.len() > MAX_REMOVED_MEMBERS {
                             self.removed.pop_first();
                         }
                     }
@@ -489,25 +495,29 @@
                 (Outcome::Done, MEMBERS)
             }
         };
-        self.remember(index, id, &applied.0);
+        self.record_outcome(index, id, &applied.0);
         applied
     }
 
-    /// An entry of the log that says nothing.
-    pub fn pass(&mut self, index: u64) {
+    /// Advances the index past an empty entry.
+    pub fn skip(&mut self, index: u64) {
         self.index = index;
     }
 
-    /// The state in its canonical form: equal states give equal bytes.
+    /// Serializes the state in its canonical form: equal states give equal bytes.
     pub fn snapshot(&self) -> String {
         let mut state = self.clone();
         if mutant("snapshot-forgets-writes") {
             state.answered = Arc::default();
         }
-        serde_json::to_string(&state).unwrap_or_default() // fails only for maps with keys that are no text
+        serde_json::to_string(&state).unwrap_or_default() // only fails for non-string map keys
     }
 
-    /// The state of a snapshot, or what is wrong with that.
+    /// Parses a snapshot.
+    ///
+    /// # Errors
+    ///
+    /// A description of what is wrong with the text.
     pub fn from_snapshot(text: &str) -> Result<State, String> {
         serde_json::from_str(text).map_err(|problem| problem.to_string())
     }
