--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -1,7 +1,7 @@
 //! What the service decides: from a fleet and what sources tell, the resources that proxies get. No I/O.
 
 use crate::pool::{Members, Stale};
-use runtrack_discovery::{List, Told};
+use runtrack_discovery::{List, Update};
 use runtrack_model::{Fleet, Pool, Source};
 use runtrack_xds::{Cache, Change, Kind, translate};
 use std::collections::{BTreeMap, BTreeSet};
@@ -88,7 +88,7 @@
     }
 
     /// Takes what the source of a pool at an address told; what a source told that is followed no more is ignored.
-    pub fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Told) {
+    pub fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Update) {
         let current = self.fleet.pools.get(pool).map(|pool| &pool.source);
         let Some(members) = self.pools.get_mut(pool).filter(|_| current == Some(&Source::Platform(from)))
         else {
--- a/crates/control/src/pool.rs
+++ b/crates/control/src/pool.rs
@@ -5,7 +5,7 @@
 use runtrack_balancer::{
     Balancer, EndpointId, EndpointInfo, EndpointState, Event, Membership, Rules, Settings, ZoneId, wire,
 };
-use runtrack_discovery::{List, State, Target, Told};
+use runtrack_discovery::{List, State, Target, Update};
 use runtrack_model::{Fleet, Pool, Source};
 use runtrack_xds::translate::Member;
 use std::collections::{BTreeMap, BTreeSet};
@@ -131,15 +131,15 @@
     }
 
     /// Takes what the source told; tells whether the endpoints may differ.
-    pub fn told(&mut self, now: Duration, told: Told) -> bool {
+    pub fn told(&mut self, now: Duration, told: Update) -> bool {
         let list = match told {
-            Told::Failed(why) => {
+            Update::Failed(why) => {
                 let since = self.stale.as_ref().map_or(now, |stale| stale.since);
                 self.stale = Some(Stale { since, why });
                 return false;
             }
-            Told::Unchanged => return false,
-            Told::List(list) => list,
+            Update::Unchanged => return false,
+            Update::List(list) => list,
         };
         self.stale = None;
         if !list.all {
@@ -359,8 +359,8 @@
         Target { state: State::Draining, ..up(uid) }
     }
 
-    fn whole(rev: u64, targets: Vec<Target>) -> Told {
-        Told::List(List { rev, all: true, targets })
+    fn whole(rev: u64, targets: Vec<Target>) -> Update {
+        Update::List(List { rev, all: true, targets })
     }
 
     fn pool() -> Members {
@@ -386,7 +386,7 @@
     fn nothing_is_known_before_the_first_list_and_an_empty_one_is_knowledge() {
         let mut members = pool();
         assert_eq!(members.members(NOW), None);
-        members.told(NOW, Told::Failed("refused".to_owned()));
+        members.told(NOW, Update::Failed("refused".to_owned()));
         assert_eq!(members.members(NOW), None);
         assert!(members.told(NOW, whole(1, Vec::new())));
         assert_eq!(members.members(NOW), Some(Vec::new()));
@@ -395,12 +395,12 @@
     #[test]
     fn a_source_that_fails_leaves_the_list_and_marks_it() {
         let mut members = with(vec![up("a"), draining("b")]);
-        assert!(!members.told(NOW, Told::Failed("silent".to_owned())));
-        members.told(NOW + Duration::from_secs(5), Told::Failed("refused".to_owned()));
+        assert!(!members.told(NOW, Update::Failed("silent".to_owned())));
+        members.told(NOW + Duration::from_secs(5), Update::Failed("refused".to_owned()));
         let stale = members.stale().cloned().expect("marked");
         assert_eq!((stale.since, stale.why.as_str()), (NOW, "refused"), "since the first failure");
         assert_eq!(names(&mut members, NOW), (vec!["a".to_owned()], 2));
-        members.told(NOW, Told::List(List { rev: 11, all: false, targets: vec![draining("a")] }));
+        members.told(NOW, Update::List(List { rev: 11, all: false, targets: vec![draining("a")] }));
         assert!(members.stale().is_none());
         assert_eq!(names(&mut members, NOW).0, Vec::<String>::new());
     }
@@ -434,7 +434,8 @@
     fn changes_that_come_while_a_list_is_doubted_outlive_the_doubt() {
         let mut members = with(vec![up("a"), up("b"), up("c")]);
         members.told(NOW, whole(11, vec![up("a")]));
-        members.told(NOW, Told::List(List { rev: 12, all: false, targets: vec![up("d"), draining("a")] }));
+        members
+            .told(NOW, Update::List(List { rev: 12, all: false, targets: vec![up("d"), draining("a")] }));
         assert_eq!(names(&mut members, NOW), (["b", "c", "d"].map(str::to_owned).to_vec(), 4));
         members.tick(NOW + Duration::from_secs(10));
         assert_eq!(names(&mut members, NOW), (vec!["d".to_owned()], 2));
@@ -455,7 +456,7 @@
     fn explicit_removals_are_never_doubted() {
         let mut members = with(vec![up("a"), up("b")]);
         let gone = ["a", "b"].map(|uid| Target { state: State::Removed, ..up(uid) });
-        assert!(members.told(NOW, Told::List(List { rev: 11, all: false, targets: gone.to_vec() })));
+        assert!(members.told(NOW, Update::List(List { rev: 11, all: false, targets: gone.to_vec() })));
         assert_eq!(names(&mut members, NOW).1, 0);
     }
 
@@ -497,9 +498,9 @@
         let mut members = with(vec![up("stays")]);
         for n in 0..1000 {
             let uid = format!("e{n}");
-            members.told(NOW, Told::List(List { rev: 11 + n, all: false, targets: vec![up(&uid)] }));
+            members.told(NOW, Update::List(List { rev: 11 + n, all: false, targets: vec![up(&uid)] }));
             let gone = Target { state: State::Removed, ..up(&uid) };
-            members.told(NOW, Told::List(List { rev: 11 + n, all: false, targets: vec![gone] }));
+            members.told(NOW, Update::List(List { rev: 11 + n, all: false, targets: vec![gone] }));
         }
         assert!(members.ids.len() < 40, "{} names", members.ids.len());
     }
--- a/crates/control/src/replicated.rs
+++ b/crates/control/src/replicated.rs
@@ -13,7 +13,7 @@
 use crate::source::Sources;
 use runtrack_agree::host::{Handle, View};
 use runtrack_agree::{Command, MemberChange, State as Agreed, command, state};
-use runtrack_discovery::{List, State, Target, Told};
+use runtrack_discovery::{List, State, Target, Update};
 use runtrack_model::Fleet;
 use runtrack_store::seal;
 use serde::{Deserialize, Serialize};
@@ -207,7 +207,7 @@
     }
 
     /// Takes what a source told.
-    pub fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Told) {
+    pub fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Update) {
         self.heard.told(now, pool, from, told);
         self.hear(pool);
         self.hold_back();
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -11,7 +11,7 @@
 use crate::source::{self, News, Sources};
 use crate::{admin, cluster};
 use runtrack_agree::host::{Handle, View};
-use runtrack_discovery::{Clock, Told};
+use runtrack_discovery::{Clock, Update};
 use runtrack_model::Fleet;
 use runtrack_xds::{
     Aggregated, ClientStatus, ClientStatusDiscoveryServiceServer, Clusters, Discovery, Endpoints, Hub,
@@ -244,7 +244,7 @@
         }
     }
 
-    fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Told) {
+    fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Update) {
         match self {
             StateSource::SingleInstance(instance) => instance.told(now, pool, from, told),
             StateSource::Replicated(replicated) => replicated.told(now, pool, from, told),
@@ -301,8 +301,8 @@
     Ok(server)
 }
 
-fn log(pool: &str, told: &Told) {
-    if let Told::Failed(why) = told {
+fn log(pool: &str, told: &Update) {
+    if let Update::Failed(why) = told {
         eprintln!("pool {pool}: discovery: {why}; its last list stands");
     }
 }
--- a/crates/control/src/single_instance.rs
+++ b/crates/control/src/single_instance.rs
@@ -10,7 +10,7 @@
 use crate::serving_state::{ServingState, halted, locked};
 use crate::shared::Shared;
 use crate::source::Sources;
-use runtrack_discovery::{List, Told};
+use runtrack_discovery::{List, Update};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -77,7 +77,7 @@
     }
 
     /// Takes what a source told.
-    pub fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Told) {
+    pub fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Update) {
         self.serving.both(|core| core.told(now, pool, from, told.clone()));
     }
 
--- a/crates/control/src/source.rs
+++ b/crates/control/src/source.rs
@@ -1,6 +1,6 @@
 //! Follows the platform's discovery for each pool, on a thread of its own.
 
-use runtrack_discovery::{Call, Client, Told, Watch};
+use runtrack_discovery::{Client, ClientCommand, Update, WatchMode};
 use runtrack_net::Tcp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     /// Where.
     pub from: SocketAddr,
     /// What.
-    pub told: Told,
+    pub told: Update,
 }
 
 /// Sources: a pool may have two, while a version is rolled out that takes it from elsewhere.
@@ -45,14 +45,20 @@
 
 /// Follows one source for as long as the set that is returned is held.
 fn one(pool: String, from: SocketAddr, seed: u64, news: mpsc::UnboundedSender<News>) -> JoinSet<()> {
-    let client = Client::new(Rc::new(Tcp), from, Watch::Kept, seed ^ u64::from(from.port()), move |told| {
-        let _ = news.send(News { pool: pool.clone(), from, told }); // fails only while the process ends
-    });
+    let client = Client::new(
+        Rc::new(Tcp),
+        from,
+        WatchMode::Persistent,
+        seed ^ u64::from(from.port()),
+        move |told| {
+            let _ = news.send(News { pool: pool.clone(), from, told }); // fails only while the process ends
+        },
+    );
     // Versions of a server that may have been started anew don't compare with those held.
-    client.start_whole();
+    client.request_full_list();
     let mut task = JoinSet::new();
     task.spawn_local(async move {
-        let (_calls, asked) = mpsc::unbounded_channel::<Call>();
+        let (_calls, asked) = mpsc::unbounded_channel::<ClientCommand>();
         client.run(asked).await;
     });
     task
--- a/crates/discovery/src/client.rs
+++ b/crates/discovery/src/client.rs
@@ -37,18 +37,18 @@
 const BACKOFF_DOUBLES: u32 = 4;
 
 /// What may be asked of the client.
-pub enum Call {
+pub enum ClientCommand {
     /// Follow changes, or stop.
     Watch(bool),
     /// Ask for the whole list once.
     Fetch,
     /// Discovery is at another address from now on.
-    Move(SocketAddr),
+    SetAddress(SocketAddr),
 }
 
 /// What the client has to tell.
 #[derive(Clone, Debug)]
-pub enum Told {
+pub enum Update {
     /// A list came, whole or changes.
     List(List),
     /// A call was answered, and nothing is new.
@@ -59,27 +59,27 @@
 
 /// Who keeps the watch up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Watch {
+pub enum WatchMode {
     /// The client, from the start and for good: it tries again by itself, with growing waits.
-    Kept,
+    Persistent,
     /// The same, of an agent on this machine, which answers at once and at no cost, and is silent while discovery is
     /// down: what it gets at the return counts as told at once, so that the waits do not grow.
-    Agent,
-    /// The caller, by [`Call::Watch`]: a failure is told, and the caller decides when to ask again.
-    Asked,
+    LocalAgent,
+    /// The caller, by [`ClientCommand::Watch`]: a failure is told, and the caller decides when to ask again.
+    OnRequest,
 }
 
 /// A client of discovery, for a single-threaded runtime with a `LocalSet`.
 pub struct Client {
     network: Rc<dyn Network>,
     address: Cell<SocketAddr>,
-    mode: Watch,
+    mode: WatchMode,
     rev: Cell<u64>,
     /// The server is new: its versions don't compare with those of the list held, so that a whole list
     /// must come first, whatever its number.
     moved: Cell<bool>,
     draws: RefCell<Pcg32>,
-    tell: Box<dyn Fn(Told)>,
+    tell: Box<dyn Fn(Update)>,
 }
 
 impl Client {
@@ -87,9 +87,9 @@
     pub fn new(
         network: Rc<dyn Network>,
         address: SocketAddr,
-        mode: Watch,
+        mode: WatchMode,
         seed: u64,
-        tell: impl Fn(Told) + 'static,
+        tell: impl Fn(Update) + 'static,
     ) -> Rc<Self> {
         let draws = RefCell::new(Pcg32::seed_from_u64(seed));
         let (rev, moved) = Default::default();
@@ -98,18 +98,18 @@
     }
 
     /// Asks for the whole list before it follows changes, whatever version is held.
-    pub fn start_whole(&self) {
+    pub fn request_full_list(&self) {
         self.moved.set(true);
     }
 
     /// Goes on from a list of this version instead of asking for all.
-    pub fn start_from(&self, rev: u64) {
+    pub fn resume_from(&self, rev: u64) {
         self.rev.set(rev);
     }
 
     /// Carries out the caller's calls. Each is answered by exactly one event; a watch then goes on.
-    pub async fn run(self: Rc<Self>, mut calls: UnboundedReceiver<Call>) {
-        let mut watch = (self.mode != Watch::Asked).then(|| self.watch());
+    pub async fn run(self: Rc<Self>, mut calls: UnboundedReceiver<ClientCommand>) {
+        let mut watch = (self.mode != WatchMode::OnRequest).then(|| self.watch());
         let mut fetches = JoinSet::new();
         loop {
             let call = tokio::select! {
@@ -119,15 +119,17 @@
             };
             match call {
                 None => return,
-                Some(Call::Watch(true)) if self.mode != Watch::Asked => (self.tell)(Told::Unchanged), // it is up already
-                Some(Call::Watch(true)) => drop(watch.replace(self.watch())),
-                Some(Call::Watch(false)) => {
+                Some(ClientCommand::Watch(true)) if self.mode != WatchMode::OnRequest => {
+                    (self.tell)(Update::Unchanged)
+                } // it is up already
+                Some(ClientCommand::Watch(true)) => drop(watch.replace(self.watch())),
+                Some(ClientCommand::Watch(false)) => {
                     drop(watch.take());
-                    (self.tell)(Told::Unchanged);
+                    (self.tell)(Update::Unchanged);
                 }
-                Some(Call::Fetch) => drop(fetches.spawn_local(self.clone().fetch_once())),
-                Some(Call::Move(_)) if mutant("move-unheard") => {}
-                Some(Call::Move(address)) => {
+                Some(ClientCommand::Fetch) => drop(fetches.spawn_local(self.clone().fetch_once())),
+                Some(ClientCommand::SetAddress(_)) if mutant("move-unheard") => {}
+                Some(ClientCommand::SetAddress(address)) => {
                     self.address.set(address);
                     self.moved.set(true);
                     // Nothing of the old server may come in any more; what was asked of it is asked anew.
@@ -149,8 +151,8 @@
         let mut task = JoinSet::new(); // ends with its holder
         task.spawn_local(async move {
             match this.mode {
-                Watch::Kept | Watch::Agent => this.keep_watch().await,
-                Watch::Asked => {
+                WatchMode::Persistent | WatchMode::LocalAgent => this.keep_watch().await,
+                WatchMode::OnRequest => {
                     let reason = this.follow().await;
                     this.failed(&reason);
                 }
@@ -162,7 +164,7 @@
     async fn fetch_once(self: Rc<Self>) {
         match self.fetch().await {
             // It may be older than what the watch has brought since.
-            Ok(list) if list.rev < self.rev.get() && !self.moved.get() => (self.tell)(Told::Unchanged),
+            Ok(list) if list.rev < self.rev.get() && !self.moved.get() => (self.tell)(Update::Unchanged),
             Ok(list) => self.take(list),
             Err(reason) => self.failed(&reason),
         }
@@ -175,7 +177,7 @@
             let before = self.rev.get();
             let reason = self.follow().await;
             self.failed(&reason);
-            let grows = self.mode != Watch::Agent && self.rev.get() == before;
+            let grows = self.mode != WatchMode::LocalAgent && self.rev.get() == before;
             failures = if grows { failures + 1 } else { 0 };
             let jitter = 0.5 + f64::from(self.draws.borrow_mut().next_u32()) / f64::from(u32::MAX);
             let doubled = BACKOFF * (1 << failures.min(BACKOFF_DOUBLES));
@@ -246,8 +248,8 @@
     /// How long a connection to discovery and its answer may take.
     fn limits(&self) -> (Duration, Duration) {
         match self.mode {
-            Watch::Agent => (AGENT_CONNECT, AGENT_ANSWER),
-            Watch::Kept | Watch::Asked => (CONNECT, ANSWER),
+            WatchMode::LocalAgent => (AGENT_CONNECT, AGENT_ANSWER),
+            WatchMode::Persistent | WatchMode::OnRequest => (CONNECT, ANSWER),
         }
     }
 
@@ -280,11 +282,11 @@
             let sort = if list.all { "whole list" } else { "changes" };
             log::info!("list: {sort}, rev {}, {} entries", list.rev, list.targets.len());
         }
-        (self.tell)(Told::List(list));
+        (self.tell)(Update::List(list));
     }
 
     fn failed(&self, reason: &str) {
         log::info!("discovery: {reason}");
-        (self.tell)(Told::Failed(reason.to_owned()));
+        (self.tell)(Update::Failed(reason.to_owned()));
     }
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -8,6 +8,6 @@
 mod framing;
 mod list;
 
-pub use client::{Call, Client, Told, Watch};
+pub use client::{Client, ClientCommand, Update, WatchMode};
 pub use clock::Clock;
 pub use list::{List, State, Target};
--- a/crates/discovery/tests/silence.rs
+++ b/crates/discovery/tests/silence.rs
@@ -1,7 +1,7 @@
 //! A watch that falls silent at any point of its opening is opened anew soon enough, on a paused clock, and what it brings
 //! is understood in whatever pieces it comes.
 
-use runtrack_discovery::{Call, Client, List, Told, Watch};
+use runtrack_discovery::{Client, ClientCommand, List, Update, WatchMode};
 use runtrack_net::{Came, Connecting, Connection, Listener, Network};
 use std::cell::RefCell;
 use std::io;
@@ -138,7 +138,7 @@
 
 /// Lists as they were told, and when, and what was asked. A caller that has to ask does so at once after a failure.
 fn told(
-    mode: Watch,
+    mode: WatchMode,
     script: Vec<Does>,
     seed: u64,
     lasts: Duration,
@@ -151,12 +151,14 @@
         let (start, lists) = (Instant::now(), Rc::<RefCell<Vec<(Duration, List)>>>::default());
         let (noted, again) = (lists.clone(), calls.clone());
         let client = Client::new(network, ([127, 0, 0, 1], 1).into(), mode, seed, move |told| match told {
-            Told::List(list) => noted.borrow_mut().push((start.elapsed(), list)),
-            Told::Failed(_) if mode == Watch::Asked => drop(again.send(Call::Watch(true))),
-            Told::Failed(_) | Told::Unchanged => {}
+            Update::List(list) => noted.borrow_mut().push((start.elapsed(), list)),
+            Update::Failed(_) if mode == WatchMode::OnRequest => {
+                drop(again.send(ClientCommand::Watch(true)))
+            }
+            Update::Failed(_) | Update::Unchanged => {}
         });
-        client.start_from(7);
-        let _ = calls.send(Call::Watch(true));
+        client.resume_from(7);
+        let _ = calls.send(ClientCommand::Watch(true));
         spawn_local(client.run(taken));
         sleep(lasts).await;
         let questions = std::iter::from_fn(|| questions.try_recv().ok()).collect();
@@ -179,7 +181,7 @@
 
 #[test]
 fn wherever_a_watch_falls_silent_what_it_misses_is_told_within_its_time() {
-    for mode in [Watch::Agent, Watch::Asked] {
+    for mode in [WatchMode::LocalAgent, WatchMode::OnRequest] {
         for seed in 0..50 {
             let quiet = [
                 Does::HeadAlone,
@@ -202,7 +204,7 @@
     for seed in 0..50 {
         for second in [Does::Hangs, Does::Mute] {
             let script = vec![Does::Body(vec![line(8, false)]), second.clone(), changes(9)];
-            let (lists, _) = told(Watch::Agent, script, seed, TOLD);
+            let (lists, _) = told(WatchMode::LocalAgent, script, seed, TOLD);
             assert!(lists.iter().any(|(_, list)| list.rev == 9), "{seed} {second:?}: {lists:?}");
         }
     }
@@ -213,7 +215,7 @@
     for seed in 0..20 {
         let mut script = vec![Does::Mute; 20];
         script.push(changes(9));
-        let (lists, asked) = told(Watch::Agent, script, seed, Duration::from_secs(60));
+        let (lists, asked) = told(WatchMode::LocalAgent, script, seed, Duration::from_secs(60));
         assert!(lists.len() == 1 && asked.len() == 21);
         let longest = Duration::from_millis(20 * (1000 + 375));
         assert!(lists[0].0 <= longest, "{seed}: the waits do not grow: {:?}", lists[0].0);
@@ -233,7 +235,7 @@
     cuts.push(vec![text.clone()]);
     for pieces in cuts {
         let script = vec![Does::Alive(pieces.clone())];
-        let (lists, asked) = told(Watch::Agent, script, 1, Duration::from_secs(1));
+        let (lists, asked) = told(WatchMode::LocalAgent, script, 1, Duration::from_secs(1));
         let revs: Vec<u64> = lists.iter().map(|(_, list)| list.rev).collect();
         assert_eq!((revs, asked.len()), (expected.clone(), 1), "{pieces:?}");
         assert!(lists.iter().all(|(_, list)| list.targets.len() == 1));
@@ -252,7 +254,7 @@
     ];
     for broken in all {
         let script = vec![Does::Alive(vec![line(8, false), broken.to_owned()]), changes(10)];
-        let (lists, asked) = told(Watch::Agent, script, 3, TOLD);
+        let (lists, asked) = told(WatchMode::LocalAgent, script, 3, TOLD);
         assert_eq!(lists.last().map(|(_, list)| list.rev), Some(10), "{broken:?}: {lists:?}");
         assert_eq!(asked[1], "GET /api/targets?watch=1&after=8 HTTP/1.1", "nothing was skipped");
     }
@@ -260,7 +262,7 @@
 
 #[test]
 fn versions_that_go_back_are_another_servers_and_the_whole_list_is_asked_for() {
-    let (lists, asked) = told(Watch::Agent, vec![changes(3)], 5, Duration::from_secs(1));
+    let (lists, asked) = told(WatchMode::LocalAgent, vec![changes(3)], 5, Duration::from_secs(1));
     assert_eq!(asked[0], "GET /api/targets?watch=1&after=7 HTTP/1.1");
     assert_eq!(asked[1], "GET /api/targets HTTP/1.1", "{lists:?}");
 }
@@ -272,7 +274,7 @@
     for seed in 0..20 {
         let half = Does::LateAndHalf(Duration::from_millis(900), line(9, true));
         let script = vec![changes(3), half, Does::Whole(line(9, true)), Does::Alive(Vec::new())];
-        let (lists, asked) = told(Watch::Agent, script, seed, TOLD);
+        let (lists, asked) = told(WatchMode::LocalAgent, script, seed, TOLD);
         let nine = lists.iter().find(|(_, list)| list.rev == 9).expect("the whole list");
         assert!(nine.0 < Duration::from_secs(4), "{seed}: {:?}", nine.0);
         assert_eq!(asked[1..3], ["GET /api/targets HTTP/1.1", "GET /api/targets HTTP/1.1"]);
--- a/crates/runtrack/src/net/driver.rs
+++ b/crates/runtrack/src/net/driver.rs
@@ -11,7 +11,7 @@
     Action, AttemptEnded, AttemptNo, Balancer, EndpointId, EndpointState, Event, Membership, Outcome,
     RequestId, TimerToken,
 };
-use runtrack_discovery::{Call, Clock};
+use runtrack_discovery::{ClientCommand, Clock};
 use runtrack_net::mutant;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -149,7 +149,7 @@
     summary_at: Instant,
     outbound: Rc<Outbound>,
     listing: Rc<Listing>,
-    calls: UnboundedSender<Call>,
+    calls: UnboundedSender<ClientCommand>,
     inbox: Inbox,
     /// What was open has been given up, and nothing more is sent.
     over: bool,
@@ -163,7 +163,7 @@
         max_attempts: u32,
         outbound: Rc<Outbound>,
         listing: Rc<Listing>,
-        calls: UnboundedSender<Call>,
+        calls: UnboundedSender<ClientCommand>,
         inbox: Inbox,
     ) -> Self {
         Driver {
@@ -466,8 +466,8 @@
                 self.timers.push(Reverse((Instant::now() + after, token.0)));
             }
             // These fail only while the process ends.
-            Action::Watch(on) => drop(self.calls.send(Call::Watch(on))),
-            Action::FetchList => drop(self.calls.send(Call::Fetch)),
+            Action::Watch(on) => drop(self.calls.send(ClientCommand::Watch(on))),
+            Action::FetchList => drop(self.calls.send(ClientCommand::Fetch)),
             Action::Probe { endpoint } => self.probe(endpoint),
             Action::CloseIdle { endpoint } => self.outbound.close_idle(endpoint),
             Action::Log(text) => log::info!("module: {}", text.replace(['\n', '\r'], " ")),
--- a/crates/runtrack/src/net/listing.rs
+++ b/crates/runtrack/src/net/listing.rs
@@ -4,7 +4,7 @@
 use runtrack_balancer::{
     CellId, EndpointId, EndpointInfo, EndpointState, KindId, Membership, ZoneId, wire,
 };
-use runtrack_discovery::{List, State, Told};
+use runtrack_discovery::{List, State, Update};
 use runtrack_net::mutant;
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -41,11 +41,11 @@
     }
 
     /// What discovery's client told, for the module.
-    pub fn told(&self, told: Told) -> News {
+    pub fn told(&self, told: Update) -> News {
         let membership = match told {
-            Told::List(list) => return self.news(list),
-            Told::Unchanged => Membership::Delta(Vec::new()),
-            Told::Failed(_) => Membership::Failed,
+            Update::List(list) => return self.news(list),
+            Update::Unchanged => Membership::Delta(Vec::new()),
+            Update::Failed(_) => Membership::Failed,
         };
         News { membership, addresses: Vec::new() }
     }
--- a/crates/runtrack/src/sidecar.rs
+++ b/crates/runtrack/src/sidecar.rs
@@ -7,7 +7,7 @@
 use crate::net::listing::Listing;
 use crate::net::outbound::Outbound;
 use runtrack_balancer::Balancer;
-use runtrack_discovery::{Call, Client, Clock, Told, Watch};
+use runtrack_discovery::{Client, ClientCommand, Clock, Update, WatchMode};
 use runtrack_net::Network;
 use std::pin::pin;
 use std::rc::Rc;
@@ -49,18 +49,18 @@
     let inbound = Inbound::new(settings.clone(), &names, budget, outbound.clone(), inbox.clone());
     let listing = Rc::new(Listing::new(names));
     let watch = match settings.discovery {
-        runtrack_balancer::Discovery::Push => Watch::Agent, // the module never asks for one
-        runtrack_balancer::Discovery::Ask => Watch::Asked,
+        runtrack_balancer::Discovery::Push => WatchMode::LocalAgent, // the module never asks for one
+        runtrack_balancer::Discovery::Ask => WatchMode::OnRequest,
     };
     let (translate, news) = (listing.clone(), inbox.clone());
     let first = Rc::new(Notify::new());
     let came = first.clone();
-    let client = Client::new(network.clone(), discovery, watch, seed, move |told: Told| {
+    let client = Client::new(network.clone(), discovery, watch, seed, move |told: Update| {
         let _ = news.send(Input::List(translate.told(told))); // fails only while the process ends
         came.notify_one();
     });
     // The list as last held is there before the first client.
-    client.start_from(known.rev);
+    client.resume_from(known.rev);
     let _ = inbox.send(Input::List(listing.cached(known)));
     let attempts = settings.limits.max_attempts;
     let driver =
@@ -68,7 +68,7 @@
     let mut driver = spawn_local(driver.run(inputs));
     spawn_local(client.run(asked));
     spawn_local(outbound.sweep());
-    if watch == Watch::Agent && !runtrack_net::mutant("old-list-first") {
+    if watch == WatchMode::LocalAgent && !runtrack_net::mutant("old-list-first") {
         // What the agent has counts as told from the first moment on, and the list as last held may be older.
         let _ = timeout(FIRST_WORD, first.notified()).await;
     }
@@ -97,7 +97,7 @@
                         log::info!("reloaded: changes that need a restart: {}", restart.join(", "));
                     }
                     if let Some(address) = moved {
-                        let _ = calls.send(Call::Move(address)); // fails only while the process ends
+                        let _ = calls.send(ClientCommand::SetAddress(address)); // fails only while the process ends
                     }
                 }
             },
