--- a/crates/balancer/benches/membership.rs
+++ b/crates/balancer/benches/membership.rs
@@ -31,7 +31,7 @@
             }
             began.elapsed().as_secs_f64() * 1e6 / (2 * changes) as f64
         };
-        let (drain, leave) = (time(EndpointState::Draining), time(EndpointState::Gone));
+        let (drain, leave) = (time(EndpointState::Draining), time(EndpointState::Removed));
         println!("{size:>9}  {drain:>27.2}  {leave:>27.2}");
     }
 }
--- a/crates/balancer/src/balance/choice.rs
+++ b/crates/balancer/src/balance/choice.rs
@@ -85,21 +85,21 @@
         if !endpoint.is_ready() || self.load(now, i) + 1.0 > room || overspent {
             return false;
         }
-        let Semantics::Keyed { group, .. } = self.settings.classes[pending.class].semantics else {
+        let Semantics::Keyed { scope, .. } = self.settings.classes[pending.class].semantics else {
             return true;
         };
-        pending.may_have_run().all(|a| match group {
-            Group::All => true,
-            Group::Zone => a.zone == endpoint.info.zone,
-            Group::Cell => a.cell == endpoint.info.cell,
+        pending.may_have_run().all(|a| match scope {
+            DedupScope::All => true,
+            DedupScope::Zone => a.zone == endpoint.info.zone,
+            DedupScope::Cell => a.cell == endpoint.info.cell,
         })
     }
 
     /// The part of its capacity that an endpoint surely has: it rises evenly from the cold share.
     pub(super) fn warmth(&self, now: Duration, i: usize) -> f64 {
         let rules = &self.settings.rules;
-        let Some(started) = self.endpoints[i].info.started else { return 1.0 };
-        let age = now.saturating_sub(started).as_secs_f64() / rules.warm_within.as_secs_f64().max(1e-3);
+        let Some(started_at) = self.endpoints[i].info.started_at else { return 1.0 };
+        let age = now.saturating_sub(started_at).as_secs_f64() / rules.warm_within.as_secs_f64().max(1e-3);
         (rules.cold_share + (1.0 - rules.cold_share) * age).clamp(0.01, 1.0)
     }
 
@@ -108,8 +108,8 @@
     pub(super) fn cold_tokens(&self, now: Duration, i: usize) -> f64 {
         let rules = &self.settings.rules;
         let endpoint = &self.endpoints[i];
-        let rate = self.warmth(now, i) * rules.fall_multiple * COLD_CAUTION * self.proven_rate(now);
-        let most = (rate * rules.fall_after.as_secs_f64() * COLD_CAUTION).max(1.0);
+        let rate = self.warmth(now, i) * rules.cold_overload_factor * COLD_CAUTION * self.proven_rate(now);
+        let most = (rate * rules.cold_overload_window.as_secs_f64() * COLD_CAUTION).max(1.0);
         (endpoint.cold_tokens + rate * now.saturating_sub(endpoint.cold_at).as_secs_f64()).min(most)
     }
 
--- a/crates/balancer/src/balance/dispatch.rs
+++ b/crates/balancer/src/balance/dispatch.rs
@@ -109,12 +109,12 @@
         let may_have_run = pending.may_have_run().next().is_some();
         let harmless = match self.settings.classes[pending.class].semantics {
             Semantics::Safe => true,
-            Semantics::Keyed { group, .. } => group == Group::All || !may_have_run,
+            Semantics::Keyed { scope, .. } => scope == DedupScope::All || !may_have_run,
             Semantics::Unsafe => !may_have_run,
         };
         // The time in which a place comes free.
         let usual = Duration::from_secs_f64(self.latency[pending.class].mean()).max(HOLD_RECHECK);
-        let retry_after = self.settings.limits.advice(usual);
+        let retry_after = self.settings.limits.capped_retry_after(usual);
         let refusal = Action::Refuse { request: id, retry_after };
         out.push(if harmless { refusal } else { Action::Fail { request: id } });
         self.finish(id, out);
@@ -129,7 +129,7 @@
                 self.timers.remove(&due);
             }
             for (number, attempt) in pending.attempts.iter().enumerate() {
-                if attempt.fate == Fate::Out && !pending.streaming && self.settings.limits.cancelling {
+                if attempt.fate == Fate::Out && !pending.streaming && self.settings.limits.cancellation {
                     out.push(Action::Cancel { request: id, attempt: AttemptNo(number as u32) });
                 }
             }
--- a/crates/balancer/src/balance/endpoint.rs
+++ b/crates/balancer/src/balance/endpoint.rs
@@ -26,7 +26,7 @@
 impl Endpoint {
     /// An endpoint that has just been listed; its first cold budget is drawn, so that callers don't agree.
     pub(super) fn new(now: Duration, info: EndpointInfo, cold_tokens: f64) -> Self {
-        let opening = info.started.is_none();
+        let opening = info.started_at.is_none();
         Endpoint {
             info,
             in_flight: 0,
@@ -44,7 +44,7 @@
 
     /// Takes what discovery says of it now.
     pub(super) fn update(&mut self, now: Duration, info: EndpointInfo) {
-        if info.started != self.info.started {
+        if info.started_at != self.info.started_at {
             self.drag.value = 0.0;
             self.heat.value = 0.0; // another process: its forerunner's failures say nothing
             (self.cold_tokens, self.cold_at) = (0.0, now);
--- a/crates/balancer/src/balance/membership.rs
+++ b/crates/balancer/src/balance/membership.rs
@@ -8,33 +8,33 @@
 
 impl Balancer {
     pub(super) fn on_membership(&mut self, now: Duration, news: Membership, out: &mut Actions) {
-        let ask = self.settings.discovery == Discovery::Ask;
+        let ask = self.settings.discovery == Discovery::Subscribe;
         match news {
             Membership::Failed if ask => return self.retry_discovery(now),
             Membership::Failed => return,
             Membership::Delta(entries) => self.update_endpoints(now, entries),
             Membership::Full(entries) | Membership::Cached(entries) => self.replace_endpoints(now, entries),
         }
-        if ask && !self.started {
+        if ask && !self.has_list {
             // All instances may start at once; discovery answers them one after another.
-            let most = self.settings.rules.ask_within.as_secs_f64() / 8.0;
+            let most = self.settings.rules.resubscribe_within.as_secs_f64() / 8.0;
             let wait = Duration::from_secs_f64(self.draws.uniform() * most);
             self.set_timer(now + wait, Timer::Ask);
         } else {
             self.ask_failures = 0;
         }
-        if !std::mem::replace(&mut self.started, true) {
+        if !std::mem::replace(&mut self.has_list, true) {
             let size = (WINDOW_START * self.part()).max(1.0);
             self.windows.iter_mut().for_each(|window| window.size = size);
         }
         self.release_held(now, out);
     }
 
-    /// Asks discovery again later, jittered, so that instances refused together do not return together.
-    /// After a call that failed a list counts as good for four times `ask_within` (WIRE, `askWithinMs`).
+    /// Subscribes again after a jittered delay, so that instances refused together do not retry together.
+    /// A list stays valid for four times `askWithinMs` after a failed call (see WIRE).
     fn retry_discovery(&mut self, now: Duration) {
         let doubled = ASK_BACKOFF * f64::from(1u32 << self.ask_failures.min(4));
-        let stated = self.settings.rules.ask_within.as_secs_f64();
+        let stated = self.settings.rules.resubscribe_within.as_secs_f64();
         let most = if stated > 0.0 { MAX_ASK_BACKOFF.min(stated) } else { MAX_ASK_BACKOFF };
         let wait = doubled.min(most) * (0.5 + self.draws.uniform());
         self.ask_failures += 1;
@@ -45,7 +45,7 @@
     fn replace_endpoints(&mut self, now: Duration, mut entries: Vec<EndpointInfo>) {
         let listed: HashSet<EndpointId> = entries.iter().map(|e| e.id).collect();
         let missing = self.endpoints.iter().filter(|e| !listed.contains(&e.info.id));
-        let gone = |e: &Endpoint| EndpointInfo { state: EndpointState::Gone, ..e.info.clone() };
+        let gone = |e: &Endpoint| EndpointInfo { state: EndpointState::Removed, ..e.info.clone() };
         entries.extend(missing.map(gone));
         self.update_endpoints(now, entries);
     }
@@ -77,15 +77,16 @@
     }
 
     fn update_endpoint(&mut self, now: Duration, info: EndpointInfo, touched: &mut Touched) {
-        let (id, gone) = (info.id, info.state == EndpointState::Gone);
+        let (id, gone) = (info.id, info.state == EndpointState::Removed);
         let i = match self.index.get(&id) {
             Some(&i) => i,
             None if gone => return,
             None => self.add_endpoint(now, info.clone()),
         };
         let endpoint = &mut self.endpoints[i];
-        let (zone, started, was_ready) = (endpoint.info.zone, endpoint.info.started, endpoint.is_ready());
-        let same = (info.zone, info.started) == (zone, started);
+        let (zone, started_at, was_ready) =
+            (endpoint.info.zone, endpoint.info.started_at, endpoint.is_ready());
+        let same = (info.zone, info.started_at) == (zone, started_at);
         endpoint.update(now, info);
         let ready = endpoint.is_ready();
         let on_ring = self.rings.get(&zone).is_some_and(|ring| ring.contains(id));
@@ -104,11 +105,11 @@
 
     fn put_on_ring(&mut self, now: Duration, i: usize, touched: &mut Touched) {
         let warm = self.warmth(now, i) >= 1.0;
-        let EndpointInfo { id, zone, started, .. } = self.endpoints[i].info;
+        let EndpointInfo { id, zone, started_at, .. } = self.endpoints[i].info;
         self.rings.entry(zone).or_default().insert(id, warm);
-        if let Some(started) = started.filter(|_| !warm) {
+        if let Some(started_at) = started_at.filter(|_| !warm) {
             // A moment more than the time itself, which rounding could miss.
-            let at = started + self.settings.rules.warm_within + Duration::from_micros(1);
+            let at = started_at + self.settings.rules.warm_within + Duration::from_micros(1);
             self.warming.insert((at, id));
         }
         self.pools.set(2 + self.side(i), i, true);
@@ -120,7 +121,7 @@
         for id in std::mem::take(&mut self.leaving) {
             let Some(&i) = self.index.get(&id) else { continue };
             match &self.endpoints[i] {
-                endpoint if endpoint.info.state != EndpointState::Gone => {}
+                endpoint if endpoint.info.state != EndpointState::Removed => {}
                 endpoint if endpoint.in_flight > 0 => self.leaving.push(id),
                 _ => self.forget_endpoint(i),
             }
@@ -154,7 +155,7 @@
             return;
         }
         let (size, callers) = (ring.len() as f64, f64::from(self.settings.balancers.max(1)));
-        let start = (size * (f64::from(self.settings.me) * PLACE_STEP).fract()) as usize;
+        let start = (size * (f64::from(self.settings.balancer_index) * PLACE_STEP).fract()) as usize;
         // Cold endpoints come on top: through a release a part of them alone would be crowded.
         let side = usize::from(zone != self.settings.zone);
         // Those of a zone send there first, and have to even out among themselves.
--- a/crates/balancer/src/balance/mod.rs
+++ b/crates/balancer/src/balance/mod.rs
@@ -78,7 +78,7 @@
     proven: Fading,
     silence: Silence,
     ask_failures: u32,
-    started: bool,
+    has_list: bool,
 }
 
 impl Balancer {
@@ -112,7 +112,7 @@
             proven: Fading::default(),
             silence: Silence::default(),
             ask_failures: 0,
-            started: false,
+            has_list: false,
         })
     }
 
@@ -146,16 +146,16 @@
     }
 
     /// Things remembered: endpoints, requests, timers. Stays in proportion to what is going on.
-    pub fn remembered(&self) -> usize {
+    pub fn state_size(&self) -> usize {
         self.endpoints.len() + self.requests.len() + self.timers.len() + self.held_count()
     }
 
     /// How an endpoint that is on the list stands.
-    pub fn standing(&self, now: Duration, id: EndpointId) -> Option<Standing<'_>> {
+    pub fn endpoint_status(&self, now: Duration, id: EndpointId) -> Option<EndpointStatus<'_>> {
         let i = *self.index.get(&id)?;
-        let endpoint = &self.endpoints[i];
-        let (part, heat) = (self.warmth(now, i), endpoint.heat(now, self.memory));
-        Some(Standing { info: &endpoint.info, part, heat, in_flight: endpoint.in_flight })
+        let e = &self.endpoints[i];
+        let (capacity_fraction, failure_penalty) = (self.warmth(now, i), e.heat(now, self.memory));
+        Some(EndpointStatus { info: &e.info, capacity_fraction, failure_penalty, in_flight: e.in_flight })
     }
 
     fn on_due(&mut self, now: Duration, out: &mut Actions) {
--- a/crates/balancer/src/balance/outcome.rs
+++ b/crates/balancer/src/balance/outcome.rs
@@ -52,7 +52,7 @@
 
     fn retry_or_give_up(&mut self, now: Duration, id: RequestId, outcome: Outcome, out: &mut Actions) {
         // What was never sent is no retry.
-        let price = if outcome == Outcome::Moot { 0.0 } else { 1.0 };
+        let price = if outcome == Outcome::NotSent { 0.0 } else { 1.0 };
         if self.retry_tokens >= price && self.may_repeat(now, id) {
             self.retry_tokens -= price;
             self.advance(now, id, out);
@@ -74,7 +74,7 @@
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         match ended.outcome {
             Outcome::Ok => self.learn_from_answer(now, i, class, &judged),
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
             outcome => {
                 endpoint.add_heat(now, self.memory);
                 endpoint.ill = outcome == Outcome::Error;
@@ -91,7 +91,7 @@
             Outcome::Error | Outcome::Reset => slow,
             Outcome::Cancelled => slow && !silent,
             Outcome::TimedOut => !silent,
-            outcome => outcome == Outcome::Full,
+            outcome => outcome == Outcome::Rejected,
         };
         Judged { answered: ended.outcome == Outcome::Ok, elapsed, late_after, slow, late }
     }
--- a/crates/balancer/src/balance/silence.rs
+++ b/crates/balancer/src/balance/silence.rs
@@ -74,17 +74,18 @@
         let Some(long) = self.latency[pending.class].overdue(SILENT_SPREADS) else { return };
         // One alone, too: answers may be swallowed here and there, whatever the endpoint. Retries' tokens
         // bound the copies; they would hurt where work is so uneven that answers often take as long.
-        let lone = now + self.settings.tick >= attempt.sent + long && self.silence.late_share < LATE_SHARE;
+        let lone = now + self.settings.clock_resolution >= attempt.sent + long
+            && self.silence.late_share < LATE_SHARE;
         if lone {
             self.note_silence(now, attempt);
         }
-        let (limits, copies) = (&self.settings.limits, self.settings.limits.second_copies);
+        let (limits, copies) = (&self.settings.limits, self.settings.limits.hedging);
         let affordable = tries < limits.max_attempts as usize && self.retry_tokens >= 1.0;
         let wanted = lone && copies || self.silence.is_on(now);
         if !affordable || !wanted || !self.may_repeat(now, id) {
             return;
         }
-        if !copies && limits.cancelling {
+        if !copies && limits.cancellation {
             out.push(Action::Cancel { request: id, attempt: number });
         } else if copies && let Some(i) = self.pick(now, id) {
             self.retry_tokens -= 1.0;
--- a/crates/balancer/src/fleet/mod.rs
+++ b/crates/balancer/src/fleet/mod.rs
@@ -106,13 +106,13 @@
     }
 
     /// An even draw from 0 to below 1.
-    pub fn draw(&mut self) -> f64 {
+    pub fn random_fraction(&mut self) -> f64 {
         self.draws.uniform()
     }
 
     /// Counts a request of a service.
-    pub fn arrived(&mut self, now: Duration, service: u64) {
-        self.retries.arrived(now, service);
+    pub fn on_request(&mut self, now: Duration, service: u64) {
+        self.retries.on_request(now, service);
     }
 
     /// Whether a request of a service may be sent to another endpoint; takes it off the budget if so.
@@ -236,7 +236,7 @@
     }
 
     /// A call goes to an endpoint; returns the tokens that will be prefilled for it.
-    pub fn sent(&mut self, now: Duration, id: EndpointId, prompt: Option<Prompt>) -> u32 {
+    pub fn on_sent(&mut self, now: Duration, id: EndpointId, prompt: Option<Prompt>) -> u32 {
         let tokens = prompt.map_or(0, |prompt| {
             let held = self.prefixes.longest_held(id, &prompt).map_or(0, |prefix| prefix.tokens);
             self.prefixes.record(now, id, &prompt);
@@ -284,14 +284,14 @@
     }
 
     /// Tokens that endpoints have to prefill for this proxy's calls, of those that have any.
-    pub fn backlog(&self) -> Vec<(EndpointId, u32)> {
+    pub fn pending_prefill(&self) -> Vec<(EndpointId, u32)> {
         let with = self.loads.iter().filter(|(_, load)| load.pending_prefill > 0);
         with.map(|(id, load)| (*id, load.pending_prefill)).collect()
     }
 
     /// What endpoints have to prefill for all proxies' calls, of those that have anything; `own` is what this proxy had
     /// reported when that was summed up.
-    pub fn set_fleet_backlog(
+    pub fn set_fleet_pending_prefill(
         &mut self,
         now: Duration,
         all: &[(EndpointId, u32)],
@@ -308,13 +308,13 @@
     }
 
     /// A call that was sent has ended.
-    pub fn ended(&mut self, now: Duration, id: EndpointId, outcome: Outcome) {
+    pub fn on_ended(&mut self, now: Duration, id: EndpointId, outcome: Outcome) {
         let load = self.loads.entry(id).or_default();
         load.in_flight = load.in_flight.saturating_sub(1);
         match outcome {
             Outcome::Ok => load.succeed(),
-            Outcome::Cancelled | Outcome::Moot => {}
-            Outcome::Full | Outcome::Error => load.fail(now),
+            Outcome::Cancelled | Outcome::NotSent => {}
+            Outcome::Rejected | Outcome::Error => load.fail(now),
             Outcome::ConnectFailed | Outcome::Reset | Outcome::TimedOut => {
                 load.fail(now);
                 load.eject(now);
--- a/crates/balancer/src/fleet/retry_budget.rs
+++ b/crates/balancer/src/fleet/retry_budget.rs
@@ -52,7 +52,7 @@
     }
 
     /// Counts a request of a service.
-    pub(super) fn arrived(&mut self, now: Duration, service: u64) {
+    pub(super) fn on_request(&mut self, now: Duration, service: u64) {
         self.window(now, service).requests.push_back(now);
     }
 
--- a/crates/balancer/src/types/endpoint.rs
+++ b/crates/balancer/src/types/endpoint.rs
@@ -1,6 +1,6 @@
 //! Endpoints as discovery tells of them.
 
-use super::{CellId, EndpointId, KindId, ZoneId};
+use super::{CellId, EndpointId, MachineTypeId, ZoneId};
 use std::time::Duration;
 
 /// What discovery says of one endpoint.
@@ -11,7 +11,7 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its machine kind.
-    pub kind: KindId,
+    pub machine_type: MachineTypeId,
     /// Its cell.
     pub cell: CellId,
     /// Whether it may be sent to.
@@ -19,7 +19,7 @@
     /// Its weight, see [`WeightKind`](crate::WeightKind).
     pub weight: f64,
     /// When its process last started; `None` means long ago.
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
 }
 
 impl EndpointInfo {
@@ -28,11 +28,11 @@
         EndpointInfo {
             id: EndpointId(id),
             zone: ZoneId(0),
-            kind: KindId(0),
+            machine_type: MachineTypeId(0),
             cell: CellId(0),
             state: EndpointState::Ready,
             weight: 1.0,
-            started: None,
+            started_at: None,
         }
     }
 }
@@ -45,18 +45,18 @@
     /// Finishing its work; nothing new may be sent.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// How an endpoint stands with a balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing<'a> {
+pub struct EndpointStatus<'a> {
     /// What discovery says of it.
     pub info: &'a EndpointInfo,
     /// The part of its capacity that it surely has: below one while it is cold.
-    pub part: f64,
+    pub capacity_fraction: f64,
     /// Recent failures there as calls in flight; zero for an endpoint that is well.
-    pub heat: f64,
+    pub failure_penalty: f64,
     /// Own calls in flight there.
     pub in_flight: u32,
 }
--- a/crates/balancer/src/types/event.rs
+++ b/crates/balancer/src/types/event.rs
@@ -109,7 +109,7 @@
     /// The endpoint answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection came up.
@@ -119,12 +119,12 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
--- a/crates/balancer/src/types/ids.rs
+++ b/crates/balancer/src/types/ids.rs
@@ -24,7 +24,7 @@
 pub struct CellId(pub u64);
 /// A machine kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct KindId(pub u32);
+pub struct MachineTypeId(pub u32);
 /// Names a timer of the balancer's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
--- a/crates/balancer/src/types/mod.rs
+++ b/crates/balancer/src/types/mod.rs
@@ -11,12 +11,14 @@
 mod validate;
 
 pub use action::Action;
-pub use endpoint::{EndpointInfo, EndpointState, Membership, Standing};
+pub use endpoint::{EndpointInfo, EndpointState, EndpointStatus, Membership};
 pub use event::{AttemptEnded, Event, Outcome, Request};
-pub use ids::{AttemptNo, CellId, ClassId, EndpointId, KindId, RequestId, TenantId, TimerToken, ZoneId};
+pub use ids::{
+    AttemptNo, CellId, ClassId, EndpointId, MachineTypeId, RequestId, TenantId, TimerToken, ZoneId,
+};
 pub use limits::{Limits, Rules};
 pub use settings::{
-    Class, Costs, CountedBy, Discovery, Goal, Group, LoadField, LoadReports, ReportVia, Semantics,
-    Settings, Tenant, WeightKind,
+    Class, Costs, DedupScope, Discovery, LoadField, LoadReports, ReportDelivery, ScoreWeights, Semantics,
+    Settings, Tenant, ValueBasis, WeightKind,
 };
 pub use validate::SettingsError;
--- a/crates/balancer/src/types/settings.rs
+++ b/crates/balancer/src/types/settings.rs
@@ -9,7 +9,7 @@
     /// Balancers in this tier, this one included.
     pub balancers: u32,
     /// This balancer's number among them.
-    pub me: u32,
+    pub balancer_index: u32,
     /// Zone this balancer runs in.
     pub zone: ZoneId,
     /// Zones of the deployment.
@@ -31,17 +31,17 @@
     /// Figures of the four rules.
     pub rules: Rules,
     /// What the result is made of.
-    pub goal: Goal,
+    pub score_weights: ScoreWeights,
     /// Prices.
     pub costs: Costs,
     /// What load reports hold and how they come.
     pub load_reports: LoadReports,
     /// What [`EndpointInfo::weight`](crate::EndpointInfo::weight) means.
-    pub weights: WeightKind,
+    pub weight_kind: WeightKind,
     /// Least time between two rounds of events.
-    pub tick: Duration,
+    pub clock_resolution: Duration,
     /// Calls to the next tier carry the caller's time left rather than the class's deadline.
-    pub passes_deadline: bool,
+    pub propagates_deadline: bool,
     /// An endpoint that served a key of late serves it with less work.
     pub warm_keys: bool,
     /// Clients mark their repeats, see [`Request::client_retry`](crate::Request::client_retry).
@@ -64,7 +64,7 @@
     /// Value of one request.
     pub value: f64,
     /// The objective grows by this multiple of the request's own work, up to the deadline.
-    pub aim_stretch: f64,
+    pub objective_work_factor: f64,
 }
 
 /// Whether a request may run again.
@@ -75,7 +75,7 @@
     /// Endpoints of one group drop repeats for a while.
     Keyed {
         /// Which endpoints drop each other's repeats.
-        group: Group,
+        scope: DedupScope,
         /// For how long, from the first send that may have run.
         window: Duration,
     },
@@ -85,7 +85,7 @@
 
 /// The endpoints among which a keyed repeat is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All endpoints.
     All,
     /// Those of one zone.
@@ -109,12 +109,12 @@
     /// Changes come by themselves.
     Push,
     /// Only what is asked for comes.
-    Ask,
+    Subscribe,
 }
 
 /// What value is counted by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CountedBy {
+pub enum ValueBasis {
     /// Each request counts alike within its class.
     Request,
     /// Value is for each unit of work, see [`Request::work_hint`](crate::Request::work_hint).
@@ -123,9 +123,9 @@
 
 /// What the result is made of: weights of its parts.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Goal {
+pub struct ScoreWeights {
     /// The whole day.
-    pub whole: f64,
+    pub overall: f64,
     /// The worst ten seconds.
     pub worst_window: f64,
     /// The worst-served class.
@@ -133,11 +133,11 @@
     /// The worst-served tenant, within its share.
     pub worst_tenant: f64,
     /// Tenfold steps that the unserved share lies below the whole, over spans of five seconds.
-    pub nines: f64,
+    pub availability_nines: f64,
     /// So many such steps earn that weight in full; not a weight.
-    pub nines_wanted: f64,
+    pub target_nines: f64,
     /// What value is counted by.
-    pub counted_by: CountedBy,
+    pub value_basis: ValueBasis,
 }
 
 /// Prices, in points of the result.
@@ -163,14 +163,14 @@
 #[derive(Clone, Debug)]
 pub struct LoadReports {
     /// How they come.
-    pub via: ReportVia,
+    pub delivery: ReportDelivery,
     /// Their values, in order.
     pub fields: Vec<LoadField>,
 }
 
 /// How load reports come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportVia {
+pub enum ReportDelivery {
     /// Never.
     Off,
     /// With every outcome and probe.
@@ -216,7 +216,7 @@
     fn default() -> Self {
         Settings {
             balancers: 1,
-            me: 0,
+            balancer_index: 0,
             zone: ZoneId(0),
             zones: 1,
             tier: 0,
@@ -227,12 +227,12 @@
             discovery: Discovery::Push,
             limits: Limits::default(),
             rules: Rules::default(),
-            goal: Goal::default(),
+            score_weights: ScoreWeights::default(),
             costs: Costs::default(),
-            load_reports: LoadReports { via: ReportVia::Off, fields: Vec::new() },
-            weights: WeightKind::Off,
-            tick: Duration::from_millis(1),
-            passes_deadline: true,
+            load_reports: LoadReports { delivery: ReportDelivery::Off, fields: Vec::new() },
+            weight_kind: WeightKind::Off,
+            clock_resolution: Duration::from_millis(1),
+            propagates_deadline: true,
             warm_keys: false,
             clients_mark_retries: false,
         }
@@ -248,21 +248,21 @@
             late_value: 0.5,
             streamed: false,
             value: 1.0,
-            aim_stretch: 0.0,
+            objective_work_factor: 0.0,
         }
     }
 }
 
-impl Default for Goal {
+impl Default for ScoreWeights {
     fn default() -> Self {
-        Goal {
-            whole: 1.0,
+        ScoreWeights {
+            overall: 1.0,
             worst_window: 0.0,
             worst_class: 0.0,
             worst_tenant: 0.0,
-            nines: 0.0,
-            nines_wanted: 3.0,
-            counted_by: CountedBy::Request,
+            availability_nines: 0.0,
+            target_nines: 3.0,
+            value_basis: ValueBasis::Request,
         }
     }
 }
--- a/crates/balancer/src/types/validate.rs
+++ b/crates/balancer/src/types/validate.rs
@@ -1,6 +1,6 @@
 //! Checks that settings make sense.
 
-use super::{Class, Goal, Settings, Tenant};
+use super::{Class, ScoreWeights, Settings, Tenant};
 use thiserror::Error;
 
 /// Settings that make no sense.
@@ -32,27 +32,27 @@
         within("balancers", f64::from(self.balancers), 1.0, 1e6)?;
         within("limits.max_attempts", f64::from(self.limits.max_attempts), 1.0, 1e6)?;
         within("rules.cold_share", self.rules.cold_share, 0.0, 1.0)?;
-        within("rules.fall_multiple", self.rules.fall_multiple, 0.0, 1e6)?;
+        within("rules.fall_multiple", self.rules.cold_overload_factor, 0.0, 1e6)?;
         within("over_share_worth", self.over_share_value, 0.0, 1.0)?;
-        validate_goal(&self.goal)?;
+        validate_score_weights(&self.score_weights)?;
         self.classes.iter().try_for_each(validate_class)?;
         self.tenants.iter().try_for_each(validate_tenant)
     }
 }
 
-fn validate_goal(goal: &Goal) -> Result<(), SettingsError> {
-    within("goal.whole", goal.whole, 0.0, 1e6)?;
-    within("goal.worst_window", goal.worst_window, 0.0, 1e6)?;
-    within("goal.worst_class", goal.worst_class, 0.0, 1e6)?;
-    within("goal.worst_tenant", goal.worst_tenant, 0.0, 1e6)?;
-    within("goal.nines", goal.nines, 0.0, 1e6)?;
-    within("goal.nines_wanted", goal.nines_wanted, 0.0, 1e6)
+fn validate_score_weights(score_weights: &ScoreWeights) -> Result<(), SettingsError> {
+    within("goal.whole", score_weights.overall, 0.0, 1e6)?;
+    within("goal.worst_window", score_weights.worst_window, 0.0, 1e6)?;
+    within("goal.worst_class", score_weights.worst_class, 0.0, 1e6)?;
+    within("goal.worst_tenant", score_weights.worst_tenant, 0.0, 1e6)?;
+    within("goal.nines", score_weights.availability_nines, 0.0, 1e6)?;
+    within("goal.nines_wanted", score_weights.target_nines, 0.0, 1e6)
 }
 
 fn validate_class(class: &Class) -> Result<(), SettingsError> {
     within("classes[].worth", class.value, 0.0, 1e12)?;
     within("classes[].late_value", class.late_value, 0.0, 1.0)?;
-    within("classes[].aim_stretch", class.aim_stretch, 0.0, 1e6)?;
+    within("classes[].aim_stretch", class.objective_work_factor, 0.0, 1e6)?;
     within("classes[].objective", class.objective.as_secs_f64(), 1e-6, 1e6)?;
     within("classes[].deadline", class.deadline.as_secs_f64(), 1e-6, 1e6)
 }
--- a/crates/balancer/src/wire/fields.rs
+++ b/crates/balancer/src/wire/fields.rs
@@ -89,12 +89,12 @@
         Ok(match self.text(field)? {
             "200" => Outcome::Ok,
             "502" => Outcome::Error,
-            "429" => Outcome::Full,
+            "429" => Outcome::Rejected,
             "408" => Outcome::TimedOut,
             "521" => Outcome::ConnectFailed,
             "520" => Outcome::Reset,
             "444" => Outcome::Cancelled,
-            "409" => Outcome::Moot,
+            "409" => Outcome::NotSent,
             other => return Err(self.error(field, format!("`{other}` is no known outcome"))),
         })
     }
--- a/crates/balancer/src/wire/mod.rs
+++ b/crates/balancer/src/wire/mod.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 use thiserror::Error;
 
-pub use names::Names;
-pub use parse::parse;
-pub use print::{print, print_fault};
-pub use settings::settings;
+pub use names::EndpointNames;
+pub use parse::parse_line;
+pub use print::{format_action, format_panic};
+pub use settings::parse_settings;
 
 /// What is wrong with a line of input.
 #[derive(Clone, Debug, Error, PartialEq)]
@@ -32,20 +32,20 @@
 #[derive(Debug)]
 pub enum Line {
     /// A batch begins, at this time.
-    Turn(Duration),
+    BatchStart(Duration),
     /// The batch is complete.
-    Flush,
+    BatchEnd,
     /// A numbered list begins; so many entries follow.
-    Table {
+    EndpointList {
         /// Its number.
-        bank: u8,
+        list_id: u8,
         /// Entries that follow.
         entries: usize,
     },
     /// An entry of a list.
-    Entry(EndpointInfo),
+    ListEntry(EndpointInfo),
     /// An instance starts.
-    Spawn {
+    StartInstance {
         /// The instance.
         instance: u32,
         /// Its seed.
@@ -54,15 +54,15 @@
         settings: Box<Settings>,
     },
     /// An instance was killed.
-    Detach(u32),
+    StopInstance(u32),
     /// Discovery's news for an instance.
-    Targets {
+    Discovery {
         /// The instance.
         instance: u32,
         /// What sort of news.
-        mode: ListMode,
+        update: DiscoveryUpdate,
         /// The list that holds the entries.
-        bank: u8,
+        list_id: u8,
     },
     /// Any other event, with the request's name where it has one.
     Event {
@@ -77,9 +77,9 @@
 
 /// The sorts of discovery news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListMode {
+pub enum DiscoveryUpdate {
     /// `D`
-    Changes,
+    Delta,
     /// `F`
     Full,
     /// `C`
--- a/crates/balancer/src/wire/names.rs
+++ b/crates/balancer/src/wire/names.rs
@@ -5,11 +5,11 @@
 
 /// Names of endpoints and their ids. An id is a hash of the name, so that it is the same at all balancers.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct EndpointNames {
     names: HashMap<EndpointId, String>,
 }
 
-impl Names {
+impl EndpointNames {
     /// The id of a name, new if it was never seen.
     pub fn id(&mut self, name: &str) -> EndpointId {
         // FNV-1a: short, and the same on every machine and in every release.
--- a/crates/balancer/src/wire/parse.rs
+++ b/crates/balancer/src/wire/parse.rs
@@ -1,32 +1,36 @@
 //! Lines of input, parsed.
 
 use super::fields::Fields;
-use super::{Line, ListMode, Names, WireError, settings};
+use super::{DiscoveryUpdate, EndpointNames, Line, WireError, parse_settings};
 use crate::types::*;
 
 /// Stands in an event until the host puts the request's own id there.
 const UNSET: RequestId = RequestId(u64::MAX);
 /// Lists are numbered from 0 to this.
-const MAX_BANK: u8 = 15;
+const MAX_LIST_ID: u8 = 15;
 
 /// Reads line number `line`; `names` turns endpoint names into ids.
-pub fn parse(line: u64, text: &str, names: &mut Names) -> Result<Line, WireError> {
+pub fn parse_line(line: u64, text: &str, names: &mut EndpointNames) -> Result<Line, WireError> {
     let mut f = Fields::new(line, text);
     let word = f.text("message")?;
     let parsed = match word {
-        "turn" => Line::Turn(f.time("clock")?),
-        "flush" => Line::Flush,
+        "turn" => Line::BatchStart(f.time("clock")?),
+        "flush" => Line::BatchEnd,
         "table" => {
-            let bank = bank(&mut f)?;
-            Line::Table { bank, entries: f.integer::<u32>("items")? as usize }
+            let list_id = list_id(&mut f)?;
+            Line::EndpointList { list_id, entries: f.integer::<u32>("items")? as usize }
         }
-        "m" => Line::Entry(entry(&mut f, names)?),
+        "m" => Line::ListEntry(entry(&mut f, names)?),
         "spawn" => {
             let (instance, seed) = (f.integer("sidecar")?, f.integer("initSeed")?);
             let text = f.remainder();
-            return Ok(Line::Spawn { instance, seed, settings: Box::new(settings(line, &text)?) });
+            return Ok(Line::StartInstance {
+                instance,
+                seed,
+                settings: Box::new(parse_settings(line, &text)?),
+            });
         }
-        "detach" => Line::Detach(f.integer("sidecar")?),
+        "detach" => Line::StopInstance(f.integer("sidecar")?),
         "targets" => targets(&mut f)?,
         "order" | "opened" | "result" | "aborted" | "timeout_fired" | "sampled" | "neighbour_says" => {
             let instance = f.integer("sidecar")?;
@@ -39,11 +43,11 @@
     Ok(parsed)
 }
 
-fn entry(f: &mut Fields, names: &mut Names) -> Result<EndpointInfo, WireError> {
+fn entry(f: &mut Fields, names: &mut EndpointNames) -> Result<EndpointInfo, WireError> {
     Ok(EndpointInfo {
         id: names.id(f.text("endpoint")?),
         zone: ZoneId(f.index("az")? as u32),
-        kind: KindId(f.index("kind")? as u32),
+        machine_type: MachineTypeId(f.index("kind")? as u32),
         cell: CellId(match f.optional("group")? {
             None => 0,
             Some(text) => f.parsed("group", text, "a whole number in range")?,
@@ -51,44 +55,48 @@
         state: match f.text("health")? {
             "Ready" => EndpointState::Ready,
             "Terminating" => EndpointState::Draining,
-            "Gone" => EndpointState::Gone,
+            "Gone" => EndpointState::Removed,
             other => return Err(f.error("health", format!("`{other}` is no known state"))),
         },
         weight: match f.optional("units")? {
             None => 1.0,
             Some(text) => f.finite("units", text)?,
         },
-        started: f.optional_time("lastStartMs")?.filter(|at| !at.is_zero()),
+        started_at: f.optional_time("lastStartMs")?.filter(|at| !at.is_zero()),
     })
 }
 
 fn targets(f: &mut Fields) -> Result<Line, WireError> {
     let instance = f.integer("sidecar")?;
-    let mode = match f.text("mode")? {
-        "D" => ListMode::Changes,
-        "F" => ListMode::Full,
-        "C" => ListMode::Cached,
-        "X" => ListMode::Failed,
+    let update = match f.text("mode")? {
+        "D" => DiscoveryUpdate::Delta,
+        "F" => DiscoveryUpdate::Full,
+        "C" => DiscoveryUpdate::Cached,
+        "X" => DiscoveryUpdate::Failed,
         other => return Err(f.error("mode", format!("`{other}` is no known mode"))),
     };
     if let Some(text) = f.optional("epoch")? {
         f.parsed::<u64>("epoch", text, "a whole number")?;
     }
     // The list's number means nothing where nothing is listed.
-    let bank = if mode == ListMode::Failed { f.text("bank").map(|_| 0)? } else { bank(f)? };
-    Ok(Line::Targets { instance, mode, bank })
+    let list_id = if update == DiscoveryUpdate::Failed { f.text("bank").map(|_| 0)? } else { list_id(f)? };
+    Ok(Line::Discovery { instance, update, list_id })
 }
 
-fn bank(f: &mut Fields) -> Result<u8, WireError> {
-    let bank: u8 = f.integer("bank")?;
-    if bank > MAX_BANK {
-        return Err(f.error("bank", format!("{bank} is over {MAX_BANK}")));
+fn list_id(f: &mut Fields) -> Result<u8, WireError> {
+    let list_id: u8 = f.integer("bank")?;
+    if list_id > MAX_LIST_ID {
+        return Err(f.error("bank", format!("{list_id} is over {MAX_LIST_ID}")));
     }
-    Ok(bank)
+    Ok(list_id)
 }
 
 /// An event, and the request's name where it has one.
-fn event(word: &str, f: &mut Fields, names: &mut Names) -> Result<(Option<String>, Event), WireError> {
+fn event(
+    word: &str,
+    f: &mut Fields,
+    names: &mut EndpointNames,
+) -> Result<(Option<String>, Event), WireError> {
     Ok(match word {
         "order" => {
             let name = f.text("job")?.to_owned();
@@ -138,7 +146,7 @@
     u64::from_str_radix(text, 16).map_err(|_| f.error("item", format!("`{text}` is not hex")))
 }
 
-fn attempt_ended(f: &mut Fields, names: &mut Names) -> Result<AttemptEnded, WireError> {
+fn attempt_ended(f: &mut Fields, names: &mut EndpointNames) -> Result<AttemptEnded, WireError> {
     let (outcome, elapsed, finished) = (f.outcome("how")?, f.time("elapsedMs")?, f.flag("noMore")?);
     let endpoint = names.id(f.text("endpoint")?);
     let attempt = AttemptNo(f.integer("copy")?);
--- a/crates/balancer/src/wire/print.rs
+++ b/crates/balancer/src/wire/print.rs
@@ -1,11 +1,11 @@
 //! Actions, printed.
 
-use super::Names;
+use super::EndpointNames;
 use crate::types::Action;
 use std::time::Duration;
 
 /// Prints one action of `instance`; `request` is the wire's name of the request it is about.
-pub fn print(instance: u32, action: &Action, request: &str, names: &Names) -> String {
+pub fn format_action(instance: u32, action: &Action, request: &str, names: &EndpointNames) -> String {
     match action {
         Action::Send { endpoint, timeout, .. } => {
             // Zero would mean "no time-out of its own", so the least that can be said is a microsecond.
@@ -28,7 +28,7 @@
 }
 
 /// Prints the report of a panic in an instance.
-pub fn print_fault(instance: u32, problem: &str) -> String {
+pub fn format_panic(instance: u32, problem: &str) -> String {
     format!("die {instance} {}", one_line(problem))
 }
 
--- a/crates/balancer/src/wire/settings.rs
+++ b/crates/balancer/src/wire/settings.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Reads the settings object of line number `line`; the sidecar's configuration carries the same one.
-pub fn settings(line: u64, text: &str) -> Result<Settings, WireError> {
+pub fn parse_settings(line: u64, text: &str) -> Result<Settings, WireError> {
     let error = |field: String, problem: String| WireError { line, field, problem };
     let mut json = serde_json::Deserializer::from_str(text);
     let conf: Conf = serde_path_to_error::deserialize(&mut json).map_err(|e| {
@@ -34,7 +34,7 @@
     let classes = conf.classes.iter().map(|class| convert_class(line, class));
     Ok(Settings {
         balancers: conf.balancers,
-        me: conf.me,
+        balancer_index: conf.me,
         zone: ZoneId(conf.my_zone),
         zones: conf.areas.len().max(1) as u32,
         tier: conf.stage,
@@ -45,12 +45,12 @@
         discovery: conf.discovery.into(),
         limits: convert_limits(line, &conf.limits)?,
         rules: convert_rules(line, &conf.rules)?,
-        goal: convert_goal(&conf.blend, conf.counted_by),
+        score_weights: convert_score_weights(&conf.blend, conf.counted_by),
         costs: conf.costs.into(),
         load_reports: conf.telemetry.into(),
-        weights: conf.weight_kind.into(),
-        tick: time(line, "resolutionMs", conf.resolution_ms)?,
-        passes_deadline: conf.family_info.passes_deadline,
+        weight_kind: conf.weight_kind.into(),
+        clock_resolution: time(line, "resolutionMs", conf.resolution_ms)?,
+        propagates_deadline: conf.family_info.passes_deadline,
         warm_keys: conf.family_info.warm_keys,
         clients_mark_retries: conf.clients.marks_retry,
     })
@@ -64,30 +64,30 @@
             ConfSemantics::Safe => Semantics::Safe,
             ConfSemantics::Unsafe => Semantics::Unsafe,
             ConfSemantics::Keyed => Semantics::Keyed {
-                group: (&class.group).into(),
+                scope: (&class.group).into(),
                 window: time(line, "classes.repeatWindowMs", class.repeat_window_ms)?,
             },
         },
         late_value: class.late_value,
         streamed: class.streamed,
         value: class.worth,
-        aim_stretch: class.aim_stretch,
+        objective_work_factor: class.aim_stretch,
     })
 }
 
 fn convert_limits(line: u64, limits: &ConfLimits) -> Result<Limits, WireError> {
     Ok(Limits {
-        cancelling: limits.cancelling,
+        cancellation: limits.cancelling,
         probes: limits.probes,
-        peers: limits.peers,
+        peer_messages: limits.peers,
         retry_after: limits.retry_after,
         max_retry_after: time(line, "limits.maxRetryAfterMs", limits.max_retry_after_ms)?,
-        second_copies: limits.second_copies,
+        hedging: limits.second_copies,
         max_attempts: limits.max_attempts,
         connect_timeout: time(line, "limits.connectTimeoutMs", limits.connect_timeout_ms)?,
         streams_per_connection: limits.streams_per_conn,
-        idle_close: time(line, "limits.idleCloseMs", limits.idle_close_ms)?,
-        open_cap: limits.open_cap,
+        idle_timeout: time(line, "limits.idleCloseMs", limits.idle_close_ms)?,
+        max_open_requests: limits.open_cap,
         cpu_per_s: time(line, "limits.cpuUsPerS", limits.cpu_us_per_s / 1000.0)?,
         cpu_per_request: time(line, "limits.cpuUsPerRequest", limits.cpu_us_per_request / 1000.0)?,
     })
@@ -95,37 +95,37 @@
 
 fn convert_rules(line: u64, rules: &ConfRules) -> Result<Rules, WireError> {
     Ok(Rules {
-        ask_within: time(line, "rules.askWithinMs", rules.ask_within_ms)?,
+        resubscribe_within: time(line, "rules.askWithinMs", rules.ask_within_ms)?,
         cold_share: rules.cold_share,
         warm_within: time(line, "rules.warmWithinMs", rules.warm_within_ms)?,
         drain_grace: time(line, "rules.drainGraceMs", rules.drain_grace_ms)?,
-        fall_multiple: rules.fall_multiple,
-        fall_after: time(line, "rules.fallMs", rules.fall_ms)?,
+        cold_overload_factor: rules.fall_multiple,
+        cold_overload_window: time(line, "rules.fallMs", rules.fall_ms)?,
         answer_grace: time(line, "rules.graceToAnswerMs", rules.grace_to_answer_ms)?,
     })
 }
 
-fn convert_goal(blend: &ConfBlend, counted_by: ConfCounted) -> Goal {
-    Goal {
-        whole: blend.whole,
+fn convert_score_weights(blend: &ConfBlend, value_basis: ConfCounted) -> ScoreWeights {
+    ScoreWeights {
+        overall: blend.whole,
         worst_window: blend.worst_window,
         worst_class: blend.worst_class,
         worst_tenant: blend.worst_tenant,
-        nines: blend.nines_part,
-        nines_wanted: blend.nines_wanted,
-        counted_by: match counted_by {
-            ConfCounted::Request => CountedBy::Request,
-            ConfCounted::Work => CountedBy::Work,
+        availability_nines: blend.nines_part,
+        target_nines: blend.nines_wanted,
+        value_basis: match value_basis {
+            ConfCounted::Request => ValueBasis::Request,
+            ConfCounted::Work => ValueBasis::Work,
         },
     }
 }
 
-impl From<&ConfGroup> for Group {
+impl From<&ConfGroup> for DedupScope {
     fn from(group: &ConfGroup) -> Self {
         match group {
-            ConfGroup::All => Group::All,
-            ConfGroup::Zone => Group::Zone,
-            ConfGroup::Cell => Group::Cell,
+            ConfGroup::All => DedupScope::All,
+            ConfGroup::Zone => DedupScope::Zone,
+            ConfGroup::Cell => DedupScope::Cell,
         }
     }
 }
@@ -140,7 +140,7 @@
     fn from(discovery: ConfDiscovery) -> Self {
         match discovery {
             ConfDiscovery::Automatic => Discovery::Push,
-            ConfDiscovery::Subscribe => Discovery::Ask,
+            ConfDiscovery::Subscribe => Discovery::Subscribe,
         }
     }
 }
@@ -161,18 +161,18 @@
 
 impl From<ConfTelemetry> for LoadReports {
     fn from(telemetry: ConfTelemetry) -> Self {
-        let via = match telemetry.via {
-            ConfVia::Off => ReportVia::Off,
-            ConfVia::Inline => ReportVia::Inline,
-            ConfVia::OnProbe => ReportVia::Probe,
+        let delivery = match telemetry.via {
+            ConfVia::Off => ReportDelivery::Off,
+            ConfVia::Inline => ReportDelivery::Inline,
+            ConfVia::OnProbe => ReportDelivery::Probe,
         };
-        LoadReports { via, fields: telemetry.fields.iter().map(|field| load_field(field)).collect() }
+        LoadReports { delivery, fields: telemetry.fields.iter().map(|field| load_field(field)).collect() }
     }
 }
 
 impl From<ConfWeights> for WeightKind {
-    fn from(weights: ConfWeights) -> Self {
-        match weights {
+    fn from(weight_kind: ConfWeights) -> Self {
+        match weight_kind {
             ConfWeights::Off => WeightKind::Off,
             ConfWeights::Nominal => WeightKind::Nominal,
             ConfWeights::Rough => WeightKind::Rough,
--- a/crates/balancer/tests/contract.rs
+++ b/crates/balancer/tests/contract.rs
@@ -15,7 +15,7 @@
     d.end(second, Outcome::Ok, ms(1));
     d.now += ms(50);
     d.end(id, Outcome::Ok, ms(10));
-    assert_eq!(d.balancer.remembered(), 3 + 2, "the list, and the timers asked of the host");
+    assert_eq!(d.balancer.state_size(), 3 + 2, "the list, and the timers asked of the host");
 }
 
 #[test]
@@ -29,7 +29,7 @@
         for id in open {
             d.end(id, Outcome::Ok, Duration::from_micros(500));
         }
-        (asked, most) = (asked.max(d.timers.len()), most.max(d.balancer.remembered()));
+        (asked, most) = (asked.max(d.timers.len()), most.max(d.balancer.state_size()));
         if n % 100 == 0 {
             d.advance(Duration::from_micros(10));
         }
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -173,8 +173,8 @@
     // Parts were reckoned as if all callers sent to each zone first: of three zones, an endpoint had a third of the
     // callers that were meant (here the least part of four endpoints, so four), which could not even out.
     let mut callers: HashMap<EndpointId, usize> = HashMap::new();
-    for me in 0..20 {
-        let settings = Settings { tier: 1, me, balancers: 60, zones: 3, ..Settings::default() };
+    for balancer_index in 0..20 {
+        let settings = Settings { tier: 1, balancer_index, balancers: 60, zones: 3, ..Settings::default() };
         let mut d = Driver::new(settings, endpoints(20));
         for id in rounds(&mut d, 600, |_| (Outcome::Ok, 20)).into_keys() {
             *callers.entry(id).or_default() += 1;
@@ -211,7 +211,7 @@
         for id in late {
             d.end(id, Outcome::TimedOut, ms(300));
         }
-        sizes.push(d.balancer.remembered());
+        sizes.push(d.balancer.state_size());
     }
     assert!(sizes.iter().all(|size| *size <= 4), "after each round only the list is left: {sizes:?}");
 }
@@ -302,7 +302,7 @@
 
 #[test]
 fn a_silent_discovery_leaves_the_last_list_in_use() {
-    let settings = Settings { discovery: Discovery::Ask, ..Settings::default() };
+    let settings = Settings { discovery: Discovery::Subscribe, ..Settings::default() };
     let mut d = Driver::new(settings, endpoints(3));
     for _ in 0..10 {
         d.list(Membership::Failed);
@@ -314,7 +314,8 @@
 #[test]
 fn reports_that_lie_or_stop_change_nothing() {
     let run = |report: Option<Vec<f64>>| {
-        let reports = LoadReports { via: ReportVia::Inline, fields: vec![LoadField::Outstanding] };
+        let reports =
+            LoadReports { delivery: ReportDelivery::Inline, fields: vec![LoadField::Outstanding] };
         let mut d = Driver::new(Settings { load_reports: reports, ..Settings::default() }, endpoints(5));
         let mut went = Vec::new();
         for _ in 0..100 {
@@ -342,7 +343,7 @@
         }
     }
     d.advance(ms(2000));
-    assert!(d.balancer.remembered() <= 4);
+    assert!(d.balancer.state_size() <= 4);
 }
 
 /// Keeps requests waiting and ends the oldest call, `rounds` times; returns how many calls are out.
@@ -380,8 +381,8 @@
 }
 
 /// Endpoints that a caller of such a tier uses, by count, when all answer.
-fn used_by(tier: u32, me: u32, balancers: u32, n: u64) -> HashMap<EndpointId, usize> {
-    let settings = Settings { tier, me, balancers, ..Settings::default() };
+fn used_by(tier: u32, balancer_index: u32, balancers: u32, n: u64) -> HashMap<EndpointId, usize> {
+    let settings = Settings { tier, balancer_index, balancers, ..Settings::default() };
     let mut d = Driver::new(settings, endpoints(n));
     rounds(&mut d, 600, |_| (Outcome::Ok, 20))
 }
@@ -390,9 +391,9 @@
 fn callers_inside_a_tier_share_the_endpoints_evenly() {
     // ib8145a: 41 callers kept idle connections to each of 66 endpoints, whose tables took their capacity.
     let mut callers: HashMap<EndpointId, usize> = HashMap::new();
-    for me in 0..40 {
-        let used = used_by(1, me, 40, 60);
-        assert!(used.len() <= 14, "caller {me} used {} of 60 endpoints", used.len());
+    for balancer_index in 0..40 {
+        let used = used_by(1, balancer_index, 40, 60);
+        assert!(used.len() <= 14, "caller {balancer_index} used {} of 60 endpoints", used.len());
         for id in used.into_keys() {
             *callers.entry(id).or_default() += 1;
         }
@@ -408,7 +409,7 @@
 
 #[test]
 fn a_caller_whose_part_is_lost_uses_the_others() {
-    let settings = Settings { tier: 1, me: 3, balancers: 40, ..Settings::default() };
+    let settings = Settings { tier: 1, balancer_index: 3, balancers: 40, ..Settings::default() };
     let part = used_by(1, 3, 40, 60);
     let mut d = Driver::new(settings, endpoints(60));
     let dead = |to: EndpointId| part.contains_key(&to);
@@ -473,8 +474,8 @@
 fn parts_are_even_where_balancers_are_numbered_in_blocks_by_zone() {
     // The first twenty of eighty balancers share a zone: their parts must still cover all of it.
     let mut callers: HashMap<EndpointId, usize> = HashMap::new();
-    for me in 0..20 {
-        for id in used_by(0, me, 80, 20).into_keys() {
+    for balancer_index in 0..20 {
+        for id in used_by(0, balancer_index, 80, 20).into_keys() {
             *callers.entry(id).or_default() += 1;
         }
     }
@@ -561,7 +562,7 @@
 }
 
 fn copies() -> Settings {
-    let limits = Limits { second_copies: true, ..Limits::default() };
+    let limits = Limits { hedging: true, ..Limits::default() };
     Settings { limits, ..Settings::default() }
 }
 
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -40,7 +40,7 @@
         let id = router
             .choose(SelectionRequest { now: at(0), ready, tried: &[], prompt })
             .expect("there are endpoints");
-        router.sent(at(0), id, None);
+        router.on_sent(at(0), id, None);
         *shares.entry(id).or_default() += 1;
     }
     shares
@@ -50,7 +50,7 @@
 fn informed(seed: u64) -> Router {
     let mut router = router(seed);
     router.set_all_placements_known();
-    router.set_fleet_backlog(at(0), &[], &[]);
+    router.set_fleet_pending_prefill(at(0), &[], &[]);
     router
 }
 
@@ -74,12 +74,12 @@
 fn the_lower_count_of_a_sample_wins() {
     let ready = endpoints(2);
     let mut router = router(2);
-    router.sent(at(0), ready[0], None);
+    router.on_sent(at(0), ready[0], None);
     for _ in 0..100 {
         assert_eq!(choose(&mut router, at(0), &ready, &[]), Some(ready[1]));
     }
-    router.sent(at(0), ready[1], None);
-    router.sent(at(0), ready[1], None);
+    router.on_sent(at(0), ready[1], None);
+    router.on_sent(at(0), ready[1], None);
     assert_eq!(choose(&mut router, at(0), &ready, &[]), Some(ready[0]));
 }
 
@@ -115,10 +115,10 @@
 fn counts_fall_when_calls_end_whatever_way() {
     let ready = endpoints(2);
     let mut router = router(6);
-    for outcome in [Outcome::Ok, Outcome::Cancelled, Outcome::Moot] {
-        router.sent(at(0), ready[0], None);
+    for outcome in [Outcome::Ok, Outcome::Cancelled, Outcome::NotSent] {
+        router.on_sent(at(0), ready[0], None);
         assert_eq!(router.in_flight(ready[0]), 1);
-        router.ended(at(0), ready[0], outcome);
+        router.on_ended(at(0), ready[0], outcome);
         assert_eq!(router.in_flight(ready[0]), 0);
     }
     let first = (0..1000).filter(|_| choose(&mut router, at(0), &ready, &[]) == Some(ready[0])).count();
@@ -129,9 +129,9 @@
 fn an_endpoint_whose_quick_errors_keep_its_count_low_does_not_win() {
     let ready = endpoints(2);
     let mut router = router(7);
-    router.sent(at(0), ready[0], None);
-    router.ended(at(0), ready[0], Outcome::Error);
-    router.sent(at(0), ready[1], None);
+    router.on_sent(at(0), ready[0], None);
+    router.on_ended(at(0), ready[0], Outcome::Error);
+    router.on_sent(at(0), ready[1], None);
     for _ in 0..50 {
         assert_eq!(
             choose(&mut router, at(10), &ready, &[]),
@@ -139,7 +139,7 @@
             "one call weighs less than an error"
         );
     }
-    router.ended(at(10), ready[1], Outcome::Ok);
+    router.on_ended(at(10), ready[1], Outcome::Ok);
     let later = (0..100).filter(|_| choose(&mut router, at(60_000), &ready, &[]) == Some(ready[0])).count();
     assert!(later > 20, "an error is forgotten");
 }
@@ -154,18 +154,18 @@
     let mut now = 0;
     let mut spans = Vec::new();
     for _ in 0..5 {
-        router.sent(at(0), ready[0], None);
-        router.ended(at(now), ready[0], Outcome::ConnectFailed);
+        router.on_sent(at(0), ready[0], None);
+        router.on_ended(at(now), ready[0], Outcome::ConnectFailed);
         let failed = now;
         // Calls at the other one, so that the weight of failures alone does not keep the first one out.
         for _ in 0..30 {
-            router.sent(at(0), ready[1], None);
+            router.on_sent(at(0), ready[1], None);
         }
         while !chosen(&mut router, now) {
             now += 50;
         }
         for _ in 0..30 {
-            router.ended(at(now), ready[1], Outcome::Ok);
+            router.on_ended(at(now), ready[1], Outcome::Ok);
         }
         spans.push(now - failed);
     }
@@ -233,11 +233,11 @@
     let prompt = Prompt::new([(77, 13_000)], 4000);
     for _ in 0..200 {
         let id = choose_for(&mut router, &ready, prompt);
-        router.sent(at(0), id, Some(prompt));
+        router.on_sent(at(0), id, Some(prompt));
         *counts.entry(id).or_default() += 1;
     }
     assert!(counts.len() > 4, "a burst of one prompt does not stay at a few endpoints: {counts:?}");
-    let prefilled: u32 = router.backlog().iter().map(|(_, tokens)| tokens).sum();
+    let prefilled: u32 = router.pending_prefill().iter().map(|(_, tokens)| tokens).sum();
     let least = 200 * 4000 + 13_000 * counts.len() as u32;
     assert_eq!(prefilled, least, "each of them prefills the prefix once");
 }
@@ -248,7 +248,7 @@
     let mut router = informed(11);
     let prompt = Prompt::new([(5, 350)], 0);
     let holder = choose_for(&mut router, &ready, prompt);
-    router.sent(at(0), holder, Some(prompt));
+    router.on_sent(at(0), holder, Some(prompt));
     assert_ne!(choose_for(&mut router, &ready, prompt), holder);
 }
 
@@ -260,7 +260,7 @@
     for step in 0..2000u64 {
         let which = if step % 3 == 0 { (step % 8) as usize } else { 0 };
         let now = at(step * 4);
-        routers[which].arrived(now, 1);
+        routers[which].on_request(now, 1);
         requests += 1.0;
         if routers[which].try_acquire_retry(now, 1) {
             seconds += 1.0;
@@ -276,10 +276,10 @@
 #[test]
 fn budgets_of_services_are_apart_and_windows_slide() {
     let mut router = Router::new(1, RetryBudget { slack: 2.0, ..SECOND }, 1);
-    router.arrived(at(0), 1);
+    router.on_request(at(0), 1);
     assert!(router.try_acquire_retry(at(0), 1));
     assert!(!router.try_acquire_retry(at(1), 1));
-    router.arrived(at(2), 2);
+    router.on_request(at(2), 2);
     assert!(router.try_acquire_retry(at(2), 2), "another service has its own");
     assert!(router.try_acquire_retry(at(10_001), 1), "the window has gone by");
 }
@@ -306,11 +306,11 @@
     let ready = endpoints(2);
     let mut router = router(13);
     let own = Prompt::new([], 20_000);
-    let tokens = router.sent(at(0), ready[0], Some(own));
+    let tokens = router.on_sent(at(0), ready[0], Some(own));
     assert_eq!(tokens, 20_000);
-    assert_eq!(router.backlog(), [(ready[0], 20_000)]);
+    assert_eq!(router.pending_prefill(), [(ready[0], 20_000)]);
     for _ in 0..5 {
-        router.sent(at(0), ready[1], None);
+        router.on_sent(at(0), ready[1], None);
     }
     assert_eq!(
         choose(&mut router, at(0), &ready, &[]),
@@ -319,7 +319,7 @@
     );
     router.prefill_finished(ready[0], tokens);
     assert_eq!(choose(&mut router, at(0), &ready, &[]), Some(ready[0]));
-    assert!(router.backlog().is_empty());
+    assert!(router.pending_prefill().is_empty());
 }
 
 #[test]
@@ -327,9 +327,9 @@
     let ready = endpoints(2);
     let mut router = router(14);
     let own = Prompt::new([], 4000);
-    router.sent(at(0), ready[1], Some(own));
-    let told = router.backlog();
-    router.set_fleet_backlog(at(0), &[(ready[0], 30_000), (ready[1], 4000)], &told);
+    router.on_sent(at(0), ready[1], Some(own));
+    let told = router.pending_prefill();
+    router.set_fleet_pending_prefill(at(0), &[(ready[0], 30_000), (ready[1], 4000)], &told);
     for _ in 0..20 {
         assert_eq!(
             choose(&mut router, at(100), &ready, &[]),
@@ -344,7 +344,7 @@
             "what was told is too old to count"
         );
     }
-    router.set_fleet_backlog(at(1000), &[], &told);
+    router.set_fleet_pending_prefill(at(1000), &[], &told);
     assert_eq!(choose(&mut router, at(1000), &ready, &[]), Some(ready[0]));
 }
 
@@ -369,7 +369,7 @@
     let [placed] = reported_placements(ready[0], Prompt::new([(3, 13_000)], 0))[..] else { panic!("one") };
     let mut router = informed(24);
     router.learn_placement(at(0), placed);
-    router.set_fleet_backlog(at(50), &[(ready[0], 4000), (ready[1], 10_000)], &[]);
+    router.set_fleet_pending_prefill(at(50), &[(ready[0], 4000), (ready[1], 10_000)], &[]);
     assert!((0..50).all(|_| choose(&mut router, at(50), &ready, &[]) == Some(ready[0])));
 }
 
@@ -387,7 +387,7 @@
 /// What another proxy reports that sends a prompt to an endpoint.
 fn reported_placements(endpoint: EndpointId, prompt: Prompt) -> Vec<Placement> {
     let mut other = informed(99);
-    other.sent(at(0), endpoint, Some(prompt));
+    other.on_sent(at(0), endpoint, Some(prompt));
     other.take_unreported_placements(10)
 }
 
@@ -396,12 +396,12 @@
     let ready = endpoints(3);
     let mut router = router(15);
     let prompt = Prompt::new([(9, 13_000)], 100);
-    assert_eq!(router.sent(at(0), ready[0], Some(prompt)), 13_100);
-    assert_eq!(router.sent(at(0), ready[0], Some(prompt)), 100);
-    assert_eq!(router.sent(at(0), ready[1], Some(prompt)), 13_100, "another endpoint does not hold it");
+    assert_eq!(router.on_sent(at(0), ready[0], Some(prompt)), 13_100);
+    assert_eq!(router.on_sent(at(0), ready[0], Some(prompt)), 100);
+    assert_eq!(router.on_sent(at(0), ready[1], Some(prompt)), 13_100, "another endpoint does not hold it");
     router.prefill_failed(ready[0], &prompt);
     assert_eq!(
-        router.sent(at(0), ready[0], Some(prompt)),
+        router.on_sent(at(0), ready[0], Some(prompt)),
         13_100,
         "the call that brought it there has failed"
     );
@@ -411,10 +411,10 @@
 fn the_part_of_a_prefix_that_an_endpoint_holds_is_not_prefilled_again_either() {
     let ready = endpoints(3);
     let mut router = router(15);
-    router.sent(at(0), ready[0], Some(Prompt::new([(1, 2500), (2, 4000)], 100)));
-    assert_eq!(router.sent(at(0), ready[0], Some(Prompt::new([(1, 2500), (3, 4000)], 100))), 4100);
+    router.on_sent(at(0), ready[0], Some(Prompt::new([(1, 2500), (2, 4000)], 100)));
+    assert_eq!(router.on_sent(at(0), ready[0], Some(Prompt::new([(1, 2500), (3, 4000)], 100))), 4100);
     assert_eq!(
-        router.sent(at(0), ready[0], Some(Prompt::new([(3, 4000)], 100))),
+        router.on_sent(at(0), ready[0], Some(Prompt::new([(3, 4000)], 100))),
         4100,
         "the same part behind nothing is another prefix"
     );
@@ -426,15 +426,15 @@
     let prompt = Prompt::new([(3, 13_000)], 100);
     for holder in &ready[..20] {
         let (mut one, mut other) = (informed(1), informed(2));
-        one.sent(at(0), *holder, Some(prompt));
+        one.on_sent(at(0), *holder, Some(prompt));
         for placement in one.take_unreported_placements(10) {
             other.learn_placement(at(0), placement);
         }
         assert_eq!(choose_for(&mut other, &ready, prompt), *holder);
         assert!(one.take_unreported_placements(10).is_empty(), "it is reported once");
-        one.sent(at(1000), *holder, Some(prompt));
+        one.on_sent(at(1000), *holder, Some(prompt));
         assert!(one.take_unreported_placements(10).is_empty(), "and not at each use");
-        one.sent(at(30_000), *holder, Some(prompt));
+        one.on_sent(at(30_000), *holder, Some(prompt));
         assert_eq!(one.take_unreported_placements(10).len(), 1, "but now and then while it is in use");
     }
 }
@@ -446,10 +446,10 @@
     for (call, holder) in ready.iter().enumerate() {
         // A first part that many prompts begin with, and one that few share.
         let prompt = Prompt::new([(1, 210), (call as u64 + 2, 140)], 1100);
-        router.sent(at(call as u64), *holder, Some(prompt));
+        router.on_sent(at(call as u64), *holder, Some(prompt));
     }
     assert!(router.take_unreported_placements(1000).is_empty(), "640 placements would be reported");
-    router.sent(at(1000), ready[0], Some(Prompt::new([(1, 210), (1000, 4000)], 1100)));
+    router.on_sent(at(1000), ready[0], Some(Prompt::new([(1, 210), (1000, 4000)], 1100)));
     let reported = router.take_unreported_placements(1000);
     let tokens: Vec<u32> = reported.iter().map(|placement| placement.part_tokens).collect();
     assert_eq!(tokens, [4000], "the long prefix that begins with the short one is");
@@ -462,11 +462,11 @@
     let mut router = informed(16);
     let agreed = choose_for(&mut router, &ready, prompt);
     assert!((0..20).all(|seed| choose_for(&mut informed(seed), &ready, prompt) == agreed));
-    router.set_fleet_backlog(at(0), &[(agreed, 30_000)], &[]);
+    router.set_fleet_pending_prefill(at(0), &[(agreed, 30_000)], &[]);
     assert!((0..20).all(|_| choose_for(&mut router, &ready, prompt) != agreed));
     // One that knows nothing of what others have placed takes it that the agreed endpoint holds it.
     let mut uninformed = self::router(16);
-    uninformed.set_fleet_backlog(at(0), &[(agreed, 30_000)], &[]);
+    uninformed.set_fleet_pending_prefill(at(0), &[(agreed, 30_000)], &[]);
     assert_eq!(choose_for(&mut uninformed, &ready, prompt), agreed);
 }
 
@@ -477,7 +477,7 @@
     let mut router = informed(17);
     let agreed = choose_for(&mut router, &ready, prompt);
     for _ in 0..12 {
-        router.sent(at(0), agreed, None);
+        router.on_sent(at(0), agreed, None);
     }
     assert_ne!(choose_for(&mut router, &ready, prompt), agreed, "twelve calls are more than it gains");
     let request = SelectionRequest { now: at(5000), ready: &ready, tried: &[], prompt: Some(prompt) };
@@ -491,12 +491,12 @@
     router.set_cache_tokens(endpoint, 40_000); // 30,000 for prefixes
     let prompts: Vec<Prompt> = (1..=3).map(|key| Prompt::new([(key, 10_000)], 0)).collect();
     for (step, prompt) in prompts.iter().enumerate() {
-        assert_eq!(router.sent(at(step as u64), endpoint, Some(*prompt)), 10_000);
+        assert_eq!(router.on_sent(at(step as u64), endpoint, Some(*prompt)), 10_000);
     }
-    assert_eq!(router.sent(at(10), endpoint, Some(prompts[0])), 0, "all three have room");
-    assert_eq!(router.sent(at(11), endpoint, Some(Prompt::new([(4, 10_000)], 0))), 10_000);
-    assert_eq!(router.sent(at(12), endpoint, Some(prompts[0])), 0, "it was used");
-    assert_eq!(router.sent(at(13), endpoint, Some(prompts[1])), 10_000, "it was not");
+    assert_eq!(router.on_sent(at(10), endpoint, Some(prompts[0])), 0, "all three have room");
+    assert_eq!(router.on_sent(at(11), endpoint, Some(Prompt::new([(4, 10_000)], 0))), 10_000);
+    assert_eq!(router.on_sent(at(12), endpoint, Some(prompts[0])), 0, "it was used");
+    assert_eq!(router.on_sent(at(13), endpoint, Some(prompts[1])), 10_000, "it was not");
 }
 
 #[test]
@@ -505,10 +505,10 @@
     let prompt = Prompt::new([(3, 13_000)], 100);
     let mut router = informed(19);
     let holder = choose_for(&mut router, &ready, prompt);
-    router.sent(at(0), holder, Some(prompt));
+    router.on_sent(at(0), holder, Some(prompt));
     router.forget(holder);
     assert!(router.take_unreported_placements(10).is_empty());
-    assert_eq!(router.sent(at(1), holder, Some(prompt)), 13_100);
+    assert_eq!(router.on_sent(at(1), holder, Some(prompt)), 13_100);
 }
 
 #[test]
@@ -526,13 +526,13 @@
     let prompt = Prompt::new([(3, 13_000)], 0);
     let mut router = informed(16);
     let holder = choose_for(&mut router, &ready, prompt);
-    router.sent(at(0), holder, Some(prompt));
-    router.set_fleet_backlog(at(0), &[(holder, 30_000)], &[]);
+    router.on_sent(at(0), holder, Some(prompt));
+    router.set_fleet_pending_prefill(at(0), &[(holder, 30_000)], &[]);
     assert_eq!(
         choose_for(&mut router, &ready, prompt),
         holder,
         "what is prefilled again also evicts others"
     );
-    router.set_fleet_backlog(at(0), &[(holder, 80_000)], &[]);
+    router.set_fleet_pending_prefill(at(0), &[(holder, 80_000)], &[]);
     assert_ne!(choose_for(&mut router, &ready, prompt), holder);
 }
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -39,11 +39,11 @@
     match n {
         0 | 1 => Outcome::Ok,
         2 => Outcome::Error,
-        3 => Outcome::Full,
+        3 => Outcome::Rejected,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        _ => Outcome::Moot,
+        _ => Outcome::NotSent,
     }
 }
 
@@ -51,23 +51,23 @@
     EndpointInfo { zone: ZoneId((id % 2) as u32), cell: CellId(id % 3), ..endpoint(id) }
 }
 
-fn settings(copies: bool, cancelling: bool, discovery: Discovery) -> Settings {
+fn settings(copies: bool, cancellation: bool, discovery: Discovery) -> Settings {
     let class = |semantics| Class { semantics, ..Class::default() };
     let window = ms(300);
     let mut settings = Settings {
         classes: vec![
             class(Semantics::Safe),
             class(Semantics::Unsafe),
-            class(Semantics::Keyed { group: Group::Cell, window }),
-            class(Semantics::Keyed { group: Group::All, window }),
+            class(Semantics::Keyed { scope: DedupScope::Cell, window }),
+            class(Semantics::Keyed { scope: DedupScope::All, window }),
         ],
         tenants: vec![Tenant { allowance_per_s: 5.0, portion: 0.3 }; 3],
         over_share_value: 0.1,
         discovery,
         ..Settings::default()
     };
-    settings.limits.second_copies = copies;
-    settings.limits.cancelling = cancelling;
+    settings.limits.hedging = copies;
+    settings.limits.cancellation = cancellation;
     settings
 }
 
@@ -100,10 +100,10 @@
                 }
             }
             Step::Change { id, state, fresh } => {
-                let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone]
+                let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed]
                     [usize::from(state)];
-                let started = fresh.then_some(d.now);
-                d.list(Membership::Delta(vec![EndpointInfo { state, started, ..info(id) }]));
+                let started_at = fresh.then_some(d.now);
+                d.list(Membership::Delta(vec![EndpointInfo { state, started_at, ..info(id) }]));
             }
             Step::Relist(n) => {
                 d.list(Membership::Full((1..=n).map(info).collect()));
@@ -141,7 +141,7 @@
 
 #[test]
 fn rules_hold_with_copies_where_the_list_is_asked_for() {
-    check(settings(true, true, Discovery::Ask));
+    check(settings(true, true, Discovery::Subscribe));
 }
 
 #[test]
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 use support::*;
 
-const KEYED_CELL: Semantics = Semantics::Keyed { group: Group::Cell, window: Duration::from_millis(400) };
+const KEYED_CELL: Semantics =
+    Semantics::Keyed { scope: DedupScope::Cell, window: Duration::from_millis(400) };
 
 #[test]
 fn rule_1_a_request_nobody_can_take_is_answered_in_time() {
@@ -35,7 +36,7 @@
 
 #[test]
 fn rule_2_unsafe_is_sent_again_only_if_it_never_ran() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed] {
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(3));
         let (id, _) = d.request(ms(900));
         assert_eq!(sends(&d.end(id, outcome, ms(1))).len(), 1, "{outcome:?} proves that it never ran");
@@ -68,7 +69,7 @@
     let list: Vec<EndpointInfo> =
         (1..=6).map(|id| EndpointInfo { zone: ZoneId((id % 2) as u32), ..endpoint(id) }).collect();
     for seed in 0..20 {
-        let keyed = Semantics::Keyed { group: Group::Zone, window: ms(5000) };
+        let keyed = Semantics::Keyed { scope: DedupScope::Zone, window: ms(5000) };
         let mut d = Driver::seeded(with_class(keyed), list.clone(), seed);
         let (id, first) = d.request(ms(900));
         let again = d.end(id, Outcome::Reset, ms(5));
@@ -112,7 +113,7 @@
 /// Serves 60 requests a second for a while and gives the sends to the cold endpoint in its first second.
 fn cold_sends_in_first_second(balancers: u32) -> usize {
     let settings = Settings { balancers, ..Settings::default() };
-    let window = settings.rules.fall_after;
+    let window = settings.rules.cold_overload_window;
     let mut d = Driver::new(settings, endpoints(3));
     let pace = |d: &mut Driver, rounds: usize| {
         for _ in 0..rounds {
@@ -124,11 +125,11 @@
         }
     };
     pace(&mut d, 600);
-    let started = d.now;
-    d.list(Membership::Delta(vec![EndpointInfo { started: Some(started), ..endpoint(4) }]));
+    let started_at = d.now;
+    d.list(Membership::Delta(vec![EndpointInfo { started_at: Some(started_at), ..endpoint(4) }]));
     pace(&mut d, 80);
     let sent = d.checker.cold_sends.remove(&EndpointId(4)).unwrap_or_default();
-    sent.iter().filter(|at| **at < started + window).count()
+    sent.iter().filter(|at| **at < started_at + window).count()
 }
 
 #[test]
@@ -143,7 +144,7 @@
 fn rule_4_holds_when_the_whole_fleet_is_cold() {
     let mut d = Driver::new(Settings::default(), vec![]);
     let now = d.now;
-    let cold = |id| EndpointInfo { started: Some(now), ..endpoint(id) };
+    let cold = |id| EndpointInfo { started_at: Some(now), ..endpoint(id) };
     d.list(Membership::Full((1..=4).map(cold).collect()));
     let mut served = 0;
     for _ in 0..100 {
@@ -163,20 +164,23 @@
 
 #[test]
 fn discovery_is_asked_with_jitter_and_again_after_failures() {
-    let settings = Settings { discovery: Discovery::Ask, ..Settings::default() };
-    let ask_within = settings.rules.ask_within;
+    let settings = Settings { discovery: Discovery::Subscribe, ..Settings::default() };
+    let resubscribe_within = settings.rules.resubscribe_within;
     let mut waits = Vec::new();
     for seed in 0..5 {
         let mut d = Driver::seeded(settings.clone(), endpoints(2), seed);
         let first = d.timers[0].0 - d.now;
-        assert!(first < ask_within);
+        assert!(first < resubscribe_within);
         waits.push(first);
-        assert!(d.advance(ask_within).contains(&Action::Watch(true)));
+        assert!(d.advance(resubscribe_within).contains(&Action::Watch(true)));
         d.list(Membership::Failed);
-        assert!(d.advance(ask_within).contains(&Action::Watch(true)), "a failed call is made again");
+        assert!(
+            d.advance(resubscribe_within).contains(&Action::Watch(true)),
+            "a failed call is made again"
+        );
         d.list(Membership::Delta(vec![]));
         assert!(
-            !d.advance(ask_within * 3).contains(&Action::Watch(true)),
+            !d.advance(resubscribe_within * 3).contains(&Action::Watch(true)),
             "a standing watch is not renewed"
         );
     }
@@ -188,20 +192,21 @@
 /// longer. Nor does anybody come again soon who has failed often, or many callers would keep each other out.
 #[test]
 fn however_often_discovery_has_failed_it_is_asked_again_in_time_and_not_at_once() {
-    for ask_within in [ms(10_000), ms(300)] {
-        let mut settings = Settings { discovery: Discovery::Ask, ..Settings::default() };
-        settings.rules.ask_within = ask_within;
+    for resubscribe_within in [ms(10_000), ms(300)] {
+        let mut settings = Settings { discovery: Discovery::Subscribe, ..Settings::default() };
+        settings.rules.resubscribe_within = resubscribe_within;
         for seed in 0..20 {
             let mut d = Driver::seeded(settings.clone(), endpoints(2), seed);
-            assert!(d.advance(ask_within).contains(&Action::Watch(true)));
+            assert!(d.advance(resubscribe_within).contains(&Action::Watch(true)));
             for failures in 1..10 {
                 d.list(Membership::Failed);
-                let (least, most) = (ms(2000).min(ask_within / 2), ms(6000).min(ask_within * 2));
+                let (least, most) =
+                    (ms(2000).min(resubscribe_within / 2), ms(6000).min(resubscribe_within * 2));
                 let soon = failures > 4 && d.advance(least - ms(1)).contains(&Action::Watch(true));
-                assert!(!soon, "{failures} failures, {ask_within:?}");
+                assert!(!soon, "{failures} failures, {resubscribe_within:?}");
                 assert!(
                     d.advance(most).contains(&Action::Watch(true)),
-                    "{failures} failures, {ask_within:?}"
+                    "{failures} failures, {resubscribe_within:?}"
                 );
             }
         }
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -120,7 +120,7 @@
                     assert!(!owed.answered, "rule 1: a second final answer");
                     let ran = owed.sent.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
                     match self.settings.classes[owed.class].semantics {
-                        Semantics::Safe | Semantics::Keyed { group: Group::All, .. } => {}
+                        Semantics::Safe | Semantics::Keyed { scope: DedupScope::All, .. } => {}
                         _ => assert!(!ran, "rule 2: refused though it may have run"),
                     }
                     owed.answered = true;
@@ -131,7 +131,7 @@
                     owed.answered = true;
                 }
                 Action::Cancel { request, attempt } => {
-                    assert!(self.settings.limits.cancelling, "cancelled where that is not allowed");
+                    assert!(self.settings.limits.cancellation, "cancelled where that is not allowed");
                     let owed = &self.owed[request];
                     assert!((attempt.0 as usize) < owed.sent.len(), "cancelled what was never sent");
                 }
@@ -151,25 +151,25 @@
         let owed = self.owed.get_mut(&request).expect("sent a request that came");
         assert!(!owed.answered, "rule 1: sent after the final answer");
         assert!((owed.sent.len() as u32) < self.settings.limits.max_attempts, "too many attempts");
-        if !self.settings.limits.second_copies {
+        if !self.settings.limits.hedging {
             assert!(owed.sent.iter().all(|s| s.outcome.is_some()), "rule 2: two attempts at once");
         }
         for earlier in owed.sent.iter().filter(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
             match self.settings.classes[owed.class].semantics {
                 Semantics::Safe => {}
                 Semantics::Unsafe => panic!("rule 2: an unsafe request that may have run was sent again"),
-                Semantics::Keyed { group, window } => {
+                Semantics::Keyed { scope, window } => {
                     assert!(now <= earlier.at + window, "rule 2: sent again after the window");
-                    match group {
-                        Group::All => {}
-                        Group::Zone => assert_eq!(earlier.zone, info.zone, "rule 2: left the zone"),
-                        Group::Cell => assert_eq!(earlier.cell, info.cell, "rule 2: left the cell"),
+                    match scope {
+                        DedupScope::All => {}
+                        DedupScope::Zone => assert_eq!(earlier.zone, info.zone, "rule 2: left the zone"),
+                        DedupScope::Cell => assert_eq!(earlier.cell, info.cell, "rule 2: left the cell"),
                     }
                 }
             }
         }
         owed.sent.push(Sent { endpoint, zone: info.zone, cell: info.cell, at: now, outcome: None });
-        if info.started.is_some_and(|at| now < at + self.settings.rules.warm_within) {
+        if info.started_at.is_some_and(|at| now < at + self.settings.rules.warm_within) {
             self.cold_sends.entry(endpoint).or_default().push(now);
         }
     }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,6 +1,6 @@
 //! Hosts balancer instances for the simulator: batches on standard input, replies on standard output.
 
-use runtrack_balancer::wire::{self, Line, ListMode, Names, WireError};
+use runtrack_balancer::wire::{self, DiscoveryUpdate, EndpointNames, Line, WireError};
 use runtrack_balancer::{Action, Balancer, EndpointInfo, Event, Membership, RequestId};
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufWriter, Write};
@@ -38,7 +38,7 @@
 
 #[derive(Default)]
 struct Host {
-    names: Names,
+    names: EndpointNames,
     instances: HashMap<u32, Instance>,
     tables: HashMap<u8, Vec<EndpointInfo>>,
     /// The table being read and the entries still missing from it.
@@ -75,36 +75,38 @@
     fn take(&mut self, number: u64, text: &str) -> Result<(), WireError> {
         let error =
             |field: &str, problem: String| WireError { line: number, field: field.to_owned(), problem };
-        let line = wire::parse(number, text, &mut self.names)?;
-        if self.filling.is_some() != matches!(line, Line::Entry(_)) {
+        let line = wire::parse_line(number, text, &mut self.names)?;
+        if self.filling.is_some() != matches!(line, Line::ListEntry(_)) {
             return Err(error("message", "entries and the table they belong to do not match".to_owned()));
         }
         let now = match (&line, self.now) {
-            (Line::Turn(now), None) => {
+            (Line::BatchStart(now), None) => {
                 self.now = Some(*now);
                 return Ok(());
             }
-            (Line::Turn(_), Some(_)) => return Err(error("message", "a batch is already open".to_owned())),
+            (Line::BatchStart(_), Some(_)) => {
+                return Err(error("message", "batch already open".to_owned()));
+            }
             (_, None) => return Err(error("message", "no batch is open".to_owned())),
             (_, Some(now)) => now,
         };
         match line {
-            Line::Turn(_) => {}
-            Line::Flush => {
+            Line::BatchStart(_) => {}
+            Line::BatchEnd => {
                 self.now = None;
                 self.reply.push_str("next\n");
             }
-            Line::Table { bank, entries } => {
-                self.tables.insert(bank, Vec::new());
-                self.filling = (entries > 0).then_some((bank, entries));
+            Line::EndpointList { list_id, entries } => {
+                self.tables.insert(list_id, Vec::new());
+                self.filling = (entries > 0).then_some((list_id, entries));
             }
-            Line::Entry(entry) => {
-                if let Some((bank, missing)) = self.filling {
-                    self.tables.entry(bank).or_default().push(entry);
-                    self.filling = (missing > 1).then_some((bank, missing - 1));
+            Line::ListEntry(entry) => {
+                if let Some((list_id, missing)) = self.filling {
+                    self.tables.entry(list_id).or_default().push(entry);
+                    self.filling = (missing > 1).then_some((list_id, missing - 1));
                 }
             }
-            Line::Spawn { instance, seed, settings } => {
+            Line::StartInstance { instance, seed, settings } => {
                 // Where there are no tenants, requests come with tenant 0 all the same.
                 let (classes, tenants) = (settings.classes.len(), settings.tenants.len().max(1));
                 let balancer =
@@ -113,23 +115,23 @@
                 self.instances
                     .insert(instance, Instance { balancer, ids, known, next_request: 0, classes, tenants });
             }
-            Line::Detach(instance) => {
+            Line::StopInstance(instance) => {
                 if self.instances.remove(&instance).is_none() {
                     return Err(error("sidecar", format!("{instance} is not running")));
                 }
             }
-            Line::Targets { instance, mode, bank } => {
+            Line::Discovery { instance, update, list_id } => {
                 let listed = |tables: &HashMap<u8, Vec<EndpointInfo>>| {
                     tables
-                        .get(&bank)
+                        .get(&list_id)
                         .cloned()
-                        .ok_or_else(|| error("bank", format!("no table {bank} was sent")))
+                        .ok_or_else(|| error("bank", format!("no table {list_id} was sent")))
                 };
-                let news = match mode {
-                    ListMode::Failed => Membership::Failed,
-                    ListMode::Changes => Membership::Delta(listed(&self.tables)?),
-                    ListMode::Full => Membership::Full(listed(&self.tables)?),
-                    ListMode::Cached => Membership::Cached(listed(&self.tables)?),
+                let news = match update {
+                    DiscoveryUpdate::Failed => Membership::Failed,
+                    DiscoveryUpdate::Delta => Membership::Delta(listed(&self.tables)?),
+                    DiscoveryUpdate::Full => Membership::Full(listed(&self.tables)?),
+                    DiscoveryUpdate::Cached => Membership::Cached(listed(&self.tables)?),
                 };
                 self.run(number, now, instance, Event::Membership(news))?;
             }
@@ -172,13 +174,13 @@
         if let Err(panic) = outcome {
             let problem = panic.downcast_ref::<String>().map(String::as_str);
             let problem = problem.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-            self.reply.push_str(&wire::print_fault(instance, problem));
+            self.reply.push_str(&wire::format_panic(instance, problem));
             self.reply.push('\n');
             return Ok(());
         }
         for action in &self.actions {
             let request = host.note(action);
-            self.reply.push_str(&wire::print(instance, action, &request, &self.names));
+            self.reply.push_str(&wire::format_action(instance, action, &request, &self.names));
             self.reply.push('\n');
         }
         for id in about.into_iter().chain(self.actions.iter().filter_map(about_request)) {
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire: what is parsed, what is printed, and what malformed lines get.
 
-use runtrack_balancer::wire::{Line, ListMode, Names, parse, print};
+use runtrack_balancer::wire::{DiscoveryUpdate, EndpointNames, Line, format_action, parse_line};
 use runtrack_balancer::*;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -9,7 +9,7 @@
 const CONF: &str = r#"{"balancers":2,"classes":[{"deadlineMs":1000.0,"lateValue":0.5,"name":"a","objectiveMs":300.0,"semantics":"safe","worth":3.0},{"deadlineMs":900,"group":"cell","objectiveMs":300,"repeatWindowMs":400,"semantics":"keyed"}],"discovery":"subscribe","limits":{"cancelling":true,"maxAttempts":6,"openCap":20000},"me":1,"myZone":1,"rules":{"askWithinMs":10000,"coldShare":0.4,"drainGraceMs":250,"fallMs":1000,"fallMultiple":2.5,"graceToAnswerMs":16,"warmWithinMs":8200},"stage":0,"telemetry":{"fields":["outstanding","novel"],"via":"on_probe"},"weightKind":"live","brandNew":[1,2]}"#;
 
 fn read(text: &str) -> Result<Line, wire::WireError> {
-    parse(7, text, &mut Names::default())
+    parse_line(7, text, &mut EndpointNames::default())
 }
 
 fn event(text: &str) -> Event {
@@ -39,49 +39,54 @@
 
 #[test]
 fn settings_are_read_and_unknown_keys_skipped() {
-    let Ok(Line::Spawn { instance: 3, seed: 9, settings }) = read(&format!("spawn 3 9 {CONF}")) else {
+    let Ok(Line::StartInstance { instance: 3, seed: 9, settings }) = read(&format!("spawn 3 9 {CONF}"))
+    else {
         panic!("no spawn");
     };
-    assert_eq!((settings.balancers, settings.me, settings.zone), (2, 1, ZoneId(1)));
-    assert_eq!(settings.discovery, Discovery::Ask);
+    assert_eq!((settings.balancers, settings.balancer_index, settings.zone), (2, 1, ZoneId(1)));
+    assert_eq!(settings.discovery, Discovery::Subscribe);
     assert_eq!(settings.classes[0].value, 3.0);
     let window = Duration::from_millis(400);
-    assert_eq!(settings.classes[1].semantics, Semantics::Keyed { group: Group::Cell, window });
-    assert_eq!(settings.load_reports.via, ReportVia::Probe);
+    assert_eq!(settings.classes[1].semantics, Semantics::Keyed { scope: DedupScope::Cell, window });
+    assert_eq!(settings.load_reports.delivery, ReportDelivery::Probe);
     assert_eq!(settings.load_reports.fields, [LoadField::Outstanding, LoadField::Other]);
-    assert_eq!(settings.weights, WeightKind::Live);
-    assert!(settings.passes_deadline);
+    assert_eq!(settings.weight_kind, WeightKind::Live);
+    assert!(settings.propagates_deadline);
 }
 
 #[test]
 fn every_setting_that_a_decision_can_use_is_carried() {
     let conf = r#"{"areas":["a","b"],"balancers":4,"blend":{"ninesPart":0.4,"ninesWanted":2.0,"whole":0.2,"worstClass":0.15,"worstTenant":0.05,"worstWindow":0.2},"classes":[{"aimStretch":1.5,"deadlineMs":1000,"objectiveMs":300,"semantics":"unsafe"}],"clients":{"marksRetry":true},"costs":{"connection":0.1,"discovery":0.2,"handshake":0.3,"waste":0.4},"countedBy":"work","discovery":"automatic","familyInfo":{"passesDeadline":false,"warmKeys":true},"limits":{"cpuUsPerRequest":10.0,"cpuUsPerS":248580,"idleCloseMs":10000.0,"maxAttempts":3,"openCap":331440},"me":3,"myZone":1,"rules":{"coldShare":0.14,"drainGraceMs":500,"fallMs":1500,"fallMultiple":4,"graceToAnswerMs":20,"warmWithinMs":22000},"stage":1,"tiers":["x","y","z"]}"#;
-    let Ok(Line::Spawn { settings, .. }) = read(&format!("spawn 0 1 {conf}")) else { panic!("no spawn") };
+    let Ok(Line::StartInstance { settings, .. }) = read(&format!("spawn 0 1 {conf}")) else {
+        panic!("no spawn")
+    };
     assert_eq!((settings.zones, settings.tier, settings.tiers), (2, 1, 3));
-    let goal = Goal {
-        whole: 0.2,
+    let score_weights = ScoreWeights {
+        overall: 0.2,
         worst_window: 0.2,
         worst_class: 0.15,
         worst_tenant: 0.05,
-        nines: 0.4,
-        nines_wanted: 2.0,
-        counted_by: CountedBy::Work,
+        availability_nines: 0.4,
+        target_nines: 2.0,
+        value_basis: ValueBasis::Work,
     };
-    assert_eq!(settings.goal, goal);
-    assert_eq!(settings.classes[0].aim_stretch, 1.5);
-    assert!(settings.clients_mark_retries && settings.warm_keys && !settings.passes_deadline);
+    assert_eq!(settings.score_weights, score_weights);
+    assert_eq!(settings.classes[0].objective_work_factor, 1.5);
+    assert!(settings.clients_mark_retries && settings.warm_keys && !settings.propagates_deadline);
     let costs = &settings.costs;
     assert_eq!((costs.connection, costs.discovery, costs.handshake, costs.waste), (0.1, 0.2, 0.3, 0.4));
     let limits = &settings.limits;
-    assert_eq!((limits.cpu_per_s, limits.open_cap), (Duration::from_micros(248_580), 331_440));
+    assert_eq!((limits.cpu_per_s, limits.max_open_requests), (Duration::from_micros(248_580), 331_440));
     assert_eq!(limits.cpu_per_request, Duration::from_micros(10));
-    assert_eq!(limits.idle_close, Duration::from_secs(10));
+    assert_eq!(limits.idle_timeout, Duration::from_secs(10));
 }
 
 #[test]
 fn absent_optional_settings_have_plain_defaults() {
-    let Ok(Line::Spawn { settings, .. }) = read(&format!("spawn 3 9 {CONF}")) else { panic!("no spawn") };
-    assert_eq!(settings.goal, Goal::default());
+    let Ok(Line::StartInstance { settings, .. }) = read(&format!("spawn 3 9 {CONF}")) else {
+        panic!("no spawn")
+    };
+    assert_eq!(settings.score_weights, ScoreWeights::default());
     assert_eq!((settings.zones, settings.tiers), (1, 1));
     assert_eq!(settings.limits.cpu_per_request, Duration::ZERO);
     assert!(settings.tenants.is_empty() && !settings.clients_mark_retries);
@@ -141,10 +146,10 @@
     );
     assert!(matches!(event("opened 3 t/x 1 10.0.0.1:80 4"), Event::StreamStarted { .. }));
     assert!(matches!(event("sampled 3 10.0.0.1:80 200 4 -"), Event::ProbeEnded { report: None, .. }));
-    assert!(matches!(read("targets 3 X - -"), Ok(Line::Targets { mode: ListMode::Failed, .. })));
-    let Ok(Line::Entry(entry)) = read("m 10.0.0.1:80 1 0 4 Terminating 1.5 6100.0") else { panic!() };
+    assert!(matches!(read("targets 3 X - -"), Ok(Line::Discovery { update: DiscoveryUpdate::Failed, .. })));
+    let Ok(Line::ListEntry(entry)) = read("m 10.0.0.1:80 1 0 4 Terminating 1.5 6100.0") else { panic!() };
     assert_eq!((entry.state, entry.cell), (EndpointState::Draining, CellId(4)));
-    assert_eq!(entry.started, Some(Duration::from_millis(6100)));
+    assert_eq!(entry.started_at, Some(Duration::from_millis(6100)));
 }
 
 #[test]
@@ -177,10 +182,10 @@
 
 #[test]
 fn actions_are_printed_in_the_order_of_the_page() {
-    let mut names = Names::default();
+    let mut names = EndpointNames::default();
     let endpoint = names.id("10.0.0.1:80");
     let request = RequestId(1);
-    let print = |action| print(3, &action, "t/x", &names);
+    let print = |action| format_action(3, &action, "t/x", &names);
     let timeout = Duration::from_micros(80_500);
     assert_eq!(print(Action::Send { request, endpoint, timeout }), "try 3 t/x 80.5 10.0.0.1:80");
     let timeout = Duration::ZERO;
@@ -257,7 +262,7 @@
 
 #[test]
 fn an_endpoint_has_the_same_id_at_every_host() {
-    let (mut one, mut two) = (Names::default(), Names::default());
+    let (mut one, mut two) = (EndpointNames::default(), EndpointNames::default());
     let (a, b) = (one.id("10.18.74.7:11203"), one.id("10.18.74.7:11204"));
     two.id("10.144.17.242:11244");
     assert_eq!((two.id("10.18.74.7:11204"), two.id("10.18.74.7:11203")), (b, a));
--- a/crates/control/src/pool.rs
+++ b/crates/control/src/pool.rs
@@ -33,7 +33,7 @@
 /// A pool's endpoints.
 pub struct Members {
     balancer: Balancer,
-    ids: wire::Names,
+    ids: wire::EndpointNames,
     /// By uid.
     targets: BTreeMap<String, Target>,
     /// Uids of endpoints whose part still rises, and the step last told.
@@ -60,7 +60,7 @@
                 cold_share: fleet.rules.cold_share,
                 warm_within: fleet.rules.warm_within,
                 drain_grace: fleet.rules.drain_grace,
-                fall_multiple: fleet.rules.fall_multiple,
+                cold_overload_factor: fleet.rules.fall_multiple,
                 ..Settings::default().rules
             },
             ..Settings::default()
@@ -69,7 +69,7 @@
         let mut members = Members {
             // The model has checked these figures; the module's own defaults are sound.
             balancer: balancer.unwrap_or_else(|_| by_default(seed, now)),
-            ids: wire::Names::default(),
+            ids: wire::EndpointNames::default(),
             targets: BTreeMap::new(),
             cold: BTreeMap::new(),
             rev: 0,
@@ -265,10 +265,11 @@
             state: match target.state {
                 State::Up => EndpointState::Ready,
                 State::Draining => EndpointState::Draining,
-                State::Removed => EndpointState::Gone,
+                State::Removed => EndpointState::Removed,
             },
             weight: target.capacity_hint,
-            started: (target.boot_ms > 0.0).then(|| Duration::from_micros((target.boot_ms * 1e3) as u64)),
+            started_at: (target.boot_ms > 0.0)
+                .then(|| Duration::from_micros((target.boot_ms * 1e3) as u64)),
             ..EndpointInfo::ready(0)
         }
     }
@@ -276,7 +277,8 @@
     /// The part of its capacity that an endpoint has, in whole steps.
     fn step(&mut self, now: Duration, uid: &str) -> u32 {
         let id = self.ids.id(uid);
-        let part = self.balancer.standing(now, id).map_or(1.0, |standing| standing.part);
+        let part =
+            self.balancer.endpoint_status(now, id).map_or(1.0, |standing| standing.capacity_fraction);
         (part * PART_STEPS).floor() as u32
     }
 
@@ -288,15 +290,15 @@
         let mut members = Vec::with_capacity(self.targets.len());
         for (uid, target) in &self.targets {
             let id = self.ids.id(uid);
-            let Some(standing) = self.balancer.standing(now, id) else { continue };
+            let Some(standing) = self.balancer.endpoint_status(now, id) else { continue };
             members.push(Member {
                 name: uid.clone(),
                 address: target.endpoint,
                 zone: target.az.clone(),
                 weight: target.capacity_hint,
                 draining: standing.info.state != EndpointState::Ready || self.held_back.contains(uid),
-                part: (standing.part * PART_STEPS).floor().max(1.0) / PART_STEPS,
-                heat: standing.heat,
+                part: (standing.capacity_fraction * PART_STEPS).floor().max(1.0) / PART_STEPS,
+                heat: standing.failure_penalty,
             });
         }
         Some(members)
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The nouns.
 
-use runtrack_balancer::Group;
+use runtrack_balancer::DedupScope;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -167,7 +167,7 @@
     Keyed {
         /// Which endpoints drop each other's repeats.
         #[serde(with = "group")]
-        group: Group,
+        group: DedupScope,
         /// For how long, from the first send that may have run.
         #[serde(with = "micros")]
         window: Duration,
@@ -247,27 +247,29 @@
 }
 
 mod group {
-    use runtrack_balancer::Group;
+    use runtrack_balancer::DedupScope;
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
-    pub fn serialize<S: Serializer>(group: &Group, to: S) -> Result<S::Ok, S::Error> {
+    pub fn serialize<S: Serializer>(group: &DedupScope, to: S) -> Result<S::Ok, S::Error> {
         to.serialize_str(super::group_name(*group))
     }
 
-    pub fn deserialize<'d, D: Deserializer<'d>>(from: D) -> Result<Group, D::Error> {
+    pub fn deserialize<'d, D: Deserializer<'d>>(from: D) -> Result<DedupScope, D::Error> {
         let text = String::deserialize(from)?;
         super::group_named(&text).ok_or_else(|| D::Error::custom(format!("no group `{text}`")))
     }
 }
 
-fn group_name(group: Group) -> &'static str {
+fn group_name(group: DedupScope) -> &'static str {
     match group {
-        Group::All => "all",
-        Group::Zone => "zone",
-        Group::Cell => "cell",
+        DedupScope::All => "all",
+        DedupScope::Zone => "zone",
+        DedupScope::Cell => "cell",
     }
 }
 
-pub(crate) fn group_named(name: &str) -> Option<Group> {
-    [Group::All, Group::Zone, Group::Cell].into_iter().find(|&group| group_name(group) == name)
+pub(crate) fn group_named(name: &str) -> Option<DedupScope> {
+    [DedupScope::All, DedupScope::Zone, DedupScope::Cell]
+        .into_iter()
+        .find(|&group| group_name(group) == name)
 }
--- a/crates/model/src/read.rs
+++ b/crates/model/src/read.rs
@@ -3,7 +3,7 @@
 use crate::fleet::*;
 use crate::problem::Problems;
 use crate::toml::{Table, Text};
-use runtrack_balancer::Group;
+use runtrack_balancer::DedupScope;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use toml::de::DeTable;
@@ -95,14 +95,14 @@
     let semantics = match word {
         Some(Word::Safe) => Semantics::Safe,
         Some(Word::Keyed) => {
-            let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+            let groups = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
             let group = table.word("group", &groups);
             table.required("group", group.map(|_| ()));
             let window = table.time("window");
             table.required("window", window.map(|_| ()));
             // A stand-in where it could not be read, which is a problem already.
             let window = window.unwrap_or(Duration::from_secs(1));
-            Semantics::Keyed { group: group.unwrap_or(Group::Cell), window }
+            Semantics::Keyed { group: group.unwrap_or(DedupScope::Cell), window }
         }
         Some(Word::Unsafe) | None => Semantics::Unsafe,
     };
--- a/crates/plan/src/risk.rs
+++ b/crates/plan/src/risk.rs
@@ -1,7 +1,7 @@
 //! What a change risks, computed from both fleets, the load that they carry and the clock.
 
 use crate::shadow::shadowed;
-use runtrack_balancer::Group;
+use runtrack_balancer::DedupScope;
 use runtrack_model::{Class, Endpoint, Fleet, Listener, Pool, Route, Semantics, Severity, Source, State};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -316,11 +316,11 @@
 }
 
 /// Whether the second group takes in endpoints that the first does not.
-fn wider(before: Group, after: Group) -> bool {
+fn wider(before: DedupScope, after: DedupScope) -> bool {
     let size = |group| match group {
-        Group::Cell => 0,
-        Group::Zone => 1,
-        Group::All => 2,
+        DedupScope::Cell => 0,
+        DedupScope::Zone => 1,
+        DedupScope::All => 2,
     };
     size(after) > size(before)
 }
--- a/crates/plan/tests/common/mod.rs
+++ b/crates/plan/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use runtrack_balancer::Group;
+use runtrack_balancer::DedupScope;
 use runtrack_model::*;
 use runtrack_plan::{Load, Plan, Request};
 use runtrack_store::{Entry, Store};
@@ -46,7 +46,7 @@
         0 => Semantics::Safe,
         1 => Semantics::Unsafe,
         n => Semantics::Keyed {
-            group: if n == 2 { Group::Cell } else { Group::Zone },
+            group: if n == 2 { DedupScope::Cell } else { DedupScope::Zone },
             window: Duration::from_secs(1 + draws.below(3) as u64),
         },
     };
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -67,16 +67,16 @@
         let taken = connections.take(target, outgoing.reuse(), limit, proxies, outgoing.deadline).await;
         let mut connection = taken.map_err(|none| {
             AttemptError::unsent(match none {
-                NoConnection::Full => Outcome::Full,
+                NoConnection::Full => Outcome::Rejected,
                 NoConnection::Failed => Outcome::ConnectFailed,
             })
         })?;
         // Time may have passed: connecting may have been slow, or the process paused.
         if !state.is_ready(target.key) || !outgoing.is_wanted() {
-            return Err(AttemptError::unsent(Outcome::Moot));
+            return Err(AttemptError::unsent(Outcome::NotSent));
         }
         let Some(request) = request(target, outgoing, after) else {
-            return Err(AttemptError::unsent(Outcome::Moot));
+            return Err(AttemptError::unsent(Outcome::NotSent));
         };
         let sent = timeout_at(outgoing.deadline, connection.sender.try_send_request(request)).await;
         return match sent {
@@ -131,7 +131,7 @@
                 !headers.contains_key(CONTENT_LENGTH) && !headers.contains_key(TRANSFER_ENCODING);
             Ok(ResponseStarted { response, connection, ends_with_connection })
         }
-        ResponseClass::NotExecuted => Err(AttemptError::sent(Outcome::Full)),
+        ResponseClass::NotExecuted => Err(AttemptError::sent(Outcome::Rejected)),
         ResponseClass::Unknown(outcome) => Err(AttemptError::sent(outcome)),
     }
 }
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -54,7 +54,7 @@
             };
             in_flight.outcome = failed.outcome;
             drop(in_flight);
-            if failed.outcome != Outcome::Full {
+            if failed.outcome != Outcome::Rejected {
                 self.connections.close_idle(target.key);
             }
             if !attempts.may_retry(&self.state, request, failed.into()) {
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -49,7 +49,7 @@
         };
         let (head, body) = request.into_parts();
         let host = head.headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
-        let draw = self.state.router().draw();
+        let draw = self.state.router().random_fraction();
         let Some(routed) = table.find(host, head.uri.path(), draw) else {
             return text(StatusCode::NOT_FOUND, "no route");
         };
@@ -60,7 +60,7 @@
             Err(reply) => return reply,
         };
         let now = self.state.now();
-        self.state.router().arrived(now, service_key(&service.name));
+        self.state.router().on_request(now, service_key(&service.name));
         let request = RoutedRequest::new(&route, &service, head, body, deadline, client.clone());
         tokio::select! {
             reply = self.serve(Rc::new(request)) => reply,
--- a/crates/proxy/src/in_flight.rs
+++ b/crates/proxy/src/in_flight.rs
@@ -18,7 +18,7 @@
 
 impl InFlight {
     pub(crate) fn new(state: &Rc<State>, key: EndpointId, prompt: Option<Prompt>) -> Self {
-        let pending_prefill = state.router().sent(state.now(), key, prompt);
+        let pending_prefill = state.router().on_sent(state.now(), key, prompt);
         state.backlog_changed(pending_prefill);
         InFlight { state: state.clone(), key, outcome: Outcome::Cancelled, prompt, pending_prefill }
     }
@@ -48,7 +48,7 @@
         }
         self.clear_pending_prefill();
         let now = self.state.now();
-        self.state.router().ended(now, self.key, self.outcome);
+        self.state.router().on_ended(now, self.key, self.outcome);
     }
 }
 
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -221,7 +221,7 @@
             } else {
                 let _ = timeout(REPORT_REPEAT_INTERVAL, self.backlog.notified()).await;
             }
-            let backlog = self.router.borrow().backlog();
+            let backlog = self.router.borrow().pending_prefill();
             empty = backlog.is_empty();
             let entry =
                 |(id, tokens): &(EndpointId, u32)| PendingPrefill { endpoint: id.0, tokens: *tokens };
@@ -258,7 +258,7 @@
         let all: Vec<(EndpointId, u32)> =
             backlog.items().iter().map(|pending| (EndpointId(pending.endpoint), pending.tokens)).collect();
         let now = self.now();
-        self.router.borrow_mut().set_fleet_backlog(now, &all, &self.last_reported.borrow());
+        self.router.borrow_mut().set_fleet_pending_prefill(now, &all, &self.last_reported.borrow());
     }
 
     /// Follows changes of the replica for as long as the process runs.
--- a/crates/runtrack/src/net/config.rs
+++ b/crates/runtrack/src/net/config.rs
@@ -122,7 +122,7 @@
         let raw: Value = serde_json::from_str(text).map_err(|e| error("ROUTER_CONFIG", e))?;
         let file: File =
             serde_path_to_error::deserialize(&raw).map_err(|e| error(&e.path().to_string(), e.inner()))?;
-        let mut settings = wire::settings(1, &file.settings.to_string())
+        let mut settings = wire::parse_settings(1, &file.settings.to_string())
             .map_err(|e| error(&e.field.replacen("conf", "settings", 1), e.problem))?;
         if runtrack_net::mutant("keyed-for-ever") {
             settings.classes.iter_mut().for_each(|class| {
--- a/crates/runtrack/src/net/driver.rs
+++ b/crates/runtrack/src/net/driver.rs
@@ -247,7 +247,7 @@
             log::info!("{}", std::mem::take(&mut self.spans));
             // What is kept must stay in proportion to what is open and listed.
             let (open, timers, module) =
-                (self.requests.len(), self.timers.len(), self.balancer.remembered());
+                (self.requests.len(), self.timers.len(), self.balancer.state_size());
             let (listed, names, links) = (self.addresses.len(), self.listing.names(), self.outbound.idle());
             log::info!(
                 "outcomes in {} s: {counts:?}; open {open}, timers {timers}, module {module}, \
@@ -273,7 +273,7 @@
                 self.over = !mutant("over-unsaid");
                 for id in open {
                     if !mutant("given-up-alike") {
-                        self.end_unbegun(id, Outcome::Moot);
+                        self.end_unbegun(id, Outcome::NotSent);
                         self.handle(Event::GiveUp(id));
                     }
                     // The module's word on it has come; without one it has failed all the same.
@@ -297,7 +297,7 @@
             open: self.requests.len(),
             attempts: self.requests.values().map(|open| open.out).sum(),
             counted: self.balancer.calls_in_flight(),
-            remembered: self.balancer.remembered(),
+            remembered: self.balancer.state_size(),
         }
     }
 
@@ -388,7 +388,7 @@
         for entry in entries.iter().filter(|entry| entry.state != EndpointState::Ready) {
             // Nothing new goes there.
             withdrawn.insert(entry.id);
-            let state = if entry.state == EndpointState::Gone {
+            let state = if entry.state == EndpointState::Removed {
                 self.addresses.remove(&entry.id);
                 self.outbound.forget(entry.id);
                 "gone"
@@ -489,12 +489,12 @@
                 request: id,
                 attempt,
                 endpoint,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
                 finished: open.answer.is_none(),
                 report: None,
             }));
-            return self.count(outcome_name(Outcome::Moot));
+            return self.count(outcome_name(Outcome::NotSent));
         };
         let (cancel, mut cancelled) = oneshot::channel();
         let window = open.window.clone().map(|window| (window, open.tries.len()));
@@ -557,11 +557,11 @@
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
-        Outcome::Full => "turned away",
+        Outcome::Rejected => "turned away",
         Outcome::TimedOut => "timed out",
         Outcome::ConnectFailed => "not connected",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::NotSent => "moot",
     }
 }
--- a/crates/runtrack/src/net/inbound.rs
+++ b/crates/runtrack/src/net/inbound.rs
@@ -464,7 +464,7 @@
 
     /// A refusal of what was never sent on, wherever it is tried next.
     fn come_again(&self, why: &'static str) -> Reply {
-        let by_settings = self.settings.limits.advice(SHED_RETRY);
+        let by_settings = self.settings.limits.capped_retry_after(SHED_RETRY);
         refusal(why, if mutant("retry-unasked") { Some(SHED_RETRY) } else { by_settings })
     }
 
--- a/crates/runtrack/src/net/listing.rs
+++ b/crates/runtrack/src/net/listing.rs
@@ -2,7 +2,7 @@
 
 use super::config::Names;
 use runtrack_balancer::{
-    CellId, EndpointId, EndpointInfo, EndpointState, KindId, Membership, ZoneId, wire,
+    CellId, EndpointId, EndpointInfo, EndpointState, MachineTypeId, Membership, ZoneId, wire,
 };
 use runtrack_discovery::{List, State, Told};
 use runtrack_net::mutant;
@@ -22,7 +22,7 @@
 /// The names behind the module's numbers for endpoints, zones and kinds.
 pub struct Listing {
     names: Names,
-    ids: RefCell<wire::Names>,
+    ids: RefCell<wire::EndpointNames>,
 }
 
 impl Listing {
@@ -81,16 +81,16 @@
             entries.push(EndpointInfo {
                 id,
                 zone: ZoneId(place(&self.names.areas, &target.az)),
-                kind: KindId(place(&self.names.kinds, &target.model)),
+                machine_type: MachineTypeId(place(&self.names.kinds, &target.model)),
                 cell: CellId(target.pod_group),
                 state: match target.state {
                     State::Up => EndpointState::Ready,
                     State::Draining if mutant("drain-unheard") => EndpointState::Ready,
                     State::Draining => EndpointState::Draining,
-                    State::Removed => EndpointState::Gone,
+                    State::Removed => EndpointState::Removed,
                 },
                 weight: target.capacity_hint,
-                started: (target.boot_ms > 0.0)
+                started_at: (target.boot_ms > 0.0)
                     .then(|| Duration::from_micros((target.boot_ms * 1e3) as u64)),
             });
         }
--- a/crates/runtrack/src/net/outbound.rs
+++ b/crates/runtrack/src/net/outbound.rs
@@ -107,7 +107,7 @@
 
     /// The outcome of being stopped.
     pub fn stopped(&self) -> Outcome {
-        if self.begun() { Outcome::Cancelled } else { Outcome::Moot }
+        if self.begun() { Outcome::Cancelled } else { Outcome::NotSent }
     }
 }
 
@@ -226,7 +226,7 @@
 impl Outbound {
     /// No connections yet.
     pub fn new(network: Rc<dyn Network>, settings: &Settings, budget: Rc<Budget>) -> Rc<Self> {
-        let (connect, idle) = (settings.limits.connect_timeout, settings.limits.idle_close);
+        let (connect, idle) = (settings.limits.connect_timeout, settings.limits.idle_timeout);
         let or = |time: Duration, unstated| if time.is_zero() { unstated } else { time };
         Rc::new(Outbound {
             network,
@@ -348,7 +348,7 @@
         let never_ran = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Rejected,
             _ => Outcome::Error,
         };
         let report = self.inline_report(&head.headers);
--- a/crates/runtrack/src/sidecar.rs
+++ b/crates/runtrack/src/sidecar.rs
@@ -50,7 +50,7 @@
     let listing = Rc::new(Listing::new(names));
     let watch = match settings.discovery {
         runtrack_balancer::Discovery::Push => Watch::Agent, // the module never asks for one
-        runtrack_balancer::Discovery::Ask => Watch::Asked,
+        runtrack_balancer::Discovery::Subscribe => Watch::Asked,
     };
     let (translate, news) = (listing.clone(), inbox.clone());
     let first = Rc::new(Notify::new());
--- a/crates/scale/src/choices.rs
+++ b/crates/scale/src/choices.rs
@@ -116,7 +116,7 @@
         {
             self.ends.pop();
             self.loads[id.0 as usize] -= 1;
-            self.routers[proxy].ended(end, id, Outcome::Ok);
+            self.routers[proxy].on_ended(end, id, Outcome::Ok);
         }
     }
 
@@ -141,7 +141,7 @@
 
     /// Sends a request to an endpoint; how many were in flight there before it.
     fn start_request(&mut self, proxy: usize, id: EndpointId, now: Duration) -> usize {
-        self.routers[proxy].sent(now, id, None);
+        self.routers[proxy].on_sent(now, id, None);
         let end = now + Duration::from_secs_f64(self.draw_exponential());
         self.ends.push(Reverse((end, proxy, id)));
         let load = self.loads[id.0 as usize];
--- a/crates/xds/src/translate.rs
+++ b/crates/xds/src/translate.rs
@@ -17,7 +17,7 @@
 use pb::envoy::r#type::v3::Percent;
 use pb::google::protobuf::{Any, Duration as ProtoDuration, UInt32Value};
 use prost::{Message, Name};
-use runtrack_balancer::Group;
+use runtrack_balancer::DedupScope;
 use runtrack_model::{Class, Fleet, Listener, Pool, Route, Rules, Semantics};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -348,7 +348,7 @@
     // repeat, for longer than the request can last, may a keyed request that may have run go again.
     let anywhere = match class.semantics {
         Semantics::Safe => true,
-        Semantics::Keyed { group, window } => group == Group::All && class.deadline <= window,
+        Semantics::Keyed { group, window } => group == DedupScope::All && class.deadline <= window,
         Semantics::Unsafe => false,
     };
     let retry_on = if anywhere { format!("{NEVER_RAN},{MAY_HAVE_RUN}") } else { NEVER_RAN.to_owned() };
