--- a/crates/agree/src/host/mod.rs
+++ b/crates/agree/src/host/mod.rs
@@ -1,18 +1,18 @@
-//! A member in service: the clock, the disk, the links to the others, round a [`Node`](crate::Node).
+//! Runs a [`Node`](crate::Node) in a process, with a clock, a folder on disk and links to the other members.
 //!
-//! The member runs on a thread of its own, so that a slow disk delays nothing but itself. Everybody else holds a
-//! [`Handle`]: a view of what is agreed, and orders.
+//! The node runs on its own thread, so that a slow disk delays nothing else. The rest of the process uses a [`Handle`],
+//! which provides a view of the replicated state and submits requests.
 
 mod link;
 mod server;
 mod work;
 
-pub use link::LinkStanding;
-pub use server::Peers;
+pub use link::LinkStatus;
+pub use server::PeerService;
 
 use crate::command::{Command, MemberChange, MemberId, Outcome};
 use crate::disk::Identity;
-use crate::node::{Standing, Tuning};
+use crate::node::{MemberStatus, Tuning};
 use crate::state::State;
 use runtrack_store::Folder;
 use std::collections::BTreeMap;
@@ -24,20 +24,20 @@
 use tokio::time::Instant;
 use tonic::transport::ClientTlsConfig;
 
-/// Orders that wait for the member at most: beyond them messages of peers are dropped, which they send again, and writes
-/// are refused.
-const ORDERS: usize = 4_096;
+/// Capacity of the worker's queue. When it is full, messages from peers are dropped, which Raft retransmits, and
+/// requests are refused.
+const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// How a member runs.
+/// Settings of a running member.
 #[derive(Clone)]
 pub struct Settings {
-    /// One tick of the agreement.
+    /// Length of a Raft tick.
     pub tick: Duration,
-    /// Its patience, in ticks.
+    /// Raft timing, in ticks, and log size.
     pub tuning: Tuning,
-    /// How it shows itself to the others, and knows them; none: plain text.
+    /// TLS configuration of the links to other members; `None` for plain text.
     pub tls: Option<ClientTlsConfig>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
@@ -48,105 +48,105 @@
 }
 
 impl Settings {
-    /// After so long without a leader, or without a majority, a member says that there is none.
-    pub fn patience(&self) -> Duration {
-        self.tick * self.tuning.election as u32
+    /// Minimum election timeout.
+    pub fn election_timeout(&self) -> Duration {
+        self.tick * self.tuning.election_ticks as u32
     }
 }
 
-/// What is known of the cluster here and now.
+/// This member's current view of the cluster.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// What is agreed, as far as it is applied here; none: nothing was heard yet.
+    /// The replicated state as applied here; `None` before any state was received.
     pub state: Option<Arc<State>>,
-    /// How this member stands; none while its folder can't be used.
-    pub standing: Option<Standing>,
-    /// When this member was last in touch with a majority: as its leader, or through the leader.
-    pub in_touch: Option<Instant>,
-    /// Why its folder can't be used.
-    pub trouble: Option<String>,
-    /// Why it is no member any more.
+    /// Status of this member; `None` while its folder cannot be used.
+    pub status: Option<MemberStatus>,
+    /// Last contact with a majority, directly as the leader or through the leader.
+    pub last_quorum_contact: Option<Instant>,
+    /// Why the folder cannot be used.
+    pub storage_error: Option<String>,
+    /// Why this member no longer belongs to the cluster.
     pub removed: Option<String>,
-    /// How the links to the others stand.
-    pub links: BTreeMap<MemberId, LinkStanding>,
-    /// Times that the leader changed since this process began.
+    /// Status of the links to the other members.
+    pub links: BTreeMap<MemberId, LinkStatus>,
+    /// Number of leader changes since the process started.
     pub elections: u64,
 }
 
 impl View {
-    /// Whether a majority was heard of within this time.
+    /// Whether this member was in contact with a majority within this time.
     pub fn has_majority(&self, within: Duration) -> bool {
-        self.removed.is_none() && self.in_touch.is_some_and(|at| at.elapsed() <= within)
+        self.removed.is_none() && self.last_quorum_contact.is_some_and(|at| at.elapsed() <= within)
     }
 
     /// Whether this member leads.
-    pub fn leads(&self) -> bool {
-        self.standing.as_ref().is_some_and(|standing| standing.leader == standing.member)
+    pub fn is_leader(&self) -> bool {
+        self.status.as_ref().is_some_and(|status| status.leader == status.member)
     }
 }
 
-/// Why a write, a read or a change was not done, or may not have been.
+/// Why a request failed, or why its outcome is not known.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum AskError {
-    /// Nothing was heard of it in time: it may come to pass yet. The same id may be asked again.
+pub enum RequestError {
+    /// No outcome is known in time; the request may still take effect. It may be repeated with the same id.
     #[error(
         "no majority has answered in time: whether it took place is not known. Repeat it with the same id"
     )]
-    Unknown,
-    /// It was not done.
+    OutcomeUnknown,
+    /// The request was refused and has no effect.
     #[error("{0}")]
     Refused(String),
 }
 
-pub(crate) type Reply<T> = oneshot::Sender<Result<T, AskError>>;
+pub(crate) type Reply<T> = oneshot::Sender<Result<T, RequestError>>;
 
-/// What the member is asked.
-pub(crate) enum Order {
+/// Input of the member's worker thread.
+pub(crate) enum Event {
     Message(crate::PeerMessage),
-    Write { id: String, command: Command, until: Instant, reply: Reply<(u64, Outcome)> },
-    Read { until: Instant, reply: Reply<Arc<State>> },
-    Change { id: String, change: MemberChange, until: Instant, reply: Reply<()> },
-    Transfer { to: MemberId, until: Instant, reply: Reply<()> },
-    Text { hash: String, reply: oneshot::Sender<Option<Arc<str>>> },
-    Fetched(Result<String, String>),
-    Lost(MemberId),
-    Fetching(MemberId),
+    Write { id: String, command: Command, deadline: Instant, reply: Reply<(u64, Outcome)> },
+    Read { deadline: Instant, reply: Reply<Arc<State>> },
+    Change { id: String, change: MemberChange, deadline: Instant, reply: Reply<()> },
+    Transfer { to: MemberId, deadline: Instant, reply: Reply<()> },
+    SnapshotText { hash: String, reply: oneshot::Sender<Option<Arc<str>>> },
+    SnapshotFetched(Result<String, String>),
+    LinkLost(MemberId),
+    SnapshotProgress(MemberId),
     Removed(String),
     Stop,
 }
 
-/// A member's handle.
+/// Handle of a running member.
 #[derive(Clone)]
 pub struct Handle {
     identity: Arc<Identity>,
-    patience: Duration,
-    orders: mpsc::Sender<Order>,
+    election_timeout: Duration,
+    events: mpsc::Sender<Event>,
     view: watch::Receiver<Arc<View>>,
     notes: Arc<server::Notes>,
     links: Arc<link::Links>,
 }
 
-/// Starts the member of a folder. The service for its peers comes with it.
-pub fn start(folder: Folder, settings: Settings) -> Result<(Handle, Peers), crate::NodeError> {
+/// Starts the member in a folder. Returns its handle and the gRPC service that its peers call.
+pub fn start(folder: Folder, settings: Settings) -> Result<(Handle, PeerService), crate::NodeError> {
     let node = crate::Node::open(folder.clone(), settings.tuning, settings.seed)?;
     let identity = Arc::new(node.identity().clone());
-    let (orders, asked) = mpsc::channel(ORDERS);
-    let links = Arc::new(link::Links::new(identity.clone(), settings.tls.clone(), orders.clone()));
+    let (events, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let links = Arc::new(link::Links::new(identity.clone(), settings.tls.clone(), events.clone()));
     let notes: Arc<server::Notes> = Arc::default();
-    let (show, view) = watch::channel(Arc::new(work::view_of(&node)));
+    let (view_sender, view) = watch::channel(Arc::new(work::initial_view(&node)));
     let handle = Handle {
         identity: identity.clone(),
-        patience: settings.patience(),
-        orders: orders.clone(),
+        election_timeout: settings.election_timeout(),
+        events: events.clone(),
         view,
         notes: notes.clone(),
         links: links.clone(),
     };
-    let peers = Peers::new(handle.clone());
-    let worker = work::Worker::new(node, folder, settings, links, show, orders);
+    let peers = PeerService::new(handle.clone());
+    let worker = work::Worker::new(node, folder, settings, links, view_sender, events);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
     let spawned = runtime.and_then(|runtime| {
-        let run = move || runtime.block_on(worker.run(asked));
+        let run = move || runtime.block_on(worker.run(receiver));
         std::thread::Builder::new().name("agreement".to_owned()).spawn(run)
     });
     spawned.map_err(|error: io::Error| crate::DiskError::File { file: "a thread".to_owned(), error })?;
@@ -154,131 +154,149 @@
 }
 
 impl Handle {
-    /// Who this member is.
+    /// Identity of this member.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// What is known now.
+    /// The current view.
     pub fn view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 
-    /// To wait for what is known to change.
+    /// A receiver that is notified when the view changes.
     pub fn watch(&self) -> watch::Receiver<Arc<View>> {
         self.view.clone()
     }
 
-    /// Whether this member is in touch with a majority.
+    /// Whether this member is in contact with a majority.
     pub fn has_majority(&self) -> bool {
-        // A follower hears of the leader each heartbeat, and of its loss within its patience.
-        self.view().has_majority(self.patience * 2)
+        // A follower hears from the leader with each heartbeat, and notices its loss within an election timeout.
+        self.view().has_majority(self.election_timeout * 2)
     }
 
-    /// How long this member waits before it says that there is no majority.
-    pub fn patience(&self) -> Duration {
-        self.patience * 2
+    /// Time without contact after which this member reports that it has no majority.
+    pub fn quorum_timeout(&self) -> Duration {
+        self.election_timeout * 2
     }
 
-    async fn ask<T>(
+    async fn request<T>(
         &self,
         within: Duration,
-        order: impl FnOnce(Instant, Reply<T>) -> Order,
-    ) -> Result<T, AskError> {
+        event: impl FnOnce(Instant, Reply<T>) -> Event,
+    ) -> Result<T, RequestError> {
         let (reply, answer) = oneshot::channel();
-        let until = Instant::now() + within;
-        if self.orders.try_send(order(until, reply)).is_err() {
-            return Err(AskError::Refused(
+        let deadline = Instant::now() + within;
+        if self.events.try_send(event(deadline, reply)).is_err() {
+            return Err(RequestError::Refused(
                 "the member is overrun with orders, or ends: ask again later".to_owned(),
             ));
         }
-        match tokio::time::timeout_at(until + self.patience, answer).await {
+        match tokio::time::timeout_at(deadline + self.election_timeout, answer).await {
             Ok(Ok(answer)) => answer,
-            _ => Err(AskError::Unknown),
+            _ => Err(RequestError::OutcomeUnknown),
         }
     }
 
-    /// Has a command agreed. With an id, a repeat with that id is answered and not run again, at any member.
+    /// Replicates a command, and returns its log index and outcome. A repeat with the same non-empty id, at any member,
+    /// gets the first one's outcome and is not applied again.
     pub async fn write(
         &self,
         id: &str,
         command: Command,
         within: Duration,
-    ) -> Result<(u64, Outcome), AskError> {
+    ) -> Result<(u64, Outcome), RequestError> {
         let id = id.to_owned();
-        self.ask(within, |until, reply| Order::Write { id, command, until, reply }).await
+        self.request(within, |deadline, reply| Event::Write { id, command, deadline, reply }).await
     }
 
-    /// Has a command agreed some time; nobody waits for it, and it may be lost.
+    /// Proposes a command without waiting for its outcome; it may be lost.
     pub fn propose(&self, command: Command) {
-        let until = Instant::now() + self.patience * 4;
+        let deadline = Instant::now() + self.election_timeout * 4;
         let (reply, _) = oneshot::channel();
-        let _ = self.orders.try_send(Order::Write { id: String::new(), command, until, reply });
+        let _ = self.events.try_send(Event::Write { id: String::new(), command, deadline, reply });
     }
 
-    /// The state as a majority has it now: it holds all that was written before this was asked.
-    pub async fn read(&self, within: Duration) -> Result<Arc<State>, AskError> {
-        self.ask(within, |until, reply| Order::Read { until, reply }).await
+    /// Linearizable read: returns a state that includes all writes acknowledged before the call.
+    pub async fn read(&self, within: Duration) -> Result<Arc<State>, RequestError> {
+        self.request(within, |deadline, reply| Event::Read { deadline, reply }).await
     }
 
-    /// Has the members changed, through whoever leads.
-    pub async fn change(&self, id: &str, change: MemberChange, within: Duration) -> Result<(), AskError> {
-        let asked = server::Asked::Change { id: id.to_owned(), change };
-        self.at_leader(asked, within).await
+    /// Changes the membership, through the current leader.
+    pub async fn change(
+        &self,
+        id: &str,
+        change: MemberChange,
+        within: Duration,
+    ) -> Result<(), RequestError> {
+        let request = server::LeaderRequest::Change { id: id.to_owned(), change };
+        self.run_at_leader(request, within).await
     }
 
-    /// Hands leadership to another member, through whoever leads.
-    pub async fn transfer(&self, to: MemberId, within: Duration) -> Result<(), AskError> {
-        self.at_leader(server::Asked::Transfer { to }, within).await
+    /// Transfers leadership to another member, through the current leader.
+    pub async fn transfer(&self, to: MemberId, within: Duration) -> Result<(), RequestError> {
+        self.run_at_leader(server::LeaderRequest::Transfer { to }, within).await
     }
 
-    /// Carries out at this member what only a leader may.
-    pub(crate) async fn lead(&self, asked: server::Asked, within: Duration) -> Result<(), AskError> {
-        match asked {
-            server::Asked::Change { id, change } => {
-                self.ask(within, |until, reply| Order::Change { id, change, until, reply }).await
+    /// Runs a leader-only request on this member.
+    pub(crate) async fn run_as_leader(
+        &self,
+        request: server::LeaderRequest,
+        within: Duration,
+    ) -> Result<(), RequestError> {
+        match request {
+            server::LeaderRequest::Change { id, change } => {
+                self.request(within, |deadline, reply| Event::Change { id, change, deadline, reply }).await
             }
-            server::Asked::Transfer { to } => {
-                self.ask(within, |until, reply| Order::Transfer { to, until, reply }).await
+            server::LeaderRequest::Transfer { to } => {
+                self.request(within, |deadline, reply| Event::Transfer { to, deadline, reply }).await
             }
         }
     }
 
-    async fn at_leader(&self, asked: server::Asked, within: Duration) -> Result<(), AskError> {
-        let end = Instant::now() + within;
+    async fn run_at_leader(
+        &self,
+        request: server::LeaderRequest,
+        within: Duration,
+    ) -> Result<(), RequestError> {
+        let deadline = Instant::now() + within;
         loop {
-            let leader = self.view().standing.as_ref().map_or(0, |standing| standing.leader);
-            let left = end.saturating_duration_since(Instant::now());
-            let done = match leader {
-                0 => Err(AskError::Unknown),
-                leader if leader == self.identity.member => self.lead(asked.clone(), left).await,
-                leader => self.links.ask(leader, &asked, left).await,
+            let leader = self.view().status.as_ref().map_or(0, |status| status.leader);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let result = match leader {
+                0 => Err(RequestError::OutcomeUnknown),
+                leader if leader == self.identity.member => {
+                    self.run_as_leader(request.clone(), remaining).await
+                }
+                leader => self.links.ask(leader, &request, remaining).await,
             };
-            // The leader may have changed in between.
-            if done != Err(AskError::Unknown) || Instant::now() + self.patience >= end {
-                return done;
+            // The leader may have changed in the meantime.
+            if result != Err(RequestError::OutcomeUnknown)
+                || Instant::now() + self.election_timeout >= deadline
+            {
+                return result;
             }
-            tokio::time::sleep(self.patience / 4).await;
+            tokio::time::sleep(self.election_timeout / 4).await;
         }
     }
 
-    /// Tells the leader something that is no matter of the log: only the newest of each kind counts. It may be lost.
+    /// Sends a note to the leader outside the log. Only the newest note of each kind is kept, and it may be lost.
     pub fn note(&self, kind: &str, text: String) {
-        let leader = self.view().standing.as_ref().map_or(0, |standing| standing.leader);
+        let leader = self.view().status.as_ref().map_or(0, |status| status.leader);
         match leader {
             0 => {}
-            leader if leader == self.identity.member => self.notes.take(leader, kind.to_owned(), text),
+            leader if leader == self.identity.member => self.notes.insert(leader, kind.to_owned(), text),
             leader => self.links.note(leader, kind.to_owned(), text),
         }
     }
 
-    /// The newest notes of a kind, by member, that are no older than this.
-    pub fn notes(&self, kind: &str, no_older: Duration) -> BTreeMap<MemberId, String> {
-        self.notes.of(kind, no_older)
+    /// The newest note of a kind from each member, if it is not older than `max_age`.
+    pub fn notes(&self, kind: &str, max_age: Duration) -> BTreeMap<MemberId, String> {
+        self.notes.newest(kind, max_age)
     }
 
-    /// Ends the member; what is agreed stays on its disk.
+    /// Stops the member; its state stays on disk.
     pub fn stop(&self) {
-        let _ = self.orders.try_send(Order::Stop);
+        let _ = self.events.try_send(Event::Stop);
     }
 }
--- a/crates/agree/src/lib.rs
+++ b/crates/agree/src/lib.rs
@@ -1,12 +1,13 @@
-//! One ordered log for several control instances.
+//! A replicated state machine for the control instances, on Raft.
 //!
-//! [`State`] is what is agreed: commands in, outcomes and effects out, no I/O. [`Node`] is a member: it takes ticks,
-//! messages and proposals, keeps its promises on a [`Disk`], and gives messages and what was applied. Consensus itself is
-//! the library `raft`'s. Neither opens a socket nor asks a clock: the same code runs in service and in a virtual world.
+//! [`State`] is the replicated state: it applies commands and returns outcomes and effects, without I/O. [`Node`] is one
+//! Raft member: it takes ticks, messages and proposals, persists entries and votes in a [`MemberStore`], and returns
+//! messages to send and the commands that were applied. The consensus algorithm itself is that of the `raft` crate.
+//! Neither opens sockets nor reads a clock, so the same code runs in production and in the simulator.
 //!
-//! [`host`] is the thin shell round a node: a thread with a clock, gRPC links to the others, the folder of a real disk.
+//! [`host`] runs a node in a process: on a thread with a clock, with gRPC links to the other members and a folder on disk.
 //!
-//! What it does not do: it trusts members, and a member that lies can do what it likes.
+//! Members trust each other: Byzantine faults are not tolerated.
 
 pub mod command;
 mod disk;
@@ -18,8 +19,12 @@
 pub mod state;
 
 pub use command::{Command, MemberChange, MemberId, Outcome, Proposal};
-pub use disk::{Base, Disk, DiskError, Found, Identity, Invitation, Place, identity};
-pub use message::{BYTES_MOST, PeerMessage};
-pub use node::{Applied, Fetch, Node, NodeError, Output, Peer, Role, Standing, Tuning};
-pub use record::{Entry, Promise, Record};
-pub use state::{Effects, MEMBERS_MOST, Member, OUTCOMES, Pool, Removed, Rollout, State, TEXTS_MOST};
+pub use disk::{
+    DiskError, Identity, Invitation, LogBase, MemberStore, RecoveredState, SnapshotMeta, identity,
+};
+pub use message::{MAX_MESSAGE_BYTES, PeerMessage};
+pub use node::{Applied, MemberStatus, Node, NodeError, Output, PeerProgress, Role, SnapshotFetch, Tuning};
+pub use record::{Entry, HardStateRecord, Record};
+pub use state::{
+    Effects, MAX_MEMBERS, MAX_OUTCOMES, MAX_TEXT_BYTES, Member, Pool, RemovedMember, Rollout, State,
+};
--- a/crates/agree/tests/disks.rs
+++ b/crates/agree/tests/disks.rs
@@ -1,4 +1,4 @@
-//! Members whose disks fail, are cut off or are damaged: what was answered for is never forgotten.
+//! Members whose disks fail, lose power or are damaged: nothing that was acknowledged is lost.
 
 mod support;
 
@@ -10,8 +10,9 @@
 use std::collections::BTreeSet;
 use support::*;
 
-/// Writes at a member alone until its disk fails, and gives the ids of those that were acknowledged.
-fn writes(node: &mut Node<Disk>, count: u64, size: usize) -> (BTreeSet<String>, bool) {
+/// Writes to a single-member cluster until its disk fails. Returns the ids of the acknowledged writes, and whether all
+/// writes succeeded.
+fn write_until_failure(node: &mut Node<Disk>, count: u64, size: usize) -> (BTreeSet<String>, bool) {
     let mut acknowledged = BTreeSet::new();
     for n in 0..count {
         node.tick();
@@ -27,50 +28,50 @@
     (acknowledged, true)
 }
 
-fn lone(disk: &Disk) -> Node<Disk> {
+fn single_member(disk: &Disk) -> Node<Disk> {
     let mut node = Node::open(disk.clone(), TUNING, 1).expect("a sound folder");
     for _ in 0..40 {
         node.tick();
         node.drive().expect("a sound disk");
     }
-    assert!(node.leads());
+    assert!(node.is_leader());
     node
 }
 
 #[test]
-fn a_power_cut_at_any_operation_forgets_nothing_that_was_acknowledged() {
-    // Large texts, so that the log is cut behind a snapshot on the way.
-    let made = || {
+fn a_power_cut_at_any_operation_loses_no_acknowledged_write() {
+    // Large texts, so that the log is compacted behind a snapshot during the run.
+    let new_disk = || {
         let disk = Disk::default();
         let state = runtrack_agree::State::new("lineage-1", 7, "m1", "a1", "folder-1");
-        Node::found(disk.clone(), identity(1), &state).expect("made");
+        Node::bootstrap(disk.clone(), identity(1), &state).expect("made");
         disk
     };
-    let (whole, size) = (8, 4_000);
+    let (count, size) = (8, 4_000);
     let steps = {
-        let disk = made();
-        let mut node = lone(&disk);
+        let disk = new_disk();
+        let mut node = single_member(&disk);
         let before = disk.done();
-        let (all, _) = writes(&mut node, whole, size);
+        let (all, _) = write_until_failure(&mut node, count, size);
         assert!(
-            all.len() as u64 + 1 >= whole && node.snapshot().index > 1,
-            "it made a snapshot on the way"
+            all.len() as u64 + 1 >= count && node.snapshot().index > 1,
+            "no snapshot was made during the run"
         );
         disk.done() - before
     };
     let mut kept = 0;
     for cut in 0..steps {
         for seed in 0..4 {
-            let disk = made();
-            let mut node = lone(&disk);
+            let disk = new_disk();
+            let mut node = single_member(&disk);
             disk.fail(Some((disk.done() + cut, true)));
-            let (acknowledged, _) = writes(&mut node, whole, size);
+            let (acknowledged, _) = write_until_failure(&mut node, count, size);
             drop(node);
-            let left = disk.after_cut(&mut Pcg32::seed_from_u64(seed));
-            let node = lone(&left);
+            let disk_after_cut = disk.after_cut(&mut Pcg32::seed_from_u64(seed));
+            let node = single_member(&disk_after_cut);
             let state = node.state().expect("it has a state");
             for id in &acknowledged {
-                assert!(state.outcome(id).is_some(), "cut {cut}, seed {seed}: {id} is forgotten");
+                assert!(state.outcome(id).is_some(), "cut {cut}, seed {seed}: {id} is lost");
             }
             kept += acknowledged.len();
         }
@@ -79,15 +80,15 @@
 }
 
 #[test]
-fn power_cuts_of_all_members_at_any_time_lose_nothing_and_elect_no_two() {
+fn power_cuts_of_all_members_lose_no_write_and_elect_one_leader_per_term() {
     for seed in 0..40 {
-        let mut cluster = Cluster::of(3, 1_000 + seed);
+        let mut cluster = Cluster::with_members(3, 1_000 + seed);
         let mut written = Vec::new();
         for n in 0..12 {
-            let victim = 1 + u64::from(cluster.draws.next_u32() % 3);
-            // In the middle of a turn: its disk is cut off at one of its next operations.
+            let victim = 1 + u64::from(cluster.rng.next_u32() % 3);
+            // The power fails in the middle of an iteration, at one of the disk's next operations.
             let disk = cluster.disks[&victim].clone();
-            let at = disk.done() + cluster.draws.next_u32() as usize % 6;
+            let at = disk.done() + cluster.rng.next_u32() as usize % 6;
             disk.fail(Some((at, true)));
             if n % 4 == 3 {
                 (1..=3).for_each(|member| cluster.power_off(member));
@@ -98,7 +99,7 @@
             written.push(id);
             cluster.power_cycle(victim);
         }
-        cluster.settle();
+        cluster.wait_for_equal_states();
         for id in written {
             assert!(
                 (1..=3).all(|member| cluster.state(member).outcome(&id).is_some()),
@@ -110,11 +111,11 @@
 
 #[test]
 fn a_flipped_byte_anywhere_in_a_members_folder_is_refused_or_harmless() {
-    let mut cluster = Cluster::of(3, 20);
+    let mut cluster = Cluster::with_members(3, 20);
     for n in 0..4 {
         cluster.write("", hold(n));
     }
-    cluster.settle();
+    cluster.wait_for_equal_states();
     let applied = cluster.state(2).index;
     let disk = cluster.disks[&2].clone();
     drop(cluster);
@@ -130,11 +131,8 @@
                 Err(other) => panic!("{name}, byte {at}: {other}"),
                 Ok(mut node) => {
                     node.drive().expect("a sound disk");
-                    let standing = node.standing();
-                    assert!(
-                        standing.committed >= applied,
-                        "{name}, byte {at}: what was agreed is forgotten"
-                    );
+                    let status = node.status();
+                    assert!(status.committed >= applied, "{name}, byte {at}: committed entries are lost");
                     harmless += 1;
                 }
             }
@@ -145,8 +143,8 @@
 }
 
 #[test]
-fn a_full_disk_takes_a_leader_out_and_it_comes_back() {
-    let mut cluster = Cluster::of(3, 21);
+fn a_leader_with_a_full_disk_stops_and_rejoins_after_a_restart() {
+    let mut cluster = Cluster::with_members(3, 21);
     for n in 0..5 {
         cluster.write("", hold(n));
     }
@@ -157,16 +155,16 @@
     assert!(matches!(&cluster.errors[..], [(member, NodeError::Disk(_))] if *member == leader));
     let index = cluster.write("", hold(6));
     cluster.start(leader);
-    cluster.settle();
+    cluster.wait_for_equal_states();
     assert!(cluster.state(leader).index >= index);
     assert_eq!(cluster.state(leader).held.len(), 7);
 }
 
 #[test]
-fn a_member_far_behind_is_given_a_snapshot_and_the_log_stays_bounded() {
-    let mut cluster = Cluster::of(3, 22);
+fn a_lagging_member_receives_a_snapshot_and_the_log_stays_bounded() {
+    let mut cluster = Cluster::with_members(3, 22);
     let behind = (1..=3).find(|member| Some(*member) != cluster.leader()).expect("one of the others");
-    cluster.cut_off(behind, true);
+    cluster.set_partitioned(behind, true);
     let mut index = 0;
     for n in 0..30 {
         let leader = cluster.leader().expect("somebody");
@@ -177,10 +175,10 @@
     let bytes = cluster.nodes[&leader].log_bytes();
     let snapshot = cluster.nodes[&leader].snapshot().clone();
     assert!(snapshot.index > 10 && bytes < 300_000, "snapshot {}, log of {bytes} bytes", snapshot.index);
-    cluster.cut_off(behind, false);
-    cluster.settle();
+    cluster.set_partitioned(behind, false);
+    cluster.wait_for_equal_states();
     assert!(cluster.state(behind).index >= index);
-    // A repeat of a write from before the snapshot is answered, not run twice.
+    // A repeat of a write from before the snapshot is answered and not applied again.
     let serial = cluster.state(behind).serial();
     let again = cluster.applied.values().filter(|applied| applied.id == "v3").count();
     assert_eq!(again, 1);
@@ -188,7 +186,7 @@
     let leader = cluster.leader().expect("somebody");
     cluster.nodes.get_mut(&leader).expect("it runs").propose(&proposal("v3", repeat)).expect("taken");
     for _ in 0..20 {
-        cluster.turn();
+        cluster.tick_all();
     }
     assert_eq!(cluster.state(leader).serial(), serial);
 }
--- a/crates/runtrack/src/net/driver.rs
+++ b/crates/runtrack/src/net/driver.rs
@@ -11,7 +11,7 @@
     Action, AttemptEnded, AttemptNo, Balancer, EndpointId, EndpointState, Event, Membership, Outcome,
     RequestId, TimerToken,
 };
-use runtrack_discovery::{Call, Clock};
+use runtrack_discovery::{ClientCommand, Clock};
 use runtrack_net::mutant;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -150,7 +150,7 @@
     summary_at: Instant,
     outbound: Rc<Outbound>,
     membership: Rc<MembershipTranslator>,
-    discovery_calls: UnboundedSender<Call>,
+    discovery_calls: UnboundedSender<ClientCommand>,
     inbox: Inbox,
     /// `GiveUp` was handled: open requests have been finished and no attempt is started any more.
     terminated: bool,
@@ -164,7 +164,7 @@
         max_attempts: u32,
         outbound: Rc<Outbound>,
         membership: Rc<MembershipTranslator>,
-        discovery_calls: UnboundedSender<Call>,
+        discovery_calls: UnboundedSender<ClientCommand>,
         inbox: Inbox,
     ) -> Self {
         Driver {
@@ -250,7 +250,7 @@
             log::info!("{}", std::mem::take(&mut self.spans));
             // Retained state should stay proportional to open requests and listed endpoints.
             let (open, timers, module) =
-                (self.requests.len(), self.timers.len(), self.balancer.remembered());
+                (self.requests.len(), self.timers.len(), self.balancer.state_size());
             let (listed, names, links) =
                 (self.addresses.len(), self.membership.names(), self.outbound.idle());
             log::info!(
@@ -277,7 +277,7 @@
                 self.terminated = !mutant("over-unsaid");
                 for id in open {
                     if !mutant("given-up-alike") {
-                        self.end_unstarted_attempts(id, Outcome::Moot);
+                        self.end_unstarted_attempts(id, Outcome::NotSent);
                         self.handle(Event::GiveUp(id));
                     }
                     // The decision module has normally finished it by now; if not, it fails.
@@ -301,7 +301,7 @@
             open: self.requests.len(),
             attempts: self.requests.values().map(|open| open.active_attempts).sum(),
             calls_in_flight: self.balancer.calls_in_flight(),
-            remembered: self.balancer.remembered(),
+            remembered: self.balancer.state_size(),
         }
     }
 
@@ -410,7 +410,7 @@
         };
         for entry in entries.iter().filter(|entry| entry.state != EndpointState::Ready) {
             unavailable.insert(entry.id);
-            let state = if entry.state == EndpointState::Gone {
+            let state = if entry.state == EndpointState::Removed {
                 self.addresses.remove(&entry.id);
                 self.outbound.forget(entry.id);
                 "gone"
@@ -489,8 +489,8 @@
                 self.timers.push(Reverse((Instant::now() + after, token.0)));
             }
             // Sending fails only during process exit.
-            Action::Watch(on) => drop(self.discovery_calls.send(Call::Watch(on))),
-            Action::FetchList => drop(self.discovery_calls.send(Call::Fetch)),
+            Action::Watch(on) => drop(self.discovery_calls.send(ClientCommand::Watch(on))),
+            Action::FetchList => drop(self.discovery_calls.send(ClientCommand::Fetch)),
             Action::Probe { endpoint } => self.probe(endpoint),
             Action::CloseIdle { endpoint } => self.outbound.close_idle(endpoint),
             Action::Log(text) => log::info!("module: {}", text.replace(['\n', '\r'], " ")),
@@ -514,12 +514,12 @@
                 request: id,
                 attempt,
                 endpoint,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
                 finished: open.answer.is_none(),
                 report: None,
             }));
-            return self.count(outcome_name(Outcome::Moot));
+            return self.count(outcome_name(Outcome::NotSent));
         };
         let (cancel, mut cancelled) = oneshot::channel();
         let window = open.window.clone().map(|window| (window, open.attempts.len()));
@@ -584,11 +584,11 @@
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
-        Outcome::Full => "turned away",
+        Outcome::Rejected => "turned away",
         Outcome::TimedOut => "timed out",
         Outcome::ConnectFailed => "not connected",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::NotSent => "moot",
     }
 }
--- a/crates/runtrack/src/net/inbound.rs
+++ b/crates/runtrack/src/net/inbound.rs
@@ -14,7 +14,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use runtrack_balancer::{ClassId, RequestId, Semantics, Settings, TenantId};
-use runtrack_net::{Came, Connection, Listener, mutant};
+use runtrack_net::{Connection, Listener, PeekStatus, mutant};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
@@ -152,7 +152,7 @@
     /// Whether a request has begun to arrive, even if only in the kernel's buffer: closing now would reset it.
     fn request_arriving(&self) -> bool {
         !self.busy.get()
-            && (self.socket.first_byte_at().is_some() || self.socket.unread_input() == Came::Bytes)
+            && (self.socket.first_byte_at().is_some() || self.socket.peek_status() == PeekStatus::Data)
             && !mutant("closed-unread")
     }
 
@@ -381,7 +381,7 @@
     async fn linger(&self, conn: &ClientConn) {
         if conn.evicted.replace(false)
             && conn.answered.get().is_none()
-            && conn.socket.unread_input() != Came::Bytes
+            && conn.socket.peek_status() != PeekStatus::Data
         {
             return; // closed for its silence: there is no data that the close could discard
         }
@@ -426,7 +426,7 @@
                         new_until = Some(Instant::now() + NEW_CONN_GRACE);
                     } else if conn.evicted.get()
                         && conn.socket.first_byte_at().is_some()
-                        && conn.socket.unread_input() != Came::Bytes
+                        && conn.socket.peek_status() != PeekStatus::Data
                     {
                         return; // closed for lack of sockets; the client stopped within a request head
                     } else if conn.request_arriving() {
@@ -490,7 +490,7 @@
 
     /// Refuses a request that was not sent to any endpoint, so that it may be retried anywhere.
     fn refuse_unsent(&self, reason: &'static str) -> Reply {
-        let by_settings = self.settings.limits.advice(SHED_RETRY_AFTER);
+        let by_settings = self.settings.limits.capped_retry_after(SHED_RETRY_AFTER);
         refusal(reason, if mutant("retry-unasked") { Some(SHED_RETRY_AFTER) } else { by_settings })
     }
 
@@ -528,7 +528,7 @@
         let _open = self.open_id(id, &conn.socket)?;
         let mut body = pin!(Limited::new(body, MAX_BODY_BYTES).collect());
         let mut read = timeout_at(conn.request_deadline(), body.as_mut()).await;
-        if read.is_err() && conn.socket.unread_input() == Came::Bytes {
+        if read.is_err() && conn.socket.peek_status() == PeekStatus::Data {
             // The timeout passed while this process lacked processor time: input in the kernel arrived in time.
             read = timeout(UNREAD_GRACE, body).await;
         }
@@ -593,7 +593,7 @@
     ) -> Result<OpenIdGuard<'a>, RequestError> {
         let mut open = self.open.borrow_mut();
         if let Some(other) = open.get(&id)
-            && (other.unread_input() != Came::End || mutant("end-unlooked-for"))
+            && (other.peek_status() != PeekStatus::Eof || mutant("end-unlooked-for"))
         {
             return Err((StatusCode::CONFLICT, "a request of that id is open"));
         }
--- a/crates/runtrack/src/net/membership.rs
+++ b/crates/runtrack/src/net/membership.rs
@@ -2,9 +2,9 @@
 
 use super::config::Names;
 use runtrack_balancer::{
-    CellId, EndpointId, EndpointInfo, EndpointState, KindId, Membership, ZoneId, wire,
+    CellId, EndpointId, EndpointInfo, EndpointState, MachineTypeId, Membership, ZoneId, wire,
 };
-use runtrack_discovery::{List, State, Told};
+use runtrack_discovery::{List, State, Update};
 use runtrack_net::mutant;
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -22,7 +22,7 @@
 /// Maps the names of endpoints, zones and machine types to the numbers that the decision module uses.
 pub struct MembershipTranslator {
     names: Names,
-    ids: RefCell<wire::Names>,
+    ids: RefCell<wire::EndpointNames>,
 }
 
 impl MembershipTranslator {
@@ -41,11 +41,11 @@
     }
 
     /// Translates an update from the discovery client.
-    pub fn translate(&self, told: Told) -> MembershipUpdate {
-        let membership = match told {
-            Told::List(list) => return self.translate_list(list),
-            Told::Unchanged => Membership::Delta(Vec::new()),
-            Told::Failed(_) => Membership::Failed,
+    pub fn translate(&self, update: Update) -> MembershipUpdate {
+        let membership = match update {
+            Update::List(list) => return self.translate_list(list),
+            Update::Unchanged => Membership::Delta(Vec::new()),
+            Update::Failed(_) => Membership::Failed,
         };
         MembershipUpdate { membership, addresses: Vec::new() }
     }
@@ -81,16 +81,16 @@
             entries.push(EndpointInfo {
                 id,
                 zone: ZoneId(index_of(&self.names.areas, &target.az)),
-                kind: KindId(index_of(&self.names.kinds, &target.model)),
+                machine_type: MachineTypeId(index_of(&self.names.kinds, &target.model)),
                 cell: CellId(target.pod_group),
                 state: match target.state {
                     State::Up => EndpointState::Ready,
                     State::Draining if mutant("drain-unheard") => EndpointState::Ready,
                     State::Draining => EndpointState::Draining,
-                    State::Removed => EndpointState::Gone,
+                    State::Removed => EndpointState::Removed,
                 },
                 weight: target.capacity_hint,
-                started: (target.boot_ms > 0.0)
+                started_at: (target.boot_ms > 0.0)
                     .then(|| Duration::from_micros((target.boot_ms * 1e3) as u64)),
             });
         }
--- a/crates/runtrack/src/net/outbound.rs
+++ b/crates/runtrack/src/net/outbound.rs
@@ -11,7 +11,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use hyper_util::rt::TokioIo;
 use runtrack_balancer::{EndpointId, LoadField, Outcome, Settings};
-use runtrack_net::{Came, Network, mutant};
+use runtrack_net::{Network, PeekStatus, mutant};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -108,7 +108,7 @@
 
     /// The outcome of cancelling the attempt.
     pub fn cancel_outcome(&self) -> Outcome {
-        if self.started() { Outcome::Cancelled } else { Outcome::Moot }
+        if self.started() { Outcome::Cancelled } else { Outcome::NotSent }
     }
 }
 
@@ -229,7 +229,7 @@
 impl Outbound {
     /// Creates empty pools.
     pub fn new(network: Rc<dyn Network>, settings: &Settings, budget: Rc<Budget>) -> Rc<Self> {
-        let (connect, idle) = (settings.limits.connect_timeout, settings.limits.idle_close);
+        let (connect, idle) = (settings.limits.connect_timeout, settings.limits.idle_timeout);
         let or_default = |time: Duration, unstated| if time.is_zero() { unstated } else { time };
         Rc::new(Outbound {
             network,
@@ -355,7 +355,7 @@
         let never_ran = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Rejected,
             _ => Outcome::Error,
         };
         let report = self.inline_report(&head.headers);
@@ -524,13 +524,13 @@
         if conn.address != address || !self.usable(conn) {
             return false;
         }
-        let unread_input = conn.socket.unread_input();
-        match unread_input {
-            Came::Nothing => self.reuse_delay(endpoint).borrow_mut().record_silence(Instant::now()),
-            Came::Bytes => self.record_unsolicited(endpoint),
-            Came::End => {}
+        let status = conn.socket.peek_status();
+        match status {
+            PeekStatus::Empty => self.reuse_delay(endpoint).borrow_mut().record_silence(Instant::now()),
+            PeekStatus::Data => self.record_unsolicited(endpoint),
+            PeekStatus::Eof => {}
         }
-        unread_input == Came::Nothing
+        status == PeekStatus::Empty
     }
 
     /// Whether the endpoint answered within `RECENT_ANSWER` and has not reset a connection since.
--- a/crates/runtrack/src/net/socket.rs
+++ b/crates/runtrack/src/net/socket.rs
@@ -1,7 +1,7 @@
 //! The transport below hyper's connections. It records what hyper doesn't expose: when input arrived, whether more
 //! may be unread, and whether a write was refused because its deadline had passed.
 
-use runtrack_net::{Came, Connection, mutant};
+use runtrack_net::{Connection, PeekStatus, mutant};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::io;
@@ -103,8 +103,8 @@
     }
 
     /// What the kernel holds unread for this connection.
-    pub fn unread_input(&self) -> Came {
-        self.stream.borrow().came()
+    pub fn peek_status(&self) -> PeekStatus {
+        self.stream.borrow().peek_status()
     }
 }
 
--- a/crates/runtrack/src/sidecar.rs
+++ b/crates/runtrack/src/sidecar.rs
@@ -7,7 +7,7 @@
 use crate::net::membership::MembershipTranslator;
 use crate::net::outbound::Outbound;
 use runtrack_balancer::Balancer;
-use runtrack_discovery::{Call, Client, Clock, Told, Watch};
+use runtrack_discovery::{Client, ClientCommand, Clock, Update, WatchMode};
 use runtrack_net::Network;
 use std::pin::pin;
 use std::rc::Rc;
@@ -64,18 +64,18 @@
     let inbound = Inbound::new(settings.clone(), &names, budget, outbound.clone(), inbox.clone());
     let membership = Rc::new(MembershipTranslator::new(names));
     let watch = match settings.discovery {
-        runtrack_balancer::Discovery::Push => Watch::Agent, // the decision module never requests a list
-        runtrack_balancer::Discovery::Ask => Watch::Asked,
+        runtrack_balancer::Discovery::Push => WatchMode::LocalAgent, // the decision module never requests a list
+        runtrack_balancer::Discovery::Subscribe => WatchMode::OnRequest,
     };
     let (translator, list_inbox) = (membership.clone(), inbox.clone());
     let first_list = Rc::new(Notify::new());
     let first_list_signal = first_list.clone();
-    let client = Client::new(network.clone(), discovery, watch, seed, move |told: Told| {
-        let _ = list_inbox.send(Input::List(translator.translate(told))); // fails only during process exit
+    let client = Client::new(network.clone(), discovery, watch, seed, move |update: Update| {
+        let _ = list_inbox.send(Input::List(translator.translate(update))); // fails only during process exit
         first_list_signal.notify_one();
     });
     // The last known list is applied before the first client is accepted.
-    client.start_from(cached_list.rev);
+    client.resume_from(cached_list.rev);
     let _ = inbox.send(Input::List(membership.cached(cached_list)));
     let attempts = settings.limits.max_attempts;
     let driver = Driver::new(
@@ -90,7 +90,7 @@
     let mut driver = spawn_local(driver.run(inputs));
     spawn_local(client.run(discovery_requests));
     spawn_local(outbound.sweep());
-    if watch == Watch::Agent && !runtrack_net::mutant("old-list-first") {
+    if watch == WatchMode::LocalAgent && !runtrack_net::mutant("old-list-first") {
         // The sidecar is expected to act on the agent's current list from its first request on, and the last known
         // list may be older.
         let _ = timeout(FIRST_LIST_TIMEOUT, first_list.notified()).await;
@@ -120,7 +120,7 @@
                         log::info!("reloaded: changes that need a restart: {}", to_restart.join(", "));
                     }
                     if let Some(address) = moved_to {
-                        let _ = discovery_calls.send(Call::Move(address)); // fails only during process exit
+                        let _ = discovery_calls.send(ClientCommand::SetAddress(address)); // fails only during process exit
                     }
                 }
             },
