--- a/crates/runtrack/benches/wire.rs
+++ b/crates/runtrack/benches/wire.rs
@@ -1,12 +1,12 @@
-//! The sidecar against a bare proxy on the same endpoints, in one run.
+//! Compares the sidecar with a plain proxy on the same endpoints in one run.
 //!
-//! `cargo bench -p runtrack --bench wire -- [closed] [bodies] [fleet] [open] [overload] [steady]`; all but `steady`
-//! where nothing is named.
+//! `cargo bench -p runtrack --bench wire -- [closed] [bodies] [fleet] [open] [overload] [steady]`; without arguments,
+//! all but `steady`.
 //!
-//! The bare proxy is hyper's server and client with nothing between them, on one thread, each of its clients with a
-//! connection of its own to an endpoint. The sidecar is a process of one thread. Load and endpoints run on two
-//! threads of this program. Processor time is what the kernel counted for the proxy's thread and for the sidecar.
-//! In an open loop calls are due at even times, and their time counts from then on, sent or not.
+//! The plain proxy is hyper's server and client without further logic, on one thread; each client has its own
+//! connection to an endpoint. The sidecar is a single-threaded process. Load and endpoints run on two threads of this
+//! program. Processor time is the kernel's count for the proxy's thread and for the sidecar. In an open loop calls
+//! are due at regular times, and latency is measured from the due time, whether or not the call could be sent then.
 
 #[path = "../tests/support/load.rs"]
 mod load;
@@ -18,7 +18,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use load::{Caller, Endpoints, Manner};
+use load::{Behavior, Caller, Endpoints};
 use serde_json::json;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -30,28 +30,28 @@
 use tokio::runtime::Runtime;
 use tokio::task::{JoinSet, LocalSet, spawn_local};
 
-const WARM: Duration = Duration::from_millis(500);
+const WARM_UP: Duration = Duration::from_millis(500);
 const MEASURED: Duration = Duration::from_secs(2);
 
-/// What one of the two proxies has used of the processor, in seconds: the kernel's count for a task.
-fn processor(stat: &str) -> f64 {
+/// Processor time that a proxy has used, in seconds, from the kernel's `stat` file.
+fn cpu_seconds(stat: &str) -> f64 {
     let text = std::fs::read_to_string(stat).expect("the proxy runs");
     let fields: Vec<&str> =
         text.rsplit(')').next().expect("a line of figures").split_whitespace().collect();
-    let ticks = |at: usize| fields[at].parse::<f64>().expect("a figure");
-    (ticks(11) + ticks(12)) / 100.0
+    let cpu_ticks = |at: usize| fields[at].parse::<f64>().expect("a figure");
+    (cpu_ticks(11) + cpu_ticks(12)) / 100.0
 }
 
 /// A proxy under measurement.
 struct Proxy {
     address: SocketAddr,
-    /// The kernel's file of its figures.
+    /// The kernel's `stat` file of its thread or process.
     stat: String,
 }
 
-/// A bare proxy on a thread of its own, for as long as the program runs.
-fn bare(endpoints: Vec<SocketAddr>) -> Proxy {
-    let (told, started) = std::sync::mpsc::channel();
+/// Starts a plain proxy on its own thread, which runs until the program ends.
+fn plain_proxy(endpoints: Vec<SocketAddr>) -> Proxy {
+    let (ready_tx, ready_rx) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -60,25 +60,25 @@
             let this = std::fs::read_link("/proc/thread-self").expect("a thread of a process");
             let (address, stat) = (listener.local_addr().expect("a bound port"), this.join("stat"));
             let stat = format!("/proc/{}", stat.display());
-            told.send(Proxy { address, stat }).expect("the caller waits");
+            ready_tx.send(Proxy { address, stat }).expect("the caller waits");
             for turn in 0.. {
-                let Ok((near, _)) = listener.accept().await else { return };
-                spawn_local(pass_on(near, endpoints[turn % endpoints.len()]));
+                let Ok((client_stream, _)) = listener.accept().await else { return };
+                spawn_local(forward(client_stream, endpoints[turn % endpoints.len()]));
             }
         });
     });
-    started.recv().expect("the proxy starts")
+    ready_rx.recv().expect("the proxy starts")
 }
 
-async fn pass_on(near: TcpStream, to: SocketAddr) {
-    let far = TcpStream::connect(to).await.expect("an endpoint is up");
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let made = hyper::client::conn::http1::handshake(TokioIo::new(far)).await;
+async fn forward(client_stream: TcpStream, to: SocketAddr) {
+    let endpoint_stream = TcpStream::connect(to).await.expect("an endpoint is up");
+    let _ = (client_stream.set_nodelay(true), endpoint_stream.set_nodelay(true));
+    let made = hyper::client::conn::http1::handshake(TokioIo::new(endpoint_stream)).await;
     let (sender, connection) = made.expect("a handshake without I/O");
     spawn_local(connection);
     let sender = Rc::new(RefCell::new(sender));
     let service = service_fn(move |request: Request<Incoming>| {
-        // One request at a time comes on a connection, so the way on is free.
+        // Only one request at a time arrives on a connection, so the connection to the endpoint is free.
         let answer = sender.borrow_mut().send_request(request);
         async move {
             let (head, body) = answer.await?.into_parts();
@@ -86,28 +86,29 @@
             Ok::<_, hyper::Error>(Response::from_parts(head, Full::<Bytes>::new(body)))
         }
     });
-    let served =
-        hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(near), service).await;
+    let served = hyper::server::conn::http1::Builder::new()
+        .serve_connection(TokioIo::new(client_stream), service)
+        .await;
     if let Err(problem) = served {
         eprintln!("bare proxy: {problem:?}");
     }
 }
 
 #[derive(Default)]
-struct Figures {
-    /// Served, and of those within the objective.
+struct Measurements {
+    /// Served calls, and those of them within the objective.
     calls: usize,
     good: usize,
     refused: usize,
     reopened: usize,
-    /// Of those served, sorted.
+    /// Latencies of served calls, sorted.
     times: Vec<Duration>,
-    /// The longest that a refusal took.
+    /// The longest time until a refusal.
     refusal: Duration,
 }
 
-impl Figures {
-    fn add(&mut self, one: Figures) {
+impl Measurements {
+    fn add(&mut self, one: Measurements) {
         self.calls += one.calls;
         self.good += one.good;
         self.refused += one.refused;
@@ -116,7 +117,7 @@
         self.refusal = self.refusal.max(one.refusal);
     }
 
-    fn note(&mut self, status: u16, time: Duration, objective: Duration) {
+    fn record(&mut self, status: u16, time: Duration, objective: Duration) {
         if status == 200 {
             self.calls += 1;
             self.good += usize::from(time <= objective);
@@ -131,35 +132,35 @@
         self.calls as f64 / MEASURED.as_secs_f64()
     }
 
-    fn micros(&self, part: f64) -> f64 {
+    fn percentile_us(&self, part: f64) -> f64 {
         let place = (self.times.len() as f64 * part) as usize;
         self.times.get(place.min(self.times.len().saturating_sub(1))).map_or(0.0, |t| t.as_secs_f64() * 1e6)
     }
 }
 
-/// So many clients, each with one call in flight at a time.
-async fn closed_loop(to: SocketAddr, clients: usize, class: &'static str) -> Figures {
+/// Runs this number of clients, each with one call in flight at a time.
+async fn closed_loop(to: SocketAddr, clients: usize, class: &'static str) -> Measurements {
     let mut tasks = JoinSet::new();
     let began = Instant::now();
     for _ in 0..clients {
         tasks.spawn(async move {
-            let (mut caller, mut figures) = (Caller::connect(to).await, Figures::default());
-            while began.elapsed() < WARM + MEASURED {
+            let (mut caller, mut measurements) = (Caller::connect(to).await, Measurements::default());
+            while began.elapsed() < WARM_UP + MEASURED {
                 let sent = Instant::now();
                 let status = caller.call(class).await;
-                if began.elapsed() >= WARM {
-                    figures.note(status, sent.elapsed(), Duration::MAX);
+                if began.elapsed() >= WARM_UP {
+                    measurements.record(status, sent.elapsed(), Duration::MAX);
                 }
             }
-            figures.reopened = caller.reopened;
-            figures
+            measurements.reopened = caller.reopened;
+            measurements
         });
     }
     gather(tasks).await
 }
 
-async fn gather(mut tasks: JoinSet<Figures>) -> Figures {
-    let mut all = Figures::default();
+async fn gather(mut tasks: JoinSet<Measurements>) -> Measurements {
+    let mut all = Measurements::default();
     while let Some(one) = tasks.join_next().await {
         all.add(one.expect("a client ends"));
     }
@@ -167,30 +168,31 @@
     all
 }
 
-/// So many calls a second, each due at its time whatever became of the others, on up to `clients` connections.
+/// Makes `rate` calls per second, each due at its time whatever the state of the others, on up to `clients`
+/// connections.
 async fn open_loop(
     to: SocketAddr,
     rate: f64,
     clients: usize,
     class: &'static str,
     objective: Duration,
-) -> Figures {
+) -> Measurements {
     let (mut tasks, next) = (JoinSet::new(), Arc::new(AtomicUsize::new(0)));
     let began = Instant::now();
     for _ in 0..clients {
         let next = next.clone();
         tasks.spawn(async move {
-            let (mut caller, mut figures) = (Caller::connect(to).await, Figures::default());
+            let (mut caller, mut measurements) = (Caller::connect(to).await, Measurements::default());
             loop {
                 let due = Duration::from_secs_f64(next.fetch_add(1, Ordering::Relaxed) as f64 / rate);
-                if due > WARM + MEASURED {
-                    figures.reopened = caller.reopened;
-                    return figures;
+                if due > WARM_UP + MEASURED {
+                    measurements.reopened = caller.reopened;
+                    return measurements;
                 }
                 tokio::time::sleep_until((began + due).into()).await;
                 let status = caller.call(class).await;
-                if due >= WARM {
-                    figures.note(status, began.elapsed() - due, objective);
+                if due >= WARM_UP {
+                    measurements.record(status, began.elapsed() - due, objective);
                 }
             }
         });
@@ -198,63 +200,63 @@
     gather(tasks).await
 }
 
-/// One line for both proxies under the same load.
+/// Prints one line for both proxies under the same load.
 fn compare(
     what: &str,
-    bare: &Proxy,
+    plain_proxy: &Proxy,
     sidecar: &Proxy,
     endpoints: &Endpoints,
-    load: impl Fn(SocketAddr) -> Figures,
+    load: impl Fn(SocketAddr) -> Measurements,
 ) {
     let measure = |proxy: &Proxy| {
-        let before = (processor(&proxy.stat), endpoints.accepted.load(Ordering::Relaxed));
-        let figures = load(proxy.address);
-        let whole = (WARM + MEASURED).as_secs_f64() / MEASURED.as_secs_f64();
-        let answers = (figures.calls + figures.refused).max(1) as f64 * whole;
-        let used = (processor(&proxy.stat) - before.0) * 1e6 / answers;
-        (figures, used, endpoints.accepted.load(Ordering::Relaxed) - before.1)
+        let before = (cpu_seconds(&proxy.stat), endpoints.accepted.load(Ordering::Relaxed));
+        let measurements = load(proxy.address);
+        let whole = (WARM_UP + MEASURED).as_secs_f64() / MEASURED.as_secs_f64();
+        let answers = (measurements.calls + measurements.refused).max(1) as f64 * whole;
+        let used = (cpu_seconds(&proxy.stat) - before.0) * 1e6 / answers;
+        (measurements, used, endpoints.accepted.load(Ordering::Relaxed) - before.1)
     };
-    let (plain, plain_cpu, _) = measure(bare);
+    let (plain, plain_cpu, _) = measure(plain_proxy);
     let (ours, cpu, connections) = measure(sidecar);
     println!(
         "{what:<28} | {:>7.0} {:>6.0} {:>6.0} {:>7.0} {:>5.1} | {:>7.0} {:>6.0} {:>6.0} {:>7.0} {:>5.1} {:>5} {:>5} {:>5} | {:>5.2} {:>6.0} {:>5.2}",
         plain.rate(),
-        plain.micros(0.5),
-        plain.micros(0.99),
-        plain.micros(0.999),
+        plain.percentile_us(0.5),
+        plain.percentile_us(0.99),
+        plain.percentile_us(0.999),
         plain_cpu,
         ours.rate(),
-        ours.micros(0.5),
-        ours.micros(0.99),
-        ours.micros(0.999),
+        ours.percentile_us(0.5),
+        ours.percentile_us(0.99),
+        ours.percentile_us(0.999),
         cpu,
         ours.refused,
         ours.reopened,
         connections,
         ours.rate() / plain.rate(),
-        ours.micros(0.5) - plain.micros(0.5),
+        ours.percentile_us(0.5) - plain.percentile_us(0.5),
         cpu / plain_cpu
     );
 }
 
 fn heading(what: &str) {
-    println!("\n{what}; {MEASURED:?} after {WARM:?}");
+    println!("\n{what}; {MEASURED:?} after {WARM_UP:?}");
     println!(
         "{:<28} | bare: calls/s, us p50 p99 p99.9 CPU | sidecar: the same, refused, reopened, connections | ratio, us added, CPU ratio",
         ""
     );
 }
 
-/// 512 clients and as many attempts need more sockets than the tests' sidecars have.
-fn roomy(endpoints: &Endpoints) -> serde_json::Value {
+/// 512 clients and as many attempts need more sockets than the tests' configuration has.
+fn bench_config(endpoints: &Endpoints) -> serde_json::Value {
     let mut config = support::config_at(&endpoints.addresses);
     config["limits"] = json!({"cores": 1.0, "memory_mb": 384, "sockets": 2048});
     config
 }
 
-fn started(endpoints: &Endpoints) -> (Proxy, support::Sidecar, Proxy) {
-    let plain = bare(endpoints.addresses.clone());
-    let sidecar = support::Sidecar::start(&roomy(endpoints));
+fn start_proxies(endpoints: &Endpoints) -> (Proxy, support::Sidecar, Proxy) {
+    let plain = plain_proxy(endpoints.addresses.clone());
+    let sidecar = support::Sidecar::start(&bench_config(endpoints));
     let ours = proxy(&sidecar);
     (plain, sidecar, ours)
 }
@@ -263,13 +265,13 @@
     Proxy { address: sidecar.address, stat: format!("/proc/{}/stat", sidecar.child.id()) }
 }
 
-/// A closed loop of clients for each service time and number of endpoints.
+/// Runs a closed loop of clients for each service time and number of endpoints.
 fn closed(runtime: &Runtime, times: &[u64], counts: &[usize], clients: &[usize], class: &'static str) {
     for &takes in times {
         for &count in counts {
-            let manner = Manner::serving(Duration::from_millis(takes));
-            let endpoints = Endpoints::start(runtime, &vec![manner; count]);
-            let (plain, _sidecar, ours) = started(&endpoints);
+            let behavior = Behavior::serving(Duration::from_millis(takes));
+            let endpoints = Endpoints::start(runtime, &vec![behavior; count]);
+            let (plain, _sidecar, ours) = start_proxies(&endpoints);
             for &clients in clients {
                 let what = format!("{takes} ms, {count} endpoints, {clients} calls");
                 compare(&what, &plain, &ours, &endpoints, |to| {
@@ -280,10 +282,10 @@
     }
 }
 
-/// Calls at even times, of which the peak of a closed loop is the measure.
+/// Open loops at fixed rates.
 fn open_loops(runtime: &Runtime) {
-    let endpoints = Endpoints::start(runtime, &[Manner::serving(Duration::from_millis(1)); 4]);
-    let (plain, _sidecar, ours) = started(&endpoints);
+    let endpoints = Endpoints::start(runtime, &[Behavior::serving(Duration::from_millis(1)); 4]);
+    let (plain, _sidecar, ours) = start_proxies(&endpoints);
     for rate in [500.0, 2000.0, 8000.0] {
         let what = format!("1 ms, 4 endpoints, {rate}/s");
         compare(&what, &plain, &ours, &endpoints, |to| {
@@ -292,7 +294,7 @@
     }
 }
 
-/// Twice and four times what the endpoints can do: 4 of 10 ms, 4 calls at a time, so 1,600 calls a second.
+/// Load up to four times the endpoints' capacity: 4 endpoints, 10 ms, 4 calls at a time, so 1,600 calls per second.
 fn overload(runtime: &Runtime) {
     let objective = Duration::from_millis(200);
     println!(
@@ -303,9 +305,9 @@
     );
     let mut peak: f64 = 0.0;
     for part in [0.9, 1.0, 2.0, 4.0] {
-        let manner = Manner { at_once: 4, ..Manner::serving(Duration::from_millis(10)) };
-        let endpoints = Endpoints::start(runtime, &[manner; 4]);
-        let mut config = roomy(&endpoints);
+        let behavior = Behavior { at_once: 4, ..Behavior::serving(Duration::from_millis(10)) };
+        let endpoints = Endpoints::start(runtime, &[behavior; 4]);
+        let mut config = bench_config(&endpoints);
         for class in config["settings"]["classes"].as_array_mut().expect("classes") {
             class["objectiveMs"] = json!(objective.as_millis() as f64);
             class["deadlineMs"] = json!(1000.0);
@@ -328,7 +330,7 @@
             good / peak,
             worthy.calls + worthy.refused,
             worthy.good,
-            worthy.micros(0.99),
+            worthy.percentile_us(0.99),
             other.calls + other.refused,
             other.good,
             worthy.refusal.max(other.refusal).as_secs_f64() * 1e3
@@ -336,11 +338,11 @@
     }
 }
 
-/// A million calls: the sidecar's memory must not grow in their second half.
+/// A million calls: the sidecar's memory must not grow in the second half.
 fn steady(runtime: &Runtime) {
     const CALLS: usize = 1_000_000;
-    let endpoints = Endpoints::start(runtime, &[Manner::serving(Duration::ZERO); 4]);
-    let sidecar = support::Sidecar::start(&roomy(&endpoints));
+    let endpoints = Endpoints::start(runtime, &[Behavior::serving(Duration::ZERO); 4]);
+    let sidecar = support::Sidecar::start(&bench_config(&endpoints));
     let resident = || {
         let status = std::fs::read_to_string(format!("/proc/{}/status", sidecar.child.id()));
         let status = status.expect("the sidecar runs");
--- a/crates/runtrack/src/net/driver.rs
+++ b/crates/runtrack/src/net/driver.rs
@@ -193,7 +193,8 @@
         loop {
             let next = self.timers.peek().map_or(self.summary_at, |Reverse((at, _))| *at);
             let next = next.min(self.summary_at);
-            // The timer is reset only if it must fire earlier: a spurious wake-up is cheaper than a reset at each input.
+            // The timer is reset only if it must fire earlier: a spurious wake-up is cheaper than a reset at each
+            // input.
             if next < wake.deadline() || wake.is_elapsed() {
                 wake.as_mut().reset(next);
             }
--- a/crates/runtrack/src/net/inbound.rs
+++ b/crates/runtrack/src/net/inbound.rs
@@ -57,8 +57,8 @@
 const EVICT_RETRY: Duration = Duration::from_millis(10);
 /// During shutdown, a connection without input is closed after this time.
 const NEW_CONN_GRACE: Duration = Duration::from_millis(200);
-/// SIGKILL follows SIGTERM after the longest deadline, or `MAX_SHUTDOWN_DEADLINE` if that is less, plus 0.7 s. Requests
-/// still open after that deadline plus this slack are failed, which leaves time to send the answers.
+/// SIGKILL follows SIGTERM after the longest deadline, or `MAX_SHUTDOWN_DEADLINE` if that is less, plus 0.7 s.
+/// Requests still open after that deadline plus this slack are failed, which leaves time to send the answers.
 const SHUTDOWN_SLACK: Duration = Duration::from_millis(450);
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
 /// Limits of a lingering close: input is read and discarded until the client closes too. A client that behaves well
@@ -227,8 +227,9 @@
         while timeout_at(asked + SHUTDOWN_ACCEPT_TIME, self.accept(&*listener)).await.is_ok() {}
         let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
         let until = asked + longest.min(MAX_SHUTDOWN_DEADLINE) + SHUTDOWN_SLACK;
-        // Connections in the backlog must be served: closing the listener would reset them. The time spent waiting for a
-        // free socket does not count as an empty backlog, since requests may queue behind connections without one.
+        // Connections in the backlog must be served: closing the listener would reset them. The time spent waiting
+        // for a free socket does not count as an empty backlog, since requests may queue behind connections without
+        // one.
         while let Ok(true) = timeout_at(until, self.accept_within(&*listener, BACKLOG_EMPTY_AFTER)).await {}
         drop(listener);
         self.connections.borrow().values().for_each(|conn| conn.close.notify_one());
@@ -313,10 +314,10 @@
         }
     }
 
-    /// Closes one connection to free a socket: one that is lingering, else the oldest that has sent no complete request,
-    /// else the one idle longest. If there is none, marks a connection to be closed after its next answer. Returns whether
-    /// one is closed, or will be once it has been silent long enough. Shed connections are only closed for other shed
-    /// ones, and regular ones for regular ones.
+    /// Closes one connection to free a socket: one that is lingering, else the oldest that has sent no complete
+    /// request, else the one idle longest. If there is none, marks a connection to be closed after its next answer.
+    /// Returns whether one is closed, or will be once it has been silent long enough. Shed connections are only
+    /// closed for other shed ones, and regular ones for regular ones.
     fn evict(&self, shed: bool) -> bool {
         let connections = self.connections.borrow();
         let same_kind =
@@ -376,8 +377,8 @@
         (transport, conn, number)
     }
 
-    /// Lingering close: waits for a limited time until the client has read the answer and closes too. It is cut short if
-    /// the connection is selected to be closed for lack of sockets.
+    /// Lingering close: waits for a limited time until the client has read the answer and closes too. It is cut short
+    /// if the connection is selected to be closed for lack of sockets.
     async fn linger(&self, conn: &ClientConn) {
         if conn.evicted.replace(false)
             && conn.answered.get().is_none()
--- a/crates/runtrack/src/net/outbound.rs
+++ b/crates/runtrack/src/net/outbound.rs
@@ -38,9 +38,9 @@
 /// Interval at which idle connections are checked for closing.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// How long the last byte of a body is delayed after the rest. A connection that the peer has dropped or is about to
-/// drop answers the first bytes with a reset; an endpoint starts execution only after the last byte, so that a request
-/// reset before it was not executed and may be sent again even if it must not be repeated. This covers closing
-/// endpoints, intermediate proxies and restarts. With a longer round trip the reset arrives too late to help.
+/// drop answers the first bytes with a reset; an endpoint starts execution only after the last byte, so that a
+/// request reset before it was not executed and may be sent again even if it must not be repeated. This covers
+/// closing endpoints, intermediate proxies and restarts. With a longer round trip the reset arrives too late to help.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(1);
 /// The last byte is delayed only if the endpoint has not answered within this time on any connection, or has reset
 /// one since, or the connection is aged: an endpoint that has just answered is unlikely to be gone, and at high call
@@ -348,8 +348,8 @@
         }
     }
 
-    /// Reads the complete answer and classifies it. An answer that breaks off or is malformed counts as a reset and is
-    /// never passed on, and its headers don't prove that the request was not executed.
+    /// Reads the complete answer and classifies it. An answer that breaks off or is malformed counts as a reset and
+    /// is never passed on, and its headers don't prove that the request was not executed.
     async fn read(&self, response: Response<Incoming>) -> AttemptEnd {
         let (head, body) = response.into_parts();
         let never_ran = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
--- a/crates/runtrack/src/sidecar.rs
+++ b/crates/runtrack/src/sidecar.rs
@@ -120,7 +120,8 @@
                         log::info!("reloaded: changes that need a restart: {}", to_restart.join(", "));
                     }
                     if let Some(address) = moved_to {
-                        let _ = discovery_calls.send(ClientCommand::SetAddress(address)); // fails only during process exit
+                        // Fails only during process exit.
+                        let _ = discovery_calls.send(ClientCommand::SetAddress(address));
                     }
                 }
             },
--- a/crates/runtrack/tests/orders_clients.rs
+++ b/crates/runtrack/tests/client_disconnects.rs
@@ -1,11 +1,12 @@
-//! Clients that leave while their request waits: nothing of it is sent on afterwards, and nothing is left behind.
+//! Clients that disconnect while their request waits: nothing is sent to an endpoint afterwards, and no state is
+//! kept.
 
-#[path = "support/inside.rs"]
-mod inside;
+#[path = "support/in_process.rs"]
+mod in_process;
 #[path = "support/node.rs"]
 mod support;
 
-use inside::Inside;
+use in_process::InProcess;
 use serde_json::{Value, json};
 use socket2::SockRef;
 use std::net::Shutdown;
@@ -14,10 +15,10 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Of a request whose client has left, nothing is sent on later than this.
-const GONE: Duration = Duration::from_millis(300);
+/// Time after a client's disconnect beyond which nothing of its request is sent to an endpoint.
+const MAX_SEND_DELAY: Duration = Duration::from_millis(300);
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Leaving {
     Close,
@@ -25,10 +26,10 @@
     Reset,
 }
 
-/// Leaves; what a half-closed connection keeps open is handed back.
-fn leave(client: Client, how: Leaving) -> Option<Client> {
+/// Disconnects; returns the client whose connection is only half closed.
+fn leave(client: Client, leaving: Leaving) -> Option<Client> {
     let stream = client.stream();
-    match how {
+    match leaving {
         Leaving::Close => return None,
         Leaving::HalfClose => stream.shutdown(Shutdown::Write).unwrap(),
         Leaving::Reset => {
@@ -39,45 +40,45 @@
     Some(client)
 }
 
-/// A configuration for these endpoints, where sent requests may be cancelled, or may not.
-fn cancelling(peers: &[&Peer], may: bool) -> Value {
+/// A configuration for these endpoints that allows or forbids cancelling sent requests.
+fn config_with_cancelling(peers: &[&Peer], allowed: bool) -> Value {
     let mut config = config(peers);
-    config["settings"]["limits"]["cancelling"] = json!(may);
+    config["settings"]["limits"]["cancelling"] = json!(allowed);
     config["settings"]["limits"]["connectTimeoutMs"] = json!(20_000.0);
     config
 }
 
-/// Requests of clients that leave while their attempts wait for connections; what the endpoint has seen of them once the
-/// connections come up and another client has been served.
-fn seen_of_those_who_left(
+/// Clients disconnect while their attempts wait for connections. Returns how many of their requests the endpoint has
+/// seen once connections are established and another client has been served.
+fn requests_seen_after_leaving(
     class: &str,
-    may: bool,
-    how: Leaving,
+    allowed: bool,
+    leaving: Leaving,
     count: usize,
-    planted: &'static str,
+    mutant: &'static str,
 ) -> usize {
     let peer = Peer::serving("ok");
-    let sidecar = Inside::start(&cancelling(&[&peer], may), planted);
+    let sidecar = InProcess::start(&config_with_cancelling(&[&peer], allowed), mutant);
     sidecar.gate.hold(peer.address);
     let mut clients: Vec<Client> = (0..count).map(|_| sidecar.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&request(class, &format!("left-{n}"), "10000m"));
     }
-    // Some wait for a connection, others are held by the module.
+    // Some attempts wait for a connection; other requests are queued by the decision module.
     sidecar.wait_open(count);
     wait_for("a connection being made", || sidecar.gate.waiting(peer.address) > 0);
     let at = Instant::now();
-    let kept: Vec<_> = clients.into_iter().filter_map(|client| leave(client, how)).collect();
-    if planted.is_empty() {
-        sidecar.at_rest();
+    let kept: Vec<_> = clients.into_iter().filter_map(|client| leave(client, leaving)).collect();
+    if mutant.is_empty() {
+        sidecar.wait_at_rest();
         assert_eq!(sidecar.gate.waiting(peer.address), 0, "no connection is made for nobody");
     } else {
-        std::thread::sleep(GONE.saturating_sub(at.elapsed())); // it goes on waiting, whatever the time
+        std::thread::sleep(MAX_SEND_DELAY.saturating_sub(at.elapsed())); // with the mutant the attempt keeps waiting
     }
     sidecar.gate.open(peer.address);
     let mut marker = sidecar.client();
     assert_eq!(marker.ask("quote", "marker").status(), 200);
-    if !planted.is_empty() {
+    if !mutant.is_empty() {
         wait_for("what was sent for nobody", || peer.count() > 1);
     }
     drop(kept);
@@ -85,56 +86,60 @@
 }
 
 #[test]
-fn gone_while_a_connection_comes_up_late_nothing_is_sent() {
-    for how in [Leaving::Close, Leaving::HalfClose, Leaving::Reset] {
-        for may in [true, false] {
+fn nothing_is_sent_for_a_client_that_left_while_its_attempt_was_connecting() {
+    for leaving in [Leaving::Close, Leaving::HalfClose, Leaving::Reset] {
+        for allowed in [true, false] {
             for class in ["quote", "pay", "book"] {
-                assert_eq!(seen_of_those_who_left(class, may, how, 1, ""), 0, "{class} {how:?} {may}");
+                assert_eq!(
+                    requests_seen_after_leaving(class, allowed, leaving, 1, ""),
+                    0,
+                    "{class} {leaving:?} {allowed}"
+                );
             }
         }
     }
     assert_ne!(
-        seen_of_those_who_left("book", false, Leaving::Close, 1, "sent-for-nobody"),
+        requests_seen_after_leaving("book", false, Leaving::Close, 1, "sent-for-nobody"),
         0,
         "the check can fail"
     );
 }
 
 #[test]
-fn fifty_that_leave_at_once_leave_nothing_behind() {
-    for may in [true, false] {
-        assert_eq!(seen_of_those_who_left("book", may, Leaving::Close, 50, ""), 0);
+fn no_state_is_kept_of_fifty_clients_that_leave_at_once() {
+    for allowed in [true, false] {
+        assert_eq!(requests_seen_after_leaving("book", allowed, Leaving::Close, 50, ""), 0);
     }
 }
 
 #[test]
-fn gone_while_held_by_the_module_nothing_is_sent() {
+fn nothing_is_sent_for_a_client_that_left_while_its_request_was_queued() {
     let peer = Peer::serving("ok");
     let discovery = Discovery::new(list(8, false, &[]));
     let mut config = config(&[]);
     config["discovery"] = json!(discovery.address.to_string());
-    let sidecar = Inside::start(&config, "");
+    let sidecar = InProcess::start(&config, "");
     let mut client = sidecar.client();
     client.send(&request("book", "left", "10000m"));
     sidecar.wait_open(1);
     drop(client);
-    sidecar.at_rest();
+    sidecar.wait_at_rest();
     discovery.say(&list(9, false, &[target("s-0", peer.address, "up")]).to_string());
     assert_eq!(sidecar.client().ask("book", "marker").status(), 200);
     assert_eq!(peer.count(), 1);
 }
 
-/// Whether a request was sent on whose client left while the attempt waited for a socket of the budget.
-fn sent_once_a_socket_is_free(planted: &'static str) -> bool {
+/// Whether a request was sent whose client disconnected while the attempt waited for a socket of the budget.
+fn sent_after_socket_freed(mutant: &'static str) -> bool {
     let free = Arc::new(AtomicBool::new(false));
-    let peers: Vec<Peer> = (0..6).map(|_| Peer::held(&free, "ok")).collect();
-    let mut config = cancelling(&peers.iter().collect::<Vec<_>>(), false);
-    // Sixteen sockets: ten for clients, six are left for their requests.
+    let peers: Vec<Peer> = (0..6).map(|_| Peer::gated(&free, "ok")).collect();
+    let mut config = config_with_cancelling(&peers.iter().collect::<Vec<_>>(), false);
+    // 16 sockets: ten for clients, which leaves six for their requests.
     config["limits"]["sockets"] = json!(64);
-    let sidecar = Inside::start(&config, planted);
+    let sidecar = InProcess::start(&config, mutant);
     let mut clients: Vec<Client> = (0..10).map(|_| sidecar.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        // Who is told to go on has been taken in, and is no silent client that may be closed to make room.
+        // A client that got 100 Continue has an open request, so that it is not evicted as silent.
         let text = request("book", &format!("r{n}"), "20000m");
         let (head, _) = text.split_once("\r\n\r\n").unwrap();
         client.send(&format!("{head}\r\nExpect: 100-continue\r\n\r\n"));
@@ -152,17 +157,17 @@
     whole(6);
     wait_for("the seventh attempt", || sidecar.gauges().attempts == 7);
     drop(clients.remove(6));
-    if planted.is_empty() {
+    if mutant.is_empty() {
         sidecar.wait_open(6);
     } else {
-        std::thread::sleep(GONE); // it goes on waiting, whatever the time
+        std::thread::sleep(MAX_SEND_DELAY); // with the mutant the attempt keeps waiting
     }
     free.store(true, Ordering::SeqCst);
     for client in clients.iter_mut().take(6) {
         assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
     }
-    if planted.is_empty() {
-        sidecar.at_rest();
+    if mutant.is_empty() {
+        sidecar.wait_at_rest();
     } else {
         wait_for("what was sent for nobody", || seen() == 7);
     }
@@ -170,46 +175,48 @@
 }
 
 #[test]
-fn gone_while_it_waits_for_a_socket_of_the_budget_nothing_is_sent() {
-    assert!(!sent_once_a_socket_is_free(""));
-    assert!(sent_once_a_socket_is_free("sent-for-nobody"), "the check can fail");
+fn nothing_is_sent_for_a_client_that_left_while_its_attempt_waited_for_a_socket() {
+    assert!(!sent_after_socket_freed(""));
+    assert!(sent_after_socket_freed("sent-for-nobody"), "the check can fail");
 }
 
 #[test]
-fn gone_after_it_was_written_it_is_cancelled_where_that_is_allowed_and_never_copied() {
+fn a_sent_request_whose_client_left_is_cancelled_where_allowed_and_never_repeated() {
     for class in ["quote", "pay", "book"] {
-        for may in [true, false] {
-            let peer = Peer::new(|_| Do::Silence);
-            let sidecar = Inside::start(&cancelling(&[&peer, &Peer::serving("other")], may), "");
+        for allowed in [true, false] {
+            let peer = Peer::new(|_| Reply::Silence);
+            let sidecar =
+                InProcess::start(&config_with_cancelling(&[&peer, &Peer::serving("other")], allowed), "");
             let mut client = sidecar.client();
-            // The first choice is a draw: until the silent one has it.
+            // The first endpoint is chosen at random: repeat until the silent one is chosen.
             let mut n = 0;
             while peer.count() == 0 {
                 n += 1;
                 client.send(&request(class, &format!("r{n}"), "3000m"));
-                wait_for("a choice", || peer.count() == 1 || client.has_answer());
+                wait_for("a choice", || peer.count() == 1 || client.has_input());
                 if peer.count() == 0 {
                     assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
                 }
             }
             drop(client);
-            if may {
+            if allowed {
                 wait_for("the attempt's end", || peer.closed() == 1);
-                sidecar.at_rest();
+                sidecar.wait_at_rest();
             } else {
                 wait_for("the request's end", || sidecar.gauges().attempts == 1);
                 assert_eq!(peer.closed(), 0, "what may run to its end is not broken off");
                 wait_for("the deadline", || peer.closed() == 1);
-                sidecar.at_rest();
+                sidecar.wait_at_rest();
             }
-            assert_eq!(peer.count(), 1, "{class} {may}");
+            assert_eq!(peer.count(), 1, "{class} {allowed}");
         }
     }
 }
 
-/// What a client gets that comes again by the same id while the end of its first connection lies unread.
-fn again_by_the_same_id(prefix: &str) -> u16 {
-    let peer = Peer::new(|m| if m.header("x-first").is_empty() { Do::Serve("ok") } else { Do::Silence });
+/// The status for a client that reconnects with the same id while the close of its first connection is unread.
+fn status_on_reconnect(prefix: &str) -> u16 {
+    let peer =
+        Peer::new(|m| if m.header("x-first").is_empty() { Reply::Serve("ok") } else { Reply::Silence });
     let first = |id: &str| request("quote", id, "20000m").replace("X-Timeout", "X-First: 1\r\nX-Timeout");
     let sidecar = Sidecar::start_with(&config(&[&peer]), prefix);
     let mut client = sidecar.client();
@@ -217,14 +224,14 @@
     wait_for("the attempt", || peer.count() == 1);
     let mut again = sidecar.client();
     assert_eq!(again.ask("quote", "other").status(), 200);
-    // While the process stands still, what it has to read first comes first.
+    // Stopping the process makes both events pending, so that the new request is read before the close.
     sidecar.signal("-STOP");
     wait_for("the stop", || sidecar.stopped());
     again.send(&request("quote", "same", "20000m"));
     drop(client);
     sidecar.signal("-CONT");
     let status = again.receive().expect("an answer").status();
-    // While the first one's connection stands, a second by its id is refused.
+    // While the first connection is open, a second request with its id is refused.
     let (mut one, mut two) = (sidecar.client(), sidecar.client());
     let before = peer.count();
     one.send(&first("twin"));
@@ -234,20 +241,20 @@
 }
 
 #[test]
-fn a_client_that_comes_again_by_the_same_id_before_its_end_was_seen_is_served() {
-    assert_eq!(again_by_the_same_id(""), 200);
-    assert_eq!(again_by_the_same_id("RUNTRACK_MUTANT=end-unlooked-for"), 409, "the check can fail");
+fn a_client_that_reconnects_with_the_same_id_before_its_close_was_read_is_served() {
+    assert_eq!(status_on_reconnect(""), 200);
+    assert_eq!(status_on_reconnect("RUNTRACK_MUTANT=end-unlooked-for"), 409, "the check can fail");
 }
 
-/// Whether a request was sent on whose client left while the only connection rested: a new one can't be made. None where
-/// the machine stood still for longer than a rest lasts, and the request was sent before its client could leave.
-fn sent_after_a_rest(planted: &'static str) -> Option<bool> {
+/// Whether a request was sent whose client disconnected during the reuse delay of the only connection, with no new
+/// connection possible. `None` if the machine stalled for longer than the delay and the request was sent before.
+fn sent_after_reuse_delay(mutant: &'static str) -> Option<bool> {
     let peer = Peer::new(|m| match m.header("x-request-id").starts_with("spoilt") {
-        true => Do::ServeAndWrite("ok", Duration::ZERO, "more than was asked".to_owned()),
-        false => Do::Serve("ok"),
+        true => Reply::ServeAndWrite("ok", Duration::ZERO, "more than was asked".to_owned()),
+        false => Reply::Serve("ok"),
     });
-    let sidecar = Inside::start(&cancelling(&[&peer], false), planted);
-    // What comes behind answers makes the rest as long as it gets: 0.2 s.
+    let sidecar = InProcess::start(&config_with_cancelling(&[&peer], false), mutant);
+    // Unsolicited bytes after answers raise the reuse delay to its maximum of 0.2 s.
     for n in 0..6 {
         sidecar.client().ask("quote", &format!("spoilt-{n}"));
     }
@@ -259,11 +266,11 @@
     wait_for("the request to wait, or to be sent", || sidecar.gauges().open == 1 || peer.count() > before);
     let in_time = peer.count() == before && rested.elapsed() < Duration::from_millis(100);
     drop(client);
-    if planted.is_empty() {
-        sidecar.at_rest();
+    if mutant.is_empty() {
+        sidecar.wait_at_rest();
     }
-    // Long enough for any rest to end.
-    std::thread::sleep(GONE);
+    // Longer than the maximum reuse delay.
+    std::thread::sleep(MAX_SEND_DELAY);
     sidecar.gate.open(peer.address);
     assert_eq!(sidecar.client().ask("quote", "marker").status(), 200);
     let sent = peer.seen.lock().unwrap().iter().any(|m| m.header("x-request-id") == "left");
@@ -271,8 +278,9 @@
 }
 
 #[test]
-fn gone_while_the_connection_rests_nothing_is_sent() {
-    let once = |planted| (0..10).find_map(|_| sent_after_a_rest(planted)).expect("a machine that goes on");
+fn nothing_is_sent_for_a_client_that_left_during_the_reuse_delay() {
+    let once =
+        |mutant| (0..10).find_map(|_| sent_after_reuse_delay(mutant)).expect("a machine that goes on");
     assert!(!once(""));
     assert!(once("sent-for-nobody"), "the check can fail");
 }
--- a/crates/runtrack/tests/orders_endpoints.rs
+++ b/crates/runtrack/tests/endpoint_connection_races.rs
@@ -1,15 +1,15 @@
-//! Connections to endpoints in bad orders: late ones, resets at once and long after, answers without an end.
+//! Connections to endpoints: established late, reset at once or long after the request, and answers without an end.
 
-#[path = "support/inside.rs"]
-mod inside;
+#[path = "support/in_process.rs"]
+mod in_process;
 #[path = "support/node.rs"]
 mod support;
 
-use inside::{Gate, Inside};
+use in_process::{Gate, InProcess};
 use runtrack::net::budget::Budget;
 use runtrack::net::config::Config;
 use runtrack::net::outbound::{Attempt, Forward, Outbound, Progress};
-use runtrack::net::socket::Socket as Noted;
+use runtrack::net::socket::Socket as Transport;
 use runtrack::net::window::RepeatWindow;
 use runtrack_balancer::{EndpointId, Outcome};
 use runtrack_net::{Connection, PeekStatus};
@@ -31,18 +31,18 @@
 const CLASSES: [&str; 3] = ["quote", "pay", "book"];
 
 #[test]
-fn a_connection_that_comes_up_late_is_given_up_and_the_request_goes_elsewhere() {
+fn a_late_connection_times_out_and_the_request_goes_to_another_endpoint() {
     for class in CLASSES {
         let (late, other) = (Peer::serving("late"), Peer::serving("other"));
         let mut config = config(&[&late, &other]);
         config["settings"]["limits"]["connectTimeoutMs"] = json!(100.0);
-        let sidecar = Inside::start(&config, "");
+        let sidecar = InProcess::start(&config, "");
         sidecar.gate.hold(late.address);
         for n in 0..10 {
             let answer = sidecar.client().ask(class, &format!("r{n}"));
             assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"other"[..]), "{class} {n}");
         }
-        sidecar.at_rest();
+        sidecar.wait_at_rest();
         assert_eq!((sidecar.gate.waiting(late.address), late.count()), (0, 0));
         sidecar.gate.open(late.address);
         assert_eq!(sidecar.client().ask(class, "marker").status(), 200);
@@ -51,18 +51,18 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_when_its_request_is_over_carries_nothing() {
+fn nothing_is_sent_on_a_connection_established_after_the_request_ended() {
     for class in CLASSES {
         let peer = Peer::serving("ok");
         let mut config = config(&[&peer]);
         config["settings"]["limits"]["connectTimeoutMs"] = json!(20_000.0);
-        let sidecar = Inside::start(&config, "");
+        let sidecar = InProcess::start(&config, "");
         sidecar.gate.hold(peer.address);
         let mut client = sidecar.client();
         client.send(&request(class, "over", "300m"));
         let answer = client.receive().expect("an answer in time");
         assert_eq!(answer.status(), 503, "{class}: nothing was sent on, and trying again is harmless");
-        sidecar.at_rest();
+        sidecar.wait_at_rest();
         assert_eq!(sidecar.gate.waiting(peer.address), 0, "no permit is lost to it");
         sidecar.gate.open(peer.address);
         assert_eq!(client.ask(class, "marker").status(), 200);
@@ -70,19 +70,19 @@
     }
 }
 
-/// What a request is told whose time was up while the process stood still and its connection was coming up, where an
-/// attempt's end is read before that attempt has its turn; and whether it is told when to come again.
-fn told_behind_a_standstill(class: &str, planted: &'static str) -> (u16, bool) {
+/// The status of a request whose deadline passed while the process was blocked and its connection pending, where the
+/// end of another attempt is handled before that attempt's task runs; and whether the answer has `Retry-After`.
+fn status_after_standstill(class: &str, mutant: &'static str) -> (u16, bool) {
     let peer = Peer::serving("ok");
     let mut config = config(&[&peer]);
     config["settings"]["limits"]["connectTimeoutMs"] = json!(20_000.0);
-    let sidecar = Inside::start(&config, planted);
+    let sidecar = InProcess::start(&config, mutant);
     sidecar.gate.hold(peer.address);
     let (mut over, mut other) = (sidecar.client(), sidecar.client());
     over.send(&request(class, "over", "1000m"));
     wait_for("the connection", || sidecar.gate.waiting(peer.address) == 1);
-    // The other one's attempt fails behind the first one's time: with its end the driver looks at the time.
-    sidecar.gate.stand_still(peer.address, Instant::now() + Duration::from_millis(1100));
+    // The other request's attempt fails after the first one's deadline; on its end the driver checks deadlines.
+    sidecar.gate.block_process(peer.address, Instant::now() + Duration::from_millis(1100));
     other.send(&request("quote", "other", "10000m"));
     let answer = over.receive().expect("an answer");
     assert_eq!(peer.count(), 0);
@@ -90,16 +90,16 @@
 }
 
 #[test]
-fn what_was_not_sent_before_its_time_was_up_is_refused_whoever_has_the_first_turn() {
+fn a_request_not_sent_before_its_deadline_is_refused_whichever_task_runs_first() {
     for class in CLASSES {
-        assert_eq!(told_behind_a_standstill(class, ""), (503, true), "{class}");
+        assert_eq!(status_after_standstill(class, ""), (503, true), "{class}");
     }
-    assert_eq!(told_behind_a_standstill("book", "overdue-untold").0, 502, "the check can fail");
+    assert_eq!(status_after_standstill("book", "overdue-untold").0, 502, "the check can fail");
 }
 
-/// An endpoint that reads whole requests, waits for its leave, writes this, and resets the connection; its address, and
-/// how many requests it has read.
-fn resetting(text: &'static str, free: Arc<AtomicBool>) -> (SocketAddr, Arc<AtomicUsize>) {
+/// An endpoint that reads complete requests, waits for `free`, writes this text and resets the connection. Returns
+/// its address and the number of requests read.
+fn resetting_endpoint(text: &'static str, free: Arc<AtomicBool>) -> (SocketAddr, Arc<AtomicUsize>) {
     let (listener, read) = (listener(), Arc::<AtomicUsize>::default());
     let (address, count) = (listener.local_addr().unwrap(), read.clone());
     std::thread::spawn(move || {
@@ -111,7 +111,7 @@
                 wait_for("leave to reset", || free.load(Ordering::SeqCst));
                 stream.write_all(text.as_bytes()).ok()?;
                 if !text.is_empty() {
-                    // What was written is to be read first: a reset throws away what is still on the way.
+                    // Let the text be read first: a reset discards data in flight.
                     std::thread::sleep(Duration::from_millis(20));
                 }
                 SockRef::from(&stream).set_linger(Some(Duration::ZERO)).ok()
@@ -121,43 +121,43 @@
     (address, read)
 }
 
-/// What a request gets whose endpoint resets the connection behind this text; how often one was read there.
-fn reset_behind(text: &'static str, class: &str, planted: &'static str) -> (u16, usize) {
-    let (address, read) = resetting(text, Arc::new(AtomicBool::new(true)));
+/// The status of a request whose endpoint resets the connection after this text, and how often a request was read.
+fn reset_after(text: &'static str, class: &str, mutant: &'static str) -> (u16, usize) {
+    let (address, read) = resetting_endpoint(text, Arc::new(AtomicBool::new(true)));
     let mut config = config_at(&[address]);
     config["settings"]["limits"]["maxAttempts"] = json!(2);
-    let sidecar = Inside::start(&config, planted);
+    let sidecar = InProcess::start(&config, mutant);
     let status = sidecar.client().ask(class, "r1").status();
     (status, read.load(Ordering::SeqCst))
 }
 
 #[test]
-fn a_reset_is_no_end_of_an_answer_without_a_length() {
+fn a_reset_does_not_end_an_answer_without_a_length() {
     let begun = "HTTP/1.1 200 OK\r\n\r\nhalf of it";
-    assert_eq!(reset_behind(begun, "book", ""), (502, 1));
+    assert_eq!(reset_after(begun, "book", ""), (502, 1));
     assert_eq!(
-        reset_behind(begun, "quote", ""),
+        reset_after(begun, "quote", ""),
         (503, 2),
         "safe, sent again, and refused as that failed too"
     );
-    assert_eq!(reset_behind(begun, "pay", ""), (503, 2), "keyed for all, and so may it");
-    assert_eq!(reset_behind(begun, "book", "reset-ends"), (200, 1), "the check can fail");
+    assert_eq!(reset_after(begun, "pay", ""), (503, 2), "keyed for all, and so may it");
+    assert_eq!(reset_after(begun, "book", "reset-ends"), (200, 1), "the check can fail");
 }
 
 #[test]
-fn a_reset_long_after_a_request_has_begun_is_repeated_where_the_settings_allow_it_alone() {
+fn a_request_reset_long_after_its_start_is_repeated_only_where_the_settings_allow() {
     for (class, window, read_most) in
         [("quote", 1.0, 2), ("pay", 20_000.0, 2), ("pay", 1.0, 1), ("book", 1.0, 1)]
     {
         let free = Arc::new(AtomicBool::new(false));
-        let (address, read) = resetting("", free.clone());
+        let (address, read) = resetting_endpoint("", free.clone());
         let mut config = config_at(&[address]);
         config["settings"]["classes"][2]["repeatWindowMs"] = json!(window);
         config["settings"]["limits"]["maxAttempts"] = json!(2);
-        // Copies would be made where an answer is long in coming.
+        // Second copies would be sent for a late answer.
         config["settings"]["limits"]["secondCopies"] = json!(false);
         config["settings"]["limits"]["cancelling"] = json!(false);
-        let sidecar = Inside::start(&config, "");
+        let sidecar = InProcess::start(&config, "");
         let mut client = sidecar.client();
         client.send(&request(class, "r1", "10000m"));
         wait_for("the request", || read.load(Ordering::SeqCst) == 1);
@@ -170,11 +170,11 @@
     }
 }
 
-/// How often a keyed request is seen whose process stands still from before its first attempt broke until its window is
-/// over, by SIGSTOP and SIGCONT.
-fn seen_when_stopped_meanwhile(prefix: &str) -> usize {
+/// How often a keyed request is seen if the process is stopped (SIGSTOP, SIGCONT) from before its first attempt
+/// breaks until its repeat window is over.
+fn attempts_when_stopped(prefix: &str) -> usize {
     let free = Arc::new(AtomicBool::new(false));
-    let (address, read) = resetting("", free.clone());
+    let (address, read) = resetting_endpoint("", free.clone());
     let mut config = config_at(&[address]);
     let window = Duration::from_millis(400);
     config["settings"]["classes"][2]["repeatWindowMs"] = json!(400.0);
@@ -194,24 +194,25 @@
 }
 
 #[test]
-fn a_process_that_stood_still_repeats_no_keyed_request_beyond_its_window() {
-    assert_eq!(seen_when_stopped_meanwhile(""), 1);
-    assert_eq!(seen_when_stopped_meanwhile("RUNTRACK_MUTANT=keyed-for-ever"), 2, "the check can fail");
+fn a_process_that_was_stopped_repeats_no_keyed_request_beyond_its_window() {
+    assert_eq!(attempts_when_stopped(""), 1);
+    assert_eq!(attempts_when_stopped("RUNTRACK_MUTANT=keyed-for-ever"), 2, "the check can fail");
 }
 
 #[test]
-fn a_keyed_repeat_whose_connection_comes_up_beyond_its_window_is_not_sent() {
-    for (planted, seen) in [("", 0), ("keyed-for-ever", 1)] {
+fn a_keyed_repeat_whose_connection_is_established_after_its_window_is_not_sent() {
+    for (mutant, seen) in [("", 0), ("keyed-for-ever", 1)] {
         let free = Arc::new(AtomicBool::new(false));
-        let (breaking, read) = resetting("", free.clone());
+        let (breaking, read) = resetting_endpoint("", free.clone());
         let other = Peer::serving("other");
         let mut config = config_at(&[breaking, other.address]);
         let window = Duration::from_millis(400);
         config["settings"]["classes"][2]["repeatWindowMs"] = json!(400.0);
         config["settings"]["limits"]["connectTimeoutMs"] = json!(20_000.0);
-        let sidecar = Inside::start(&config, planted);
+        let sidecar = InProcess::start(&config, mutant);
         sidecar.gate.hold(other.address);
-        // The first choice is a draw: until one has the endpoint that breaks, the others wait at the gate.
+        // The first endpoint is chosen at random: until one request goes to the resetting endpoint, the others wait
+        // at the gate.
         let mut clients = Vec::new();
         while read.load(Ordering::SeqCst) == 0 {
             let mut client = sidecar.client();
@@ -229,29 +230,29 @@
         let id = format!("r{}", clients.len() - 1);
         let answer = clients.last_mut().unwrap().receive().expect("an answer");
         let of_it = other.seen.lock().unwrap().iter().filter(|m| m.header("x-request-id") == id).count();
-        assert_eq!((of_it, answer.status() == 200), (seen, seen == 1), "{planted}");
+        assert_eq!((of_it, answer.status() == 200), (seen, seen == 1), "{mutant}");
     }
 }
 
 #[test]
-fn an_answer_of_the_largest_size_is_passed_on_whole_and_one_that_never_ends_is_not() {
+fn an_answer_of_the_maximum_size_is_forwarded_and_an_endless_one_is_not() {
     let largest: &'static str = Box::leak("x".repeat(64 * 1024).into_boxed_str());
     let peer = Peer::new(move |m| match m.target().starts_with("/quote") {
-        true => Do::Serve(largest),
-        false => Do::Flood("HTTP/1.1 200 OK\r\n\r\n".to_owned(), "and so on ".repeat(100)),
+        true => Reply::Serve(largest),
+        false => Reply::Flood("HTTP/1.1 200 OK\r\n\r\n".to_owned(), "and so on ".repeat(100)),
     });
-    let sidecar = Inside::start(&config(&[&peer]), "");
+    let sidecar = InProcess::start(&config(&[&peer]), "");
     let answer = sidecar.client().ask("quote", "r1");
     assert_eq!((answer.status(), answer.body.len()), (200, largest.len()));
     assert_eq!(sidecar.client().ask("book", "r2").status(), 502);
-    sidecar.at_rest();
+    sidecar.wait_at_rest();
 }
 
-/// A connection that notes what is written.
+/// A connection that records what is written.
 #[derive(Clone, Default)]
-struct Notes(Rc<RefCell<Vec<u8>>>);
+struct RecordingConnection(Rc<RefCell<Vec<u8>>>);
 
-impl AsyncRead for Notes {
+impl AsyncRead for RecordingConnection {
     fn poll_read(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -261,7 +262,7 @@
     }
 }
 
-impl AsyncWrite for Notes {
+impl AsyncWrite for RecordingConnection {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<std::io::Result<usize>> {
         self.0.borrow_mut().extend_from_slice(bytes);
         Poll::Ready(Ok(bytes.len()))
@@ -276,38 +277,38 @@
     }
 }
 
-impl Connection for Notes {
+impl Connection for RecordingConnection {
     fn peek_status(&self) -> PeekStatus {
         PeekStatus::Empty
     }
 }
 
-/// What is written of a request handed over in time, by a process that then stood still beyond its window.
-fn written_too_late(planted: Option<&str>) -> Vec<u8> {
-    runtrack_net::set_mutant(planted);
+/// What is written of a request that was started in time by a process that then stalled beyond the repeat window.
+fn written_by_deadline(mutant: Option<&str>) -> Vec<u8> {
+    runtrack_net::set_mutant(mutant);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let written = runtime.unwrap().block_on(async {
-        let notes = Notes::default();
-        let (mut socket, heard) = Noted::new(Box::new(notes.clone()));
+        let recorder = RecordingConnection::default();
+        let (mut socket, heard) = Transport::new(Box::new(recorder.clone()));
         heard.set_write_deadline(Some(tokio::time::Instant::now() + Duration::from_millis(400)));
         socket.write_all(b"in time,").await.unwrap();
         tokio::time::advance(Duration::from_millis(400)).await;
         let late = socket.write_all(b" late").await;
-        assert_eq!((late.is_err(), heard.write_refused()), (planted.is_none(), planted.is_none()));
-        notes.0.take()
+        assert_eq!((late.is_err(), heard.write_refused()), (mutant.is_none(), mutant.is_none()));
+        recorder.0.take()
     });
     runtrack_net::set_mutant(None);
     written
 }
 
 #[test]
-fn the_window_is_asked_for_at_the_write_itself() {
-    assert_eq!(written_too_late(None), b"in time,");
-    assert_eq!(written_too_late(Some("window-unasked")), b"in time, late", "the check can fail");
+fn the_repeat_window_is_checked_at_each_write() {
+    assert_eq!(written_by_deadline(None), b"in time,");
+    assert_eq!(written_by_deadline(Some("window-unasked")), b"in time, late", "the check can fail");
 }
 
 #[test]
-fn no_small_write_waits_for_another() {
+fn connections_have_nodelay_set() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     runtime.block_on(async {
@@ -322,10 +323,10 @@
     });
 }
 
-/// How often an endpoint has seen a keyed request whose attempt there was chosen first and got its connection last, when
-/// a copy elsewhere had run and the window was over.
-fn seen_behind_a_copy(planted: Option<&str>) -> usize {
-    runtrack_net::set_mutant(planted);
+/// How often an endpoint sees a keyed request whose attempt there was created first but connected last, after a copy
+/// on another endpoint was executed and the repeat window ended.
+fn attempts_after_copy(mutant: Option<&str>) -> usize {
+    runtrack_net::set_mutant(mutant);
     let (late, quick) = (Peer::serving("late"), Peer::serving("quick"));
     let mut config = config(&[&late, &quick]);
     config["settings"]["limits"]["connectTimeoutMs"] = json!(20_000.0);
@@ -340,7 +341,7 @@
         headers.insert("x-request-id", "r1".parse().unwrap());
         let (method, uri, body) = (hyper::Method::POST, "/pay/x".parse().unwrap(), "body".into());
         let forward = Rc::new(Forward { method, uri, headers, body });
-        let give_up_at = tokio::time::Instant::now() + PATIENCE;
+        let give_up_at = tokio::time::Instant::now() + WAIT_TIMEOUT;
         Attempt { forward, give_up_at, window: Some((window.clone(), number)), at_most_once: false }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -359,7 +360,7 @@
         let (first, ()) = tokio::join!(first, copied);
         assert_eq!(
             first.outcome == Outcome::ConnectFailed,
-            planted.is_none(),
+            mutant.is_none(),
             "it proves that it never ran"
         );
     });
@@ -369,7 +370,7 @@
 }
 
 #[test]
-fn what_was_chosen_first_and_comes_last_is_bound_by_the_copy_that_ran_meanwhile() {
-    assert_eq!(seen_behind_a_copy(None), 0);
-    assert_eq!(seen_behind_a_copy(Some("copy-unseen")), 1, "the check can fail");
+fn an_attempt_created_first_but_started_last_is_bounded_by_an_executed_copy() {
+    assert_eq!(attempts_after_copy(None), 0);
+    assert_eq!(attempts_after_copy(Some("copy-unseen")), 1, "the check can fail");
 }
--- a/crates/runtrack/tests/node.rs
+++ b/crates/runtrack/tests/node.rs
@@ -1,4 +1,4 @@
-//! The built sidecar against scripted peers: what is served, how attempts end, bad input.
+//! Tests of the built sidecar against scripted peers: forwarding, ends of attempts, and invalid input.
 
 #[path = "support/node.rs"]
 mod support;
@@ -9,21 +9,19 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Two peers of which whichever is asked first does this, and everything later is served.
-fn first_does(act: Do) -> [Peer; 2] {
+/// Two peers: the first request to either gets this reply, all later ones are served.
+fn first_does(act: Reply) -> [Peer; 2] {
     let asked = Arc::new(AtomicUsize::new(0));
     [0, 1].map(|_| {
         let (asked, act) = (asked.clone(), act.clone());
-        Peer::new(
-            move |_| {
-                if asked.fetch_add(1, Ordering::SeqCst) == 0 { act.clone() } else { Do::Serve("second") }
-            },
-        )
+        Peer::new(move |_| {
+            if asked.fetch_add(1, Ordering::SeqCst) == 0 { act.clone() } else { Reply::Serve("second") }
+        })
     })
 }
 
-/// The status of the answer to one request, and how many attempts came, where the first does this.
-fn outcome_of(class: &str, act: Do) -> (u16, usize) {
+/// The status of the answer to one request and the number of attempts, where the first attempt gets this reply.
+fn outcome_of(class: &str, act: Reply) -> (u16, usize) {
     let peers = first_does(act);
     let sidecar = Sidecar::start(&config(&[&peers[0], &peers[1]]));
     let answer = sidecar.ask(class, "r1");
@@ -48,7 +46,7 @@
         assert_eq!(seen.body, if method == "POST" { &b"body"[..] } else { &b""[..] });
         let time = seen.header("x-timeout").strip_suffix('u').unwrap().parse::<u64>().unwrap();
         assert!((1..10_000_000).contains(&time), "{time}: no more than the client has left");
-        // Longer than a connection rests at first.
+        // Longer than the initial reuse delay.
         std::thread::sleep(Duration::from_millis(30));
     }
     assert_eq!(peer.connections.load(Ordering::SeqCst), 1, "the connection is kept and used again");
@@ -59,13 +57,13 @@
     let torn = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf".to_owned();
     let long = format!("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n{}", "x".repeat(70000));
     for act in [
-        Do::WriteAndClose(String::new()),
-        Do::WriteAndClose(torn),
-        Do::WriteAndClose("nonsense\r\n\r\n".to_owned()),
-        Do::Write(long),
-        Do::Write(answer("500 Oh", "", "")),
-        Do::Write(answer("503 Busy", "", "")),
-        Do::Write(answer("504 Late", "X-Not-Processed: 0\r\n", "")),
+        Reply::WriteAndClose(String::new()),
+        Reply::WriteAndClose(torn),
+        Reply::WriteAndClose("nonsense\r\n\r\n".to_owned()),
+        Reply::Write(long),
+        Reply::Write(answer("500 Oh", "", "")),
+        Reply::Write(answer("503 Busy", "", "")),
+        Reply::Write(answer("504 Late", "X-Not-Processed: 0\r\n", "")),
     ] {
         let what = format!("{act:?}").chars().take(60).collect::<String>();
         let (status, attempts) = outcome_of("book", act);
@@ -77,12 +75,12 @@
 #[test]
 fn an_unsafe_request_proved_not_to_have_run_is_sent_again() {
     for status in ["503 Busy", "504 Late"] {
-        let act = Do::Write(answer(status, "X-Not-Processed: 1\r\n", ""));
+        let act = Reply::Write(answer(status, "X-Not-Processed: 1\r\n", ""));
         assert_eq!(outcome_of("book", act), (200, 2));
     }
-    // With an answer that breaks off nothing is proved: it is spoilt, and such a request has run.
+    // An answer that breaks off proves nothing: the request counts as possibly executed.
     let torn = "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\nha".to_owned();
-    assert_eq!(outcome_of("book", Do::WriteAndClose(torn)), (502, 1));
+    assert_eq!(outcome_of("book", Reply::WriteAndClose(torn)), (502, 1));
 }
 
 #[test]
@@ -104,14 +102,14 @@
 #[test]
 fn a_safe_or_keyed_request_is_sent_again_after_any_failure() {
     for class in ["quote", "pay"] {
-        assert_eq!(outcome_of(class, Do::WriteAndClose(String::new())), (200, 2), "{class}");
-        assert_eq!(outcome_of(class, Do::Write(answer("500 Oh", "", ""))), (200, 2), "{class}");
+        assert_eq!(outcome_of(class, Reply::WriteAndClose(String::new())), (200, 2), "{class}");
+        assert_eq!(outcome_of(class, Reply::Write(answer("500 Oh", "", ""))), (200, 2), "{class}");
     }
 }
 
 #[test]
 fn a_connection_that_the_endpoint_has_closed_is_not_used_again() {
-    let peer = Peer::new(|_| Do::ServeAndEnd("ok"));
+    let peer = Peer::new(|_| Reply::ServeAndEnd("ok"));
     let sidecar = Sidecar::start(&config(&[&peer]));
     for n in 1..=10 {
         assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200, "an unsafe request is not risked");
@@ -131,8 +129,8 @@
 }
 
 #[test]
-fn a_silent_endpoint_costs_a_request_no_more_than_its_time() {
-    let peer = Peer::new(|_| Do::Silence);
+fn a_silent_endpoint_delays_a_request_no_longer_than_its_timeout() {
+    let peer = Peer::new(|_| Reply::Silence);
     let sidecar = Sidecar::start(&config(&[&peer]));
     for class in ["quote", "book"] {
         let mut client = sidecar.client();
@@ -146,18 +144,18 @@
 }
 
 #[test]
-fn connections_not_heard_from_since_an_attempt_timed_out_are_dropped() {
+fn idle_connections_unused_since_a_timed_out_attempt_are_closed() {
     let (asked, cut_off) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicBool::new(false)));
     let peer = {
         let (asked, cut_off) = (asked.clone(), cut_off.clone());
         Peer::new(move |_| {
             asked.fetch_add(1, Ordering::SeqCst);
             if cut_off.load(Ordering::SeqCst) {
-                return Do::Silence;
+                return Reply::Silence;
             }
-            // The first two wait for each other, so that each has a connection of its own.
+            // The first two requests wait for each other, so that each has its own connection.
             wait_for("both requests", || asked.load(Ordering::SeqCst) >= 2);
-            Do::Serve("ok")
+            Reply::Serve("ok")
         })
     };
     let sidecar = Sidecar::start(&config(&[&peer]));
@@ -169,7 +167,7 @@
         assert_eq!(client.receive().expect("an answer").status(), 200);
     }
     cut_off.store(true, Ordering::SeqCst);
-    std::thread::sleep(Duration::from_millis(30)); // both have rested
+    std::thread::sleep(Duration::from_millis(30)); // longer than the reuse delay
     clients[0].send(&request("book", "r2", "500m"));
     assert_ne!(clients[0].receive().expect("an answer").status(), 200);
     wait_for("the end of both connections", || peer.closed() == 2);
@@ -177,8 +175,8 @@
 }
 
 #[test]
-fn a_client_that_would_wait_longer_than_its_class_does_is_answered_in_the_class_s_time() {
-    let peer = Peer::new(|_| Do::Silence);
+fn a_client_timeout_is_capped_by_the_deadline_of_its_class() {
+    let peer = Peer::new(|_| Reply::Silence);
     let mut config = config(&[&peer]);
     for class in [0, 1] {
         config["settings"]["classes"][class]["objectiveMs"] = json!(500.0);
@@ -192,7 +190,7 @@
 
 #[test]
 fn a_client_that_leaves_ends_its_attempt() {
-    let peer = Peer::new(|_| Do::Silence);
+    let peer = Peer::new(|_| Reply::Silence);
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     client.send(&request("quote", "r1", "600000m"));
@@ -246,7 +244,7 @@
         let what = bad.chars().take(200).collect::<String>();
         let mut client = sidecar.client();
         client.send(&bad);
-        // What is cut off while a body is still being sent may reach the client as a reset.
+        // If a request is refused while its body is being sent, the client may see a reset.
         let status = client.receive().map_or(413, |answer| answer.status());
         assert!((400..500).contains(&status) && status != 429, "{status} for {what}");
     }
@@ -278,7 +276,7 @@
         (bad_class.to_string(), "settings.classes[1].semantics"),
         ("{".to_owned(), ""),
     ] {
-        let (status, said) = refuses(&text);
+        let (status, said) = start_error(&text);
         assert!(!status.success(), "{field}");
         assert_eq!(said.trim_end().lines().count(), 1, "{said}");
         assert!(said.contains(field) && !said.contains("panicked"), "{said}");
@@ -286,8 +284,9 @@
 }
 
 #[test]
-fn an_answer_late_for_one_client_holds_up_no_other() {
-    let peer = Peer::new(|m| if m.target().starts_with("/book") { Do::Silence } else { Do::Serve("ok") });
+fn a_late_answer_for_one_client_delays_no_other() {
+    let peer =
+        Peer::new(|m| if m.target().starts_with("/book") { Reply::Silence } else { Reply::Serve("ok") });
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut waiting = sidecar.client();
     waiting.send(&request("book", "r1", "600000m"));
--- a/crates/runtrack/tests/node_wire.rs
+++ b/crates/runtrack/tests/node_high_rate.rs
@@ -1,11 +1,11 @@
-//! The built sidecar at speed: what its waits guarded against must still not happen.
+//! Tests of the built sidecar at high call rates: the failures that reuse delays and limits prevent must not occur.
 
 #[path = "support/load.rs"]
 mod load;
 #[path = "support/node.rs"]
 mod support;
 
-use load::{Caller, Endpoints, Manner};
+use load::{Behavior, Caller, Endpoints};
 use serde_json::json;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 use support::*;
 use tokio::runtime::Runtime;
 
-/// An answer that says which request it is for.
-fn own_answer(message: &Message) -> String {
+/// An answer with the id of its request.
+fn answer_with_id(message: &Message) -> String {
     answer("200 OK", "", message.header("x-request-id"))
 }
 
-/// So many clients ask, one call after another, until so many are done. Each answer must be its request's own.
-fn ask_for_own(sidecar: &Sidecar, clients: usize, calls: usize, prefix: &str) {
+/// Clients make this number of calls in total, each client one at a time; every answer must belong to its request.
+fn check_own_answers(sidecar: &Sidecar, clients: usize, calls: usize, prefix: &str) {
     let next = AtomicUsize::new(0);
     thread::scope(|scope| {
         for _ in 0..clients {
@@ -44,89 +44,89 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_however_late_and_split_never_answers_another_request() {
+fn delayed_and_split_duplicate_answers_never_answer_another_request() {
     for late in [0, 1, 4, 20].map(Duration::from_millis) {
         let count = Arc::new(AtomicUsize::new(0));
         let peer = {
             let count = count.clone();
             Peer::new(move |message| {
-                let text = own_answer(message);
-                // The answer and a second copy of it, cut in two at each byte behind the answer in turn, and
-                // every fourth answer without one.
+                let text = answer_with_id(message);
+                // Sends the answer and a duplicate, split at each byte after the answer in turn; every fourth answer
+                // has no duplicate.
                 let number = count.fetch_add(1, Ordering::SeqCst);
                 if number % 4 == 3 {
-                    return Do::Pieces(vec![(Duration::ZERO, text)]);
+                    return Reply::Pieces(vec![(Duration::ZERO, text)]);
                 }
                 let cut = text.len() + number % text.len();
                 let both = text.clone() + &text;
                 let (first, rest) = both.split_at(cut);
-                Do::Pieces(vec![(Duration::ZERO, first.to_owned()), (late, rest.to_owned())])
+                Reply::Pieces(vec![(Duration::ZERO, first.to_owned()), (late, rest.to_owned())])
             })
         };
         let sidecar = Sidecar::start(&config(&[&peer]));
-        // A class that may be repeated: a copy that were taken for an answer would come out as one.
-        ask_for_own(&sidecar, 8, 320, "r");
-        let spoilt = count.load(Ordering::SeqCst) * 3 / 4;
-        wait_for("the spoilt connections' end", || peer.closed() >= spoilt);
+        // A class that may be repeated: a duplicate taken for an answer would be returned to a client.
+        check_own_answers(&sidecar, 8, 320, "r");
+        let unsolicited = count.load(Ordering::SeqCst) * 3 / 4;
+        wait_for("the spoilt connections' end", || peer.closed() >= unsolicited);
     }
 }
 
 #[test]
-fn a_request_is_not_held_up_by_what_came_behind_another_ones_answer() {
+fn a_request_is_not_delayed_by_a_duplicate_of_an_earlier_answer() {
     let peer = Peer::new(|message| {
-        let text = own_answer(message);
-        Do::Pieces(vec![(Duration::ZERO, text.clone()), (Duration::from_millis(1), text)])
+        let text = answer_with_id(message);
+        Reply::Pieces(vec![(Duration::ZERO, text.clone()), (Duration::from_millis(1), text)])
     });
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     for n in 0..40 {
         assert_eq!(client.ask("book", &format!("r{n}")).status(), 200);
     }
-    // No connection was used twice, so none was waited for.
+    // No connection was used twice, so no request waited for a reuse delay.
     assert_eq!(peer.connections.load(Ordering::SeqCst), 40);
 }
 
 #[test]
-fn an_endpoint_that_turns_to_spoiling_loses_all_trust_within_64_answers() {
-    type Came = HashMap<SocketAddr, Vec<Instant>>;
-    let (spoils, came) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Came::new())));
+fn an_endpoint_that_starts_duplicating_answers_gets_the_longest_reuse_delay_within_64_answers() {
+    type Arrivals = HashMap<SocketAddr, Vec<Instant>>;
+    let (duplicating, arrivals) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Arrivals::new())));
     let since = Arc::new(AtomicUsize::new(0));
     let peer = {
-        let (spoils, came, since) = (spoils.clone(), came.clone(), since.clone());
-        Peer::told(move |message, from| {
-            let text = own_answer(message);
-            if !spoils.load(Ordering::SeqCst) {
-                return Do::Pieces(vec![(Duration::ZERO, text)]);
+        let (duplicating, arrivals, since) = (duplicating.clone(), arrivals.clone(), since.clone());
+        Peer::with_client_address(move |message, from| {
+            let text = answer_with_id(message);
+            if !duplicating.load(Ordering::SeqCst) {
+                return Reply::Pieces(vec![(Duration::ZERO, text)]);
             }
             let number = since.fetch_add(1, Ordering::SeqCst);
             if number >= 64 + 64 {
-                came.lock().unwrap().entry(from).or_default().push(Instant::now());
+                arrivals.lock().unwrap().entry(from).or_default().push(Instant::now());
             }
-            // One in eight, so that most connections have nothing against them but the others.
+            // One in eight, so that most connections see no duplicate themselves.
             let copy = if number % 8 == 0 { text.clone() } else { String::new() };
-            Do::Pieces(vec![(Duration::ZERO, text + &copy)])
+            Reply::Pieces(vec![(Duration::ZERO, text + &copy)])
         })
     };
     let sidecar = Sidecar::start(&config(&[&peer]));
-    ask_for_own(&sidecar, 64, 3000, "clean");
-    spoils.store(true, Ordering::SeqCst);
-    ask_for_own(&sidecar, 64, 1000, "spoilt");
-    let came = came.lock().unwrap();
-    for connection in came.values() {
+    check_own_answers(&sidecar, 64, 3000, "clean");
+    duplicating.store(true, Ordering::SeqCst);
+    check_own_answers(&sidecar, 64, 1000, "spoilt");
+    let arrivals = arrivals.lock().unwrap();
+    for connection in arrivals.values() {
         for pair in connection.windows(2) {
             assert!(pair[1] - pair[0] >= Duration::from_millis(45), "{:?}", pair[1] - pair[0]);
         }
     }
-    assert!(came.values().any(|connection| connection.len() > 1), "connections were used again");
+    assert!(arrivals.values().any(|connection| connection.len() > 1), "connections were used again");
 }
 
 #[test]
-fn connections_stay_within_the_budget_while_new_ones_are_preferred_to_waits() {
+fn connections_stay_within_the_socket_budget_and_are_reused() {
     let runtime = Runtime::new().unwrap();
-    let endpoints = Endpoints::start(&runtime, &[Manner::serving(Duration::ZERO); 400]);
+    let endpoints = Endpoints::start(&runtime, &[Behavior::serving(Duration::ZERO); 400]);
     let mut config = config_at(&endpoints.addresses);
     config["limits"]["sockets"] = json!(1024);
-    // The kernel holds it to the same figure: going over would show as errors.
+    // The kernel enforces the same limit: exceeding it would cause errors.
     let sidecar = Sidecar::start_with(&config, "ulimit -n 1024;");
     let mut most = 0;
     runtime.block_on(async {
@@ -141,7 +141,7 @@
         }
         while let Some(ended) = clients.join_next().await {
             ended.unwrap();
-            most = most.max(sidecar.descriptors());
+            most = most.max(sidecar.open_descriptors());
         }
     });
     assert!(most <= 1024, "{most} descriptors");
@@ -150,10 +150,10 @@
 }
 
 #[test]
-fn where_sockets_run_out_requests_wait_for_one_and_none_fails() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(30)));
+fn requests_wait_for_a_socket_when_the_budget_is_used_up_and_none_fails() {
+    let peer = Peer::new(|_| Reply::Late(Duration::from_millis(30)));
     let mut config = config(&[&peer, &peer]);
-    // 112 to share: 60 clients leave 52 for what they ask.
+    // 112 sockets are available: 60 clients leave 52 for their attempts.
     config["limits"]["sockets"] = json!(160);
     let sidecar = Sidecar::start_with(&config, "ulimit -n 160;");
     for round in 0..8 {
@@ -164,18 +164,18 @@
         for client in &mut clients {
             assert_eq!(client.receive().expect("an answer").status(), 200);
         }
-        assert!(sidecar.descriptors() <= 160);
+        assert!(sidecar.open_descriptors() <= 160);
         drop(clients);
-        wait_for("the clients' sockets", || sidecar.descriptors() < 80);
+        wait_for("the clients' sockets", || sidecar.open_descriptors() < 80);
     }
 }
 
 #[test]
-fn the_faster_path_does_not_crowd_slow_failing_and_cold_endpoints() {
+fn slow_failing_and_cold_endpoints_get_fewer_calls_at_a_high_rate() {
     let runtime = Runtime::new().unwrap();
-    let good = Manner::serving(Duration::from_millis(2));
-    let slow = Manner::serving(Duration::from_millis(20));
-    let failing = Manner { status: 500, ..Manner::serving(Duration::ZERO) };
+    let good = Behavior::serving(Duration::from_millis(2));
+    let slow = Behavior::serving(Duration::from_millis(20));
+    let failing = Behavior { status: 500, ..Behavior::serving(Duration::ZERO) };
     let endpoints = Endpoints::start(&runtime, &[good, good, good, slow, failing, good]);
     let mut config = config_at(&endpoints.addresses);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
--- a/crates/runtrack/tests/node_limits.rs
+++ b/crates/runtrack/tests/node_limits.rs
@@ -1,4 +1,4 @@
-//! The built sidecar at its limits and at its end: descriptors, SIGTERM, the backlog.
+//! Tests of the built sidecar at its limits and at shutdown: descriptors, SIGTERM, the listen backlog.
 
 #[path = "support/node.rs"]
 mod support;
@@ -10,10 +10,10 @@
 
 #[test]
 fn more_clients_than_sockets_are_all_answered_within_the_limit() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(300)));
+    let peer = Peer::new(|_| Reply::Late(Duration::from_millis(300)));
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(128);
-    // The kernel holds it to the same figure: going over would show as errors.
+    // The kernel enforces the same limit: exceeding it would cause errors.
     let sidecar = Sidecar::start_with(&config, "ulimit -n 128;");
     let connect = |n| {
         let mut client = sidecar.client();
@@ -24,7 +24,7 @@
     let mut most = 0;
     let mut served = 0;
     for client in &mut clients {
-        most = most.max(sidecar.descriptors());
+        most = most.max(sidecar.open_descriptors());
         let answer = client.receive().expect("a whole answer for everyone");
         assert!(matches!(answer.status(), 200 | 503), "{}", answer.first_line);
         served += usize::from(answer.status() == 200);
@@ -38,14 +38,14 @@
 #[test]
 fn running_out_of_descriptors_neither_spins_nor_exits() {
     let peer = Peer::serving("ok");
-    // Its budget says 1,024, but the kernel gives it far fewer.
+    // The configured budget is 1,024 descriptors, but the kernel's limit is far lower.
     let mut sidecar = Sidecar::start_with(&config(&[&peer]), "ulimit -n 40;");
     assert_eq!(sidecar.ask("quote", "before").status(), 200);
     let clients: Vec<Client> = (0..60).map(|_| sidecar.client()).collect();
-    wait_for("its descriptors to be used up", || sidecar.descriptors() >= 40);
-    let before = sidecar.ticks();
+    wait_for("its descriptors to be used up", || sidecar.open_descriptors() >= 40);
+    let before = sidecar.cpu_ticks();
     thread::sleep(Duration::from_secs(1));
-    let used = sidecar.ticks() - before;
+    let used = sidecar.cpu_ticks() - before;
     assert!(used < 50, "{used} ticks of a second spent on failing to accept");
     drop(clients);
     assert_eq!(sidecar.ask("quote", "after").status(), 200);
@@ -62,7 +62,7 @@
     for n in 0..80 {
         let mut client = sidecar.client();
         client.send(&request("quote", &format!("r{n}"), "10000m"));
-        // Where the machine is slow, one that has not sent anything yet may have made room already.
+        // On a slow machine a client that has not sent its request yet may have been evicted.
         if let Some(answer) = client.receive() {
             assert!(matches!(answer.status(), 200 | 503), "{n}: {answer:?}");
         }
@@ -75,7 +75,8 @@
 
 #[test]
 fn a_connection_just_used_is_not_closed_under_its_client_to_make_room() {
-    let peer = Peer::new(|m| if m.target().starts_with("/book") { Do::Serve("ok") } else { Do::Silence });
+    let peer =
+        Peer::new(|m| if m.target().starts_with("/book") { Reply::Serve("ok") } else { Reply::Silence });
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(128);
     for _ in 0..20 {
@@ -88,11 +89,11 @@
         for (n, other) in others.iter_mut().enumerate() {
             other.send(&request("quote", &format!("s{n}"), "20000m"));
         }
-        // All but one of the fifty that there is room for; the others find none.
+        // Use all but one of the fifty client sockets; further clients are refused.
         wait_for("the room to be taken", || peer.count() >= before + 3 && others[59].receive().is_some());
         client.send(&request("book", "r2", "20000m"));
         if answered.elapsed() > Duration::from_millis(500) {
-            continue; // too slow a machine to say that it was just used
+            continue; // the machine is too slow for the connection to count as just used
         }
         let answer = client.receive().expect("an answer on the same connection");
         assert!(matches!(answer.status(), 200 | 503), "{}", answer.first_line);
@@ -103,8 +104,8 @@
 }
 
 #[test]
-fn sigterm_finishes_what_is_in_flight_and_what_still_comes() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(1000)));
+fn requests_open_at_sigterm_and_arriving_shortly_after_are_served() {
+    let peer = Peer::new(|_| Reply::Late(Duration::from_millis(1000)));
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut idle = sidecar.client();
     assert_eq!(idle.ask("quote", "r0").status(), 200);
@@ -120,14 +121,14 @@
         assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
     }
     assert!(idle.receive().is_none(), "idle connections are closed");
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_exit().success());
 }
 
 #[test]
-fn what_waits_in_the_backlog_at_sigterm_is_answered() {
+fn requests_in_the_backlog_at_sigterm_are_answered() {
     let peer = Peer::serving("ok");
     let mut sidecar = Sidecar::start(&config(&[&peer]));
-    // Stopped, it can accept nothing: the kernel does.
+    // A stopped process accepts nothing; connections stay in the kernel's backlog.
     sidecar.signal("-STOP");
     let mut clients: Vec<Client> = (0..50).map(|_| sidecar.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -139,12 +140,12 @@
     for client in &mut clients {
         assert_eq!(client.receive().expect("taken, so answered").status(), 200);
     }
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_exit().success());
 }
 
 #[test]
-fn what_can_not_be_finished_before_sigkill_is_failed() {
-    let peer = Peer::new(|_| Do::Silence);
+fn requests_that_cannot_finish_before_sigkill_are_failed() {
+    let peer = Peer::new(|_| Reply::Silence);
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     client.send(&request("book", "r1", "20000m"));
@@ -152,5 +153,5 @@
     sidecar.signal("-TERM");
     let answer = client.receive().expect("a whole answer before the end");
     assert!(!matches!(answer.status(), 200 | 429 | 503), "{}", answer.first_line);
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_exit().success());
 }
--- a/crates/runtrack/tests/node_list.rs
+++ b/crates/runtrack/tests/node_list.rs
@@ -1,4 +1,4 @@
-//! The built sidecar and its list of endpoints: known at start, watched, drained.
+//! Tests of the built sidecar's endpoint list: known at startup, watched, drained.
 
 #[path = "support/node.rs"]
 mod support;
@@ -7,7 +7,7 @@
 use std::thread;
 use support::*;
 
-/// A sidecar that starts with the first peer and follows this discovery.
+/// A sidecar that knows the first peer and watches this discovery server.
 fn following(peer: &Peer, discovery: &Discovery, mode: &str) -> Sidecar {
     let mut config = config(&[peer]);
     config["discovery"] = json!(discovery.address.to_string());
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_drain_told_stops_sends_and_closes_idle_connections() {
+fn a_draining_endpoint_gets_no_new_requests_and_its_idle_connections_are_closed() {
     for (mode, state) in [("subscribe", "draining"), ("automatic", "removed")] {
         let (old, new) = (Peer::serving("old"), Peer::serving("new"));
         let discovery = Discovery::new(list(8, false, &[]));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_whole_list_without_an_endpoint_says_that_it_is_gone() {
+fn an_endpoint_missing_from_a_full_list_is_removed() {
     let (old, new) = (Peer::serving("old"), Peer::serving("new"));
     let discovery = Discovery::new(list(8, true, &[target("s-new", new.address, "up")]));
     let sidecar = following(&old, &discovery, "subscribe");
@@ -66,7 +66,7 @@
 fn a_silent_watch_is_dropped_and_followed_from_the_last_version() {
     for mode in ["subscribe", "automatic"] {
         let peer = Peer::serving("ok");
-        let discovery = Discovery::new(list(8, false, &[])); // no empty line ever comes
+        let discovery = Discovery::new(list(8, false, &[])); // never sends keep-alive lines
         let sidecar = following(&peer, &discovery, mode);
         wait_for("the first watch", || discovery.calls().len() == 1);
         assert_eq!(discovery.calls()[0], "/api/targets?watch=1&after=7", "from the known version");
@@ -105,14 +105,14 @@
 }
 
 #[test]
-fn endpoints_under_ever_new_ids_leave_nothing_behind() {
+fn no_state_is_kept_of_replaced_endpoints() {
     let peer = Peer::serving("ok");
     let discovery = Discovery::new(list(8, false, &[]));
     let sidecar = following(&peer, &discovery, "subscribe");
     wait_for("the first watch", || discovery.calls().len() == 1);
     let mut old = "s-0".to_owned();
     for n in 0..200 {
-        // Each new one stands at the address of the one that has gone.
+        // Each new endpoint has the address of the removed one.
         let new = format!("n-{n}");
         let change = [target(&new, peer.address, "up"), target(&old, peer.address, "removed")];
         discovery.say(&list(9 + n, false, &change).to_string());
--- a/crates/runtrack/tests/node_swallowed.rs
+++ b/crates/runtrack/tests/node_lost_answers.rs
@@ -1,4 +1,4 @@
-//! The built sidecar where single answers never come.
+//! Test of the built sidecar where single answers are lost.
 
 #[path = "support/node.rs"]
 mod support;
@@ -9,22 +9,22 @@
 use support::*;
 
 #[test]
-fn a_safe_request_whose_answer_alone_never_comes_is_sent_again_before_its_time_is_up() {
+fn a_safe_request_whose_answer_is_lost_is_sent_again_before_its_deadline() {
     let swallowed = Arc::<Mutex<HashSet<String>>>::default();
     let peer = || {
         let swallowed = swallowed.clone();
         Peer::new(move |message| {
             let id = message.header("x-request-id");
             let first = id.starts_with("lost") && swallowed.lock().unwrap().insert(id.to_owned());
-            if first { Do::Silence } else { Do::Late(Duration::from_millis(20)) }
+            if first { Reply::Silence } else { Reply::Late(Duration::from_millis(20)) }
         })
     };
     let (a, b) = (peer(), peer());
     let sidecar = Sidecar::start(&config(&[&a, &b]));
     let mut client = sidecar.client();
     let mut number = 0;
-    // Many timely answers to each that never comes: silence is never evident. Where the machine is so slow
-    // that answers come late, copies are not to be sent; then it is tried again.
+    // Many timely answers for each lost one, so that the endpoint never counts as silent. On a machine so slow that
+    // answers are late, no copies are sent; then the attempt is repeated.
     wait_for("an answer from a second copy", || {
         for _ in 0..25 {
             number += 1;
--- a/crates/runtrack/tests/node_spoilt.rs
+++ b/crates/runtrack/tests/node_malformed_answers.rs
@@ -1,4 +1,4 @@
-//! The built sidecar and endpoints that answer what can't be used.
+//! Tests of the built sidecar with endpoints that send malformed or unsolicited answers.
 
 #[path = "support/node.rs"]
 mod support;
@@ -11,17 +11,17 @@
 use support::*;
 
 #[test]
-fn a_spoilt_answer_is_a_failed_attempt_that_may_have_run_and_its_connection_is_closed() {
-    let flood = |first: &str, more: &str| Do::Flood(first.to_owned(), more.repeat(200));
-    let write = |text: &str| Do::Write(text.to_owned());
-    let spoilt = [
+fn a_malformed_answer_fails_the_attempt_as_possibly_executed_and_closes_its_connection() {
+    let flood = |first: &str, more: &str| Reply::Flood(first.to_owned(), more.repeat(200));
+    let write = |text: &str| Reply::Write(text.to_owned());
+    let malformed = [
         write("\x00\x01\x02 no answer at all\r\n\r\n"),
         write("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"),
         write("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nok"),
         write("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok"),
         write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"),
         write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n"),
-        // These never end by themselves, and the connection stays open.
+        // These never end, and the connection stays open.
         write("HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\ntoo short"),
         write("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 200\r\n\r\ntoo short"),
         write("HTTP/1.1 200 OK\r\nX-Half: "),
@@ -30,14 +30,14 @@
         flood("HTTP/1.1 200 OK\r\n", "X-Pad: pppppppp\r\n"),
         flood("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "4\r\nxxxx\r\n"),
     ];
-    for act in spoilt {
+    for act in malformed {
         let what = format!("{act:?}").chars().take(100).collect::<String>();
         let asked = Arc::new(AtomicUsize::new(0));
         let peer = {
             let (act, asked) = (act.clone(), asked.clone());
             Peer::new(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
                 0 | 2 => act.clone(),
-                _ => Do::Serve("good"),
+                _ => Reply::Serve("good"),
             })
         };
         let sidecar = Sidecar::start(&config(&[&peer]));
@@ -54,9 +54,9 @@
 }
 
 #[test]
-fn what_comes_ahead_of_an_answer_is_passed_over_however_long_before() {
+fn informational_responses_are_ignored_however_early_they_arrive() {
     let ahead = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-    let peer = Peer::new(move |_| Do::WriteThenServe(ahead.to_owned(), Duration::from_millis(900)));
+    let peer = Peer::new(move |_| Reply::WriteThenServe(ahead.to_owned(), Duration::from_millis(900)));
     let sidecar = Sidecar::start(&config(&[&peer]));
     let answer = sidecar.ask("book", "r1");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"late"[..]));
@@ -65,13 +65,13 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_never_answers_the_next_request() {
+fn unsolicited_bytes_after_an_answer_never_answer_the_next_request() {
     for more in [answer("200 OK", "", "second copy"), "noise".to_owned(), "\r\n".to_owned()] {
         // In the same segment, and some time later.
         for wait in [0, 20] {
             let more = more.clone();
             let peer =
-                Peer::new(move |_| Do::ServeAndWrite("good", Duration::from_millis(wait), more.clone()));
+                Peer::new(move |_| Reply::ServeAndWrite("good", Duration::from_millis(wait), more.clone()));
             let sidecar = Sidecar::start(&config(&[&peer]));
             let mut client = sidecar.client();
             for n in 0..6 {
@@ -82,9 +82,11 @@
                 }
             }
         }
-        // Just as the connection is to be used again: it finds both at once when it wakes.
+        // Right before the connection is reused: the sidecar finds the unsolicited bytes and the next request when it
+        // resumes.
         let more = more.clone();
-        let peer = Peer::new(move |_| Do::ServeAndWrite("good", Duration::from_millis(300), more.clone()));
+        let peer =
+            Peer::new(move |_| Reply::ServeAndWrite("good", Duration::from_millis(300), more.clone()));
         let sidecar = Sidecar::start(&config(&[&peer]));
         let mut client = sidecar.client();
         for n in 0..2 {
@@ -102,14 +104,14 @@
 }
 
 #[test]
-fn a_connection_rests_after_an_answer_and_no_request_waits_for_it() {
-    type Came = HashMap<SocketAddr, Vec<Instant>>;
-    let came = Arc::new(Mutex::new(Came::new()));
+fn a_connection_is_reused_only_after_its_delay_and_no_request_waits_for_it() {
+    type Arrivals = HashMap<SocketAddr, Vec<Instant>>;
+    let arrivals = Arc::new(Mutex::new(Arrivals::new()));
     let peer = {
-        let came = came.clone();
-        Peer::told(move |_, from| {
-            came.lock().unwrap().entry(from).or_default().push(Instant::now());
-            Do::Serve("ok")
+        let arrivals = arrivals.clone();
+        Peer::with_client_address(move |_, from| {
+            arrivals.lock().unwrap().entry(from).or_default().push(Instant::now());
+            Reply::Serve("ok")
         })
     };
     let sidecar = Sidecar::start(&config(&[&peer]));
@@ -117,31 +119,31 @@
     for n in 0..600 {
         assert_eq!(client.ask("book", &format!("r{n}")).status(), 200);
     }
-    let came = came.lock().unwrap();
-    for connection in came.values() {
+    let arrivals = arrivals.lock().unwrap();
+    for connection in arrivals.values() {
         for pair in connection.windows(2) {
             let apart = pair[1] - pair[0];
             assert!(apart >= Duration::from_millis(4), "{apart:?}: a second copy might still have come");
         }
     }
-    assert!(came.len() > 1, "no request waited for a resting connection");
-    assert!(came.len() < 600, "and connections were used again");
+    assert!(arrivals.len() > 1, "no request waited for a resting connection");
+    assert!(arrivals.len() < 600, "and connections were used again");
 }
 
 #[test]
-fn a_load_report_that_can_not_be_read_spoils_nothing() {
+fn an_unparsable_load_report_does_not_fail_the_request() {
     for report in ["{\"", "=,=", "%%%", "inflight=NaN,queue=-1", "inflight=1e999"] {
         let text = answer("200 OK", &format!("X-Server-Load: {report}\r\n"), "good");
-        let peer = Peer::new(move |_| Do::Write(text.clone()));
+        let peer = Peer::new(move |_| Reply::Write(text.clone()));
         let sidecar = Sidecar::start(&config(&[&peer]));
         assert_eq!(sidecar.ask("book", "r1").status(), 200, "{report}");
     }
 }
 
 #[test]
-fn connections_that_are_reset_after_lying_idle_are_given_up_while_they_are_young() {
-    // Resets the connection at any request but its first.
-    let peer = Peer::new(|_| Do::ServeOnce("ok"));
+fn aged_connections_are_not_reused_after_repeated_resets() {
+    // Resets the connection at each request but its first.
+    let peer = Peer::new(|_| Reply::ServeOnce("ok"));
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut lost = 0;
     for n in 0..12 {
--- a/crates/runtrack/tests/node_rude.rs
+++ b/crates/runtrack/tests/node_misbehaving_clients.rs
@@ -1,4 +1,4 @@
-//! The built sidecar and clients that keep to no rules.
+//! Tests of the built sidecar with clients that violate the protocol.
 
 #[path = "support/node.rs"]
 mod support;
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Bad clients are owed an error or a close within this.
-const OWED: Duration = Duration::from_secs(3);
+/// Misbehaving clients must get an error or a close within this time.
+const MAX_CLOSE_TIME: Duration = Duration::from_secs(3);
 
-/// A smuggled request behind an empty chunked body, with these headers before both lengths.
-fn two_framings(first: &str, second: &str) -> String {
+/// A request smuggled behind an empty chunked body, with these two framing headers in the head.
+fn ambiguous_request(first: &str, second: &str) -> String {
     let hidden = request("quote", "hidden", "5000m");
     let head = request("book", "r1", "5000m").replace("Content-Length: 4\r\n", &format!("{first}{second}"));
     let length = format!("{}", hidden.len() + 5);
@@ -24,15 +24,15 @@
     let sidecar = Sidecar::start(&config(&[&peer]));
     let (length, chunked) = ("Content-Length: LENGTH\r\n", "Transfer-Encoding: chunked\r\n");
     for bad in [
-        two_framings(length, chunked),
-        two_framings(chunked, length),
-        two_framings(chunked, ""),
-        two_framings("Transfer-Encoding: gzip, chunked\r\n", length),
-        two_framings("Content-Length: 4\r\n", "Content-Length: 9\r\n"),
-        two_framings("Content-Length: -4\r\n", ""),
-        two_framings("Content-Length: +4\r\n", ""),
-        two_framings("Content-Length: 99999999999999999999999\r\n", ""),
-        two_framings("Content-Length: 60000000\r\n", ""),
+        ambiguous_request(length, chunked),
+        ambiguous_request(chunked, length),
+        ambiguous_request(chunked, ""),
+        ambiguous_request("Transfer-Encoding: gzip, chunked\r\n", length),
+        ambiguous_request("Content-Length: 4\r\n", "Content-Length: 9\r\n"),
+        ambiguous_request("Content-Length: -4\r\n", ""),
+        ambiguous_request("Content-Length: +4\r\n", ""),
+        ambiguous_request("Content-Length: 99999999999999999999999\r\n", ""),
+        ambiguous_request("Content-Length: 60000000\r\n", ""),
     ] {
         let mut client = sidecar.client();
         client.send(&bad);
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn requests_sent_ahead_of_the_answer_are_never_served() {
-    let peer = Peer::new(|_| Do::Silence);
+fn pipelined_requests_are_never_served() {
+    let peer = Peer::new(|_| Reply::Silence);
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     let all: String = (0..300).map(|n| request("quote", &format!("r{n}"), "5000m")).collect();
@@ -54,7 +54,7 @@
     assert!(client.receive().is_none_or(|answer| (400..500).contains(&answer.status())));
     assert!(client.receive().is_none(), "and closed");
     assert_eq!(peer.count(), 0, "nothing of it went on");
-    // The same one by one, the first already on its way.
+    // The same one by one, with the first request already sent to an endpoint.
     let mut client = sidecar.client();
     client.send(&request("quote", "s1", "20000m"));
     wait_for("the attempt", || peer.count() == 1);
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_refused_and_the_first_stays_whole() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(800)));
+fn a_duplicate_id_is_refused_and_the_open_request_is_still_answered() {
+    let peer = Peer::new(|_| Reply::Late(Duration::from_millis(800)));
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut first = sidecar.client();
     first.send(&request("book", "twice", "20000m"));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn what_does_not_come_whole_in_time_is_closed() {
+fn a_request_that_stays_incomplete_is_closed_in_time() {
     let peer = Peer::serving("ok");
     let sidecar = Sidecar::start(&config(&[&peer]));
     let whole = request("book", "r1", "20000m");
@@ -88,24 +88,24 @@
         for sent in [0, 1, 30, whole.len() - 6, whole.len() - 2] {
             let mut client = sidecar.client();
             if kept {
-                // On a connection that was good before.
+                // On a connection that has served a request.
                 assert_eq!(client.ask("book", "r0").status(), 200);
             }
             if kept && sent == 0 {
-                continue; // a good client's idle connection
+                continue; // an idle kept connection is legitimate
             }
             let start = Instant::now();
             client.send(&whole[..sent]);
             assert!(client.receive().is_none_or(|answer| (400..500).contains(&answer.status())));
             assert!(client.receive().is_none());
             let took = start.elapsed();
-            assert!(took < OWED, "{sent} bytes: closed after {took:?}");
+            assert!(took < MAX_CLOSE_TIME, "{sent} bytes: closed after {took:?}");
         }
     }
 }
 
 #[test]
-fn clients_that_say_nothing_or_only_ask_for_readiness_take_no_room_from_others() {
+fn silent_clients_and_readiness_checks_do_not_use_up_the_sockets() {
     let peer = Peer::serving("ok");
     let mut config = config(&[&peer]);
     config["limits"]["sockets"] = json!(128);
@@ -123,5 +123,5 @@
     for n in 0..20 {
         assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200, "in spite of all others");
     }
-    assert!(sidecar.descriptors() <= 128);
+    assert!(sidecar.open_descriptors() <= 128);
 }
--- a/crates/runtrack/tests/node_reload.rs
+++ b/crates/runtrack/tests/node_reload.rs
@@ -1,4 +1,4 @@
-//! The built sidecar and SIGHUP: a new discovery, bad files, drains.
+//! Tests of the built sidecar and SIGHUP: new discovery address, invalid files, drains.
 
 #[path = "support/node.rs"]
 mod support;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use support::*;
 
-/// A sidecar that knows the first peer and follows this discovery, and its configuration.
+/// A sidecar that knows the first peer and watches this discovery server, with its configuration.
 fn following(peer: &Peer, discovery: &Discovery, mode: &str) -> (Sidecar, Value) {
     let mut config = config(&[peer]);
     config["discovery"] = json!(discovery.address.to_string());
@@ -16,14 +16,14 @@
 }
 
 #[test]
-fn a_new_discovery_is_followed_at_once_whatever_its_version_and_the_old_one_no_longer_heard() {
+fn a_new_discovery_address_is_followed_at_once_whatever_its_version_and_the_old_one_is_ignored() {
     for mode in ["subscribe", "automatic"] {
         let (old, new) = (Peer::serving("old"), Peer::serving("new"));
         let first = Discovery::new(list(900, false, &[]));
         let (sidecar, mut config) = following(&old, &first, mode);
         wait_for("the first watch", || first.calls().len() == 1);
         assert_eq!(sidecar.ask("book", "r1").body, b"old");
-        // Its versions are its own: a lower one is no older list.
+        // List versions are per server: a lower one is not an older list.
         let second = Discovery::new(list(3, true, &[target("s-new", new.address, "up")]));
         config["discovery"] = json!(second.address.to_string());
         sidecar.reload(&config.to_string());
@@ -57,8 +57,8 @@
 }
 
 #[test]
-fn sighups_in_a_row_and_bad_files_leave_what_is_open_alone() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(700)));
+fn repeated_sighups_and_invalid_files_do_not_affect_open_requests() {
+    let peer = Peer::new(|_| Reply::Late(Duration::from_millis(700)));
     let discovery = Discovery::new(list(8, false, &[]));
     let (mut sidecar, config) = following(&peer, &discovery, "subscribe");
     wait_for("the first watch", || discovery.calls().len() == 1);
@@ -89,8 +89,8 @@
 }
 
 #[test]
-fn sighup_in_a_drain_ends_nothing() {
-    let peer = Peer::new(|_| Do::Late(Duration::from_millis(1000)));
+fn sighup_during_a_drain_does_not_interrupt_it() {
+    let peer = Peer::new(|_| Reply::Late(Duration::from_millis(1000)));
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     client.send(&request("book", "r1", "20000m"));
@@ -99,5 +99,5 @@
     wait_for("the drain to begin", || sidecar.ready().is_some_and(|status| status != 200));
     sidecar.signal("-HUP");
     assert_eq!(client.receive().expect("an answer in spite of both").status(), 200);
-    assert!(sidecar.ended().success());
+    assert!(sidecar.wait_exit().success());
 }
--- a/crates/runtrack/tests/node_reset.rs
+++ b/crates/runtrack/tests/node_reset.rs
@@ -1,4 +1,4 @@
-//! The built sidecar where connections are closed under a request.
+//! Test of the built sidecar where endpoints close connections while a request is being sent.
 
 #[path = "support/node.rs"]
 mod support;
@@ -10,11 +10,11 @@
 use std::thread;
 use support::*;
 
-/// Of each request's id: how often it was cut off before its last byte, and how often it came whole.
+/// By request id: how often it was cut off before its last byte, and how often it was complete.
 type Seen = Arc<Mutex<HashMap<String, (usize, usize)>>>;
 
-/// Closes the connection under a request of which it holds all but the end, once for each id.
-fn cut(stream: TcpStream, seen: &Seen) -> std::io::Result<()> {
+/// Closes the connection once per request id when only the end of the request is missing.
+fn reset_once(stream: TcpStream, seen: &Seen) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     loop {
         let (mut id, mut length) = (String::new(), 0);
@@ -33,32 +33,32 @@
             }
         }
         let mut body = vec![0; length];
-        let come = reader.read(&mut body)?;
+        let received = reader.read(&mut body)?;
         let first = seen.lock().unwrap().get(&id).is_none();
-        if come < length && first {
+        if received < length && first {
             seen.lock().unwrap().entry(id).or_default().0 += 1;
             return Ok(());
         }
-        reader.read_exact(&mut body[come..])?;
+        reader.read_exact(&mut body[received..])?;
         seen.lock().unwrap().entry(id).or_default().1 += 1;
         (&stream).write_all(answer("200 OK", "", "ok").as_bytes())?;
     }
 }
 
 #[test]
-fn what_is_cut_off_before_its_last_byte_goes_again_though_it_may_not_be_repeated() {
+fn an_unsafe_request_reset_before_its_last_byte_is_sent_again() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, seen) = (listener.local_addr().unwrap(), Seen::default());
     let peer = seen.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let seen = peer.clone();
-            thread::spawn(move || cut(stream, &seen));
+            thread::spawn(move || reset_once(stream, &seen));
         }
     });
     let sidecar = Sidecar::start(&config_at(&[address]));
     let mut number = 0;
-    // Where the machine is slow the last byte may already be on its way as the connection closes.
+    // On a slow machine the last byte may already be on its way when the connection closes.
     wait_for("a request cut off and served all the same", || {
         number += 1;
         let id = format!("r{number}");
--- a/crates/runtrack/tests/orders_settings.rs
+++ b/crates/runtrack/tests/settings_validation.rs
@@ -1,12 +1,12 @@
-//! Settings: any field missing, empty, huge or of another kind is named on one line or does no harm, and nothing of one
-//! sidecar's settings is seen in another one's.
+//! Settings: any missing, empty, huge or wrongly typed field is named in a one-line error or is harmless, and the
+//! settings of one sidecar have no effect on another one.
 
-#[path = "support/inside.rs"]
-mod inside;
+#[path = "support/in_process.rs"]
+mod in_process;
 #[path = "support/node.rs"]
 mod support;
 
-use inside::Inside;
+use in_process::InProcess;
 use runtrack::net::budget::Budget;
 use runtrack::net::config::Config;
 use runtrack::net::outbound::Outbound;
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use support::*;
 
-/// The paths of all values inside, with their parents.
+/// Collects the paths of all nested values.
 fn paths(value: &Value, here: &str, all: &mut Vec<String>) {
     let mut inner = |name: &str, value: &Value| {
         let path = format!("{here}/{name}");
@@ -43,7 +43,7 @@
     config
 }
 
-/// Every change of one value, by words.
+/// All changes of a single value, each with a description.
 fn changes(config: &Value) -> Vec<(String, Value)> {
     let mut all = Vec::new();
     paths(config, "", &mut all);
@@ -77,8 +77,8 @@
     changed
 }
 
-/// What all that a process makes of its settings says of them.
-fn takes(config: &Value) -> Result<(), String> {
+/// Runs all code of the sidecar that validates settings.
+fn validate(config: &Value) -> Result<(), String> {
     let config = Config::parse(&config.to_string(), None, None, None).map_err(|e| e.to_string())?;
     Balancer::new(config.settings.clone(), config.seed, Duration::from_secs(1))
         .map_err(|e| format!("settings: {e}"))?;
@@ -88,12 +88,12 @@
 }
 
 #[test]
-fn whatever_one_value_is_it_is_named_or_taken_and_nothing_panics() {
+fn any_changed_value_is_accepted_or_named_in_the_error_without_a_panic() {
     let config = config(&[&Peer::serving("ok")]);
-    let (mut refused, mut taken) = (0, 0);
+    let (mut refused, mut accepted) = (0, 0);
     for (what, changed) in changes(&config) {
-        match catch_unwind(AssertUnwindSafe(|| takes(&changed))) {
-            Ok(Ok(())) => taken += 1,
+        match catch_unwind(AssertUnwindSafe(|| validate(&changed))) {
+            Ok(Ok(())) => accepted += 1,
             Ok(Err(problem)) => {
                 refused += 1;
                 assert_eq!(problem.lines().count(), 1, "{what}: {problem}");
@@ -107,34 +107,34 @@
             Err(_) => panic!("{what}: a panic"),
         }
     }
-    assert!(refused > 300 && taken > 100, "{refused} refused, {taken} taken");
+    assert!(refused > 300 && accepted > 100, "{refused} refused, {accepted} taken");
 }
 
 #[test]
-fn what_is_taken_also_serves() {
+fn accepted_settings_also_serve_requests() {
     let peer = Peer::serving("ok");
     let whole = config(&[&peer]);
-    let odd = [json!(0), json!(1e308), json!(9e15), json!(0.001), json!(null)];
+    let extreme_values = [json!(0), json!(1e308), json!(9e15), json!(0.001), json!(null)];
     let mut all = Vec::new();
     paths(&whole["settings"], "/settings", &mut all);
     all.extend(["/limits/memory_mb", "/limits/sockets", "/limits/cores"].map(str::to_owned));
     let numbers = all.into_iter().filter(|path| whole.pointer(path).is_some_and(Value::is_number));
     let mut ran = 0;
     for path in numbers {
-        for value in &odd {
+        for value in &extreme_values {
             let mut config = whole.clone();
             config["listen"] = json!(free_address().to_string());
             *config.pointer_mut(&path).unwrap() = value.clone();
-            if takes(&config).is_err() {
+            if validate(&config).is_err() {
                 continue;
             }
-            let sidecar = Inside::start(&config, "");
+            let sidecar = InProcess::start(&config, "");
             let mut client = sidecar.client();
             client.send(&request("book", "r1", "2000m"));
             let answer = client.receive();
             assert!(answer.is_some(), "{path} = {value}: no answer");
             assert!(sidecar.gauges().open == 0, "{path} = {value}");
-            sidecar.order_drain();
+            sidecar.request_drain();
             ran += 1;
         }
     }
@@ -155,7 +155,7 @@
     ] {
         let mut config = config.clone();
         *config.pointer_mut(path).unwrap() = value;
-        let (status, said) = refuses(&config.to_string());
+        let (status, said) = start_error(&config.to_string());
         assert_eq!(status.code(), Some(1), "{path}: {said}");
         assert_eq!(said.trim_end().lines().count(), 1, "{path}: {said}");
         let name = path.split('/').rfind(|name| name.parse::<usize>().is_err()).unwrap();
@@ -163,8 +163,8 @@
     }
 }
 
-/// One customer's configuration: its classes, their deadlines, tenants, and whether it tells when to come again.
-fn of_customer(
+/// One customer's configuration: its class, deadline and tenant, and whether `Retry-After` is sent.
+fn customer_config(
     peer: &Peer,
     class: &str,
     semantics: &str,
@@ -182,9 +182,9 @@
     config
 }
 
-/// What a sidecar makes of requests of both customers: statuses, how long a silent endpoint is waited for, and whether it
-/// says when to come again.
-fn behaviour(sidecar: &Inside, own: &str, post: bool, tenant: &str) -> (u16, u16, u16, bool, Duration) {
+/// How a sidecar answers requests of both customers: statuses, whether it sends `Retry-After`, and how long it waits
+/// for a silent endpoint.
+fn behaviour(sidecar: &InProcess, own: &str, post: bool, tenant: &str) -> (u16, u16, u16, bool, Duration) {
     let text = |class: &str, tenant: &str, id: &str| {
         let base = request(if post { "book" } else { "quote" }, id, "20000m");
         base.replace("/book/", &format!("/{class}/"))
@@ -206,54 +206,54 @@
 }
 
 #[test]
-fn nothing_of_one_customers_settings_is_seen_in_another_ones_sidecar() {
-    let silent = Peer::new(|_| Do::Silence);
-    let one = || of_customer(&silent, "withdraw", "unsafe", "north", 400.0, false);
-    let two = || of_customer(&silent, "balance", "safe", "south", 4000.0, true);
-    let check_one = |sidecar: &Inside| {
+fn settings_of_one_customer_have_no_effect_on_another_ones_sidecar() {
+    let silent = Peer::new(|_| Reply::Silence);
+    let one = || customer_config(&silent, "withdraw", "unsafe", "north", 400.0, false);
+    let two = || customer_config(&silent, "balance", "safe", "south", 4000.0, true);
+    let check_one = |sidecar: &InProcess| {
         let (own, other, stranger, tells, took) = behaviour(sidecar, "withdraw", true, "north");
         assert_eq!((own, other, stranger, tells), (502, 404, 400, false));
         assert!(took >= Duration::from_millis(300) && took < Duration::from_millis(3000), "{took:?}");
         let foreign = behaviour(sidecar, "balance", true, "south");
         assert_eq!((foreign.0, foreign.2), (404, 404), "the other one's class");
     };
-    let check_two = |sidecar: &Inside| {
+    let check_two = |sidecar: &InProcess| {
         let (own, other, stranger, tells, took) = behaviour(sidecar, "balance", false, "south");
         assert_eq!((own, other, stranger, tells), (503, 404, 400, true));
         assert!(took >= Duration::from_millis(3500) && took < Duration::from_millis(15_000), "{took:?}");
         let foreign = behaviour(sidecar, "withdraw", false, "north");
         assert_eq!((foreign.0, foreign.2), (404, 404), "the other one's class");
     };
-    // Side by side, in one process.
-    let (first, second) = (Inside::start(&one(), ""), Inside::start(&two(), ""));
+    // Side by side in one process.
+    let (first, second) = (InProcess::start(&one(), ""), InProcess::start(&two(), ""));
     check_one(&first);
     check_two(&second);
     check_one(&first);
     drop((first, second));
-    // After one another, in the order that has not been.
-    check_two(&Inside::start(&two(), ""));
-    check_one(&Inside::start(&one(), ""));
+    // One after the other, in the opposite order.
+    check_two(&InProcess::start(&two(), ""));
+    check_one(&InProcess::start(&one(), ""));
 }
 
-/// What a client over the cap is told of when to come again, with these settings.
-fn told_over_the_cap(may: bool, most_ms: f64, planted: &'static str) -> String {
-    let peer = Peer::new(|_| Do::Silence);
+/// The `Retry-After` of a client over the limit, with these settings.
+fn retry_after_over_limit(may: bool, most_ms: f64, mutant: &'static str) -> String {
+    let peer = Peer::new(|_| Reply::Silence);
     let mut config = config(&[&peer]);
-    // Sixteen sockets: ten for clients, all of whom wait for an answer.
+    // 16 sockets: ten for clients, all of which wait for an answer.
     config["limits"]["sockets"] = json!(64);
     config["settings"]["limits"]["retryAfter"] = json!(may);
     config["settings"]["limits"]["maxRetryAfterMs"] = json!(most_ms);
-    let sidecar = Inside::start(&config, planted);
-    let _open = sidecar.occupied_by(10);
+    let sidecar = InProcess::start(&config, mutant);
+    let _open = sidecar.with_open_requests(10);
     let answer = sidecar.client().ask("quote", "over");
     assert_eq!(answer.status(), 503);
     answer.header("retry-after").to_owned()
 }
 
 #[test]
-fn who_finds_no_room_is_told_when_to_come_again_as_the_settings_allow() {
-    assert_eq!(told_over_the_cap(true, 2000.0, ""), "0.500");
-    assert_eq!(told_over_the_cap(true, 200.0, ""), "0.200", "no longer than a client would wait");
-    assert_eq!(told_over_the_cap(false, 2000.0, ""), "", "clients are told nothing of it");
-    assert_eq!(told_over_the_cap(false, 2000.0, "retry-unasked"), "0.500", "the check can fail");
+fn clients_refused_for_lack_of_sockets_get_retry_after_as_the_settings_allow() {
+    assert_eq!(retry_after_over_limit(true, 2000.0, ""), "0.500");
+    assert_eq!(retry_after_over_limit(true, 200.0, ""), "0.200", "no longer than a client would wait");
+    assert_eq!(retry_after_over_limit(false, 2000.0, ""), "", "clients are told nothing of it");
+    assert_eq!(retry_after_over_limit(false, 2000.0, "retry-unasked"), "0.500", "the check can fail");
 }
--- a/crates/runtrack/tests/spans.rs
+++ b/crates/runtrack/tests/spans.rs
@@ -1,4 +1,4 @@
-//! The line in the log that says where served calls spent their time.
+//! The log line with the mean time of served calls by stage.
 
 use runtrack::net::spans::Spans;
 use std::time::Duration;
--- a/crates/runtrack/tests/support/inside.rs
+++ b/crates/runtrack/tests/support/in_process.rs
@@ -1,8 +1,8 @@
-//! A sidecar inside the test's own process, on real sockets: its connections can be held back one by one, its gauges
-//! read, and an error planted in it alone.
+//! A sidecar inside the test process, on real sockets: the test can delay its connections, read its gauges and enable
+//! a mutant in it alone.
 #![allow(dead_code)]
 
-use super::{PATIENCE, wait_for};
+use super::{WAIT_TIMEOUT, wait_for};
 use runtrack::net::config::Config;
 use runtrack::net::driver::Gauges;
 use runtrack::sidecar::{self, Command};
@@ -20,41 +20,41 @@
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
 
-/// Where connections are held back, and how many wait there.
+/// Addresses to which connecting is held back, with the number of waiting connections.
 #[derive(Clone, Default)]
-pub struct Gate(Arc<Mutex<HashMap<SocketAddr, usize>>>, Arc<Mutex<Option<Still>>>);
+pub struct Gate(Arc<Mutex<HashMap<SocketAddr, usize>>>, Arc<Mutex<Option<Standstill>>>);
 
-/// The process stands still until then, as one attempt has its turn to wait for a connection to there.
-struct Still(SocketAddr, Instant);
+/// The next connection attempt to this address blocks the process until this time.
+struct Standstill(SocketAddr, Instant);
 
 impl Gate {
-    /// No connection to there comes up from now on.
+    /// Holds back all new connections to this address.
     pub fn hold(&self, to: SocketAddr) {
         self.0.lock().unwrap().entry(to).or_default();
     }
 
-    /// Those that wait come up, and all others.
+    /// Lets waiting and later connections to this address proceed.
     pub fn open(&self, to: SocketAddr) {
         self.0.lock().unwrap().remove(&to);
     }
 
-    /// Connections that wait to come up.
+    /// Number of connections to this address that are held back.
     pub fn waiting(&self, to: SocketAddr) -> usize {
         self.0.lock().unwrap().get(&to).copied().unwrap_or(0)
     }
 
-    /// The next connection that is made to there takes all of the process's time until then, and fails.
-    pub fn stand_still(&self, to: SocketAddr, until: Instant) {
-        *self.1.lock().unwrap() = Some(Still(to, until));
+    /// The next connection attempt to this address blocks the whole process until this time, and fails.
+    pub fn block_process(&self, to: SocketAddr, until: Instant) {
+        *self.1.lock().unwrap() = Some(Standstill(to, until));
     }
 
-    fn stands_still(&self, to: SocketAddr) -> Option<Instant> {
-        self.1.lock().unwrap().take_if(|still| still.0 == to).map(|Still(_, until)| until)
+    fn take_standstill(&self, to: SocketAddr) -> Option<Instant> {
+        self.1.lock().unwrap().take_if(|still| still.0 == to).map(|Standstill(_, until)| until)
     }
 
-    /// The system's network behind this gate.
+    /// The system network behind this gate.
     pub fn network(&self) -> Rc<dyn Network> {
-        Rc::new(Gated(self.clone()))
+        Rc::new(GatedNetwork(self.clone()))
     }
 
     fn add(&self, to: SocketAddr, change: isize) -> bool {
@@ -63,28 +63,28 @@
     }
 }
 
-/// One that waits; also gone when it is given up.
-struct Waits<'a>(&'a Gate, SocketAddr);
+/// A connection attempt that is held back; uncounted on drop, also when it is cancelled.
+struct WaitGuard<'a>(&'a Gate, SocketAddr);
 
-impl Drop for Waits<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.0.add(self.1, -1);
     }
 }
 
-struct Gated(Gate);
+struct GatedNetwork(Gate);
 
-impl Network for Gated {
+impl Network for GatedNetwork {
     fn connect(&self, to: SocketAddr) -> Connecting {
         let gate = self.0.clone();
         Box::pin(async move {
-            if let Some(until) = gate.stands_still(to) {
-                // Its thread is the whole process: nothing else has a turn meanwhile.
+            if let Some(until) = gate.take_standstill(to) {
+                // The sidecar runs on a single thread, so nothing else runs meanwhile.
                 std::thread::sleep(until.saturating_duration_since(Instant::now()));
                 return Err(io::ErrorKind::ConnectionRefused.into());
             }
             if gate.add(to, 1) {
-                let _waits = Waits(&gate, to);
+                let _waits = WaitGuard(&gate, to);
                 while gate.add(to, 0) {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
@@ -98,8 +98,8 @@
     }
 }
 
-/// A running sidecar. It ends with its process at the latest.
-pub struct Inside {
+/// A running sidecar. It ends with the test process at the latest.
+pub struct InProcess {
     pub address: SocketAddr,
     pub gate: Gate,
     orders: UnboundedSender<Command>,
@@ -107,16 +107,16 @@
     _thread: JoinHandle<()>,
 }
 
-impl Inside {
-    /// Started, and listening. With no name, no error is planted.
-    pub fn start(config: &Value, planted: &'static str) -> Inside {
-        let inside = Inside::begin(config, planted);
-        wait_for("the listener", || inside.listens());
-        inside
+impl InProcess {
+    /// Starts a sidecar and waits until it listens. An empty name enables no mutant.
+    pub fn start(config: &Value, mutant: &'static str) -> InProcess {
+        let sidecar = InProcess::spawn(config, mutant);
+        wait_for("the listener", || sidecar.is_listening());
+        sidecar
     }
 
-    /// Started, and perhaps not listening yet.
-    pub fn begin(config: &Value, planted: &'static str) -> Inside {
+    /// Starts a sidecar without waiting until it listens.
+    pub fn spawn(config: &Value, mutant: &'static str) -> InProcess {
         let address = config["listen"].as_str().unwrap().parse().unwrap();
         let (text, gate) = (config.to_string(), Gate::default());
         let (orders, taken) = unbounded_channel();
@@ -124,7 +124,7 @@
         let network = gate.clone();
         let thread = std::thread::spawn(move || {
             runtrack_net::log_to_stderr();
-            runtrack_net::set_mutant(Some(planted).filter(|name| !name.is_empty()));
+            runtrack_net::set_mutant(Some(mutant).filter(|name| !name.is_empty()));
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             let ran = match Config::parse(&text, None, None, None) {
                 Ok(config) => {
@@ -135,11 +135,11 @@
             };
             let _ = done.send(ran);
         });
-        Inside { address, gate, orders, ended, _thread: thread }
+        InProcess { address, gate, orders, ended, _thread: thread }
     }
 
-    /// Whether it listens, by the kernel's word: a connection made to find out would be one more to serve.
-    pub fn listens(&self) -> bool {
+    /// Whether it listens, as reported by the kernel: a test connection would be served as one more client.
+    pub fn is_listening(&self) -> bool {
         runtrack_testkit::is_listened_at(self.address)
     }
 
@@ -147,9 +147,9 @@
         super::Client::connect(self.address).expect("the sidecar accepts")
     }
 
-    /// So many clients, each with a request that its endpoint never answers. Each sends as it connects: where that takes
-    /// the last place, one that says nothing is closed to make room.
-    pub fn occupied_by(&self, count: usize) -> Vec<super::Client> {
+    /// Opens this number of clients, each with a request that its endpoint never answers. Each sends its request at
+    /// once: a silent one could be evicted when the sockets run out.
+    pub fn with_open_requests(&self, count: usize) -> Vec<super::Client> {
         let mut open = Vec::new();
         while open.len() < count {
             let mut client = self.client();
@@ -160,34 +160,34 @@
         open
     }
 
-    /// How much is open.
+    /// The current gauges.
     pub fn gauges(&self) -> Gauges {
         let (to, told) = oneshot::channel();
         assert!(self.orders.send(Command::Report(to)).is_ok(), "it runs");
         told.blocking_recv().expect("it answers")
     }
 
-    /// Waits until so many requests are open, with or without an attempt.
+    /// Waits until this number of requests is open, with or without an attempt.
     pub fn wait_open(&self, count: usize) {
         wait_for(&format!("{count} open requests"), || self.gauges().open == count);
     }
 
-    /// All that was open has ended, and the module counts nothing.
-    pub fn at_rest(&self) {
+    /// Waits until no request, attempt or call is open.
+    pub fn wait_at_rest(&self) {
         wait_for("rest", || {
             let gauges = self.gauges();
             (gauges.open, gauges.attempts, gauges.calls_in_flight) == (0, 0, 0)
         });
     }
 
-    /// Tells it to drain, and waits for nothing.
-    pub fn order_drain(&self) {
+    /// Sends the command to drain, without waiting.
+    pub fn request_drain(&self) {
         let _ = self.orders.send(Command::Drain);
     }
 
-    /// Tells it to drain, and waits until it does.
+    /// Sends the command to drain and waits until the drain has begun.
     pub fn drain(&self) {
-        self.order_drain();
+        self.request_drain();
         wait_for("the drain to begin", || {
             let mut client = self.client();
             client.send("GET /-/ready HTTP/1.1\r\nHost: t\r\n\r\n");
@@ -195,14 +195,14 @@
         });
     }
 
-    /// Gives it another configuration.
+    /// Sends a new configuration.
     pub fn reload(&self, config: &Value) {
         let config = Config::parse(&config.to_string(), None, None, None).map(Box::new);
         let _ = self.orders.send(Command::Reload(config));
     }
 
-    /// How it ended.
-    pub fn ended(&self) -> Result<(), String> {
-        self.ended.recv_timeout(PATIENCE).expect("the sidecar's end")
+    /// The sidecar's result.
+    pub fn wait_exit(&self) -> Result<(), String> {
+        self.ended.recv_timeout(WAIT_TIMEOUT).expect("the sidecar's end")
     }
 }
--- a/crates/runtrack/tests/support/load.rs
+++ b/crates/runtrack/tests/support/load.rs
@@ -1,4 +1,4 @@
-//! Endpoints and callers in number: tasks where the scripted peers are threads.
+//! Endpoints and callers in large numbers, as async tasks.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use tokio::runtime::Runtime;
 use tokio::sync::Semaphore;
 
-/// Nothing is waited for longer than this.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum time that a call may take.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Reads a message's head and body; its status, or zero for a request. None at the connection's end.
+/// Reads a message's head and body. Returns its status, or zero for a request; `None` at the end of the connection.
 async fn message(from: &mut BufReader<TcpStream>, line: &mut String) -> Option<u16> {
     let (mut length, mut status) = (0, None);
     loop {
@@ -37,47 +37,47 @@
     status
 }
 
-/// What an endpoint does.
+/// Behavior of an endpoint.
 #[derive(Clone, Copy)]
-pub struct Manner {
-    /// How long a call takes.
+pub struct Behavior {
+    /// Service time of a call.
     pub takes: Duration,
-    /// How many calls it works on at a time; further ones wait there.
+    /// Number of calls processed at a time; further ones wait.
     pub at_once: usize,
-    /// The status of its answers.
+    /// Status of its answers.
     pub status: u16,
 }
 
-impl Manner {
+impl Behavior {
     /// Serves any number of calls at a time.
-    pub fn serving(takes: Duration) -> Manner {
-        Manner { takes, at_once: Semaphore::MAX_PERMITS, status: 200 }
+    pub fn serving(takes: Duration) -> Behavior {
+        Behavior { takes, at_once: Semaphore::MAX_PERMITS, status: 200 }
     }
 }
 
 /// Running endpoints.
 pub struct Endpoints {
     pub addresses: Vec<SocketAddr>,
-    /// Calls that have come to each.
+    /// Calls received by each endpoint.
     pub calls: Vec<Arc<AtomicUsize>>,
-    /// Connections ever accepted.
+    /// Number of connections accepted so far.
     pub accepted: Arc<AtomicUsize>,
 }
 
 impl Endpoints {
-    pub fn start(runtime: &Runtime, manners: &[Manner]) -> Endpoints {
+    pub fn start(runtime: &Runtime, behaviors: &[Behavior]) -> Endpoints {
         let (addresses, calls, accepted) = Default::default();
         let mut endpoints = Endpoints { addresses, calls, accepted };
-        for &manner in manners {
+        for &behavior in behaviors {
             let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0")).expect("a port on loopback");
             endpoints.addresses.push(listener.local_addr().expect("a bound port"));
             let (accepted, calls) = (endpoints.accepted.clone(), Arc::<AtomicUsize>::default());
             endpoints.calls.push(calls.clone());
-            let places = Arc::new(Semaphore::new(manner.at_once));
+            let slots = Arc::new(Semaphore::new(behavior.at_once));
             runtime.spawn(async move {
                 while let Ok((stream, _)) = listener.accept().await {
                     accepted.fetch_add(1, Ordering::Relaxed);
-                    tokio::spawn(serve(stream, manner, places.clone(), calls.clone()));
+                    tokio::spawn(serve(stream, behavior, slots.clone(), calls.clone()));
                 }
             });
         }
@@ -85,15 +85,15 @@
     }
 }
 
-async fn serve(stream: TcpStream, manner: Manner, places: Arc<Semaphore>, calls: Arc<AtomicUsize>) {
+async fn serve(stream: TcpStream, behavior: Behavior, slots: Arc<Semaphore>, calls: Arc<AtomicUsize>) {
     let _ = stream.set_nodelay(true);
-    let answer = format!("HTTP/1.1 {} x\r\nContent-Length: 2\r\n\r\nok", manner.status);
+    let answer = format!("HTTP/1.1 {} x\r\nContent-Length: 2\r\n\r\nok", behavior.status);
     let (mut stream, mut line) = (BufReader::new(stream), String::new());
     while message(&mut stream, &mut line).await.is_some() {
         calls.fetch_add(1, Ordering::Relaxed);
-        if !manner.takes.is_zero() {
-            let _place = places.acquire().await;
-            tokio::time::sleep(manner.takes).await;
+        if !behavior.takes.is_zero() {
+            let _slot = slots.acquire().await;
+            tokio::time::sleep(behavior.takes).await;
         }
         if stream.get_mut().write_all(answer.as_bytes()).await.is_err() {
             return;
@@ -106,7 +106,7 @@
     to: SocketAddr,
     stream: BufReader<TcpStream>,
     line: String,
-    /// Connections opened after the first.
+    /// Number of connections opened after the first.
     pub reopened: usize,
 }
 
@@ -115,7 +115,8 @@
         Caller { to, stream: open(to).await, line: String::new(), reopened: 0 }
     }
 
-    /// One call of a class. A proxy may close a connection between requests: then it goes again on a new one.
+    /// Makes one call of a class. If the proxy has closed the connection between requests, the call is repeated on a
+    /// new one.
     pub async fn call(&mut self, class: &str) -> u16 {
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let id = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -127,7 +128,7 @@
             {
                 return status;
             }
-            assert!(began.elapsed() < PATIENCE, "no answer on any connection");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "no answer on any connection");
             self.reopened += 1;
             self.stream = open(self.to).await;
         }
--- a/crates/runtrack/tests/support/node.rs
+++ b/crates/runtrack/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! The built sidecar, and tiny scripted peers for it on loopback.
+//! The built sidecar as a child process, and scripted peers for it on loopback.
 #![allow(dead_code)]
 
 pub use runtrack_testkit::{free_address, listener};
@@ -12,19 +12,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing that a test waits for may take longer, not even on a slow machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum time of any wait in a test, sufficient for a slow machine.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits for a condition.
+/// Waits until the condition holds; panics after `WAIT_TIMEOUT`.
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "never came: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "never came: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A message read from a socket.
+/// An HTTP message read from a socket.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub first_line: String,
@@ -45,7 +45,7 @@
         self.first_line.split(' ').nth(1).unwrap_or("")
     }
 
-    /// Reads one; `None` where the connection ends or breaks before it is whole.
+    /// Reads a message; `None` if the connection ends or breaks before it is complete.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut message = Message::default();
         let line = |from: &mut dyn BufRead| {
@@ -65,30 +65,30 @@
     }
 }
 
-/// What a peer does with a request.
+/// What a peer does on a request.
 #[derive(Clone, Debug)]
-pub enum Do {
+pub enum Reply {
     /// Answers 200 with this body.
     Serve(&'static str),
-    /// Writes these bytes and keeps the connection.
+    /// Writes these bytes and keeps the connection open.
     Write(String),
-    /// Writes these bytes and closes.
+    /// Writes these bytes and closes the connection.
     WriteAndClose(String),
-    /// Serves, then closes its side and waits for the sidecar to close the other.
+    /// Serves, shuts down its write side and waits for the sidecar to close.
     ServeAndEnd(&'static str),
-    /// Says nothing until the sidecar closes.
+    /// Sends nothing until the sidecar closes.
     Silence,
-    /// Serves after so long.
+    /// Serves after this time.
     Late(Duration),
-    /// Serves, and so much later writes these bytes too.
+    /// Serves, and writes these bytes after this time.
     ServeAndWrite(&'static str, Duration, String),
-    /// Serves a connection's first request and breaks off at its second.
+    /// Serves a connection's first request and closes the connection at its second.
     ServeOnce(&'static str),
-    /// Writes these bytes, and serves so much later.
+    /// Writes these bytes, and serves after this time.
     WriteThenServe(String, Duration),
-    /// Writes these pieces, each after its wait.
+    /// Writes these pieces, each after its delay.
     Pieces(Vec<(Duration, String)>),
-    /// Writes this over and over until the sidecar closes.
+    /// Writes the first text once, then the second repeatedly until the sidecar closes.
     Flood(String, String),
 }
 
@@ -101,33 +101,35 @@
     pub address: SocketAddr,
     pub seen: Arc<Mutex<Vec<Message>>>,
     pub connections: Arc<AtomicUsize>,
-    /// Connections that the sidecar has closed.
+    /// Number of connections closed by the sidecar.
     pub closed: Arc<AtomicUsize>,
-    /// Answers behind which more was written.
+    /// Number of answers after which more bytes were written.
     pub written: Arc<AtomicUsize>,
 }
 
 impl Peer {
-    /// One that serves everything with this body.
+    /// A peer that answers every request with this body.
     pub fn serving(body: &'static str) -> Peer {
-        Peer::new(move |_| Do::Serve(body))
+        Peer::new(move |_| Reply::Serve(body))
     }
 
-    /// One that serves everything with this body once it is let go.
-    pub fn held(free: &Arc<AtomicBool>, body: &'static str) -> Peer {
+    /// A peer that answers every request with this body once the flag is set.
+    pub fn gated(free: &Arc<AtomicBool>, body: &'static str) -> Peer {
         let free = free.clone();
         Peer::new(move |_| {
             wait_for("the endpoint's leave", || free.load(Ordering::SeqCst));
-            Do::Serve(body)
+            Reply::Serve(body)
         })
     }
 
-    pub fn new(script: impl Fn(&Message) -> Do + Send + Sync + 'static) -> Peer {
-        Peer::told(move |message, _| script(message))
+    pub fn new(script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Peer {
+        Peer::with_client_address(move |message, _| script(message))
     }
 
-    /// One whose script is told the sidecar's end of each request's connection.
-    pub fn told(script: impl Fn(&Message, SocketAddr) -> Do + Send + Sync + 'static) -> Peer {
+    /// A peer whose script also gets the client address of each request's connection.
+    pub fn with_client_address(
+        script: impl Fn(&Message, SocketAddr) -> Reply + Send + Sync + 'static,
+    ) -> Peer {
         let listener = listener();
         let address = listener.local_addr().unwrap();
         let (seen, connections, closed, written) = Default::default();
@@ -150,7 +152,7 @@
         peer
     }
 
-    /// Requests seen.
+    /// Number of requests received.
     pub fn count(&self) -> usize {
         self.seen.lock().unwrap().len()
     }
@@ -160,40 +162,40 @@
     }
 }
 
-/// Serves one connection; whether it was the sidecar that closed it.
+/// Serves one connection; returns whether the sidecar closed it.
 fn follow(
     stream: TcpStream,
     seen: &Mutex<Vec<Message>>,
     written: &AtomicUsize,
-    script: &dyn Fn(&Message, SocketAddr) -> Do,
+    script: &dyn Fn(&Message, SocketAddr) -> Reply,
 ) -> Option<bool> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     let from = stream.peer_addr().ok()?;
     let mut writer = stream;
-    let rest = |reader: &mut BufReader<TcpStream>| {
+    let drain = |reader: &mut BufReader<TcpStream>| {
         let _ = reader.read_to_end(&mut Vec::new());
     };
     while let Some(message) = Message::read(&mut reader) {
         let act = script(&message, from);
         seen.lock().unwrap().push(message);
         match act {
-            Do::Serve(body) => writer.write_all(answer("200 OK", "", body).as_bytes()).ok()?,
-            Do::Write(text) => writer.write_all(text.as_bytes()).ok()?,
-            Do::WriteAndClose(text) => {
+            Reply::Serve(body) => writer.write_all(answer("200 OK", "", body).as_bytes()).ok()?,
+            Reply::Write(text) => writer.write_all(text.as_bytes()).ok()?,
+            Reply::WriteAndClose(text) => {
                 writer.write_all(text.as_bytes()).ok()?;
                 return Some(false);
             }
-            Do::ServeAndEnd(body) => {
+            Reply::ServeAndEnd(body) => {
                 writer.write_all(answer("200 OK", "", body).as_bytes()).ok()?;
                 writer.shutdown(Shutdown::Write).ok()?;
-                rest(&mut reader);
+                drain(&mut reader);
                 return Some(true);
             }
-            Do::Silence => {
-                rest(&mut reader);
+            Reply::Silence => {
+                drain(&mut reader);
                 return Some(true);
             }
-            Do::ServeAndWrite(body, wait, more) => {
+            Reply::ServeAndWrite(body, wait, more) => {
                 let whole = answer("200 OK", "", body);
                 if wait.is_zero() {
                     writer.write_all((whole + &more).as_bytes()).ok()?;
@@ -204,29 +206,29 @@
                 }
                 written.fetch_add(1, Ordering::SeqCst);
             }
-            Do::Pieces(pieces) => {
+            Reply::Pieces(pieces) => {
                 for (wait, text) in pieces {
                     thread::sleep(wait);
                     writer.write_all(text.as_bytes()).ok()?;
                 }
                 written.fetch_add(1, Ordering::SeqCst);
             }
-            Do::ServeOnce(body) => {
+            Reply::ServeOnce(body) => {
                 writer.write_all(answer("200 OK", "", body).as_bytes()).ok()?;
                 Message::read(&mut reader)?;
                 return Some(false);
             }
-            Do::WriteThenServe(text, wait) => {
+            Reply::WriteThenServe(text, wait) => {
                 writer.write_all(text.as_bytes()).ok()?;
                 thread::sleep(wait);
                 writer.write_all(answer("200 OK", "", "late").as_bytes()).ok()?;
             }
-            Do::Flood(first, more) => {
+            Reply::Flood(first, more) => {
                 writer.write_all(first.as_bytes()).ok()?;
                 while writer.write_all(more.as_bytes()).is_ok() {}
                 return Some(true);
             }
-            Do::Late(wait) => {
+            Reply::Late(wait) => {
                 thread::sleep(wait);
                 writer.write_all(answer("200 OK", "", "late").as_bytes()).ok()?;
             }
@@ -235,16 +237,16 @@
     Some(true)
 }
 
-/// A discovery that holds every watch open and writes what it is given to the newest one.
+/// A discovery server that keeps every watch open and writes given lines to the newest one.
 pub struct Discovery {
     pub address: SocketAddr,
-    /// Targets of the calls that came.
+    /// Request targets of the calls received.
     pub calls: Arc<Mutex<Vec<String>>>,
     newest: Arc<Mutex<Option<TcpStream>>>,
 }
 
 impl Discovery {
-    /// Answers each watch with this line first, and each other call with it alone.
+    /// Answers each watch with this line first, and each other call with this list.
     pub fn new(first: Value) -> Discovery {
         Discovery::at(free_address(), first)
     }
@@ -292,7 +294,7 @@
     let _ = stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes());
 }
 
-/// An entry of a list.
+/// A list entry.
 pub fn target(uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "model": "m", "pod_group": 1,
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
@@ -302,7 +304,7 @@
     json!({"rev": rev, "all": all, "targets": targets})
 }
 
-/// A configuration for these endpoints, with discovery out of reach.
+/// A configuration for these endpoints, with an unreachable discovery server.
 pub fn config(peers: &[&Peer]) -> Value {
     let addresses: Vec<_> = peers.iter().map(|peer| peer.address).collect();
     config_at(&addresses)
@@ -335,7 +337,7 @@
     })
 }
 
-/// A running sidecar; killed when dropped.
+/// A running sidecar; killed on drop.
 pub struct Sidecar {
     pub child: Child,
     pub address: SocketAddr,
@@ -344,7 +346,7 @@
 
 static STARTED: AtomicUsize = AtomicUsize::new(0);
 
-/// The built program with this configuration, to be run through `prefix` in a shell.
+/// The command that runs the built program with this configuration, through a shell with `prefix` before it.
 fn command(config: &str, prefix: &str) -> (Command, std::path::PathBuf) {
     let number = STARTED.fetch_add(1, Ordering::SeqCst);
     let file = std::env::temp_dir().join(format!("runtrack-test-{}-{number}.json", std::process::id()));
@@ -358,8 +360,8 @@
     (command, file)
 }
 
-/// What the program says and how it ends where it can't start.
-pub fn refuses(config: &str) -> (ExitStatus, String) {
+/// Exit status and standard error of a program that can't start.
+pub fn start_error(config: &str) -> (ExitStatus, String) {
     let (mut command, file) = command(config, "");
     let output = command.output().unwrap();
     let _ = std::fs::remove_file(file);
@@ -381,7 +383,7 @@
         sidecar
     }
 
-    /// What `/-/ready` answers.
+    /// The status of `/-/ready`.
     pub fn ready(&self) -> Option<u16> {
         let mut client = Client::connect(self.address)?;
         client.send("GET /-/ready HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n");
@@ -392,17 +394,17 @@
         Client::connect(self.address).expect("the sidecar accepts")
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on its own connection.
     pub fn ask(&self, class: &str, id: &str) -> Message {
         self.client().ask(class, id)
     }
 
-    /// What it has logged.
+    /// The log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.file.with_extension("log")).unwrap_or_default()
     }
 
-    /// Replaces the file of its configuration, and tells it so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         let new = self.file.with_extension("new");
         std::fs::write(&new, config).unwrap();
@@ -418,11 +420,11 @@
     /// Whether SIGSTOP has stopped it.
     pub fn stopped(&self) -> bool {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
+        stat.rsplit(')').next().is_some_and(|drain| drain.trim_start().starts_with('T'))
     }
 
-    /// How it ended.
-    pub fn ended(&mut self) -> ExitStatus {
+    /// Waits for the exit and returns the status.
+    pub fn wait_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_for("the sidecar's end", || {
             status = self.child.try_wait().unwrap();
@@ -431,12 +433,12 @@
         status.unwrap()
     }
 
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Clock ticks of the processor used so far.
-    pub fn ticks(&self) -> u64 {
+    /// Clock ticks of processor time used so far.
+    pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<_> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
@@ -452,12 +454,12 @@
     }
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
     reader: BufReader<TcpStream>,
 }
 
-/// A request of a class with this time.
+/// A request of a class with this timeout.
 pub fn request(class: &str, id: &str, timeout: &str) -> String {
     let (method, extra) = match class {
         "quote" => ("GET", ""),
@@ -474,7 +476,7 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         Some(Client { reader: BufReader::new(stream) })
     }
 
@@ -482,8 +484,8 @@
         self.reader.get_ref()
     }
 
-    /// Whether some of an answer, or its end, has come.
-    pub fn has_answer(&self) -> bool {
+    /// Whether input or the end of the connection is readable.
+    pub fn has_input(&self) -> bool {
         self.stream().set_nonblocking(true).unwrap();
         let came = self.stream().peek(&mut [0]);
         self.stream().set_nonblocking(false).unwrap();
