--- a/crates/runtrack/src/net/inbound.rs
+++ b/crates/runtrack/src/net/inbound.rs
@@ -60,10 +60,12 @@
 /// SIGKILL follows SIGTERM after the longest deadline, or `MAX_SHUTDOWN_DEADLINE` if that is less, plus 0.7 s.
 /// Requests still open after that deadline plus this slack are failed, which leaves time to send the answers.
 const SHUTDOWN_SLACK: Duration = Duration::from_millis(450);
+/// The longest deadline that delays SIGKILL.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
-/// Limits of a lingering close: input is read and discarded until the client closes too. A client that behaves well
+/// Time limit of a lingering close: input is read and discarded until the client closes too. A client that behaves well
 /// does so within a round trip.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum input discarded in a lingering close, in bytes.
 const LINGER_MAX_BYTES: usize = 16 * MAX_BODY_BYTES;
 /// Time for sending the last answers at shutdown.
 const LAST_ANSWER_TIME: Duration = Duration::from_millis(150);
@@ -221,12 +223,12 @@
                 () = self.accept(&*listener) => {}
             }
         }
-        let asked = Instant::now();
+        let drain_started = Instant::now();
         log::info!("draining: {} clients connected", self.budget.clients());
         self.shutting_down.set(true);
-        while timeout_at(asked + SHUTDOWN_ACCEPT_TIME, self.accept(&*listener)).await.is_ok() {}
+        while timeout_at(drain_started + SHUTDOWN_ACCEPT_TIME, self.accept(&*listener)).await.is_ok() {}
         let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-        let until = asked + longest.min(MAX_SHUTDOWN_DEADLINE) + SHUTDOWN_SLACK;
+        let until = drain_started + longest.min(MAX_SHUTDOWN_DEADLINE) + SHUTDOWN_SLACK;
         // Connections in the backlog must be served: closing the listener would reset them. The time spent waiting
         // for a free socket does not count as an empty backlog, since requests may queue behind connections without
         // one.
@@ -238,7 +240,7 @@
             let _ = self.inbox.send(Input::GiveUp);
             let _ = timeout(LAST_ANSWER_TIME, self.clients_gone()).await;
         }
-        log::info!("drained in {} ms", asked.elapsed().as_millis());
+        log::info!("drained in {} ms", drain_started.elapsed().as_millis());
     }
 
     async fn clients_gone(&self) {
--- a/crates/runtrack/src/net/outbound.rs
+++ b/crates/runtrack/src/net/outbound.rs
@@ -57,8 +57,10 @@
 /// Number of resets on aged connections, reduced by `AGED_ANSWER_CREDIT` for each answer on one, after which aged
 /// connections are not reused for `AGED_PAUSE`.
 const MAX_AGED_RESETS: f64 = 2.0;
+/// Reduction of the count of resets for each answer on an aged connection.
 const AGED_ANSWER_CREDIT: f64 = 0.05;
-/// Long, since a reset loses an unsafe request while a new connection only costs a handshake.
+/// How long aged connections are not reused. It is long, since a reset loses an unsafe request while a new connection
+/// only costs a handshake.
 const AGED_PAUSE: Duration = Duration::from_secs(30);
 /// Connect timeout if the settings give none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/runtrack/tests/client_disconnects.rs
+++ b/crates/runtrack/tests/client_disconnects.rs
@@ -66,12 +66,16 @@
     }
     // Some attempts wait for a connection; other requests are queued by the decision module.
     sidecar.wait_open(count);
-    wait_for("a connection being made", || sidecar.gate.waiting(peer.address) > 0);
+    wait_for("a connection attempt", || sidecar.gate.waiting(peer.address) > 0);
     let at = Instant::now();
     let kept: Vec<_> = clients.into_iter().filter_map(|client| leave(client, leaving)).collect();
     if mutant.is_empty() {
         sidecar.wait_at_rest();
-        assert_eq!(sidecar.gate.waiting(peer.address), 0, "no connection is made for nobody");
+        assert_eq!(
+            sidecar.gate.waiting(peer.address),
+            0,
+            "no connection is opened for a disconnected client"
+        );
     } else {
         std::thread::sleep(MAX_SEND_DELAY.saturating_sub(at.elapsed())); // with the mutant the attempt keeps waiting
     }
@@ -79,7 +83,7 @@
     let mut marker = sidecar.client();
     assert_eq!(marker.ask("quote", "marker").status(), 200);
     if !mutant.is_empty() {
-        wait_for("what was sent for nobody", || peer.count() > 1);
+        wait_for("the request sent for the disconnected client", || peer.count() > 1);
     }
     drop(kept);
     peer.seen.lock().unwrap().iter().filter(|m| m.header("x-request-id") != "marker").count()
@@ -101,7 +105,7 @@
     assert_ne!(
         requests_seen_after_leaving("book", false, Leaving::Close, 1, "sent-for-nobody"),
         0,
-        "the check can fail"
+        "the test detects the mutant"
     );
 }
 
@@ -124,7 +128,7 @@
     sidecar.wait_open(1);
     drop(client);
     sidecar.wait_at_rest();
-    discovery.say(&list(9, false, &[target("s-0", peer.address, "up")]).to_string());
+    discovery.send_line(&list(9, false, &[target("s-0", peer.address, "up")]).to_string());
     assert_eq!(sidecar.client().ask("book", "marker").status(), 200);
     assert_eq!(peer.count(), 1);
 }
@@ -169,7 +173,7 @@
     if mutant.is_empty() {
         sidecar.wait_at_rest();
     } else {
-        wait_for("what was sent for nobody", || seen() == 7);
+        wait_for("the request sent for the disconnected client", || seen() == 7);
     }
     seen() == 7
 }
@@ -177,7 +181,7 @@
 #[test]
 fn nothing_is_sent_for_a_client_that_left_while_its_attempt_waited_for_a_socket() {
     assert!(!sent_after_socket_freed(""));
-    assert!(sent_after_socket_freed("sent-for-nobody"), "the check can fail");
+    assert!(sent_after_socket_freed("sent-for-nobody"), "the test detects the mutant");
 }
 
 #[test]
@@ -193,18 +197,18 @@
             while peer.count() == 0 {
                 n += 1;
                 client.send(&request(class, &format!("r{n}"), "3000m"));
-                wait_for("a choice", || peer.count() == 1 || client.has_input());
+                wait_for("an endpoint to be chosen", || peer.count() == 1 || client.has_input());
                 if peer.count() == 0 {
                     assert_eq!(client.receive().map(|answer| answer.status()), Some(200));
                 }
             }
             drop(client);
             if allowed {
-                wait_for("the attempt's end", || peer.closed() == 1);
+                wait_for("the attempt to end", || peer.closed() == 1);
                 sidecar.wait_at_rest();
             } else {
-                wait_for("the request's end", || sidecar.gauges().attempts == 1);
-                assert_eq!(peer.closed(), 0, "what may run to its end is not broken off");
+                wait_for("the request to end", || sidecar.gauges().attempts == 1);
+                assert_eq!(peer.closed(), 0, "an attempt that must not be cancelled stays open");
                 wait_for("the deadline", || peer.closed() == 1);
                 sidecar.wait_at_rest();
             }
@@ -221,12 +225,12 @@
     let sidecar = Sidecar::start_with(&config(&[&peer]), prefix);
     let mut client = sidecar.client();
     client.send(&first("same"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt to start", || peer.count() == 1);
     let mut again = sidecar.client();
     assert_eq!(again.ask("quote", "other").status(), 200);
     // Stopping the process makes both events pending, so that the new request is read before the close.
     sidecar.signal("-STOP");
-    wait_for("the stop", || sidecar.stopped());
+    wait_for("the process to stop", || sidecar.stopped());
     again.send(&request("quote", "same", "20000m"));
     drop(client);
     sidecar.signal("-CONT");
@@ -235,7 +239,7 @@
     let (mut one, mut two) = (sidecar.client(), sidecar.client());
     let before = peer.count();
     one.send(&first("twin"));
-    wait_for("the attempt", || peer.count() > before);
+    wait_for("the attempt to start", || peer.count() > before);
     assert_eq!(two.ask("quote", "twin").status(), 409);
     status
 }
@@ -243,7 +247,7 @@
 #[test]
 fn a_client_that_reconnects_with_the_same_id_before_its_close_was_read_is_served() {
     assert_eq!(status_on_reconnect(""), 200);
-    assert_eq!(status_on_reconnect("RUNTRACK_MUTANT=end-unlooked-for"), 409, "the check can fail");
+    assert_eq!(status_on_reconnect("RUNTRACK_MUTANT=end-unlooked-for"), 409, "the test detects the mutant");
 }
 
 /// Whether a request was sent whose client disconnected during the reuse delay of the only connection, with no new
@@ -280,7 +284,7 @@
 #[test]
 fn nothing_is_sent_for_a_client_that_left_during_the_reuse_delay() {
     let once =
-        |mutant| (0..10).find_map(|_| sent_after_reuse_delay(mutant)).expect("a machine that goes on");
+        |mutant| (0..10).find_map(|_| sent_after_reuse_delay(mutant)).expect("a run without a stall");
     assert!(!once(""));
-    assert!(once("sent-for-nobody"), "the check can fail");
+    assert!(once("sent-for-nobody"), "the test detects the mutant");
 }
--- a/crates/runtrack/tests/endpoint_connection_races.rs
+++ b/crates/runtrack/tests/endpoint_connection_races.rs
@@ -61,9 +61,9 @@
         let mut client = sidecar.client();
         client.send(&request(class, "over", "300m"));
         let answer = client.receive().expect("an answer in time");
-        assert_eq!(answer.status(), 503, "{class}: nothing was sent on, and trying again is harmless");
+        assert_eq!(answer.status(), 503, "{class}: nothing was sent, so that a retry is harmless");
         sidecar.wait_at_rest();
-        assert_eq!(sidecar.gate.waiting(peer.address), 0, "no permit is lost to it");
+        assert_eq!(sidecar.gate.waiting(peer.address), 0, "its permit is released");
         sidecar.gate.open(peer.address);
         assert_eq!(client.ask(class, "marker").status(), 200);
         assert_eq!(peer.count(), 1, "{class}");
@@ -80,7 +80,7 @@
     sidecar.gate.hold(peer.address);
     let (mut over, mut other) = (sidecar.client(), sidecar.client());
     over.send(&request(class, "over", "1000m"));
-    wait_for("the connection", || sidecar.gate.waiting(peer.address) == 1);
+    wait_for("the connection attempt", || sidecar.gate.waiting(peer.address) == 1);
     // The other request's attempt fails after the first one's deadline; on its end the driver checks deadlines.
     sidecar.gate.block_process(peer.address, Instant::now() + Duration::from_millis(1100));
     other.send(&request("quote", "other", "10000m"));
@@ -94,7 +94,7 @@
     for class in CLASSES {
         assert_eq!(status_after_standstill(class, ""), (503, true), "{class}");
     }
-    assert_eq!(status_after_standstill("book", "overdue-untold").0, 502, "the check can fail");
+    assert_eq!(status_after_standstill("book", "overdue-untold").0, 502, "the test detects the mutant");
 }
 
 /// An endpoint that reads complete requests, waits for `free`, writes this text and resets the connection. Returns
@@ -108,7 +108,7 @@
             std::thread::spawn(move || {
                 Message::read(&mut BufReader::new(stream.try_clone().unwrap()))?;
                 count.fetch_add(1, Ordering::SeqCst);
-                wait_for("leave to reset", || free.load(Ordering::SeqCst));
+                wait_for("permission to reset", || free.load(Ordering::SeqCst));
                 stream.write_all(text.as_bytes()).ok()?;
                 if !text.is_empty() {
                     // Let the text be read first: a reset discards data in flight.
@@ -138,10 +138,10 @@
     assert_eq!(
         reset_after(begun, "quote", ""),
         (503, 2),
-        "safe, sent again, and refused as that failed too"
+        "safe: sent again, and refused because that attempt failed too"
     );
-    assert_eq!(reset_after(begun, "pay", ""), (503, 2), "keyed for all, and so may it");
-    assert_eq!(reset_after(begun, "book", "reset-ends"), (200, 1), "the check can fail");
+    assert_eq!(reset_after(begun, "pay", ""), (503, 2), "keyed: sent again as well");
+    assert_eq!(reset_after(begun, "book", "reset-ends"), (200, 1), "the test detects the mutant");
 }
 
 #[test]
@@ -162,7 +162,7 @@
         client.send(&request(class, "r1", "10000m"));
         wait_for("the request", || read.load(Ordering::SeqCst) == 1);
         let begun = Instant::now();
-        wait_for("the window to pass", || begun.elapsed() > Duration::from_millis(5));
+        wait_for("the repeat window to pass", || begun.elapsed() > Duration::from_millis(5));
         free.store(true, Ordering::SeqCst);
         let status = client.receive().expect("an answer").status();
         assert_eq!(read.load(Ordering::SeqCst), read_most, "{class} {window}");
@@ -185,9 +185,9 @@
     wait_for("the request", || read.load(Ordering::SeqCst) == 1);
     let begun = Instant::now();
     sidecar.signal("-STOP");
-    wait_for("the stop", || sidecar.stopped());
+    wait_for("the process to stop", || sidecar.stopped());
     free.store(true, Ordering::SeqCst);
-    wait_for("the window to pass", || begun.elapsed() > window);
+    wait_for("the repeat window to pass", || begun.elapsed() > window);
     sidecar.signal("-CONT");
     assert!(client.receive().is_some_and(|answer| answer.status() >= 500));
     read.load(Ordering::SeqCst)
@@ -196,7 +196,7 @@
 #[test]
 fn a_process_that_was_stopped_repeats_no_keyed_request_beyond_its_window() {
     assert_eq!(attempts_when_stopped(""), 1);
-    assert_eq!(attempts_when_stopped("RUNTRACK_MUTANT=keyed-for-ever"), 2, "the check can fail");
+    assert_eq!(attempts_when_stopped("RUNTRACK_MUTANT=keyed-for-ever"), 2, "the test detects the mutant");
 }
 
 #[test]
@@ -219,13 +219,13 @@
             client.send(&request("pay", &format!("r{}", clients.len()), "10000m"));
             clients.push(client);
             let (sent, waiting) = (clients.len(), || sidecar.gate.waiting(other.address));
-            wait_for("a choice", || read.load(Ordering::SeqCst) == 1 || waiting() == sent);
+            wait_for("an endpoint to be chosen", || read.load(Ordering::SeqCst) == 1 || waiting() == sent);
         }
         let begun = Instant::now();
         let before = sidecar.gate.waiting(other.address);
         free.store(true, Ordering::SeqCst);
-        wait_for("the repeat", || sidecar.gate.waiting(other.address) > before);
-        wait_for("the window to pass", || begun.elapsed() > window);
+        wait_for("the repeated attempt", || sidecar.gate.waiting(other.address) > before);
+        wait_for("the repeat window to pass", || begun.elapsed() > window);
         sidecar.gate.open(other.address);
         let id = format!("r{}", clients.len() - 1);
         let answer = clients.last_mut().unwrap().receive().expect("an answer");
@@ -304,7 +304,11 @@
 #[test]
 fn the_repeat_window_is_checked_at_each_write() {
     assert_eq!(written_by_deadline(None), b"in time,");
-    assert_eq!(written_by_deadline(Some("window-unasked")), b"in time, late", "the check can fail");
+    assert_eq!(
+        written_by_deadline(Some("window-unasked")),
+        b"in time, late",
+        "the test detects the mutant"
+    );
 }
 
 #[test]
@@ -314,12 +318,12 @@
     runtime.block_on(async {
         use runtrack_net::Network;
         let made = runtrack_net::Tcp.connect(listener.local_addr().unwrap()).await.unwrap();
-        assert!(made.is_nodelay(), "one that we make");
+        assert!(made.is_nodelay(), "an outgoing connection");
         let at = free_address();
         let ours = runtrack_net::Tcp.listen(at).unwrap();
         let _client = std::net::TcpStream::connect(at).unwrap();
         let taken = std::future::poll_fn(|cx| ours.poll_accept(cx)).await.unwrap();
-        assert!(taken.is_nodelay(), "one that we accept");
+        assert!(taken.is_nodelay(), "an accepted connection");
     });
 }
 
@@ -361,7 +365,7 @@
         assert_eq!(
             first.outcome == Outcome::ConnectFailed,
             mutant.is_none(),
-            "it proves that it never ran"
+            "the attempt counts as not executed"
         );
     });
     runtrack_net::set_mutant(None);
@@ -372,5 +376,5 @@
 #[test]
 fn an_attempt_created_first_but_started_last_is_bounded_by_an_executed_copy() {
     assert_eq!(attempts_after_copy(None), 0);
-    assert_eq!(attempts_after_copy(Some("copy-unseen")), 1, "the check can fail");
+    assert_eq!(attempts_after_copy(Some("copy-unseen")), 1, "the test detects the mutant");
 }
--- a/crates/runtrack/tests/endpoint_list_races.rs
+++ b/crates/runtrack/tests/endpoint_list_races.rs
@@ -66,16 +66,16 @@
     let (call, mut watch) = agent.next();
     assert_eq!(call, "/api/targets?watch=1&after=7");
     if mutant.is_empty() {
-        assert!(!sidecar.is_listening(), "nothing is taken before the agent's word");
+        assert!(!sidecar.is_listening(), "nothing is accepted before the agent's list");
     } else {
-        wait_for("the listener", || sidecar.is_listening());
+        wait_for("the listener to open", || sidecar.is_listening());
         return sidecar.client().ask("quote", "r1").body;
     }
     let list =
         list(9, false, &[target("s-0", old.address, "draining"), target("s-new", new.address, "up")]);
     watch.write_all(WATCH_HEAD.as_bytes()).unwrap();
     write_list(&mut watch, &list);
-    wait_for("the listener", || sidecar.is_listening());
+    wait_for("the listener to open", || sidecar.is_listening());
     let body = sidecar.client().ask("quote", "r1").body;
     assert_eq!(old.count(), 0);
     body
@@ -84,7 +84,7 @@
 #[test]
 fn a_drain_known_to_the_agent_holds_from_the_first_request_after_a_restart() {
     assert_eq!(first_served_after_a_restart(""), b"new");
-    assert_eq!(first_served_after_a_restart("old-list-first"), b"old", "the check can fail");
+    assert_eq!(first_served_after_a_restart("old-list-first"), b"old", "the test detects the mutant");
 }
 
 #[test]
@@ -94,7 +94,7 @@
     for discovery in [agent.address, free_address()] {
         let start = Instant::now();
         let sidecar = InProcess::start(&following(&[&peer], discovery, "automatic"), "");
-        assert!(start.elapsed() < Duration::from_secs(5), "ready in good time");
+        assert!(start.elapsed() < Duration::from_secs(5), "ready in time");
         assert_eq!(sidecar.client().ask("book", "r1").status(), 200);
     }
 }
@@ -109,15 +109,15 @@
     sidecar.gate.hold(old.address);
     let mut client = sidecar.client();
     client.send(&request(class, "r1", "15000m"));
-    wait_for("the connection being made", || sidecar.gate.waiting(old.address) == 1);
+    wait_for("the connection attempt", || sidecar.gate.waiting(old.address) == 1);
     let change = match update {
         "moved" => vec![target("s-0", new.address, "up")],
         state => vec![target("s-new", new.address, "up"), target("s-0", old.address, state)],
     };
-    discovery.say(&list(9, false, &change).to_string());
+    discovery.send_line(&list(9, false, &change).to_string());
     if !mutant.is_empty() {
         // The update has been applied: new calls go to the other endpoint.
-        wait_for("the list to be heard", || sidecar.client().ask("quote", "marker").body == b"new");
+        wait_for("the list to be applied", || sidecar.client().ask("quote", "marker").body == b"new");
         sidecar.gate.open(old.address);
     }
     let body = client.receive().expect("an answer").body;
@@ -135,7 +135,7 @@
         }
     }
     let late = update_while_connecting("draining", "book", "drain-waits");
-    assert_eq!(late, (b"old".to_vec(), 1), "the check can fail");
+    assert_eq!(late, (b"old".to_vec(), 1), "the test detects the mutant");
 }
 
 #[test]
@@ -147,8 +147,8 @@
     sidecar.gate.hold(old.address);
     let mut client = sidecar.client();
     client.send(&request("book", "r1", "15000m"));
-    wait_for("the connection being made", || sidecar.gate.waiting(old.address) == 1);
-    discovery.say(&list(9, true, &[target("s-new", new.address, "up")]).to_string());
+    wait_for("the connection attempt", || sidecar.gate.waiting(old.address) == 1);
+    discovery.send_line(&list(9, true, &[target("s-new", new.address, "up")]).to_string());
     assert_eq!(client.receive().expect("an answer").body, b"new");
     assert_eq!((sidecar.gate.waiting(old.address), old.count()), (0, 0));
 }
@@ -162,11 +162,11 @@
         let sidecar = InProcess::spawn(&config, "");
         // The first watch is being opened; its answer is still to come.
         let (_, mut opening) = first.next();
-        wait_for("the listener", || sidecar.is_listening());
+        wait_for("the listener to open", || sidecar.is_listening());
         config["discovery"] = json!(second.address.to_string());
         sidecar.reload(&config);
         let (call, mut fetch) = second.next();
-        assert_eq!(call, "/api/targets", "the versions of another server say nothing");
+        assert_eq!(call, "/api/targets", "versions of another server do not apply");
         // Move back to the first server while the fetch from the second is open.
         config["discovery"] = json!(first.address.to_string());
         sidecar.reload(&config);
@@ -184,7 +184,7 @@
         let _ = opening.write_all(WATCH_HEAD.as_bytes());
         write_list(&mut opening, &gone); // late answer of the first server, to the watch opened before the move
         whole(&mut back, &list(3, true, &[target("s-new", new.address, "up")]));
-        wait_for("the list of the way back", || {
+        wait_for("the list of the first server after moving back", || {
             let mut client = sidecar.client();
             client.send(&request("quote", "r1", "1000m"));
             client.receive().is_some_and(|answer| answer.body == b"new")
@@ -209,7 +209,7 @@
         let change = [target("s-0", old.address, "draining"), target("s-new", new.address, "up")];
         let _discovery = Discovery::at(address, list(9, false, &change));
         let back = Instant::now();
-        wait_for("the drain", || sidecar.client().ask("quote", "r2").body == b"new");
+        wait_for("the drain to take effect", || sidecar.client().ask("quote", "r2").body == b"new");
         // The retry delay is at most 0.375 s with an agent and 1.2 s with discovery; the rest of 6 s allows for a
         // slow machine.
         assert!(back.elapsed() < Duration::from_secs(6), "{mode}: {:?}", back.elapsed());
@@ -236,7 +236,7 @@
         &mut watch,
         &list(9, false, &[target("s-0", old.address, "draining"), target("s-new", new.address, "up")]),
     );
-    wait_for("the drain", || sidecar.client().ask("quote", "r1").body == b"new");
+    wait_for("the drain to take effect", || sidecar.client().ask("quote", "r1").body == b"new");
 }
 
 #[test]
@@ -248,7 +248,7 @@
         let (_, mut watch) = discovery.next();
         watch.write_all(WATCH_HEAD.as_bytes()).unwrap();
         write_list(&mut watch, &list(8, false, &[target("s-new", new.address, "up")]));
-        wait_for("the listener", || sidecar.is_listening());
+        wait_for("the listener to open", || sidecar.is_listening());
         wait_for("the first list", || sidecar.client().ask("quote", "r1").body == b"new");
         SockRef::from(&watch).set_linger(Some(Duration::ZERO)).unwrap();
         drop(watch);
@@ -256,13 +256,13 @@
         assert_eq!(call, "/api/targets?watch=1&after=8", "{mode}");
         again.write_all(WATCH_HEAD.as_bytes()).unwrap();
         write_list(&mut again, &list(9, false, &[target("s-0", old.address, "draining")]));
-        wait_for("the drain", || {
+        wait_for("the drain to take effect", || {
             (0..20).all(|n| sidecar.client().ask("quote", &format!("r{n}")).body == b"new")
         });
         let before = old.count();
         for n in 0..20 {
             assert_eq!(sidecar.client().ask("book", &format!("s{n}")).body, b"new", "{mode}");
         }
-        assert_eq!(old.count(), before, "nothing new went there");
+        assert_eq!(old.count(), before, "no new request was sent there");
     }
 }
--- a/crates/runtrack/tests/node.rs
+++ b/crates/runtrack/tests/node.rs
@@ -26,7 +26,7 @@
     let sidecar = Sidecar::start(&config(&[&peers[0], &peers[1]]));
     let answer = sidecar.ask(class, "r1");
     if answer.status() == 200 {
-        assert_eq!(answer.body, b"second", "only an endpoint's whole answer is passed on");
+        assert_eq!(answer.body, b"second", "only a complete answer of an endpoint is forwarded");
     }
     (answer.status(), peers[0].count() + peers[1].count())
 }
@@ -45,11 +45,11 @@
         assert_eq!(seen.header("idempotency-key"), if class == "pay" { "k1" } else { "" });
         assert_eq!(seen.body, if method == "POST" { &b"body"[..] } else { &b""[..] });
         let time = seen.header("x-timeout").strip_suffix('u').unwrap().parse::<u64>().unwrap();
-        assert!((1..10_000_000).contains(&time), "{time}: no more than the client has left");
+        assert!((1..10_000_000).contains(&time), "{time}: at most the client's remaining time");
         // Longer than the initial reuse delay.
         std::thread::sleep(Duration::from_millis(30));
     }
-    assert_eq!(peer.connections.load(Ordering::SeqCst), 1, "the connection is kept and used again");
+    assert_eq!(peer.connections.load(Ordering::SeqCst), 1, "the connection is reused");
 }
 
 #[test]
@@ -67,7 +67,10 @@
     ] {
         let what = format!("{act:?}").chars().take(60).collect::<String>();
         let (status, attempts) = outcome_of("book", act);
-        assert!(status != 200 && status != 503 && status != 429, "{what}: {status} is no failure");
+        assert!(
+            status != 200 && status != 503 && status != 429,
+            "{what}: {status} is not a failure status"
+        );
         assert_eq!(attempts, 1, "{what}");
     }
 }
@@ -112,8 +115,12 @@
     let peer = Peer::new(|_| Reply::ServeAndEnd("ok"));
     let sidecar = Sidecar::start(&config(&[&peer]));
     for n in 1..=10 {
-        assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200, "an unsafe request is not risked");
-        wait_for("the sidecar's closing", || peer.closed() == n);
+        assert_eq!(
+            sidecar.ask("book", &format!("r{n}")).status(),
+            200,
+            "an unsafe request is not sent on a closing connection"
+        );
+        wait_for("the sidecar to close the connection", || peer.closed() == n);
     }
 }
 
@@ -124,7 +131,7 @@
     config["settings"]["limits"]["idleCloseMs"] = json!(1000.0);
     let sidecar = Sidecar::start(&config);
     assert_eq!(sidecar.ask("book", "r1").status(), 200);
-    wait_for("the sidecar's closing", || peer.closed() == 1);
+    wait_for("the sidecar to close the connection", || peer.closed() == 1);
     assert_eq!(sidecar.ask("book", "r2").status(), 200);
 }
 
@@ -135,11 +142,15 @@
     for class in ["quote", "book"] {
         let mut client = sidecar.client();
         client.send(&request(class, class, "700m"));
-        let answer = client.receive().expect("an answer all the same");
+        let answer = client.receive().expect("an answer nevertheless");
         assert!((500..600).contains(&answer.status()), "{}", answer.first_line);
-        assert_eq!(answer.status() == 503, class == "quote", "an unsafe one that may run is not refused");
+        assert_eq!(
+            answer.status() == 503,
+            class == "quote",
+            "an unsafe request that may have been executed is not refused"
+        );
     }
-    wait_for("both attempts being given up", || peer.closed() == 2);
+    wait_for("both attempts to be given up", || peer.closed() == 2);
     assert_eq!(peer.count(), 2);
 }
 
@@ -170,7 +181,7 @@
     std::thread::sleep(Duration::from_millis(30)); // longer than the reuse delay
     clients[0].send(&request("book", "r2", "500m"));
     assert_ne!(clients[0].receive().expect("an answer").status(), 200);
-    wait_for("the end of both connections", || peer.closed() == 2);
+    wait_for("both connections to close", || peer.closed() == 2);
     assert_eq!(peer.count(), 3);
 }
 
@@ -194,10 +205,10 @@
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     client.send(&request("quote", "r1", "600000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt to start", || peer.count() == 1);
     assert_eq!(peer.closed(), 0);
     drop(client);
-    wait_for("the attempt's end", || peer.closed() == 1);
+    wait_for("the attempt to end", || peer.closed() == 1);
 }
 
 #[test]
@@ -249,7 +260,7 @@
         assert!((400..500).contains(&status) && status != 429, "{status} for {what}");
     }
     assert_eq!(peer.count(), 0);
-    assert_eq!(sidecar.ask("quote", "r2").status(), 200, "it lives on");
+    assert_eq!(sidecar.ask("quote", "r2").status(), 200, "the sidecar keeps serving");
 }
 
 #[test]
@@ -290,8 +301,8 @@
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut waiting = sidecar.client();
     waiting.send(&request("book", "r1", "600000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt to start", || peer.count() == 1);
     let start = Instant::now();
     assert_eq!(sidecar.ask("quote", "r2").status(), 200);
-    assert!(start.elapsed() < Duration::from_secs(9), "answered beside it");
+    assert!(start.elapsed() < Duration::from_secs(9), "answered concurrently");
 }
--- a/crates/runtrack/tests/node_high_rate.rs
+++ b/crates/runtrack/tests/node_high_rate.rs
@@ -36,7 +36,7 @@
                     let id = format!("{prefix}{number}");
                     let answer = client.ask("quote", &id);
                     assert_eq!(answer.status(), 200, "{id}");
-                    assert_eq!(String::from_utf8_lossy(&answer.body), id, "another request's answer");
+                    assert_eq!(String::from_utf8_lossy(&answer.body), id, "the answer of another request");
                 }
             });
         }
@@ -67,7 +67,7 @@
         // A class that may be repeated: a duplicate taken for an answer would be returned to a client.
         check_own_answers(&sidecar, 8, 320, "r");
         let unsolicited = count.load(Ordering::SeqCst) * 3 / 4;
-        wait_for("the spoilt connections' end", || peer.closed() >= unsolicited);
+        wait_for("the affected connections to close", || peer.closed() >= unsolicited);
     }
 }
 
@@ -117,7 +117,7 @@
             assert!(pair[1] - pair[0] >= Duration::from_millis(45), "{:?}", pair[1] - pair[0]);
         }
     }
-    assert!(arrivals.values().any(|connection| connection.len() > 1), "connections were used again");
+    assert!(arrivals.values().any(|connection| connection.len() > 1), "connections were reused");
 }
 
 #[test]
@@ -146,7 +146,7 @@
     });
     assert!(most <= 1024, "{most} descriptors");
     let accepted = endpoints.accepted.load(Ordering::SeqCst);
-    assert!(accepted < 6400 / 2, "{accepted} connections for 6,400 calls: too few were used again");
+    assert!(accepted < 6400 / 2, "{accepted} connections for 6,400 calls: too few were reused");
 }
 
 #[test]
@@ -166,7 +166,7 @@
         }
         assert!(sidecar.open_descriptors() <= 160);
         drop(clients);
-        wait_for("the clients' sockets", || sidecar.open_descriptors() < 80);
+        wait_for("the clients' sockets to be released", || sidecar.open_descriptors() < 80);
     }
 }
 
--- a/crates/runtrack/tests/node_limits.rs
+++ b/crates/runtrack/tests/node_limits.rs
@@ -25,7 +25,7 @@
     let mut served = 0;
     for client in &mut clients {
         most = most.max(sidecar.open_descriptors());
-        let answer = client.receive().expect("a whole answer for everyone");
+        let answer = client.receive().expect("a complete answer for every client");
         assert!(matches!(answer.status(), 200 | 503), "{}", answer.first_line);
         served += usize::from(answer.status() == 200);
     }
@@ -46,7 +46,7 @@
     let before = sidecar.cpu_ticks();
     thread::sleep(Duration::from_secs(1));
     let used = sidecar.cpu_ticks() - before;
-    assert!(used < 50, "{used} ticks of a second spent on failing to accept");
+    assert!(used < 50, "{used} clock ticks within one second spent on failed accepts");
     drop(clients);
     assert_eq!(sidecar.ask("quote", "after").status(), 200);
     assert!(sidecar.child.try_wait().unwrap().is_none());
@@ -70,7 +70,7 @@
     }
     let start = Instant::now();
     wait_for("room", || sidecar.ask("quote", "new").status() == 200);
-    assert!(start.elapsed() < Duration::from_secs(12), "well before they would be closed for idleness");
+    assert!(start.elapsed() < Duration::from_secs(12), "well before the idle timeout");
 }
 
 #[test]
@@ -90,7 +90,7 @@
             other.send(&request("quote", &format!("s{n}"), "20000m"));
         }
         // Use all but one of the fifty client sockets; further clients are refused.
-        wait_for("the room to be taken", || peer.count() >= before + 3 && others[59].receive().is_some());
+        wait_for("all sockets in use", || peer.count() >= before + 3 && others[59].receive().is_some());
         client.send(&request("book", "r2", "20000m"));
         if answered.elapsed() > Duration::from_millis(500) {
             continue; // the machine is too slow for the connection to count as just used
@@ -100,7 +100,7 @@
         assert_eq!(answer.header("connection"), "close");
         return;
     }
-    panic!("the machine never was quick enough");
+    panic!("the machine was too slow in every run");
 }
 
 #[test]
@@ -111,13 +111,13 @@
     assert_eq!(idle.ask("quote", "r0").status(), 200);
     let mut early = sidecar.client();
     early.send(&request("book", "r1", "20000m"));
-    wait_for("the attempt", || peer.count() == 2);
+    wait_for("the attempt to start", || peer.count() == 2);
     sidecar.signal("-TERM");
     wait_for("the drain to begin", || sidecar.ready().is_some_and(|status| status != 200));
     let mut late = sidecar.client();
     late.send(&request("book", "r2", "20000m"));
     for client in [&mut early, &mut late] {
-        let answer = client.receive().expect("an answer in spite of the drain");
+        let answer = client.receive().expect("an answer despite the drain");
         assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
     }
     assert!(idle.receive().is_none(), "idle connections are closed");
@@ -138,7 +138,7 @@
     thread::sleep(Duration::from_millis(50));
     sidecar.signal("-CONT");
     for client in &mut clients {
-        assert_eq!(client.receive().expect("taken, so answered").status(), 200);
+        assert_eq!(client.receive().expect("an accepted request is answered").status(), 200);
     }
     assert!(sidecar.wait_exit().success());
 }
@@ -149,9 +149,9 @@
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     client.send(&request("book", "r1", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt to start", || peer.count() == 1);
     sidecar.signal("-TERM");
-    let answer = client.receive().expect("a whole answer before the end");
+    let answer = client.receive().expect("a complete answer before the exit");
     assert!(!matches!(answer.status(), 200 | 429 | 503), "{}", answer.first_line);
     assert!(sidecar.wait_exit().success());
 }
--- a/crates/runtrack/tests/node_list.rs
+++ b/crates/runtrack/tests/node_list.rs
@@ -29,14 +29,14 @@
         let discovery = Discovery::new(list(8, false, &[]));
         let sidecar = following(&old, &discovery, mode);
         assert_eq!(sidecar.ask("book", "r1").body, b"old");
-        discovery.say(&list(9, false, &[target("s-new", new.address, "up")]).to_string());
-        discovery.say(&list(10, false, &[target("s-0", old.address, state)]).to_string());
-        wait_for("the idle connection's end", || old.closed() == 1);
+        discovery.send_line(&list(9, false, &[target("s-new", new.address, "up")]).to_string());
+        discovery.send_line(&list(10, false, &[target("s-0", old.address, state)]).to_string());
+        wait_for("the idle connection to close", || old.closed() == 1);
         let before = old.count();
         for n in 0..20 {
             assert_eq!(sidecar.ask("book", &format!("s{n}")).body, b"new");
         }
-        assert_eq!(old.count(), before, "nothing new went there");
+        assert_eq!(old.count(), before, "no new request was sent there");
     }
 }
 
@@ -46,8 +46,8 @@
     let discovery = Discovery::new(list(8, false, &[]));
     let sidecar = following(&old, &discovery, "subscribe");
     assert_eq!(sidecar.ask("book", "r1").body, b"old");
-    discovery.say(&list(9, false, &[target("s-0", new.address, "up")]).to_string());
-    wait_for("the old address's connection to end", || old.closed() == 1);
+    discovery.send_line(&list(9, false, &[target("s-0", new.address, "up")]).to_string());
+    wait_for("the connection to the old address to close", || old.closed() == 1);
     assert_eq!(sidecar.ask("book", "r2").body, b"new");
 }
 
@@ -70,7 +70,7 @@
         let sidecar = following(&peer, &discovery, mode);
         wait_for("the first watch", || discovery.calls().len() == 1);
         assert_eq!(discovery.calls()[0], "/api/targets?watch=1&after=7", "from the known version");
-        discovery.say(&list(12, false, &[]).to_string());
+        discovery.send_line(&list(12, false, &[]).to_string());
         wait_for("a second watch", || discovery.calls().len() == 2);
         assert_eq!(discovery.calls()[1], "/api/targets?watch=1&after=12");
         assert_eq!(sidecar.ask("quote", "r").status(), 200);
@@ -84,7 +84,7 @@
         let discovery = Discovery::new(list(8, false, &[]));
         let sidecar = following(&peer, &discovery, mode);
         wait_for("the first watch", || discovery.calls().len() == 1);
-        discovery.say("{\"rev\":9,\"all\":false,\"targets\":[{\"uid\":7}]}");
+        discovery.send_line("{\"rev\":9,\"all\":false,\"targets\":[{\"uid\":7}]}");
         wait_for("a second watch", || discovery.calls().len() == 2);
         assert_eq!(discovery.calls()[1], "/api/targets?watch=1&after=8", "the change was not skipped");
         assert_eq!(sidecar.ask("quote", "r").status(), 200);
@@ -99,7 +99,7 @@
     wait_for("the first watch", || discovery.calls().len() == 1);
     for _ in 0..14 {
         thread::sleep(std::time::Duration::from_millis(500));
-        discovery.say("");
+        discovery.send_line("");
     }
     assert_eq!(discovery.calls().len(), 1);
 }
@@ -115,7 +115,7 @@
         // Each new endpoint has the address of the removed one.
         let new = format!("n-{n}");
         let change = [target(&new, peer.address, "up"), target(&old, peer.address, "removed")];
-        discovery.say(&list(9 + n, false, &change).to_string());
+        discovery.send_line(&list(9 + n, false, &change).to_string());
         assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200);
         old = new;
     }
@@ -132,8 +132,8 @@
     wait_for("the first watch", || discovery.calls().len() == 1);
     assert_eq!(sidecar.ask("book", "r1").status(), 200);
     let change = [target("s-new", peer.address, "up"), target("s-0", peer.address, "removed")];
-    discovery.say(&list(9, false, &change).to_string());
-    wait_for("the old one's connection to end", || peer.closed() == 1);
+    discovery.send_line(&list(9, false, &change).to_string());
+    wait_for("the connection of the old endpoint to close", || peer.closed() == 1);
     assert_eq!(sidecar.ask("book", "r2").status(), 200);
     assert_eq!(peer.connections.load(std::sync::atomic::Ordering::SeqCst), 2);
 }
--- a/crates/runtrack/tests/node_load_surge.rs
+++ b/crates/runtrack/tests/node_load_surge.rs
@@ -15,7 +15,7 @@
     // Holds requests until the test releases them.
     let peer = Peer::new(move |_| {
         let number = counter.fetch_add(1, Ordering::SeqCst);
-        wait_for("the gate", || released.load(Ordering::SeqCst) > number);
+        wait_for("the release", || released.load(Ordering::SeqCst) > number);
         Reply::Serve("ok")
     });
     let mut config = config(&[&peer]);
--- a/crates/runtrack/tests/node_malformed_answers.rs
+++ b/crates/runtrack/tests/node_malformed_answers.rs
@@ -45,10 +45,10 @@
         let answer = sidecar.ask("quote", "r1");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]), "{what}");
         let answer = sidecar.ask("book", "r2").status();
-        assert!(answer >= 500 && answer != 503, "{answer}: it may have run: {what}");
-        assert!(start.elapsed() < Duration::from_secs(8), "not all of its time: {what}");
+        assert!(answer >= 500 && answer != 503, "{answer}: it may have been executed: {what}");
+        assert!(start.elapsed() < Duration::from_secs(8), "less than its timeout: {what}");
         assert_eq!(peer.count(), 3, "{what}");
-        wait_for("the spoilt connections' end", || peer.closed() == 2);
+        wait_for("the affected connections to close", || peer.closed() == 2);
         assert_eq!(sidecar.ask("book", "r3").status(), 200, "{what}");
     }
 }
@@ -78,7 +78,7 @@
                 let answer = client.ask("book", &format!("r{n}"));
                 assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]), "{wait} ms");
                 if wait > 0 {
-                    wait_for("the connection's end", || peer.closed() == n + 1);
+                    wait_for("the connection to close", || peer.closed() == n + 1);
                 }
             }
         }
@@ -94,11 +94,11 @@
             assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]));
             sidecar.signal("-STOP");
             client.send(&request("book", &format!("t{n}"), "10000m"));
-            wait_for("what comes behind", || peer.written.load(Ordering::SeqCst) > 2 * n);
+            wait_for("the unsolicited bytes", || peer.written.load(Ordering::SeqCst) > 2 * n);
             sidecar.signal("-CONT");
             let answer = client.receive().expect("an answer");
             assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]));
-            wait_for("the connection's end", || peer.closed() == 2 * n + 2);
+            wait_for("the connection to close", || peer.closed() == 2 * n + 2);
         }
     }
 }
@@ -123,11 +123,14 @@
     for connection in arrivals.values() {
         for pair in connection.windows(2) {
             let apart = pair[1] - pair[0];
-            assert!(apart >= Duration::from_millis(4), "{apart:?}: a second copy might still have come");
+            assert!(
+                apart >= Duration::from_millis(4),
+                "{apart:?}: a duplicate answer could still have arrived"
+            );
         }
     }
-    assert!(arrivals.len() > 1, "no request waited for a resting connection");
-    assert!(arrivals.len() < 600, "and connections were used again");
+    assert!(arrivals.len() > 1, "no request waited for the reuse delay");
+    assert!(arrivals.len() < 600, "and connections were reused");
 }
 
 #[test]
--- a/crates/runtrack/tests/node_misbehaving_clients.rs
+++ b/crates/runtrack/tests/node_misbehaving_clients.rs
@@ -38,10 +38,10 @@
         client.send(&bad);
         if let Some(answer) = client.receive() {
             assert!((400..500).contains(&answer.status()), "{} for {bad}", answer.first_line);
-            assert!(client.receive().is_none(), "nothing more is read there: {bad}");
+            assert!(client.receive().is_none(), "nothing more is read on that connection: {bad}");
         }
     }
-    assert_eq!(peer.count(), 0, "nothing of it went on");
+    assert_eq!(peer.count(), 0, "nothing was sent to the endpoint");
 }
 
 #[test]
@@ -52,16 +52,16 @@
     let all: String = (0..300).map(|n| request("quote", &format!("r{n}"), "5000m")).collect();
     client.send(&all);
     assert!(client.receive().is_none_or(|answer| (400..500).contains(&answer.status())));
-    assert!(client.receive().is_none(), "and closed");
-    assert_eq!(peer.count(), 0, "nothing of it went on");
+    assert!(client.receive().is_none(), "and the connection is closed");
+    assert_eq!(peer.count(), 0, "nothing was sent to the endpoint");
     // The same one by one, with the first request already sent to an endpoint.
     let mut client = sidecar.client();
     client.send(&request("quote", "s1", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt to start", || peer.count() == 1);
     client.send(&request("quote", "s2", "20000m"));
     assert!(client.receive().is_none_or(|answer| (400..500).contains(&answer.status())));
-    assert!(client.receive().is_none(), "and closed");
-    wait_for("the attempt's end", || peer.closed() == 1);
+    assert!(client.receive().is_none(), "and the connection is closed");
+    wait_for("the attempt to end", || peer.closed() == 1);
     assert_eq!(peer.count(), 1);
 }
 
@@ -71,12 +71,12 @@
     let sidecar = Sidecar::start(&config(&[&peer]));
     let mut first = sidecar.client();
     first.send(&request("book", "twice", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt to start", || peer.count() == 1);
     let refused = sidecar.ask("quote", "twice").status();
     assert!((400..500).contains(&refused) && refused != 429, "{refused}");
-    assert_eq!(first.receive().expect("its own answer").status(), 200);
+    assert_eq!(first.receive().expect("the answer to the first request").status(), 200);
     assert_eq!(peer.count(), 1);
-    assert_eq!(sidecar.ask("book", "twice").status(), 200, "it is free again");
+    assert_eq!(sidecar.ask("book", "twice").status(), 200, "the id is free again");
 }
 
 #[test]
@@ -121,7 +121,7 @@
         others.push(other);
     }
     for n in 0..20 {
-        assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200, "in spite of all others");
+        assert_eq!(sidecar.ask("book", &format!("r{n}")).status(), 200, "despite all other clients");
     }
     assert!(sidecar.open_descriptors() <= 128);
 }
--- a/crates/runtrack/tests/node_reload.rs
+++ b/crates/runtrack/tests/node_reload.rs
@@ -27,15 +27,19 @@
         let second = Discovery::new(list(3, true, &[target("s-new", new.address, "up")]));
         config["discovery"] = json!(second.address.to_string());
         sidecar.reload(&config.to_string());
-        wait_for("the new server's list", || sidecar.ask("quote", "r2").body == b"new");
+        wait_for("the list of the new server", || sidecar.ask("quote", "r2").body == b"new");
         wait_for("the new watch", || second.calls().len() == 2);
         assert_eq!(second.calls(), ["/api/targets", "/api/targets?watch=1&after=3"], "{mode}");
-        first.say(&list(901, true, &[target("s-0", old.address, "up")]).to_string());
-        second.say(&list(4, false, &[target("s-new", new.address, "up")]).to_string());
+        first.send_line(&list(901, true, &[target("s-0", old.address, "up")]).to_string());
+        second.send_line(&list(4, false, &[target("s-new", new.address, "up")]).to_string());
         for n in 0..20 {
-            assert_eq!(sidecar.ask("book", &format!("s{n}")).body, b"new", "the old server's late word");
+            assert_eq!(
+                sidecar.ask("book", &format!("s{n}")).body,
+                b"new",
+                "the late update of the old server"
+            );
         }
-        assert_eq!(first.calls().len(), 1, "it is not asked again");
+        assert_eq!(first.calls().len(), 1, "the old server is not called again");
     }
 }
 
@@ -50,9 +54,9 @@
         config["discovery"] = json!(address.to_string());
         sidecar.reload(&config.to_string());
         std::thread::sleep(Duration::from_millis(300));
-        assert_eq!(sidecar.ask("book", "r1").body, b"old", "the list held serves until then");
+        assert_eq!(sidecar.ask("book", "r1").body, b"old", "the known list is used until then");
         let _second = Discovery::at(address, list(2, true, &[target("s-new", new.address, "up")]));
-        wait_for("the new server's list", || sidecar.ask("quote", "r2").body == b"new");
+        wait_for("the list of the new server", || sidecar.ask("quote", "r2").body == b"new");
     }
 }
 
@@ -64,7 +68,7 @@
     wait_for("the first watch", || discovery.calls().len() == 1);
     let mut client = sidecar.client();
     client.send(&request("book", "r1", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt to start", || peer.count() == 1);
     let (mut bad_address, mut bad_class, mut restart) = (config.clone(), config.clone(), config.clone());
     bad_address["discovery"] = json!("somewhere");
     bad_class["settings"]["classes"][1]["worth"] = json!(-1.0);
@@ -82,10 +86,10 @@
     for _ in 0..20 {
         sidecar.signal("-HUP");
     }
-    assert_eq!(client.receive().expect("an answer all the same").status(), 200);
+    assert_eq!(client.receive().expect("an answer nevertheless").status(), 200);
     assert_eq!((sidecar.ask("book", "r2").status(), peer.count()), (200, 2));
     assert!(sidecar.child.try_wait().unwrap().is_none());
-    assert_eq!(discovery.calls().len(), 1, "where nothing has moved the watch goes on");
+    assert_eq!(discovery.calls().len(), 1, "the watch continues if the address is unchanged");
 }
 
 #[test]
@@ -94,10 +98,10 @@
     let mut sidecar = Sidecar::start(&config(&[&peer]));
     let mut client = sidecar.client();
     client.send(&request("book", "r1", "20000m"));
-    wait_for("the attempt", || peer.count() == 1);
+    wait_for("the attempt to start", || peer.count() == 1);
     sidecar.signal("-TERM");
     wait_for("the drain to begin", || sidecar.ready().is_some_and(|status| status != 200));
     sidecar.signal("-HUP");
-    assert_eq!(client.receive().expect("an answer in spite of both").status(), 200);
+    assert_eq!(client.receive().expect("an answer despite both signals").status(), 200);
     assert!(sidecar.wait_exit().success());
 }
--- a/crates/runtrack/tests/node_reset.rs
+++ b/crates/runtrack/tests/node_reset.rs
@@ -59,11 +59,14 @@
     let sidecar = Sidecar::start(&config_at(&[address]));
     let mut number = 0;
     // On a slow machine the last byte may already be on its way when the connection closes.
-    wait_for("a request cut off and served all the same", || {
+    wait_for("a request that was cut off and served nevertheless", || {
         number += 1;
         let id = format!("r{number}");
         let served = sidecar.ask("book", &id).status() == 200;
         served && seen.lock().unwrap()[&id] == (1, 1)
     });
-    assert!(seen.lock().unwrap().values().all(|(_, whole)| *whole <= 1), "nothing came whole twice");
+    assert!(
+        seen.lock().unwrap().values().all(|(_, whole)| *whole <= 1),
+        "no request was received completely twice"
+    );
 }
--- a/crates/runtrack/tests/settings_validation.rs
+++ b/crates/runtrack/tests/settings_validation.rs
@@ -215,14 +215,14 @@
         assert_eq!((own, other, stranger, tells), (502, 404, 400, false));
         assert!(took >= Duration::from_millis(300) && took < Duration::from_millis(3000), "{took:?}");
         let foreign = behaviour(sidecar, "balance", true, "south");
-        assert_eq!((foreign.0, foreign.2), (404, 404), "the other one's class");
+        assert_eq!((foreign.0, foreign.2), (404, 404), "the class of the other customer");
     };
     let check_two = |sidecar: &InProcess| {
         let (own, other, stranger, tells, took) = behaviour(sidecar, "balance", false, "south");
         assert_eq!((own, other, stranger, tells), (503, 404, 400, true));
         assert!(took >= Duration::from_millis(3500) && took < Duration::from_millis(15_000), "{took:?}");
         let foreign = behaviour(sidecar, "withdraw", false, "north");
-        assert_eq!((foreign.0, foreign.2), (404, 404), "the other one's class");
+        assert_eq!((foreign.0, foreign.2), (404, 404), "the class of the other customer");
     };
     // Side by side in one process.
     let (first, second) = (InProcess::start(&one(), ""), InProcess::start(&two(), ""));
@@ -253,7 +253,11 @@
 #[test]
 fn clients_refused_for_lack_of_sockets_get_retry_after_as_the_settings_allow() {
     assert_eq!(retry_after_over_limit(true, 2000.0, ""), "0.500");
-    assert_eq!(retry_after_over_limit(true, 200.0, ""), "0.200", "no longer than a client would wait");
-    assert_eq!(retry_after_over_limit(false, 2000.0, ""), "", "clients are told nothing of it");
-    assert_eq!(retry_after_over_limit(false, 2000.0, "retry-unasked"), "0.500", "the check can fail");
+    assert_eq!(retry_after_over_limit(true, 200.0, ""), "0.200", "capped at the maximum");
+    assert_eq!(retry_after_over_limit(false, 2000.0, ""), "", "the settings forbid the header");
+    assert_eq!(
+        retry_after_over_limit(false, 2000.0, "retry-unasked"),
+        "0.500",
+        "the test detects the mutant"
+    );
 }
--- a/crates/runtrack/tests/shutdown_races.rs
+++ b/crates/runtrack/tests/shutdown_races.rs
@@ -102,7 +102,7 @@
     starting.write_config(&config);
     let address: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
     let (mut served, mut ended) = (false, None);
-    wait_for("the program to serve or to end", || {
+    wait_for("the program to serve or to exit", || {
         if let Some(mut client) = Client::connect(address).filter(|_| !served) {
             client.send(&request("quote", "r1", "5000m"));
             served = client.receive().is_some_and(|answer| answer.status() == 200);
@@ -115,12 +115,16 @@
 
 #[test]
 fn signals_before_the_configuration_is_read_are_handled() {
-    assert_eq!(signalled_before_start(&["-HUP"], ""), (true, None), "SIGHUP ends nothing");
+    assert_eq!(signalled_before_start(&["-HUP"], ""), (true, None), "SIGHUP does not end the process");
     for signals in [&["-TERM"][..], &["-TERM", "-TERM"], &["-HUP", "-TERM"], &["-TERM", "-HUP"]] {
         let (_, ended) = signalled_before_start(signals, "");
-        assert_eq!(ended, Some(true), "{signals:?}: it drains and ends well");
+        assert_eq!(ended, Some(true), "{signals:?}: it drains and exits successfully");
     }
-    assert_eq!(signalled_before_start(&["-HUP"], "signals-late").1, Some(false), "the check can fail");
+    assert_eq!(
+        signalled_before_start(&["-HUP"], "signals-late").1,
+        Some(false),
+        "the test detects the mutant"
+    );
 }
 
 /// The `Connection` headers of the answers to a request open at the signal, one partly received on a new connection,
@@ -147,7 +151,7 @@
     });
     assert!(
         !mutant.is_empty() || [open, fresh, new].iter_mut().all(|client| client.receive().is_none()),
-        "the end"
+        "the connections are closed"
     );
     assert_eq!(sidecar.wait_exit(), Ok(()));
     headers
@@ -156,7 +160,7 @@
 #[test]
 fn requests_that_cross_the_signal_are_answered_as_the_last_of_their_connections() {
     assert_eq!(connection_headers_at_shutdown(""), ["close"; 3]);
-    assert_eq!(connection_headers_at_shutdown("end-unsaid")[0], "", "the check can fail");
+    assert_eq!(connection_headers_at_shutdown("end-unsaid")[0], "", "the test detects the mutant");
 }
 
 /// Open requests are failed 1.65 s after the signal at the earliest; the steps of a test must be faster.
@@ -169,7 +173,7 @@
 fn in_time<T>(most: Duration, mut run: impl FnMut() -> (Duration, T)) -> T {
     let mut runs = (0..20).map(|_| run());
     let in_time = runs.find(|(took, _)| *took < most);
-    in_time.expect("a machine that does not always stand still").1
+    in_time.expect("a run without a stall").1
 }
 
 /// The outcome of a request that is half received on a kept connection at shutdown, and how long after the signal all
@@ -189,7 +193,7 @@
     let start = Instant::now();
     sidecar.drain();
     // Idle connections are closed together with the listener.
-    wait_for("the listener's end", || !sidecar.is_listening());
+    wait_for("the listener to close", || !sidecar.is_listening());
     free.store(true, Ordering::SeqCst);
     kept.send(&text[30..]);
     let answer = kept.receive();
@@ -204,7 +208,7 @@
 fn a_partly_received_request_on_a_kept_connection_is_answered_at_shutdown() {
     let status = |mutant| in_time(BEFORE_FORCED_END, || partial_request_at_shutdown(mutant));
     assert_eq!(status(""), [Some(200), Some(200)]);
-    assert_eq!(status("closed-unread"), [None, Some(200)], "the check can fail");
+    assert_eq!(status("closed-unread"), [None, Some(200)], "the test detects the mutant");
 }
 
 const LONG_BODY_BYTES: usize = 60_000;
@@ -238,14 +242,14 @@
     let _ = client.read_to_end(&mut all);
     drop(client);
     assert_eq!(sidecar.wait_exit(), Ok(()));
-    assert!(peer.count() == 1, "nothing that comes after the end is sent on");
+    assert!(peer.count() == 1, "nothing received after shutdown is sent to the endpoint");
     all.iter().filter(|&&byte| byte == b'x').count()
 }
 
 #[test]
 fn the_last_answer_arrives_complete_although_input_is_unread_at_the_close() {
     assert_eq!(last_answer_bytes(""), LONG_BODY_BYTES);
-    assert!(last_answer_bytes("no-linger") < LONG_BODY_BYTES, "the check can fail");
+    assert!(last_answer_bytes("no-linger") < LONG_BODY_BYTES, "the test detects the mutant");
 }
 
 /// Whether a client that is refused while it sends can go on sending until it has read the refusal.
@@ -272,7 +276,7 @@
 #[test]
 fn a_refusal_reaches_a_client_that_is_still_sending() {
     assert!(can_send_after_refusal(""));
-    assert!(!can_send_after_refusal("no-linger"), "the check can fail");
+    assert!(!can_send_after_refusal("no-linger"), "the test detects the mutant");
 }
 
 #[test]
@@ -286,9 +290,9 @@
     let start = Instant::now();
     sidecar.drain();
     assert_eq!(sidecar.wait_exit(), Ok(()));
-    assert!(start.elapsed() < Duration::from_secs(3), "the longest deadline is not waited for");
+    assert!(start.elapsed() < Duration::from_secs(3), "it does not wait for the longest deadline");
     for client in &mut clients {
-        assert!(client.receive().is_none(), "ended, and not one of them first");
+        assert!(client.receive().is_none(), "all connections are closed");
     }
 }
 
@@ -316,7 +320,7 @@
 fn silent_connections_in_the_backlog_do_not_cut_off_a_request_behind_them_at_shutdown() {
     let status = |mutant| in_time(WHILE_ACCEPTING, || status_behind_silent_clients(mutant));
     assert_eq!(status(""), Some(503));
-    assert_eq!(status("crowd-is-empty"), None, "the check can fail");
+    assert_eq!(status("crowd-is-empty"), None, "the test detects the mutant");
 }
 
 /// The answer at shutdown to a request that was never sent: it is queued by the decision module, or its attempt is
@@ -334,9 +338,9 @@
     let mut client = sidecar.client();
     client.send(&request(class, "r1", "8000m"));
     sidecar.wait_open(1);
-    wait_for("the attempt", || sidecar.gate.waiting(peer.address) == usize::from(connecting));
+    wait_for("the attempt to start", || sidecar.gate.waiting(peer.address) == usize::from(connecting));
     sidecar.drain();
-    let answer = client.receive().expect("an answer before the end");
+    let answer = client.receive().expect("an answer before the exit");
     assert_eq!(sidecar.wait_exit(), Ok(()));
     assert_eq!(peer.count(), 0);
     (answer.status(), !answer.header("retry-after").is_empty())
@@ -360,7 +364,7 @@
                 assert_eq!(
                     refusal_at_shutdown(connecting, "book", "given-up-alike").0,
                     502,
-                    "the check can fail"
+                    "the test detects the mutant"
                 );
             });
         }
@@ -386,12 +390,12 @@
         sidecar.drain();
         // A client closes its connection after an answer with `Connection: close`.
         for (mut client, class) in clients.into_iter().zip(["quote", "pay", "book"]) {
-            let answer = client.receive().expect("an answer before the end");
+            let answer = client.receive().expect("an answer before the exit");
             let refused = answer.status() == 503;
             assert!(refused || answer.status() == 502, "{}", answer.first_line);
             assert!(
                 !(refused && class == "book"),
-                "what may have run is not refused where it must not run twice"
+                "an unsafe request that may have been executed is not refused"
             );
         }
         assert_eq!(sidecar.wait_exit(), Ok(()));
@@ -406,7 +410,7 @@
     // Breaks off the first request and serves all later ones.
     let first = AtomicBool::new(true);
     let peer = Peer::new(move |_| {
-        wait_for("the endpoint's leave", || held.load(Ordering::SeqCst));
+        wait_for("permission to answer", || held.load(Ordering::SeqCst));
         match first.swap(false, Ordering::SeqCst) {
             true => Reply::WriteAndClose(String::new()),
             false => Reply::Serve("again"),
@@ -415,7 +419,7 @@
     let sidecar = InProcess::start(&config(&[&peer]), "");
     let mut client = sidecar.client();
     client.send(&request("quote", "r1", "10000m"));
-    wait_for("the attempt", || peer.connections.load(Ordering::SeqCst) == 1);
+    wait_for("the attempt to start", || peer.connections.load(Ordering::SeqCst) == 1);
     sidecar.drain();
     free.store(true, Ordering::SeqCst);
     let answer = client.receive().expect("an answer");
@@ -439,7 +443,7 @@
     late.send(&texts[1][..30]);
     let start = Instant::now();
     sidecar.drain();
-    wait_for("the listener's end", || !sidecar.is_listening());
+    wait_for("the listener to close", || !sidecar.is_listening());
     // At least 0.5 s after the signal, so that the request's own deadline is after the exit.
     open.send(&texts[0][30..]);
     let sent_in_time = start.elapsed() < BEFORE_FORCED_END;
@@ -450,8 +454,8 @@
     if !sent_in_time {
         return None;
     }
-    assert_eq!(given_up, Some(502), "it may have run");
-    wait_for("the endpoint to note what it has read", || peer.closed() == peer.count());
+    assert_eq!(given_up, Some(502), "it may have been executed");
+    wait_for("the endpoint to count the requests that it has read", || peer.closed() == peer.count());
     let count = peer.count();
     Some((told, count)).filter(|_| told.is_some() || count > 1)
 }
@@ -460,8 +464,8 @@
 fn requests_completed_after_open_ones_were_failed_are_refused_and_not_sent() {
     let once = |mutant| {
         let mut tries = (0..20).map(|_| completed_after_forced_end(mutant));
-        tries.find_map(|seen| seen).expect("one that came before the end")
+        tries.find_map(|seen| seen).expect("a run in which the request arrived before the exit")
     };
     assert_eq!(once(""), (Some(503), 1));
-    assert_eq!(once("over-unsaid").1, 2, "the check can fail");
+    assert_eq!(once("over-unsaid").1, 2, "the test detects the mutant");
 }
--- a/crates/runtrack/tests/support/in_process.rs
+++ b/crates/runtrack/tests/support/in_process.rs
@@ -57,7 +57,7 @@
         Rc::new(GatedNetwork(self.clone()))
     }
 
-    fn add(&self, to: SocketAddr, change: isize) -> bool {
+    fn adjust(&self, to: SocketAddr, change: isize) -> bool {
         let mut held = self.0.lock().unwrap();
         held.get_mut(&to).map(|count| *count = count.saturating_add_signed(change)).is_some()
     }
@@ -68,7 +68,7 @@
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.0.add(self.1, -1);
+        self.0.adjust(self.1, -1);
     }
 }
 
@@ -83,9 +83,9 @@
                 std::thread::sleep(until.saturating_duration_since(Instant::now()));
                 return Err(io::ErrorKind::ConnectionRefused.into());
             }
-            if gate.add(to, 1) {
+            if gate.adjust(to, 1) {
                 let _waits = WaitGuard(&gate, to);
-                while gate.add(to, 0) {
+                while gate.adjust(to, 0) {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             }
@@ -102,7 +102,7 @@
 pub struct InProcess {
     pub address: SocketAddr,
     pub gate: Gate,
-    orders: UnboundedSender<Command>,
+    commands: UnboundedSender<Command>,
     ended: mpsc::Receiver<Result<(), String>>,
     _thread: JoinHandle<()>,
 }
@@ -111,7 +111,7 @@
     /// Starts a sidecar and waits until it listens. An empty name enables no mutant.
     pub fn start(config: &Value, mutant: &'static str) -> InProcess {
         let sidecar = InProcess::spawn(config, mutant);
-        wait_for("the listener", || sidecar.is_listening());
+        wait_for("the listener to open", || sidecar.is_listening());
         sidecar
     }
 
@@ -119,7 +119,7 @@
     pub fn spawn(config: &Value, mutant: &'static str) -> InProcess {
         let address = config["listen"].as_str().unwrap().parse().unwrap();
         let (text, gate) = (config.to_string(), Gate::default());
-        let (orders, taken) = unbounded_channel();
+        let (commands, command_rx) = unbounded_channel();
         let (done, ended) = mpsc::channel();
         let network = gate.clone();
         let thread = std::thread::spawn(move || {
@@ -128,14 +128,14 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             let ran = match Config::parse(&text, None, None, None) {
                 Ok(config) => {
-                    let run = sidecar::run(config, network.network(), Clock::start(), taken);
+                    let run = sidecar::run(config, network.network(), Clock::start(), command_rx);
                     LocalSet::new().block_on(&runtime, run)
                 }
                 Err(problem) => Err(problem.to_string()),
             };
             let _ = done.send(ran);
         });
-        InProcess { address, gate, orders, ended, _thread: thread }
+        InProcess { address, gate, commands, ended, _thread: thread }
     }
 
     /// Whether it listens, as reported by the kernel: a test connection would be served as one more client.
@@ -163,8 +163,8 @@
     /// The current gauges.
     pub fn gauges(&self) -> Gauges {
         let (to, told) = oneshot::channel();
-        assert!(self.orders.send(Command::Report(to)).is_ok(), "it runs");
-        told.blocking_recv().expect("it answers")
+        assert!(self.commands.send(Command::Report(to)).is_ok(), "the sidecar is running");
+        told.blocking_recv().expect("the sidecar answers")
     }
 
     /// Waits until this number of requests is open, with or without an attempt.
@@ -174,7 +174,7 @@
 
     /// Waits until no request, attempt or call is open.
     pub fn wait_at_rest(&self) {
-        wait_for("rest", || {
+        wait_for("the sidecar to be at rest", || {
             let gauges = self.gauges();
             (gauges.open, gauges.attempts, gauges.calls_in_flight) == (0, 0, 0)
         });
@@ -182,7 +182,7 @@
 
     /// Sends the command to drain, without waiting.
     pub fn request_drain(&self) {
-        let _ = self.orders.send(Command::Drain);
+        let _ = self.commands.send(Command::Drain);
     }
 
     /// Sends the command to drain and waits until the drain has begun.
@@ -198,11 +198,11 @@
     /// Sends a new configuration.
     pub fn reload(&self, config: &Value) {
         let config = Config::parse(&config.to_string(), None, None, None).map(Box::new);
-        let _ = self.orders.send(Command::Reload(config));
+        let _ = self.commands.send(Command::Reload(config));
     }
 
     /// The sidecar's result.
     pub fn wait_exit(&self) -> Result<(), String> {
-        self.ended.recv_timeout(WAIT_TIMEOUT).expect("the sidecar's end")
+        self.ended.recv_timeout(WAIT_TIMEOUT).expect("the sidecar to exit")
     }
 }
--- a/crates/runtrack/tests/support/load.rs
+++ b/crates/runtrack/tests/support/load.rs
@@ -136,7 +136,7 @@
 }
 
 async fn open(to: SocketAddr) -> BufReader<TcpStream> {
-    let stream = TcpStream::connect(to).await.expect("it accepts");
+    let stream = TcpStream::connect(to).await.expect("the proxy accepts");
     stream.set_nodelay(true).expect("a socket");
     BufReader::new(stream)
 }
--- a/crates/runtrack/tests/support/node.rs
+++ b/crates/runtrack/tests/support/node.rs
@@ -19,7 +19,7 @@
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "never came: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -117,7 +117,7 @@
     pub fn gated(free: &Arc<AtomicBool>, body: &'static str) -> Peer {
         let free = free.clone();
         Peer::new(move |_| {
-            wait_for("the endpoint's leave", || free.load(Ordering::SeqCst));
+            wait_for("permission to answer", || free.load(Ordering::SeqCst));
             Reply::Serve(body)
         })
     }
@@ -280,7 +280,7 @@
     }
 
     /// Writes a line to the newest watch.
-    pub fn say(&self, line: &str) {
+    pub fn send_line(&self, line: &str) {
         wait_for("a watch", || self.newest.lock().unwrap().is_some());
         write_line(self.newest.lock().unwrap().as_mut().unwrap(), line);
     }
@@ -426,7 +426,7 @@
     /// Waits for the exit and returns the status.
     pub fn wait_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_for("the sidecar's end", || {
+        wait_for("the sidecar to exit", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
