--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,6 +1,11 @@
-//! The seam between the network code and the world: byte streams by a narrow trait, so that the same code runs on
-//! sockets and, for tests, in a world of its own. Time needs no seam: it is tokio's, which a test can pause; random
-//! numbers need none: whoever draws is given a seed.
+//! Transport abstraction: traits for networks, listeners and connections, and their TCP implementation. The same code runs
+//! on sockets and, in tests, on a simulated network.
+//!
+//! Time and random numbers need no such abstraction: tests can pause tokio's clock, and random number generators are
+//! seeded by their callers.
+//!
+//! The crate also holds the switch for mutants (deliberate faults for mutation testing) and a logger that writes to
+//! standard error.
 
 mod tcp;
 
@@ -24,37 +29,36 @@
     Eof,
 }
 
-/// A connection. Dropping it closes it.
+/// A byte stream to a peer. Dropping it closes it.
 pub trait Connection: AsyncRead + AsyncWrite + Unpin {
-    /// What this machine holds unread, whatever the runtime knows of it.
+    /// The state of the receive buffer as the operating system reports it now, regardless of the runtime's cached
+    /// readiness.
     fn peek_status(&self) -> PeekStatus;
 
-    /// Whether small writes go out at once, and wait for no other (`TCP_NODELAY`); as a matter of course where there is
-    /// no such thing.
+    /// Whether small writes are sent immediately (`TCP_NODELAY`); true for transports without Nagle's algorithm.
     fn is_nodelay(&self) -> bool {
         true
     }
 }
 
-/// Where connections come in. Dropping it resets those that were not accepted.
+/// A listening endpoint. Dropping it resets connections that were not accepted.
 pub trait Listener {
-    /// The next connection that has come.
+    /// Polls for the next incoming connection.
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Box<dyn Connection>>>;
 }
 
-/// A connection that is being made; dropping it gives it up.
+/// A connection being established; dropping it cancels the attempt.
 pub type Connecting = Pin<Box<dyn Future<Output = io::Result<Box<dyn Connection>>>>>;
 
-/// Who makes connections.
+/// Opens connections and listeners.
 pub trait Network {
-    /// Connects; small writes go out at once. There is no time limit but the system's.
-    fn connect(&self, to: SocketAddr) -> Connecting;
-    /// Listens at an address.
-    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>>;
+    /// Connects to an address, with `TCP_NODELAY` set. No timeout other than the operating system's applies.
+    fn connect(&self, address: SocketAddr) -> Connecting;
+    /// Listens on an address.
+    fn listen(&self, address: SocketAddr) -> io::Result<Box<dyn Listener>>;
 }
 
-/// Whether an error that was planted under this name is switched on, for this thread. Without the feature `mutants`
-/// there are none.
+/// Whether the mutant with this name is active. Always false without the feature `mutants`.
 #[cfg(not(feature = "mutants"))]
 #[inline(always)]
 pub const fn mutant(_: &str) -> bool {
@@ -73,25 +77,25 @@
         static THREAD_MUTANT: RefCell<Option<String>> = const { RefCell::new(None) };
     }
 
-    /// For a whole process, by its environment.
+    /// The mutant that the environment variable `RUNTRACK_MUTANT` activates for the whole process.
     static PROCESS_MUTANT: LazyLock<Option<String>> =
         LazyLock::new(|| std::env::var("RUNTRACK_MUTANT").ok());
 
-    /// Whether an error that was planted under this name is switched on, for this thread or this process.
+    /// Whether the mutant with this name is active for this thread or this process.
     pub fn mutant(name: &str) -> bool {
         THREAD_MUTANT.with_borrow(|active| active.as_deref() == Some(name))
             || PROCESS_MUTANT.as_deref() == Some(name)
     }
 
-    /// Switches the error of this name on, and any other off, for this thread.
+    /// Activates the mutant with this name for this thread and deactivates any other; `None` deactivates all.
     pub fn set_mutant(name: Option<&str>) {
         THREAD_MUTANT.set(name.map(str::to_owned));
     }
 }
 
-struct Stderr;
+struct StderrLogger;
 
-impl log::Log for Stderr {
+impl log::Log for StderrLogger {
     fn enabled(&self, _: &log::Metadata) -> bool {
         true
     }
@@ -103,9 +107,9 @@
     fn flush(&self) {}
 }
 
-/// Has everything that is logged written to standard error, a line each, with nothing before it.
+/// Installs a logger that writes each record up to level `Info` to standard error as one line, without a prefix.
 pub fn log_to_stderr() {
-    if log::set_logger(&Stderr).is_ok() {
+    if log::set_logger(&StderrLogger).is_ok() {
         log::set_max_level(log::LevelFilter::Info);
     }
 }
