--- a/crates/agent/tests/links.rs
+++ b/crates/agent/tests/links.rs
@@ -1,6 +1,6 @@
-//! Which controllers agents keep links to.
+//! Selection of the controllers that agents keep links to and send load reports to.
 
-use runtrack_agent::{backlog_members, controllers_to_link};
+use runtrack_agent::{backlog_aggregators, controllers_to_link};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -12,43 +12,45 @@
     (0..200).map(|number| format!("edge-{number}"))
 }
 
-/// The member that an agent reports to while it has all the links that it wants but those to lost members.
-fn reports_to(name: &str, members: &BTreeSet<SocketAddrV4>, lost: &[SocketAddrV4]) -> Option<SocketAddrV4> {
+/// The controller that an agent sends load reports to while it has all the links that it wants except those to the lost
+/// members.
+fn target_of(name: &str, members: &BTreeSet<SocketAddrV4>, lost: &[SocketAddrV4]) -> Option<SocketAddrV4> {
     let linked = controllers_to_link(name, members);
-    backlog_members(linked.into_iter().filter(|member| !lost.contains(member))).first().copied()
+    backlog_aggregators(linked.into_iter().filter(|member| !lost.contains(member))).first().copied()
 }
 
-/// With more members than an agent has watchers, agents have links to different ones.
+/// With more members than an agent keeps links to, agents are linked to different members and could send their reports to
+/// different ones.
 #[test]
-fn all_agents_report_to_one_member_however_many_there_are() {
+fn all_agents_report_to_the_same_member_for_any_number_of_members() {
     for count in 1..=15 {
         let members = members(count);
-        let chosen: BTreeSet<_> = agents().map(|name| reports_to(&name, &members, &[])).collect();
-        assert_eq!(chosen.len(), 1, "{count} members: {chosen:?}");
-        assert!(chosen.iter().all(Option::is_some));
+        let targets: BTreeSet<_> = agents().map(|name| target_of(&name, &members, &[])).collect();
+        assert_eq!(targets.len(), 1, "{count} members: {targets:?}");
+        assert!(targets.iter().all(Option::is_some));
     }
 }
 
 #[test]
-fn all_agents_report_to_one_other_member_where_the_first_is_lost() {
+fn all_agents_report_to_the_same_second_member_if_the_first_is_lost() {
     for count in 2..=15 {
         let members = members(count);
-        let first = backlog_members(members.iter().copied())[0];
-        let chosen: BTreeSet<_> = agents().map(|name| reports_to(&name, &members, &[first])).collect();
-        assert_eq!(chosen.len(), 1, "{count} members: {chosen:?}");
-        assert!(!chosen.contains(&Some(first)));
+        let first = backlog_aggregators(members.iter().copied())[0];
+        let targets: BTreeSet<_> = agents().map(|name| target_of(&name, &members, &[first])).collect();
+        assert_eq!(targets.len(), 1, "{count} members: {targets:?}");
+        assert!(!targets.contains(&Some(first)));
     }
 }
 
 #[test]
-fn an_agent_keeps_few_links_and_they_are_spread_over_the_members() {
+fn an_agent_keeps_few_links_and_links_are_distributed_over_all_members() {
     let members = members(15);
-    let mut links = std::collections::BTreeMap::new();
+    let mut link_counts = std::collections::BTreeMap::new();
     for name in agents() {
         let linked = controllers_to_link(&name, &members);
         assert!((5..=7).contains(&linked.len()), "{linked:?}");
-        linked.into_iter().for_each(|member| *links.entry(member).or_insert(0) += 1);
+        linked.into_iter().for_each(|member| *link_counts.entry(member).or_insert(0) += 1);
     }
-    assert_eq!(links.len(), 15);
-    assert!(links.values().all(|count| *count >= 20), "{links:?}");
+    assert_eq!(link_counts.len(), 15);
+    assert!(link_counts.values().all(|count| *count >= 20), "{link_counts:?}");
 }
