--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -11,53 +11,55 @@
 use runtrack_balancer::fleet::SelectionRequest;
 
 impl Forwarder {
-    fn choose(&self, request: &RoutedRequest, attempts: &AttemptState) -> Option<Target> {
-        let pool = self.state.pool(&request.service);
+    /// Selects an endpoint that the request has not been sent to yet.
+    fn select_target(&self, request: &RoutedRequest, attempts: &AttemptState) -> Option<Target> {
+        let endpoints = self.state.endpoints_of(&request.service);
         let selection = SelectionRequest {
             now: self.state.now(),
-            ready: &pool.ready,
+            ready: &endpoints.ready,
             tried: attempts.tried(),
             prompt: request.prompt,
         };
         let key = self.state.router().choose(selection)?;
-        pool.target(key).cloned()
+        endpoints.target(key).cloned()
     }
 
-    /// Sends a request to one endpoint after another until one starts a response.
+    /// Sends a request to one endpoint after another until one starts a response. A stream is resumed after the event
+    /// `last_event_id`.
     pub(crate) async fn begin(
         &self,
         request: &RoutedRequest,
         attempts: &mut AttemptState,
-        after: Option<&HeaderValue>,
+        last_event_id: Option<&HeaderValue>,
     ) -> Result<ActiveResponse, RequestError> {
         loop {
-            let Some(target) = self.choose(request, attempts) else {
+            let Some(target) = self.select_target(request, attempts) else {
                 return Err(RequestError::after(request, attempts));
             };
             attempts.on_attempt(target.key);
             let mut in_flight = InFlight::new(&self.state, target.key, request.prompt);
-            let sent = attempt(
+            let result = attempt(
                 &self.state,
                 &self.connections,
                 &target,
                 request.connection_limit,
                 &request.outgoing,
-                after,
+                last_event_id,
             )
             .await;
-            let failed = match sent {
+            let error = match result {
                 Ok(started) => {
                     attempts.on_response();
                     return Ok(ActiveResponse { started, in_flight });
                 }
-                Err(failed) => failed,
+                Err(error) => error,
             };
-            in_flight.outcome = failed.outcome;
+            in_flight.outcome = error.outcome;
             drop(in_flight);
-            if failed.outcome != Outcome::Full {
+            if error.outcome != Outcome::Full {
                 self.connections.close_idle(target.key);
             }
-            if !attempts.may_retry(&self.state, request, failed.into()) {
+            if !attempts.may_retry(&self.state, request, error.into()) {
                 return Err(RequestError::after(request, attempts));
             }
         }
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection, and whether the client is still connected.
+//! Client connections, and detection of clients that disconnect.
 
 use socket2::SockRef;
 use std::cell::RefCell;
@@ -12,23 +12,23 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// A client's connection, for the server that reads and writes it.
+/// A client's connection, for the HTTP server that reads and writes it.
 pub struct ClientStream(Rc<RefCell<TcpStream>>);
 
 /// Checks whether the client of a connection is still connected.
 #[derive(Clone)]
-pub struct Presence(Rc<RefCell<TcpStream>>);
+pub struct ClientMonitor(Rc<RefCell<TcpStream>>);
 
-/// Splits a connection into the stream for the server and the check of the client's presence.
-pub fn client_stream(stream: TcpStream) -> (ClientStream, Presence) {
+/// Splits a connection into the stream for the HTTP server and the monitor that detects the client's disconnect.
+pub fn client_stream(stream: TcpStream) -> (ClientStream, ClientMonitor) {
     let shared = Rc::new(RefCell::new(stream));
-    (ClientStream(shared.clone()), Presence(shared))
+    (ClientStream(shared.clone()), ClientMonitor(shared))
 }
 
-impl Presence {
-    /// Whether the client has closed or reset its connection, as the kernel knows it now. The server may not have noticed
-    /// yet, in particular after a pause of the process.
-    pub fn has_left(&self) -> bool {
+impl ClientMonitor {
+    /// Whether the client has closed or reset its connection, as reported by the kernel. The HTTP server may not have
+    /// noticed yet, in particular after a pause of the process.
+    pub fn is_disconnected(&self) -> bool {
         let stream = self.0.borrow();
         match SockRef::from(&*stream).peek(&mut [MaybeUninit::uninit()]) {
             Ok(count) => count == 0,
@@ -37,28 +37,29 @@
     }
 }
 
-/// How often a client is looked for whose connection has bytes that the server does not read yet.
+/// Interval at which a connection with bytes that the HTTP server has not read yet is checked for a disconnect.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits until a client has left, also where it has sent bytes behind its request: with such bytes in its buffer the server
-/// does not watch the connection. To be polled by the task that serves the connection: there is one waker for reading.
-pub struct Departure {
-    client: Presence,
+/// Completes once a client has disconnected, even if the client has sent bytes after its request: with such bytes buffered,
+/// the HTTP server does not watch the connection. Must be polled by the task that serves the connection, since a socket has
+/// only one waker for reading.
+pub struct ClientDisconnect {
+    client: ClientMonitor,
     recheck: Option<Pin<Box<Sleep>>>,
 }
 
-impl Departure {
-    /// The departure of this client.
-    pub fn of(client: Presence) -> Self {
-        Departure { client, recheck: None }
+impl ClientDisconnect {
+    /// Waits for the disconnect of this client.
+    pub fn of(client: ClientMonitor) -> Self {
+        ClientDisconnect { client, recheck: None }
     }
 
     fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<()> {
-        self.client.0.borrow().poll_read_ready(cx).map(|_| ()) // an error is found by looking
+        self.client.0.borrow().poll_read_ready(cx).map(|_| ()) // `is_disconnected` reports errors
     }
 }
 
-impl Future for Departure {
+impl Future for ClientDisconnect {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
@@ -68,10 +69,10 @@
                 self.recheck = None;
             }
             ready!(self.poll_readable(cx));
-            if self.client.has_left() {
+            if self.client.is_disconnected() {
                 return Poll::Ready(());
             }
-            // What the server does not read keeps the connection readable.
+            // Bytes that the HTTP server does not read keep the connection readable, so it is checked periodically.
             self.recheck = Some(Box::pin(sleep(RECHECK_INTERVAL)));
         }
     }
--- a/crates/proxy/src/complete.rs
+++ b/crates/proxy/src/complete.rs
@@ -1,4 +1,4 @@
-//! Responses that are received completely before they are forwarded.
+//! Forwards responses that are received completely first.
 
 use crate::attempt::ResponseStarted;
 use crate::forward::{Forwarder, Reply};
@@ -16,36 +16,37 @@
 use tokio::time::timeout_at;
 
 /// Size in bytes up to which a response is buffered; a larger one is forwarded as it is received.
-const MAX_BUFFERED_BODY: usize = 256 << 10;
+const MAX_BUFFERED_BODY_BYTES: usize = 256 << 10;
 
 impl Forwarder {
-    /// Receives a response completely before forwarding it, so that a truncated one can be retried or fails cleanly.
+    /// Receives a response completely before forwarding it, so that a truncated one can be retried or replaced by an error.
+    /// A response larger than [`MAX_BUFFERED_BODY_BYTES`] is forwarded as it is received.
     pub(crate) async fn forward_complete(
         self: Rc<Self>,
         request: &Rc<RoutedRequest>,
         mut active: ActiveResponse,
         attempts: &AttemptState,
     ) -> Result<Reply, TruncatedResponse> {
-        let mut read = BytesMut::new();
+        let mut received = BytesMut::new();
         while let Some(bytes) = self.next_in_time(request, &mut active).await? {
-            read.extend_from_slice(&bytes);
-            if read.len() > MAX_BUFFERED_BODY {
+            received.extend_from_slice(&bytes);
+            if received.len() > MAX_BUFFERED_BODY_BYTES {
                 return Ok(self.relay_from(
                     request,
                     active,
                     attempts,
                     ResponseRelay::for_bytes(),
-                    read.freeze(),
+                    received.freeze(),
                 ));
             }
         }
         let head = reply_head(&active);
         let failed = active.started.response.status().is_server_error();
         self.finish(request, active, if failed { Outcome::Error } else { Outcome::Ok });
-        Ok(head.map(|()| full_body(read.freeze())))
+        Ok(head.map(|()| full_body(received.freeze())))
     }
 
-    /// The next bytes of a response of which nothing has been forwarded; none at its end.
+    /// The next bytes of a response of which nothing has been forwarded yet; `None` at its end.
     pub(crate) async fn next_in_time(
         &self,
         request: &RoutedRequest,
@@ -62,7 +63,7 @@
         Err(TruncatedResponse)
     }
 
-    /// Ends the accounting of a complete response, and keeps its connection for the next request.
+    /// Ends the accounting of a complete response, and returns its connection to the pool if it can be reused.
     pub(crate) fn finish(&self, request: &RoutedRequest, mut active: ActiveResponse, outcome: Outcome) {
         active.in_flight.outcome = outcome;
         let ResponseStarted { response, connection, .. } = active.started;
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -1,6 +1,6 @@
 //! Handles a request from its head to its final response: routing, attempts, forwarding the response.
 
-use crate::client::{Departure, Presence};
+use crate::client::{ClientDisconnect, ClientMonitor};
 use crate::pool::Connections;
 use crate::reply_body::{ReplyBody, full_body};
 use crate::retry::{AttemptState, Failure, RequestError};
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, interval, timeout_at};
 
-/// Interval at which idle connections are checked.
+/// Interval at which expired idle connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// A response to a client.
 pub type Reply = Response<ReplyBody>;
@@ -27,7 +27,7 @@
 }
 
 impl Forwarder {
-    /// A forwarder without connections.
+    /// Creates a forwarder without connections.
     pub fn new(state: Rc<State>) -> Rc<Self> {
         Rc::new(Forwarder { state, connections: Rc::default() })
     }
@@ -42,8 +42,8 @@
     }
 
     /// Returns the final response to a request.
-    pub async fn answer(self: Rc<Self>, request: Request<Incoming>, client: Presence) -> Reply {
-        let came = Instant::now();
+    pub async fn handle(self: Rc<Self>, request: Request<Incoming>, client: ClientMonitor) -> Reply {
+        let received_at = Instant::now();
         let Some(table) = self.state.routes() else {
             return self.refusal("there is no configuration yet");
         };
@@ -51,11 +51,11 @@
         let host = head.headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
         let draw = self.state.router().draw();
         let Some(routed) = table.find(host, head.uri.path(), draw) else {
-            return text(StatusCode::NOT_FOUND, "no route");
+            return text_reply(StatusCode::NOT_FOUND, "no route");
         };
         let (route, service) = (routed.route.clone(), routed.service.clone());
-        let deadline = came + time_budget(&route, &head.headers);
-        let body = match complete_body(body, table.config().limits.body_bytes, deadline).await {
+        let deadline = received_at + time_budget(&route, &head.headers);
+        let body = match read_body(body, table.config().limits.body_bytes, deadline).await {
             Ok(body) => body,
             Err(reply) => return reply,
         };
@@ -63,17 +63,17 @@
         self.state.router().arrived(now, service_key(&service.name));
         let request = RoutedRequest::new(&route, &service, head, body, deadline, client.clone());
         tokio::select! {
-            reply = self.serve(Rc::new(request)) => reply,
-            () = Departure::of(client) => client_left(),
+            reply = self.handle_routed(Rc::new(request)) => reply,
+            () = ClientDisconnect::of(client) => disconnected_reply(),
         }
     }
 
-    async fn serve(self: Rc<Self>, request: Rc<RoutedRequest>) -> Reply {
+    async fn handle_routed(self: Rc<Self>, request: Rc<RoutedRequest>) -> Reply {
         let mut attempts = AttemptState::default();
         loop {
             let active = match self.begin(&request, &mut attempts, None).await {
                 Ok(active) => active,
-                Err(error_reply) => return self.error_reply(error_reply),
+                Err(error) => return self.error_reply(error),
             };
             let forwarded = if request.streaming && active.started.response.status().is_success() {
                 self.clone().forward_stream(&request, active, &attempts).await
@@ -94,8 +94,8 @@
     }
 
     /// The response to a request that has not run and never will, with `Retry-After`.
-    pub(crate) fn refusal(&self, why: &'static str) -> Reply {
-        let mut reply = text(StatusCode::SERVICE_UNAVAILABLE, why);
+    pub(crate) fn refusal(&self, reason: &'static str) -> Reply {
+        let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, reason);
         let wait = self.state.router().retry_after();
         if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64())) {
             reply.headers_mut().insert(header::RETRY_AFTER, value);
@@ -103,18 +103,19 @@
         reply
     }
 
-    fn error_reply(&self, why: RequestError) -> Reply {
-        match why {
+    fn error_reply(&self, error: RequestError) -> Reply {
+        match error {
             RequestError::Refused => self.refusal("no endpoint took the request"),
-            RequestError::TimedOut => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
-            RequestError::Failed => text(StatusCode::BAD_GATEWAY, "the endpoint failed"),
+            RequestError::TimedOut => text_reply(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
+            RequestError::Failed => text_reply(StatusCode::BAD_GATEWAY, "the endpoint failed"),
         }
     }
 }
 
-/// Receives a request's body; an error is the response where it is not complete, in time and within the limit.
-async fn complete_body(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, Reply> {
-    let (status, why) = match timeout_at(deadline, Limited::new(body, most).collect()).await {
+/// Receives a request's body of at most `max_bytes` until the deadline. The error is the response to a body that is
+/// incomplete, late or too large.
+async fn read_body(body: Incoming, max_bytes: usize, deadline: Instant) -> Result<Bytes, Reply> {
+    let (status, reason) = match timeout_at(deadline, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => return Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
@@ -122,18 +123,19 @@
         Ok(Err(_)) => (StatusCode::BAD_REQUEST, "the body was not complete"),
         Err(_) => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
     };
-    Err(text(status, why))
+    Err(text_reply(status, reason))
 }
 
-/// What ends a connection whose client has left. Nobody reads it; what runs on an endpoint ends with its attempt.
-fn client_left() -> Reply {
-    let mut reply = text(StatusCode::BAD_GATEWAY, "the client has left");
+/// Response that closes the connection of a client that has disconnected. No one reads it; dropping the attempt ends the
+/// work at the endpoint.
+fn disconnected_reply() -> Reply {
+    let mut reply = text_reply(StatusCode::BAD_GATEWAY, "the client has left");
     reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     reply
 }
 
-/// A response of the proxy itself.
-pub fn text(status: StatusCode, text: &'static str) -> Reply {
+/// A plain-text response that the proxy itself generates.
+pub fn text_reply(status: StatusCode, text: &'static str) -> Reply {
     let mut reply = Response::new(full_body(Bytes::from_static(text.as_bytes())));
     *reply.status_mut() = status;
     reply
--- a/crates/proxy/src/in_flight.rs
+++ b/crates/proxy/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Accounting of attempts in flight with `runtrack-balancer`.
+//! Reports the start and the end of attempts to `runtrack-balancer`.
 
 use crate::attempt::ResponseStarted;
 use crate::state::State;
@@ -6,13 +6,13 @@
 use runtrack_balancer::{EndpointId, Outcome};
 use std::rc::Rc;
 
-/// An attempt that counts as in flight at its endpoint until this is dropped.
+/// An attempt in flight. It counts as load of its endpoint until it is dropped, which reports `outcome`.
 pub(crate) struct InFlight {
     state: Rc<State>,
     pub(crate) key: EndpointId,
     pub(crate) outcome: Outcome,
     prompt: Option<Prompt>,
-    /// Prompt tokens that the endpoint prefills before its response starts.
+    /// Prompt tokens that the endpoint has to prefill before its response starts; zero once it has started.
     pending_prefill: u32,
 }
 
@@ -23,7 +23,7 @@
         InFlight { state: state.clone(), key, outcome: Outcome::Cancelled, prompt, pending_prefill }
     }
 
-    /// The endpoint has started its response.
+    /// Called when the endpoint has started its response, so that it has finished the prefill.
     pub(crate) fn on_response_started(&mut self) {
         self.clear_pending_prefill();
     }
@@ -34,7 +34,7 @@
         self.state.backlog_changed(pending);
     }
 
-    /// The endpoint has not prefilled the prompt for sure, and was taken not to hold its prefixes before.
+    /// The prompt, if the endpoint may not have prefilled it and was assumed not to have cached its prefixes before.
     fn may_lack_prefixes(&self) -> Option<Prompt> {
         let prompt = self.prompt.filter(|prompt| self.pending_prefill > prompt.own_tokens())?;
         (self.outcome != Outcome::Ok).then_some(prompt)
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,10 +1,10 @@
-//! The fleet's proxy: accepts clients' requests, sends each to an endpoint that `runtrack_balancer::fleet` selects, and streams
-//! the response back.
+//! The fleet's proxy: accepts clients' requests, sends each to an endpoint that `runtrack_balancer::fleet` selects, and
+//! streams the response back.
 //!
-//! Routes, endpoints and the size of the fleet come from the agent of the machine (`runtrack_link::Gossip`). Load balancing
-//! is left to `runtrack_balancer::fleet`; the proxy itself guarantees what must hold whichever endpoint is selected: a request that
-//! is not idempotent runs once at most, a request is refused only if it never ran, and a truncated response is forwarded
-//! as truncated.
+//! Routes, endpoints and the number of proxies come from the agent of the machine (`runtrack_link::Gossip`). Load balancing
+//! is left to `runtrack_balancer::fleet`. The proxy itself guarantees, whichever endpoint is selected, that a request that
+//! is not idempotent runs at most once, that a request is refused only if it never ran, and that a truncated response is
+//! forwarded as truncated.
 
 mod attempt;
 mod attempts;
@@ -27,8 +27,8 @@
 mod streaming;
 
 pub use events::EventTracker;
-pub use prompt::prompt_of;
-pub use reply_body::{BodyAborted, ClientGone, Stream, StreamSender, stream};
+pub use prompt::parse_prompt;
+pub use reply_body::{BodyAborted, ClientDisconnected, Stream, StreamSender, stream};
 
 use crate::forward::Forwarder;
 use crate::ingress::IngressServer;
@@ -37,28 +37,29 @@
 use runtrack_link::{Gossip, MessageHandler, Session, Signals, dial_for_ever, json_logger};
 use runtrack_message::{Hello, Member, Message, Role, WIRE_VERSION};
 use slog::info;
-use std::cell::OnceCell;
 use std::rc::Rc;
+use std::state_cell::OnceCell;
 use tokio::task::spawn_local;
 
 type StateCell = OnceCell<Rc<State>>;
 
-/// Handles the reports of other proxies that the agent relays.
+/// Applies the reports of other proxies that the agent relays.
 struct ReportHandler(Rc<StateCell>);
 
 impl MessageHandler for ReportHandler {
     fn on_message(&self, _: &Rc<Gossip>, _: &Rc<Session>, message: Message) {
         let Some(state) = self.0.get() else { return };
         match message {
-            Message::FleetBacklog(backlog) => state.take_fleet_backlog(&backlog),
-            Message::Placements(placements) => state.take_placements(&placements),
+            Message::FleetBacklog(backlog) => state.apply_fleet_backlog(&backlog),
+            Message::Placements(placements) => state.apply_placements(&placements),
             Message::PlacementsComplete(true) => state.router().set_all_placements_known(),
             _ => {}
         }
     }
 }
 
-/// Runs a proxy until SIGTERM, and then until the requests in progress are answered.
+/// Runs a proxy until SIGTERM, and then until the requests in progress are answered or the grace period ends. Returns an
+/// error if an address in the settings is missing or can't be listened on.
 pub async fn run(node: Node, mut signals: Signals) -> Result<(), String> {
     let logger = json_logger("proxy", &node.name);
     let front = node.front.ok_or("listen.front: is missing")?;
@@ -70,12 +71,13 @@
         node: node.name.as_str().into(),
         member: Member::none(),
     };
-    let cell = Rc::new(StateCell::default());
-    let gossip = Gossip::new(hello, node.heartbeat, logger.clone(), Box::new(ReportHandler(cell.clone())));
+    let state_cell = Rc::new(StateCell::default());
+    let gossip =
+        Gossip::new(hello, node.heartbeat, logger.clone(), Box::new(ReportHandler(state_cell.clone())));
     spawn_local(dial_for_ever(gossip.clone(), node.feed));
     spawn_local(gossip.clone().run());
     let state = State::new(gossip, &node);
-    let _ = cell.set(state.clone());
+    let _ = state_cell.set(state.clone());
     spawn_local(state.clone().run());
     spawn_local(state.clone().report_backlog());
     let forwarder = Forwarder::new(state.clone());
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,8 +1,8 @@
-//! `runtrack-proxy`: the fleet's proxy on an edge machine.
+//! `runtrack-proxy`: the proxy of an edge machine.
 
 use std::process::ExitCode;
 
-const ABOUT: &str = "The edge proxy of the router fleet: takes clients' requests and sends each to an endpoint that the module chooses.";
+const ABOUT: &str = "The edge proxy of the router fleet: accepts clients' requests and sends each to an endpoint that its load balancer selects.";
 
 fn main() -> ExitCode {
     runtrack_link::program("runtrack-proxy", ABOUT, runtrack_proxy::run)
--- a/crates/proxy/src/outgoing.rs
+++ b/crates/proxy/src/outgoing.rs
@@ -1,6 +1,6 @@
 //! A request as it is sent to endpoints.
 
-use crate::client::Presence;
+use crate::client::ClientMonitor;
 use crate::pool::Reuse;
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -16,27 +16,28 @@
     pub uri: Uri,
     /// Headers, without hop-by-hop ones.
     pub headers: HeaderMap,
-    /// The complete body.
+    /// Complete body.
     pub body: Bytes,
     /// `X-Attempt-Id`: the client's id of its attempt, which the response must repeat.
     pub id: Option<HeaderValue>,
-    /// Priority of its route; 0 is the highest.
+    /// Priority of the route; 0 is the highest.
     pub priority: u8,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// When its response must be complete.
+    /// Time by which the response must be complete.
     pub deadline: Instant,
-    /// Whether its client is still connected.
-    pub client: Presence,
+    /// Detects that the client has disconnected.
+    pub client: ClientMonitor,
 }
 
 impl Outgoing {
-    /// Whether the deadline is ahead and the client still connected.
+    /// Whether the deadline has not passed and the client is still connected.
     pub fn is_wanted(&self) -> bool {
-        Instant::now() < self.deadline && (!self.client.has_left() || mutant("proxy_sends_for_who_left"))
+        Instant::now() < self.deadline
+            && (!self.client.is_disconnected() || mutant("proxy_sends_for_who_left"))
     }
 
-    /// Which idle connections it may use.
+    /// Which idle connections the request may use.
     pub fn reuse(&self) -> Reuse {
         match (&self.id, self.idempotent) {
             (None, _) => Reuse::None,
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connection pools by endpoint. Idle connections are kept only as long as the endpoint keeps them, and their number stays
-//! within this proxy's share of the endpoint's limit.
+//! Connection pools by endpoint. Idle connections are kept only as long as the endpoint keeps them, and the number of open
+//! connections stays within this proxy's share of the endpoint's connection limit.
 
 use crate::state::Target;
 use bytes::Bytes;
@@ -24,7 +24,7 @@
 /// Maximum idle time of a connection for a request that is not idempotent: if the endpoint closed the connection at the
 /// same moment, the request could not be retried.
 const NON_IDEMPOTENT_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Fraction of an endpoint's connection limit that all proxies together use.
+/// Maximum fraction of an endpoint's connection limit that all proxies together use.
 const LIMIT_FRACTION: f64 = 0.8;
 /// Maximum size of a connection's buffer in bytes; the head of a response must fit.
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
@@ -33,36 +33,36 @@
 pub struct Connection {
     /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Whether it has not carried a request yet.
+    /// Whether the connection has not carried a request yet.
     pub fresh: bool,
     idle_since: Instant,
-    idle_most: Duration,
-    owner: Rc<RefCell<Owned>>,
+    max_idle: Duration,
+    count: Rc<RefCell<ConnectionCount>>,
     _task: JoinSet<()>,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.owner.borrow_mut().open -= 1;
+        self.count.borrow_mut().open -= 1;
     }
 }
 
-/// The connections of this proxy to one endpoint.
+/// Number of connections of this proxy to one endpoint, including those being established.
 #[derive(Default)]
-struct Owned {
+struct ConnectionCount {
     open: u32,
 }
 
 #[derive(Default)]
-struct Endpoint {
+struct EndpointPool {
     idle: Vec<Connection>,
-    owned: Rc<RefCell<Owned>>,
+    count: Rc<RefCell<ConnectionCount>>,
 }
 
 /// Which idle connections a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// Any that the endpoint still keeps.
+    /// Any that the endpoint still keeps open.
     Any,
     /// One that was used recently.
     RecentlyUsed,
@@ -71,7 +71,8 @@
 }
 
 impl Reuse {
-    fn longest_idle(self) -> Option<Duration> {
+    /// Maximum idle time of a connection that may be reused; `None` if none may be.
+    fn max_idle(self) -> Option<Duration> {
         match self {
             Reuse::Any => Some(Duration::MAX),
             Reuse::RecentlyUsed => Some(NON_IDEMPOTENT_IDLE_TIMEOUT),
@@ -80,81 +81,82 @@
     }
 }
 
-/// Why there is no connection.
+/// Why no connection is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoConnection {
+pub enum ConnectionError {
     /// This proxy's share of the endpoint's limit is used up.
-    Full,
-    /// Connecting failed.
-    Failed,
+    LimitReached,
+    /// Connecting failed or timed out.
+    ConnectFailed,
 }
 
-/// Connections by endpoint.
+/// Connection pools of all endpoints.
 #[derive(Default)]
 pub struct Connections {
-    endpoints: RefCell<HashMap<EndpointId, Endpoint>>,
+    endpoints: RefCell<HashMap<EndpointId, EndpointPool>>,
 }
 
 impl Connections {
-    /// Returns the idle connection that was used last, or a new one.
-    pub async fn take(
+    /// Returns the most recently used idle connection, or a new one. `limit` is the endpoint's connection limit, of which
+    /// this proxy may use its share among `proxies`. Connecting ends at `deadline` at the latest.
+    pub async fn acquire(
         &self,
         target: &Target,
         reuse: Reuse,
         limit: u32,
         proxies: u32,
-        until: Instant,
-    ) -> Result<Connection, NoConnection> {
+        deadline: Instant,
+    ) -> Result<Connection, ConnectionError> {
         if let Some(connection) = self.take_idle(target.key, reuse) {
             return Ok(connection);
         }
-        let owner = self.endpoints.borrow_mut().entry(target.key).or_default().owned.clone();
+        let count = self.endpoints.borrow_mut().entry(target.key).or_default().count.clone();
         let share = (f64::from(limit) * LIMIT_FRACTION / f64::from(proxies.max(1))).max(2.0);
-        if f64::from(owner.borrow().open) >= share {
-            return Err(NoConnection::Full);
+        if f64::from(count.borrow().open) >= share {
+            return Err(ConnectionError::LimitReached);
         }
-        owner.borrow_mut().open += 1;
-        let opened = OpenGuard(Some(owner));
-        let wait = CONNECT_TIMEOUT.min(until.saturating_duration_since(Instant::now()));
+        count.borrow_mut().open += 1;
+        let guard = CountGuard(Some(count));
+        let wait = CONNECT_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
         let stream = timeout(wait, TcpStream::connect(target.address)).await;
-        let stream = stream.ok().and_then(Result::ok).ok_or(NoConnection::Failed)?;
-        let _ = stream.set_nodelay(true); // without it requests only go out later
+        let stream = stream.ok().and_then(Result::ok).ok_or(ConnectionError::ConnectFailed)?;
+        let _ = stream.set_nodelay(true); // failure only delays small writes
         let handshake =
             http1::Builder::new().max_buf_size(MAX_BUFFERED_BYTES).handshake(TokioIo::new(stream));
-        let (sender, connection) = handshake.await.map_err(|_| NoConnection::Failed)?;
+        let (sender, connection) = handshake.await.map_err(|_| ConnectionError::ConnectFailed)?;
         let mut task = JoinSet::new();
         task.spawn_local(async move {
-            let _ = connection.await; // whoever waits for an answer hears of it
+            let _ = connection.await; // the pending request gets the error
         });
         Ok(Connection {
             sender,
             fresh: true,
             idle_since: Instant::now(),
-            idle_most: DEFAULT_IDLE_TIMEOUT,
-            owner: opened.keep(),
+            max_idle: DEFAULT_IDLE_TIMEOUT,
+            count: guard.into_count(),
             _task: task,
         })
     }
 
     fn take_idle(&self, key: EndpointId, reuse: Reuse) -> Option<Connection> {
-        let longest = reuse.longest_idle()?;
+        let reuse_max_idle = reuse.max_idle()?;
         let mut endpoints = self.endpoints.borrow_mut();
         let idle = &mut endpoints.get_mut(&key)?.idle;
         while let Some(connection) = idle.pop() {
-            let most = connection.idle_most.min(longest);
-            if connection.sender.is_ready() && connection.idle_since.elapsed() < most {
+            let max_idle = connection.max_idle.min(reuse_max_idle);
+            if connection.sender.is_ready() && connection.idle_since.elapsed() < max_idle {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Returns a connection to the pool; `keep` is how long the endpoint has stated to keep it.
-    pub fn release(&self, key: EndpointId, mut connection: Connection, keep: Option<Duration>) {
+    /// Returns a connection to the pool. `keep_alive` is the endpoint's stated idle timeout.
+    pub fn release(&self, key: EndpointId, mut connection: Connection, keep_alive: Option<Duration>) {
         connection.fresh = false;
         connection.idle_since = Instant::now();
-        connection.idle_most =
-            keep.map_or(DEFAULT_IDLE_TIMEOUT, |keep| keep.saturating_sub(IDLE_TIMEOUT_MARGIN));
+        connection.max_idle =
+            keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |timeout| timeout.saturating_sub(IDLE_TIMEOUT_MARGIN));
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(&key)
             && !connection.sender.is_closed()
         {
@@ -176,27 +178,27 @@
             endpoint.idle.retain(|connection| {
                 ready
                     && !connection.sender.is_closed()
-                    && connection.idle_since.elapsed() < connection.idle_most
+                    && connection.idle_since.elapsed() < connection.max_idle
             });
-            ready || endpoint.owned.borrow().open > 0
+            ready || endpoint.count.borrow().open > 0
         });
     }
 }
 
-/// Counts a connection while it is being established.
-struct OpenGuard(Option<Rc<RefCell<Owned>>>);
+/// Holds the count of a connection while it is being established.
+struct CountGuard(Option<Rc<RefCell<ConnectionCount>>>);
 
-impl OpenGuard {
-    /// The connection is established and takes over the count.
-    fn keep(mut self) -> Rc<RefCell<Owned>> {
+impl CountGuard {
+    /// Transfers the count to the established connection.
+    fn into_count(mut self) -> Rc<RefCell<ConnectionCount>> {
         self.0.take().unwrap_or_default()
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for CountGuard {
     fn drop(&mut self) {
-        if let Some(owner) = self.0.take() {
-            owner.borrow_mut().open -= 1;
+        if let Some(count) = self.0.take() {
+            count.borrow_mut().open -= 1;
         }
     }
 }
--- a/crates/proxy/src/prompt.rs
+++ b/crates/proxy/src/prompt.rs
@@ -1,20 +1,20 @@
-//! The parts of a prompt that a request names in its headers.
+//! Parsing of the prompt's parts from a request's headers.
 
 use runtrack_balancer::fleet::Prompt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A prompt from `X-Prompt-Prefix`: parts in order as `ID:TOKENS`, separated by commas. All but the last may be shared
-/// with other requests; the last belongs to the request or its session. None if the header is invalid.
-pub fn prompt_of(parts: &str) -> Option<Prompt> {
-    let (shared, own) = parts.rsplit_once(',').unwrap_or(("", parts));
+/// Parses the value of `X-Prompt-Prefix`: parts in order as `ID:TOKENS`, separated by commas. All but the last may be shared
+/// with other requests; the last belongs to the request or its session. Returns `None` if the value is invalid.
+pub fn parse_prompt(parts: &str) -> Option<Prompt> {
+    let (shared, last) = parts.rsplit_once(',').unwrap_or(("", parts));
     let shared: Option<Vec<(u64, u32)>> =
-        shared.split(',').filter(|part| !part.is_empty()).map(part_of).collect();
-    let (_, own_tokens) = part_of(own)?;
+        shared.split(',').filter(|part| !part.is_empty()).map(parse_part).collect();
+    let (_, own_tokens) = parse_part(last)?;
     Some(Prompt::new(shared?, own_tokens))
 }
 
-/// The hash of a part's id, and its tokens.
-fn part_of(part: &str) -> Option<(u64, u32)> {
+/// Parses one part into the hash of its id and its number of tokens.
+fn parse_part(part: &str) -> Option<(u64, u32)> {
     let (id, tokens) = part.split_once(':')?;
     Some((xxh3_64(id.trim().as_bytes()), tokens.trim().parse().ok()?))
 }
--- a/crates/proxy/src/reply_body.rs
+++ b/crates/proxy/src/reply_body.rs
@@ -1,6 +1,6 @@
 //! Bodies of responses to clients.
 
-use crate::client::{Departure, Presence};
+use crate::client::{ClientDisconnect, ClientMonitor};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Either, Full};
 use hyper::body::{Body, Frame, SizeHint};
@@ -11,7 +11,7 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc::{Receiver, Sender, channel};
 
-/// Frames that are buffered for a client that reads slowly; beyond them the endpoint is no longer read from.
+/// Maximum number of frames buffered for a client that reads slowly; beyond it the endpoint is no longer read from.
 const MAX_BUFFERED_FRAMES: usize = 8;
 
 /// The response was truncated: its connection ended before the end of the body.
@@ -20,7 +20,7 @@
 
 impl std::fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the endpoint's answer was cut short")
+        f.write_str("the response was truncated")
     }
 }
 
@@ -28,7 +28,7 @@
 
 /// The client has disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClientGone;
+pub struct ClientDisconnected;
 
 /// The sending half of a streamed body. Dropping it without [`StreamSender::finish`] aborts the body, so that the client
 /// sees it as truncated.
@@ -38,14 +38,14 @@
 }
 
 impl StreamSender {
-    /// Sends bytes; waits while the buffer is full.
-    pub async fn send(&self, bytes: Bytes) -> Result<(), ClientGone> {
-        self.bytes.send(bytes).await.map_err(|_| ClientGone)
+    /// Sends bytes; waits while the buffer is full. Fails if the client has disconnected.
+    pub async fn send(&self, bytes: Bytes) -> Result<(), ClientDisconnected> {
+        self.bytes.send(bytes).await.map_err(|_| ClientDisconnected)
     }
 
-    /// Sends bytes if the buffer has room for them.
-    pub fn try_send(&self, bytes: Bytes) -> Result<(), ClientGone> {
-        self.bytes.try_send(bytes).map_err(|_| ClientGone)
+    /// Sends bytes without waiting. Fails if the buffer is full or the client has disconnected.
+    pub fn try_send(&self, bytes: Bytes) -> Result<(), ClientDisconnected> {
+        self.bytes.try_send(bytes).map_err(|_| ClientDisconnected)
     }
 
     /// Waits until the client has disconnected.
@@ -53,7 +53,7 @@
         self.bytes.closed().await;
     }
 
-    /// Ends the body: what was sent is all of it.
+    /// Ends the body: all of it has been sent.
     pub fn finish(self) {
         self.finished.set(true);
     }
@@ -63,19 +63,19 @@
 pub struct Stream {
     bytes: Receiver<Bytes>,
     finished: Rc<Cell<bool>>,
-    departure: Option<Pin<Box<Departure>>>,
+    disconnect: Option<Pin<Box<ClientDisconnect>>>,
 }
 
 impl Stream {
-    /// Aborts the body once this client has left.
-    pub(crate) fn until_departure_of(mut self, client: Presence) -> Self {
-        self.departure = Some(Box::pin(Departure::of(client)));
+    /// Aborts the body once this client has disconnected.
+    pub(crate) fn until_disconnect_of(mut self, client: ClientMonitor) -> Self {
+        self.disconnect = Some(Box::pin(ClientDisconnect::of(client)));
         self
     }
 
-    fn poll_departure(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        match &mut self.departure {
-            Some(departure) => departure.as_mut().poll(cx),
+    fn poll_disconnect(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        match &mut self.disconnect {
+            Some(disconnect) => disconnect.as_mut().poll(cx),
             None => Poll::Pending,
         }
     }
@@ -85,7 +85,7 @@
 pub fn stream() -> (StreamSender, Stream) {
     let (sender, receiver) = channel(MAX_BUFFERED_FRAMES);
     let finished = Rc::new(Cell::new(false));
-    let stream = Stream { bytes: receiver, finished: finished.clone(), departure: None };
+    let stream = Stream { bytes: receiver, finished: finished.clone(), disconnect: None };
     (StreamSender { bytes: sender, finished }, stream)
 }
 
@@ -98,7 +98,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         let Poll::Ready(next) = self.bytes.poll_recv(cx) else {
-            return self.poll_departure(cx).map(|()| Some(Err(BodyAborted)));
+            return self.poll_disconnect(cx).map(|()| Some(Err(BodyAborted)));
         };
         Poll::Ready(match next {
             Some(bytes) => Some(Ok(Frame::data(bytes))),
@@ -127,7 +127,7 @@
             Ok(frame) => match frame.into_data() {
                 Ok(bytes) if bytes.is_empty() => {}
                 Ok(bytes) => return Some(Ok(bytes)),
-                Err(_) => {} // trailers concern the connection
+                Err(_) => {} // trailers are not forwarded
             },
             Err(_) => return Some(Err(BodyAborted)),
         }
--- a/crates/proxy/src/response_class.rs
+++ b/crates/proxy/src/response_class.rs
@@ -1,6 +1,6 @@
-//! Classifies a response head: a valid response to the request, a statement that the request never ran, or neither.
+//! Classifies a response head as a valid response to the request, as a statement that the request never ran, or as neither.
 
-use crate::headers::{ATTEMPT_ID, INSTANCE, NOT_EXECUTED, SEAL};
+use crate::headers::{ATTEMPT_ID, INSTANCE, NOT_EXECUTED, SERVER_SEAL};
 use crate::outgoing::Outgoing;
 use hyper::header::{CONTENT_ENCODING, HeaderMap};
 use hyper::{Response, StatusCode};
@@ -14,19 +14,19 @@
     Valid,
     /// The endpoint states that the request has not run there and never will.
     NotExecuted,
-    /// Neither: whether the request ran is unknown.
+    /// Neither of them, so that whether the request ran is unknown. Holds the outcome of the attempt.
     Unknown(Outcome),
 }
 
 /// Classifies the head received in response to a request. `endpoint` is the id of the endpoint it was sent to.
 pub fn classify<B>(outgoing: &Outgoing, endpoint: &str, response: &Response<B>) -> ResponseClass {
     let (status, headers) = (response.status(), response.headers());
-    if !carries_id_of(outgoing, headers) || !is_final(status) || is_encoded(headers) {
+    if !has_attempt_id_of(outgoing, headers) || !is_final(status) || is_encoded(headers) {
         return ResponseClass::Unknown(Outcome::Reset);
     }
     if status.is_success() {
         let sealed = has_seal(headers) && !headers.contains_key(NOT_EXECUTED);
-        return match sealed && !names_another(endpoint, headers) {
+        return match sealed && !names_other_endpoint(endpoint, headers) {
             true => ResponseClass::Valid,
             false => ResponseClass::Unknown(Outcome::Reset),
         };
@@ -34,44 +34,44 @@
     if headers.contains_key(NOT_EXECUTED) || status == StatusCode::MISDIRECTED_REQUEST {
         return ResponseClass::NotExecuted;
     }
-    match is_promise(status) && !mutant("proxy_bare_promise_kept") {
+    match implies_not_executed(status) && !mutant("proxy_bare_promise_kept") {
         true => ResponseClass::Unknown(Outcome::Error),
         false => ResponseClass::Valid,
     }
 }
 
-/// Whether a status is one of a final response: neither informational nor outside the defined classes.
+/// Whether a status belongs to a final response: neither informational nor outside the defined classes.
 fn is_final(status: StatusCode) -> bool {
     (200..600).contains(&status.as_u16())
 }
 
-/// Whether the body is encoded. No request asks for an encoding, so that such a body is not the endpoint's.
+/// Whether the body is encoded. Endpoints never encode bodies, since no request asks for an encoding.
 fn is_encoded(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_ENCODING) && !mutant("proxy_encoded_passed_on")
 }
 
 /// Whether the head carries the seal that every successful response of an endpoint has.
 fn has_seal(headers: &HeaderMap) -> bool {
-    headers.get(SEAL).is_some_and(|seal| !seal.is_empty()) || mutant("proxy_seal_not_required")
+    headers.get(SERVER_SEAL).is_some_and(|seal| !seal.is_empty()) || mutant("proxy_seal_not_required")
 }
 
-/// Whether the head names another endpoint than the request was sent to.
-fn names_another(endpoint: &str, headers: &HeaderMap) -> bool {
+/// Whether the head names an endpoint other than the one that the request was sent to.
+fn names_other_endpoint(endpoint: &str, headers: &HeaderMap) -> bool {
     headers.get_all(INSTANCE).iter().any(|id| id != endpoint)
 }
 
-/// Whether a client would read this status as a statement that its request never ran. Such a status must not reach a
-/// client unless the endpoint states it with `X-Not-Executed`.
-fn is_promise(status: StatusCode) -> bool {
+/// Whether a client would interpret this status as a statement that its request never ran. Such a status must not reach a
+/// client unless the endpoint confirms it with `X-Not-Executed`.
+fn implies_not_executed(status: StatusCode) -> bool {
     [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS, StatusCode::SERVICE_UNAVAILABLE]
         .contains(&status)
 }
 
-/// Whether the head carries the request's attempt id, and no other. A request without an id has a connection of its own,
-/// on which a response without an id can only belong to it.
-fn carries_id_of(outgoing: &Outgoing, headers: &HeaderMap) -> bool {
-    let mut carried = headers.get_all(ATTEMPT_ID).iter();
-    let (first, second) = (carried.next(), carried.next());
+/// Whether the head carries the request's attempt id and no other. A request without an id uses a new connection, on which
+/// a response without an id can only belong to that request.
+fn has_attempt_id_of(outgoing: &Outgoing, headers: &HeaderMap) -> bool {
+    let mut ids = headers.get_all(ATTEMPT_ID).iter();
+    let (first, second) = (ids.next(), ids.next());
     if first.is_none() && mutant("proxy_id_not_required") {
         return true;
     }
--- a/crates/proxy/src/response_relay.rs
+++ b/crates/proxy/src/response_relay.rs
@@ -1,4 +1,4 @@
-//! Forwarding a response body: in which units, and whether it ended at a valid point.
+//! Forwarding of response bodies: the unit in which bytes are forwarded, and detection of truncated bodies.
 
 use crate::events::EventTracker;
 use crate::in_flight::ActiveResponse;
@@ -8,11 +8,11 @@
 /// Unit in which a body is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Unit {
-    /// Bytes as they are received, of any content.
+    /// Bytes of any content, as they are received.
     Bytes,
-    /// Bytes as they are received, of a stream of events.
+    /// Bytes of an event stream, as they are received.
     Events,
-    /// Complete events, so that another endpoint can resume the stream behind each.
+    /// Complete events, so that another endpoint can resume the stream after each.
     CompleteEvents,
 }
 
@@ -23,12 +23,12 @@
 }
 
 impl ResponseRelay {
-    /// For a body of any content.
+    /// Creates the state for a body of any content.
     pub(crate) fn for_bytes() -> Self {
         ResponseRelay { unit: Unit::Bytes, events: EventTracker::default() }
     }
 
-    /// For a stream of events.
+    /// Creates the state for an event stream.
     pub(crate) fn for_events(request: &RoutedRequest) -> Self {
         let unit = if request.resumable { Unit::CompleteEvents } else { Unit::Events };
         ResponseRelay { unit, events: EventTracker::default() }
@@ -39,22 +39,22 @@
         match self.unit {
             Unit::Bytes => {}
             Unit::Events => self.events.observe(&bytes),
-            Unit::CompleteEvents => return self.events.take(&bytes).map(Bytes::from),
+            Unit::CompleteEvents => return self.events.push(&bytes).map(Bytes::from),
         }
         Some(bytes)
     }
 
-    /// The bytes that were buffered.
+    /// The buffered bytes, which have not been forwarded.
     pub(crate) fn remainder(&self) -> Bytes {
         Bytes::copy_from_slice(self.events.partial())
     }
 
-    /// Id of the event behind which another endpoint could resume the stream.
-    pub(crate) fn resumes_after(&self) -> Option<&str> {
+    /// Id of the event after which another endpoint could resume the stream; `None` if the stream can't be resumed.
+    pub(crate) fn resumable_after(&self) -> Option<&str> {
         self.events.last_id().filter(|_| self.unit == Unit::CompleteEvents)
     }
 
-    /// Whether a response that has ended was truncated: a body that ends with its connection may not end within an event.
+    /// Whether a response that has ended was truncated: a body that ends with its connection must not end within an event.
     pub(crate) fn is_truncated(&self, active: &ActiveResponse) -> bool {
         active.started.ends_with_connection && self.events.is_within_event()
     }
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -1,5 +1,5 @@
-//! Decides whether a request, or the remainder of a stream, may be sent to another endpoint after a failed attempt, and why
-//! it is given up where it may not.
+//! Decides whether a request, or the remainder of a stream, may be sent to another endpoint after a failed attempt, and if
+//! not, which error the client gets.
 
 use crate::attempt::AttemptError;
 use crate::routed::RoutedRequest;
@@ -8,13 +8,14 @@
 use runtrack_net::mutant;
 use tokio::time::Instant;
 
-/// Limit of failed connects per request, which do not count as attempts of the route.
-const MAX_CONNECT_ATTEMPTS: usize = 5;
+/// Maximum number of failed connects per request. They do not count for the route's `maxTries`.
+const MAX_FAILED_CONNECTS: usize = 5;
 
-/// Limit of endpoints that state that they have not run a request, which do not count as attempts of the route either.
+/// Maximum number of retries of a request after endpoints that state that they have not run it. These endpoints do not
+/// count for the route's `maxTries` either.
 const MAX_UNEXECUTED: u32 = 3;
 
-/// How an attempt failed, as far as it matters for another one.
+/// How an attempt failed, as far as it matters for a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
     /// The request was not sent.
@@ -23,7 +24,7 @@
     NotExecuted,
     /// The request was sent, and no valid response has started.
     NoResponse,
-    /// A response has started, and it is an error, is truncated, or has paused for too long.
+    /// A response has started, and it is an error, is truncated, or has stalled.
     BadResponse,
 }
 
@@ -40,48 +41,49 @@
 /// State of the attempts of a request.
 #[derive(Clone, Default)]
 pub(crate) struct AttemptState {
-    /// Endpoints that it was or is being sent to.
+    /// Endpoints that the request was or is being sent to.
     tried: Vec<EndpointId>,
-    /// Endpoints that may have run the request.
+    /// Number of endpoints that may have run the request.
     dispatched: u32,
-    /// Endpoints that have stated that they did not run it.
+    /// Number of endpoints that have stated that they did not run the request.
     unexecuted: u32,
-    unconnected: usize,
+    failed_connects: usize,
     may_have_run: bool,
 }
 
 impl AttemptState {
-    /// Endpoints that it was or is being sent to.
+    /// Endpoints that the request was or is being sent to.
     pub(crate) fn tried(&self) -> &[EndpointId] {
         &self.tried
     }
 
-    /// An attempt at this endpoint begins.
+    /// Called when an attempt at this endpoint begins.
     pub(crate) fn on_attempt(&mut self, endpoint: EndpointId) {
         self.tried.push(endpoint);
     }
 
-    /// The endpoint that was tried last has started its response.
+    /// Called when the endpoint that was tried last has started its response.
     pub(crate) fn on_response(&mut self) {
         self.dispatched += 1;
     }
 
-    /// The attempt at the endpoint that was tried last was given up: the endpoint may have begun to run the request.
+    /// Called when the attempt at the endpoint that was tried last was abandoned; the endpoint may have begun to run the
+    /// request.
     pub(crate) fn on_abandoned(&mut self) {
         self.dispatched += 1;
     }
 
-    /// Accounts for a failed attempt; returns whether another endpoint may be tried. What was sent before takes a retry off
-    /// the budget that all proxies share.
+    /// Accounts for a failed attempt; returns whether another endpoint may be tried. Unless the failed attempt was not sent,
+    /// the retry is taken from the budget that all proxies share.
     pub(crate) fn may_retry(&mut self, state: &State, request: &RoutedRequest, failure: Failure) -> bool {
         self.on_failure(failure);
-        self.allows_another(request, failure)
+        self.allows_retry(request, failure)
             && (failure == Failure::NotSent || acquire_retry(state, request))
     }
 
     fn on_failure(&mut self, failure: Failure) {
         match failure {
-            Failure::NotSent => self.unconnected += 1,
+            Failure::NotSent => self.failed_connects += 1,
             Failure::NotExecuted => self.unexecuted += 1,
             Failure::NoResponse => {
                 self.dispatched += 1;
@@ -91,14 +93,14 @@
         }
     }
 
-    /// Whether another attempt is allowed as far as the request itself is concerned. The route's `maxTries` bounds the
-    /// endpoints that may have run it; what was not run counts for the retry budget alone.
-    fn allows_another(&self, request: &RoutedRequest, failure: Failure) -> bool {
+    /// Whether the limits of the request itself allow another attempt. The route's `maxTries` limits the number of endpoints
+    /// that may have run the request; endpoints that have not run it only count for [`MAX_UNEXECUTED`] and the retry budget.
+    fn allows_retry(&self, request: &RoutedRequest, failure: Failure) -> bool {
         match failure {
-            Failure::NotSent => self.unconnected < MAX_CONNECT_ATTEMPTS && request.outgoing.is_wanted(),
+            Failure::NotSent => self.failed_connects < MAX_FAILED_CONNECTS && request.outgoing.is_wanted(),
             Failure::NotExecuted => self.unexecuted <= MAX_UNEXECUTED && request.outgoing.is_wanted(),
             Failure::NoResponse | Failure::BadResponse => {
-                may_run_again(request)
+                may_repeat(request)
                     && self.dispatched < request.max_tries
                     && Instant::now() < request.outgoing.deadline
             }
@@ -106,7 +108,7 @@
     }
 }
 
-fn may_run_again(request: &RoutedRequest) -> bool {
+fn may_repeat(request: &RoutedRequest) -> bool {
     request.outgoing.idempotent || mutant("proxy_repeats_what_runs_once")
 }
 
@@ -114,18 +116,18 @@
     state.router().try_acquire_retry(state.now(), service_key(&request.service))
 }
 
-/// Why a request was given up.
+/// Why a request failed.
 pub(crate) enum RequestError {
-    /// It never ran.
+    /// The request never ran.
     Refused,
-    /// Its deadline has passed, and it may have run.
+    /// The deadline has passed, and the request may have run.
     TimedOut,
-    /// It may have run.
+    /// The request may have run.
     Failed,
 }
 
 impl RequestError {
-    /// Why a request is given up now, after these attempts.
+    /// The error of a request that fails now, after these attempts.
     pub(crate) fn after(request: &RoutedRequest, attempts: &AttemptState) -> Self {
         match attempts.may_have_run {
             _ if mutant("proxy_refuses_what_was_sent") => RequestError::Refused,
--- a/crates/proxy/src/routed.rs
+++ b/crates/proxy/src/routed.rs
@@ -1,9 +1,9 @@
-//! A request with the settings of its route.
+//! A completely received request together with the settings of its route.
 
-use crate::client::Presence;
+use crate::client::ClientMonitor;
 use crate::headers::{ATTEMPT_ID, PROMPT_PREFIX, TIME_BUDGET, remove_hop_headers};
 use crate::outgoing::Outgoing;
-use crate::prompt::prompt_of;
+use crate::prompt::parse_prompt;
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A stream that sends nothing for this many of the longest pauses that its route allows, and for [`MIN_STALL_TIMEOUT`] at
-/// least, counts against its endpoint.
+/// A stream counts as stalled after sending nothing for this many times the longest pause that its route allows, and at
+/// least for [`MIN_STALL_TIMEOUT`]. A stall counts against the endpoint.
 const STALL_PAUSES: u32 = 4;
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
@@ -25,22 +25,22 @@
     pub(crate) max_tries: u32,
     pub(crate) resumable: bool,
     pub(crate) streaming: bool,
-    /// A stream that pauses for longer counts against its endpoint.
+    /// A stream that sends nothing for longer than this counts as stalled.
     pub(crate) stall_timeout: Duration,
     pub(crate) prompt: Option<Prompt>,
 }
 
 impl RoutedRequest {
-    /// A request that was received completely.
+    /// Creates the request from its head and its complete body.
     pub(crate) fn new(
         route: &Route,
         service: &Service,
         mut head: Parts,
         body: Bytes,
         deadline: Instant,
-        client: Presence,
+        client: ClientMonitor,
     ) -> Self {
-        let prompt = prompt_at(route, &head.headers);
+        let prompt = pinned_prompt(route, &head.headers);
         let id = head.headers.get(ATTEMPT_ID).cloned();
         remove_hop_headers(&mut head.headers);
         let outgoing = Outgoing {
@@ -67,13 +67,14 @@
     }
 }
 
-/// Time budget of a request: the least that the client states, and at most the timeout of its route.
+/// Time budget of a request: the smallest that the client states, limited by the timeout of its route.
 pub(crate) fn time_budget(route: &Route, headers: &HeaderMap) -> Duration {
-    headers.get_all(TIME_BUDGET).iter().filter_map(milliseconds).fold(route.timeout, Duration::min)
+    headers.get_all(TIME_BUDGET).iter().filter_map(parse_milliseconds).fold(route.timeout, Duration::min)
 }
 
-/// A number of milliseconds, which may have a fraction. A negative one leaves no time; what is no number is none.
-fn milliseconds(value: &HeaderValue) -> Option<Duration> {
+/// Parses a number of milliseconds, which may have a fraction. A negative number counts as zero; `None` if the value is not
+/// a number.
+fn parse_milliseconds(value: &HeaderValue) -> Option<Duration> {
     let number: f64 = value.to_str().ok()?.trim().parse().ok()?;
     if number.is_nan() {
         return None;
@@ -81,9 +82,10 @@
     Some(Duration::try_from_secs_f64(number.max(0.0) / 1000.0).unwrap_or(Duration::MAX))
 }
 
-fn prompt_at(route: &Route, headers: &HeaderMap) -> Option<Prompt> {
+/// The prompt that a request states, if its route selects endpoints by prompt prefix.
+fn pinned_prompt(route: &Route, headers: &HeaderMap) -> Option<Prompt> {
     let prefix = headers.get(PROMPT_PREFIX).and_then(|value| value.to_str().ok());
-    prefix.filter(|_| route.pinned).and_then(prompt_of)
+    prefix.filter(|_| route.pinned).and_then(parse_prompt)
 }
 
 fn stall_timeout(route: &Route) -> Duration {
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -1,4 +1,4 @@
-//! What the proxy knows of the fleet, ready for use by requests: routes, ready endpoints by service, the module.
+//! State that all requests share: routes, the ready endpoints of each service, and the load balancer.
 
 use runtrack_balancer::EndpointId;
 use runtrack_balancer::fleet::{RetryBudget, Router};
@@ -21,34 +21,34 @@
 
 /// Shortest interval between two load reports to the agent.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
-/// A load report that is not empty is repeated after this time, since receivers drop old ones.
+/// A load report that is not empty is repeated after this time, since receivers discard old reports.
 const REPORT_REPEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// Most placements of prefixes in one report.
-const MAX_PLACEMENTS: usize = 256;
-/// Number of proxies that is assumed until the agent reports it.
+/// Maximum number of prefix placements in one report.
+const MAX_REPORTED_PLACEMENTS: usize = 256;
+/// Number of proxies assumed until the agent reports it.
 const DEFAULT_PROXIES: u32 = 16;
 
 /// An endpoint that requests may go to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Key in `runtrack-balancer`.
+    /// Key of the endpoint in `runtrack-balancer`.
     pub key: EndpointId,
-    /// Its id, for `X-Target-Instance`.
+    /// Id of the endpoint, sent in `X-Target-Instance`.
     pub id: String,
-    /// Address that it listens on.
+    /// Address that the endpoint listens on.
     pub address: SocketAddrV4,
 }
 
 /// The ready endpoints of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Pool {
-    /// Keys of the endpoints to select from, in ascending order.
+pub struct ServiceEndpoints {
+    /// Keys of the endpoints to select from, in ascending order; suspect endpoints are left out while they are a minority.
     pub ready: Vec<EndpointId>,
     targets: HashMap<EndpointId, Target>,
 }
 
-impl Pool {
-    /// The endpoint of a key, if it is ready.
+impl ServiceEndpoints {
+    /// The endpoint with this key, if it is ready.
     pub fn target(&self, key: EndpointId) -> Option<&Target> {
         self.targets.get(&key)
     }
@@ -60,11 +60,11 @@
     logger: Logger,
     routes: RefCell<Option<Rc<RouteTable>>>,
     version: Cell<u64>,
-    pools: RefCell<HashMap<String, Rc<Pool>>>,
+    endpoints_by_service: RefCell<HashMap<String, Rc<ServiceEndpoints>>>,
     router: RefCell<Router>,
-    /// Ready endpoints of all services.
+    /// Number of ready endpoints of all services.
     ready: Cell<usize>,
-    /// Notified when the unread prompt tokens of this proxy's requests have changed.
+    /// Notified when the pending prompt tokens of this proxy's requests have changed.
     backlog: Notify,
     /// The load report that was sent last.
     last_reported: RefCell<Vec<(EndpointId, u32)>>,
@@ -77,23 +77,23 @@
 }
 
 impl State {
-    /// A state without routes and endpoints.
+    /// Creates a state without routes and endpoints.
     pub fn new(gossip: Rc<Gossip>, node: &Node) -> Rc<Self> {
-        let second = RetryBudget {
+        let retry_budget = RetryBudget {
             ratio: node.bounds.retry_ratio,
             slack: node.bounds.retry_slack,
             window: node.bounds.retry_window,
         };
-        let mut router = Router::new(fastrand::u64(..), second, DEFAULT_PROXIES);
+        let mut router = Router::new(fastrand::u64(..), retry_budget, DEFAULT_PROXIES);
         if node.first_boot {
-            router.set_all_placements_known(); // there are none
+            router.set_all_placements_known(); // a new fleet has no placements
         }
         Rc::new(State {
             logger: gossip.logger().clone(),
             gossip,
             routes: RefCell::default(),
             version: Cell::new(0),
-            pools: RefCell::default(),
+            endpoints_by_service: RefCell::default(),
             router: RefCell::new(router),
             ready: Cell::new(0),
             backlog: Notify::new(),
@@ -107,33 +107,33 @@
         self.started_at.elapsed()
     }
 
-    /// The log.
+    /// The logger of the process.
     pub fn logger(&self) -> &Logger {
         &self.logger
     }
 
-    /// The load balancer. The borrow must end before the next await.
+    /// The load balancer. The borrow must end before the next `await`.
     pub fn router(&self) -> std::cell::RefMut<'_, Router> {
         self.router.borrow_mut()
     }
 
-    /// An endpoint with requests of this proxy in progress has sent nothing for too long.
+    /// Reports to the load balancer that an endpoint with requests in progress has sent nothing for too long.
     pub fn on_missing_event(&self, key: EndpointId) {
         let now = self.now();
         self.router().on_stall(now, key);
     }
 
-    /// The routes in force; a request uses the same ones to its end.
+    /// The current routes; a request uses the same ones to its end. None before the first configuration.
     pub fn routes(&self) -> Option<Rc<RouteTable>> {
         self.routes.borrow().clone()
     }
 
     /// The ready endpoints of a service.
-    pub fn pool(&self, service: &str) -> Rc<Pool> {
-        self.pools.borrow().get(service).cloned().unwrap_or_default()
+    pub fn endpoints_of(&self, service: &str) -> Rc<ServiceEndpoints> {
+        self.endpoints_by_service.borrow().get(service).cloned().unwrap_or_default()
     }
 
-    /// Whether an endpoint is ready; checked right before a request is written.
+    /// Whether an endpoint is ready; checked again right before a request is sent.
     pub fn is_ready(&self, key: EndpointId) -> bool {
         self.gossip
             .replica()
@@ -142,12 +142,13 @@
             .is_some_and(|record| record.state == EndpointState::Ready)
     }
 
-    /// Whether requests can be served.
+    /// Whether the proxy has routes and at least one ready endpoint.
     pub fn can_serve(&self) -> bool {
-        self.routes.borrow().is_some() && self.pools.borrow().values().any(|pool| !pool.ready.is_empty())
+        self.routes.borrow().is_some()
+            && self.endpoints_by_service.borrow().values().any(|service| !service.ready.is_empty())
     }
 
-    fn take_routes(&self) {
+    fn update_routes(&self) {
         let Some(stored) = self.gossip.config().filter(|config| config.version > self.version.get()) else {
             return;
         };
@@ -161,58 +162,63 @@
         }
     }
 
-    fn take_endpoints(&self) {
-        let mut pools: HashMap<String, Pool> = HashMap::new();
+    fn update_endpoints(&self) {
+        let mut endpoints_by_service: HashMap<String, ServiceEndpoints> = HashMap::new();
         for (key, record) in self.gossip.replica().registry().iter() {
-            let key_of = EndpointId(key);
+            let endpoint = EndpointId(key);
             if record.state != EndpointState::Ready {
-                self.router.borrow_mut().forget(key_of);
+                self.router.borrow_mut().forget(endpoint);
                 continue;
             }
             if record.port == 0 {
                 continue;
             }
-            let pool = pools.entry(record.service.as_string()).or_default();
-            let target = Target { key: key_of, id: record.id.as_string(), address: address_of(record) };
-            pool.targets.insert(key_of, target);
+            let service = endpoints_by_service.entry(record.service.as_string()).or_default();
+            let target = Target { key: endpoint, id: record.id.as_string(), address: address_of(record) };
+            service.targets.insert(endpoint, target);
         }
-        self.set_cache_sizes(&pools);
-        for pool in pools.values_mut() {
-            let mut ready: Vec<EndpointId> = pool.targets.keys().copied().collect();
+        self.set_cache_sizes(&endpoints_by_service);
+        for service in endpoints_by_service.values_mut() {
+            let mut ready: Vec<EndpointId> = service.targets.keys().copied().collect();
             ready.sort_unstable();
-            let heard = |key: &EndpointId| !self.gossip.is_reported_suspect(key.0);
-            let fresh: Vec<EndpointId> = ready.iter().copied().filter(heard).collect();
-            // If most endpoints are suspect, the cause is more likely on this side.
-            pool.ready = if fresh.len() * 2 > ready.len() { fresh } else { ready };
+            let unsuspected = |key: &EndpointId| !self.gossip.is_reported_suspect(key.0);
+            let trusted: Vec<EndpointId> = ready.iter().copied().filter(unsuspected).collect();
+            // If half or more of the endpoints are suspect, the cause is more likely on this side, so none are excluded.
+            service.ready = if trusted.len() * 2 > ready.len() { trusted } else { ready };
         }
-        let ready = pools.values().map(|pool| pool.ready.len()).sum();
+        let ready = endpoints_by_service.values().map(|service| service.ready.len()).sum();
         if self.ready.replace(ready) != ready {
             info!(self.logger, "endpoints.ready"; "count" => ready);
         }
-        *self.pools.borrow_mut() = pools.into_iter().map(|(name, pool)| (name, Rc::new(pool))).collect();
+        *self.endpoints_by_service.borrow_mut() =
+            endpoints_by_service.into_iter().map(|(name, service)| (name, Rc::new(service))).collect();
     }
 
-    /// Tells the load balancer what the endpoints of each service can keep.
-    fn set_cache_sizes(&self, pools: &HashMap<String, Pool>) {
+    /// Passes the cache size of each endpoint, in tokens, to the load balancer.
+    fn set_cache_sizes(&self, endpoints_by_service: &HashMap<String, ServiceEndpoints>) {
         let routes = self.routes.borrow();
         let services = routes.as_ref().map(|table| table.config().services.as_slice()).unwrap_or_default();
         for service in services {
             let Some(engine) = service.engine else { continue };
-            for key in pools.get(&service.name).iter().flat_map(|pool| pool.targets.keys()) {
+            for key in endpoints_by_service
+                .get(&service.name)
+                .iter()
+                .flat_map(|endpoints| endpoints.targets.keys())
+            {
                 self.router.borrow_mut().set_cache_tokens(*key, engine.kv_tokens);
             }
         }
     }
 
-    /// The unread prompt tokens of this proxy's requests have changed by this number.
+    /// Schedules a load report if the pending prompt tokens of this proxy's requests have changed by `tokens`.
     pub fn backlog_changed(&self, tokens: u32) {
         if tokens > 0 {
             self.backlog.notify_one();
         }
     }
 
-    /// Sends load reports, the unread prompt tokens of this proxy's requests by endpoint, to the agent for as long as the
-    /// process runs.
+    /// Sends load reports to the agent for as long as the process runs. A report holds the pending prompt tokens of this
+    /// proxy's requests by endpoint.
     pub async fn report_backlog(self: Rc<Self>) {
         let mut empty = true;
         loop {
@@ -233,9 +239,9 @@
         }
     }
 
-    /// Sends the prefixes that were placed since the last report to the agent.
+    /// Sends the prefix placements since the last report to the agent.
     fn report_placements(&self) {
-        let placed = self.router.borrow_mut().take_unreported_placements(MAX_PLACEMENTS);
+        let placed = self.router.borrow_mut().take_unreported_placements(MAX_REPORTED_PLACEMENTS);
         if placed.is_empty() {
             return;
         }
@@ -244,8 +250,8 @@
         self.gossip.broadcast_since(Role::Agent, PLACEMENT_WIRE_VERSION, &message);
     }
 
-    /// Learns where other proxies have placed prefixes.
-    pub fn take_placements(&self, placements: &PrefixPlacements) {
+    /// Passes the prefix placements of other proxies to the load balancer.
+    pub fn apply_placements(&self, placements: &PrefixPlacements) {
         let now = self.now();
         let mut router = self.router.borrow_mut();
         for placement in placements.items().iter().copied() {
@@ -253,20 +259,20 @@
         }
     }
 
-    /// Stores the sum of all proxies' load reports.
-    pub fn take_fleet_backlog(&self, backlog: &Backlog) {
+    /// Passes the sum of all proxies' load reports to the load balancer.
+    pub fn apply_fleet_backlog(&self, backlog: &Backlog) {
         let all: Vec<(EndpointId, u32)> =
             backlog.items().iter().map(|pending| (EndpointId(pending.endpoint), pending.tokens)).collect();
         let now = self.now();
         self.router.borrow_mut().set_fleet_backlog(now, &all, &self.last_reported.borrow());
     }
 
-    /// Follows changes of the replica for as long as the process runs.
+    /// Applies changes of the replica for as long as the process runs.
     pub async fn run(self: Rc<Self>) {
         let mut changes = self.gossip.changes();
         loop {
-            self.take_routes();
-            self.take_endpoints();
+            self.update_routes();
+            self.update_endpoints();
             let proxies = self.gossip.proxies();
             if proxies > 0 {
                 self.router.borrow_mut().set_proxies(proxies);
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -52,9 +52,9 @@
     ) -> Reply {
         active.in_flight.on_response_started();
         let (sender, body) = stream();
-        let body = body.until_departure_of(request.outgoing.client.clone());
+        let body = body.until_disconnect_of(request.outgoing.client.clone());
         let reply = reply_head(&active).map(|()| Either::Right(body));
-        let _ = sender.try_send(first); // there is room for the first one
+        let _ = sender.try_send(first); // the buffer is empty
         spawn_local(self.relay_to_end(request.clone(), active, attempts.clone(), relay, sender));
         reply
     }
@@ -68,17 +68,17 @@
         relay: ResponseRelay,
         sender: StreamSender,
     ) {
-        let followed = tokio::select! {
-            followed = self.follow(&request, active, attempts, relay, &sender) => followed,
-            () = sender.closed() => return, // the client has gone, and with this the endpoint's connection
+        let result = tokio::select! {
+            result = self.relay_resuming(&request, active, attempts, relay, &sender) => result,
+            () = sender.closed() => return, // the client has disconnected; dropping the attempt closes its connection
         };
-        if followed.is_ok() {
+        if result.is_ok() {
             sender.finish();
         }
     }
 
-    /// Forwards a stream, resuming it at other endpoints if necessary; fails if it did not reach its end.
-    async fn follow(
+    /// Forwards a stream, resuming it at other endpoints if necessary. Fails if the stream did not reach its end.
+    async fn relay_resuming(
         &self,
         request: &RoutedRequest,
         mut active: ActiveResponse,
@@ -87,14 +87,14 @@
         sender: &StreamSender,
     ) -> Result<(), TruncatedResponse> {
         loop {
-            let relayed = self.relay_one(request, &mut active, &mut attempts, &mut relay, sender).await;
+            let relayed = self.relay_attempt(request, &mut active, &mut attempts, &mut relay, sender).await;
             let Err(interruption) = relayed else {
                 self.finish(request, active, Outcome::Ok);
                 return Ok(());
             };
             self.connections.close_idle(active.in_flight.key);
             active = match interruption {
-                Interruption::TakenOver(other) => {
+                Interruption::Resumed(other) => {
                     active.in_flight.outcome = Outcome::TimedOut;
                     *other
                 }
@@ -108,14 +108,15 @@
         }
     }
 
-    /// Asks another endpoint to resume a stream behind the last complete event that was forwarded.
+    /// Sends the request to another endpoint to resume a stream after the last complete event that was forwarded. Returns
+    /// `None` if the stream can't be resumed.
     async fn resume(
         &self,
         request: &RoutedRequest,
         attempts: &mut AttemptState,
         relay: &ResponseRelay,
     ) -> Option<ActiveResponse> {
-        let last = HeaderValue::from_str(relay.resumes_after()?).ok()?;
+        let last = HeaderValue::from_str(relay.resumable_after()?).ok()?;
         if !attempts.may_retry(&self.state, request, Failure::BadResponse) {
             return None;
         }
@@ -123,8 +124,8 @@
         active.started.response.status().is_success().then_some(active)
     }
 
-    /// Forwards what one endpoint sends, until it ends or is interrupted.
-    async fn relay_one(
+    /// Forwards what one endpoint sends, until the stream ends or is interrupted.
+    async fn relay_attempt(
         &self,
         request: &RoutedRequest,
         active: &mut ActiveResponse,
@@ -133,9 +134,9 @@
         sender: &StreamSender,
     ) -> Result<(), Interruption> {
         while let Some(bytes) = self.next_of_stream(request, active, attempts, relay).await? {
-            active.in_flight.on_response_started(); // where another endpoint goes on with a stream
+            active.in_flight.on_response_started(); // needed if this attempt resumes a stream
             let ready = relay.push(bytes);
-            if relay.events.starts_over() {
+            if relay.events.repeats_events() {
                 return Err(Interruption::Ended(Outcome::Reset));
             }
             if let Some(ready) = ready {
@@ -145,14 +146,14 @@
         if relay.is_truncated(active) {
             return Err(Interruption::Ended(Outcome::Reset));
         }
-        // The endpoint ended its response with this, even if it is no complete event.
+        // The endpoint ended its response with these bytes, even if they are not a complete event.
         match relay.remainder() {
-            rest if rest.is_empty() => Ok(()),
-            rest => send_in_time(request, sender, rest).await,
+            remainder if remainder.is_empty() => Ok(()),
+            remainder => send_in_time(request, sender, remainder).await,
         }
     }
 
-    /// The next bytes of a stream; none at its end. A pause that is too long counts against its endpoint.
+    /// The next bytes of a stream; `None` at its end. A stall counts against the endpoint.
     async fn next_of_stream(
         &self,
         request: &RoutedRequest,
@@ -163,67 +164,67 @@
         let (deadline, key) = (request.outgoing.deadline, active.in_flight.key);
         let body = active.started.response.body_mut();
         match timeout_at(deadline, timeout(request.stall_timeout, next_bytes(body))).await {
-            // The endpoint was still at work at the deadline, which does not count against it.
+            // The stream had not stalled when the deadline passed, so this does not count against the endpoint.
             Err(_) => Err(Interruption::Ended(Outcome::Cancelled)),
-            Ok(Ok(next)) => received(next),
+            Ok(Ok(next)) => body_result(next),
             Ok(Err(_)) => {
                 self.state.on_missing_event(key);
-                self.next_after_pause(request, body, attempts, relay).await
+                self.next_after_stall(request, body, attempts, relay).await
             }
         }
     }
 
-    /// Waits for the next bytes of a stream that has paused for too long, until the deadline. Meanwhile another endpoint is
-    /// asked to resume it, where that is allowed. The pause alone ends nothing: the paused attempt is kept until the other
-    /// endpoint has started its response, and goes on if its bytes are received first.
-    async fn next_after_pause(
+    /// Waits for the next bytes of a stalled stream, until the deadline. Meanwhile the request is sent to another endpoint to
+    /// resume the stream, if that is allowed. The stalled attempt is kept until the other endpoint has started its response,
+    /// and continues if its own bytes are received first.
+    async fn next_after_stall(
         &self,
         request: &RoutedRequest,
         body: &mut Incoming,
         attempts: &mut AttemptState,
         relay: &ResponseRelay,
     ) -> Result<Option<Bytes>, Interruption> {
-        let tried = attempts.tried().len();
+        let tried_before = attempts.tried().len();
         let mut declined = false;
         let next = {
-            let mut taking_over = pin!(self.resume(request, attempts, relay));
+            let mut resuming = pin!(self.resume(request, attempts, relay));
             loop {
                 tokio::select! {
                     biased;
                     next = timeout_at(request.outgoing.deadline, next_bytes(body)) => {
                         if matches!(next, Ok(Some(Err(BodyAborted)))) && !declined {
-                            let other = taking_over.await.ok_or(Interruption::Ended(Outcome::Reset))?;
-                            return Err(Interruption::TakenOver(Box::new(other)));
+                            let other = resuming.await.ok_or(Interruption::Ended(Outcome::Reset))?;
+                            return Err(Interruption::Resumed(Box::new(other)));
                         }
                         break next;
                     }
-                    other = &mut taking_over, if !declined => match other {
-                        Some(other) => return Err(Interruption::TakenOver(Box::new(other))),
+                    other = &mut resuming, if !declined => match other {
+                        Some(other) => return Err(Interruption::Resumed(Box::new(other))),
                         None => declined = true,
                     },
                 }
             }
         };
-        if !declined && attempts.tried().len() > tried {
+        if !declined && attempts.tried().len() > tried_before {
             attempts.on_abandoned();
         }
-        received(next.map_err(|_| Interruption::Ended(Outcome::TimedOut))?)
+        body_result(next.map_err(|_| Interruption::Ended(Outcome::TimedOut))?)
     }
 }
 
-/// Why an endpoint's part of a stream was not forwarded to the end of the stream.
+/// Why forwarding from one endpoint stopped before the end of the stream.
 enum Interruption {
     /// The attempt ended with this outcome.
     Ended(Outcome),
-    /// The endpoint has paused, and another one has resumed the stream.
-    TakenOver(Box<ActiveResponse>),
+    /// The endpoint's stream has stalled, and another endpoint has resumed it.
+    Resumed(Box<ActiveResponse>),
 }
 
-fn received(next: Option<Result<Bytes, BodyAborted>>) -> Result<Option<Bytes>, Interruption> {
+fn body_result(next: Option<Result<Bytes, BodyAborted>>) -> Result<Option<Bytes>, Interruption> {
     next.transpose().map_err(|BodyAborted| Interruption::Ended(Outcome::Reset))
 }
 
-/// Sends bytes to a client, which may read slowly, until the deadline of its request.
+/// Sends bytes to a client, waiting while it reads slowly, until the deadline of its request.
 async fn send_in_time(
     request: &RoutedRequest,
     sender: &StreamSender,
--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -163,13 +163,13 @@
 #[test]
 fn a_stream_is_not_gone_on_with_behind_an_event_that_was_passed_on_in_parts() {
     let mut events = EventTracker::default();
-    assert!(events.take(event(1).as_bytes()).is_some());
+    assert!(events.push(event(1).as_bytes()).is_some());
     assert_eq!(events.last_id(), Some("1"));
     let long = format!("id: 2\ndata: {}", "x".repeat(300 << 10));
-    assert!(events.take(long.as_bytes()).is_some(), "it is too long to be held back");
+    assert!(events.push(long.as_bytes()).is_some(), "it is too long to be held back");
     assert_eq!(events.last_id(), None, "part of an event has gone on");
-    assert!(events.take(b"\n\n").is_some());
-    assert!(events.take(event(3).as_bytes()).is_some());
+    assert!(events.push(b"\n\n").is_some());
+    assert!(events.push(event(3).as_bytes()).is_some());
     assert_eq!(events.last_id(), None);
 }
 
