--- a/crates/proxy/src/outgoing.rs
+++ b/crates/proxy/src/outgoing.rs
@@ -34,7 +34,7 @@
     /// Whether the deadline has not passed and the client is still connected.
     pub fn is_wanted(&self) -> bool {
         Instant::now() < self.deadline
-            && (!self.client.is_disconnected() || mutant("proxy_sends_for_who_left"))
+            && (!self.client.is_disconnected() || mutant("proxy_sends_after_disconnect"))
     }
 
     /// Which idle connections the request may use.
--- a/crates/proxy/src/reply_body.rs
+++ b/crates/proxy/src/reply_body.rs
@@ -102,7 +102,7 @@
         };
         Poll::Ready(match next {
             Some(bytes) => Some(Ok(Frame::data(bytes))),
-            None if self.finished.get() || mutant("proxy_drop_is_end") => None,
+            None if self.finished.get() || mutant("proxy_ends_dropped_body") => None,
             None => Some(Err(BodyAborted)),
         })
     }
--- a/crates/proxy/src/response_class.rs
+++ b/crates/proxy/src/response_class.rs
@@ -34,7 +34,7 @@
     if headers.contains_key(NOT_EXECUTED) || status == StatusCode::MISDIRECTED_REQUEST {
         return ResponseClass::NotExecuted;
     }
-    match implies_not_executed(status) && !mutant("proxy_bare_promise_kept") {
+    match implies_not_executed(status) && !mutant("proxy_forwards_unconfirmed_refusal") {
         true => ResponseClass::Unknown(Outcome::Error),
         false => ResponseClass::Valid,
     }
@@ -47,7 +47,7 @@
 
 /// Whether the body is encoded. Endpoints never encode bodies, since no request asks for an encoding.
 fn is_encoded(headers: &HeaderMap) -> bool {
-    headers.contains_key(CONTENT_ENCODING) && !mutant("proxy_encoded_passed_on")
+    headers.contains_key(CONTENT_ENCODING) && !mutant("proxy_forwards_encoded_body")
 }
 
 /// Whether the head carries the seal that every successful response of an endpoint has.
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -109,7 +109,7 @@
 }
 
 fn may_repeat(request: &RoutedRequest) -> bool {
-    request.outgoing.idempotent || mutant("proxy_repeats_what_runs_once")
+    request.outgoing.idempotent || mutant("proxy_retries_non_idempotent")
 }
 
 fn acquire_retry(state: &State, request: &RoutedRequest) -> bool {
@@ -130,7 +130,7 @@
     /// The error of a request that fails now, after these attempts.
     pub(crate) fn after(request: &RoutedRequest, attempts: &AttemptState) -> Self {
         match attempts.may_have_run {
-            _ if mutant("proxy_refuses_what_was_sent") => RequestError::Refused,
+            _ if mutant("proxy_refuses_dispatched_request") => RequestError::Refused,
             false => RequestError::Refused,
             true if Instant::now() >= request.outgoing.deadline => RequestError::TimedOut,
             true => RequestError::Failed,
--- a/crates/proxy/tests/mutants.rs
+++ b/crates/proxy/tests/mutants.rs
@@ -40,7 +40,7 @@
 #[test]
 fn an_encoded_body_that_is_passed_on_is_noticed() {
     let bytes = answer("200 OK", &format!("{ID_LINE}X-Server-Seal: s1\r\nContent-Encoding: br\r\n"));
-    found("proxy_encoded_passed_on", |mutant| scenarios::spoilt_answer_once(&bytes, mutant));
+    found("proxy_forwards_encoded_body", |mutant| scenarios::spoilt_answer_once(&bytes, mutant));
 }
 
 #[test]
@@ -52,25 +52,25 @@
 #[test]
 fn a_refusal_that_promises_nothing_and_is_passed_on_is_noticed() {
     let bytes = answer("503 Service Unavailable", &format!("{ID_LINE}X-Server-Seal: s1\r\n"));
-    found("proxy_bare_promise_kept", |mutant| scenarios::spoilt_answer_once(&bytes, mutant));
+    found("proxy_forwards_unconfirmed_refusal", |mutant| scenarios::spoilt_answer_once(&bytes, mutant));
 }
 
 #[test]
 fn an_end_that_need_not_be_said_is_noticed() {
-    found("proxy_drop_is_end", scenarios::stream_that_breaks_off);
+    found("proxy_ends_dropped_body", scenarios::stream_that_breaks_off);
 }
 
 #[test]
 fn a_repeat_of_what_may_run_once_is_noticed() {
-    found("proxy_repeats_what_runs_once", scenarios::reset_after_it_was_sent);
+    found("proxy_retries_non_idempotent", scenarios::reset_after_it_was_sent);
 }
 
 #[test]
 fn a_refusal_of_what_was_sent_is_noticed() {
-    found("proxy_refuses_what_was_sent", scenarios::reset_after_it_was_sent);
+    found("proxy_refuses_dispatched_request", scenarios::reset_after_it_was_sent);
 }
 
 #[test]
 fn a_request_that_is_sent_for_a_client_who_left_is_noticed() {
-    found("proxy_sends_for_who_left", scenarios::left_while_frozen);
+    found("proxy_sends_after_disconnect", scenarios::left_while_frozen);
 }
