--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_request_goes_on_as_it_came_and_its_answer_comes_back() {
+fn a_request_and_its_response_are_forwarded_unchanged() {
     run(async {
         let stand =
             Stand::start("i-1", vec![vec![answer_with("201 Created", "X-Own: yes\r\n", "made")]]).await;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_may_run_once_is_not_sent_again_after_a_reset() {
+fn a_non_idempotent_request_is_not_retried_after_a_reset() {
     run(async {
         let one = Stand::start("i-1", vec![vec![Act::Reset]; 4]).await;
         let other = Stand::start("i-2", vec![vec![Act::Reset]; 4]).await;
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_may_run_once_is_sent_once_however_its_endpoint_ends() {
+fn a_non_idempotent_request_is_sent_once_for_any_connection_end() {
     let never = Rc::new(Notify::new());
     let ends: Vec<(&str, Vec<Act>, StatusCode)> = vec![
         ("a close", vec![Act::Close], StatusCode::BAD_GATEWAY),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_may_run_again_is_sent_elsewhere_after_a_reset() {
+fn an_idempotent_request_is_retried_after_a_reset() {
     run(async {
         let one = Stand::start("i-1", vec![vec![Act::Reset], vec![answer("200 OK", "fine")]]).await;
         let other = Stand::start("i-2", vec![vec![answer("200 OK", "fine")]]).await;
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn an_answer_cut_short_is_not_passed_on_as_whole() {
+fn a_truncated_response_is_not_forwarded_as_complete() {
     run(async {
         let cut = || {
             vec![
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn what_no_endpoint_took_is_refused_with_a_time_to_come_back() {
+fn a_request_that_every_endpoint_refused_is_refused_with_retry_after() {
     run(async {
         let full = || vec![not_executed("503 Service Unavailable")];
         let one = Stand::start("i-1", vec![full(); 3]).await;
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_failure_and_then_a_refusal_are_no_promise() {
+fn a_refusal_after_a_failure_is_not_reported_as_refusal() {
     run(async {
         let failed = vec![answer("500 Internal Server Error", "it ran")];
         let script: support::Script = Rc::new(std::cell::RefCell::new(
@@ -146,7 +146,7 @@
 
 /// The rules count the endpoints that run a request.
 #[test]
-fn max_tries_bounds_the_endpoints_that_may_have_run_a_request() {
+fn max_tries_limits_the_endpoints_that_may_have_run_a_request() {
     run(async {
         let one = Stand::start("i-1", vec![vec![Act::Reset]; 3]).await;
         let other = Stand::start("i-2", vec![vec![Act::Reset]; 3]).await;
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_request_that_many_endpoints_have_not_run_is_refused() {
+fn a_request_that_many_endpoints_refused_is_refused() {
     run(async {
         let full = || vec![not_executed("503 Service Unavailable")];
         let mut stands = Vec::new();
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn an_endpoint_that_is_another_one_by_now_is_passed_over() {
+fn an_endpoint_with_a_reassigned_address_is_skipped() {
     run(async {
         let other_service = vec![answer_with("421 Misdirected Request", "X-Instance: i-9\r\n", "")];
         let reused = Stand::start("i-1", vec![other_service; 3]).await;
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_surplus_answer_in_the_place_of_the_next_is_told_by_its_id() {
+fn a_response_to_another_request_is_detected_by_its_attempt_id() {
     run(async {
         let surplus = vec![answer_with("200 OK", "X-Attempt-Id: another\r\n", "not yours")];
         let stand = Stand::start("i-1", vec![surplus]).await;
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_second_answer_behind_the_first_reaches_nobody() {
+fn a_second_response_after_the_first_is_discarded() {
     run(async {
         let Act::Send(twice) = answer("200 OK", "mine") else { panic!("an answer") };
         let twice = vec![Act::Send(format!("{twice}{twice}"))];
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_answer_are_a_failure() {
+fn bytes_that_are_no_response_are_a_failure() {
     run(async {
         let stand =
             Stand::start("i-1", vec![vec![Act::Send("what is this\r\n\r\n".into()), Act::Close]]).await;
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn an_endpoints_own_failure_comes_back_unchanged() {
+fn an_endpoints_error_response_is_forwarded_unchanged() {
     run(async {
         let stand =
             Stand::start("i-1", vec![vec![answer("500 Internal Server Error", "its own words")]]).await;
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_request_whose_time_is_up_at_the_endpoint_is_no_refusal() {
+fn a_timeout_at_the_endpoint_is_not_reported_as_refusal() {
     run(async {
         let never = Rc::new(Notify::new());
         let stand = Stand::start("i-1", vec![vec![Act::Wait(never)]]).await;
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn an_endpoint_that_is_draining_gets_nothing_new() {
+fn a_draining_endpoint_gets_no_new_requests() {
     run(async {
         let leaving = Stand::start("i-1", vec![]).await;
         let staying = Stand::start("i-2", vec![]).await;
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn without_any_endpoint_requests_are_refused_at_once() {
+fn without_endpoints_requests_are_refused_immediately() {
     run(async {
         let fleet = Fleet::start(&routes(), &[]).await;
         assert!(!fleet.is_ready().await);
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn routes_are_as_the_newest_configuration_says() {
+fn routes_follow_the_newest_configuration() {
     run(async {
         let stand = Stand::start("i-1", vec![]).await;
         let fleet = Fleet::start(&routes(), &[&stand]).await;
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn a_body_beyond_the_limit_is_refused() {
+fn a_body_over_the_limit_is_refused() {
     run(async {
         let stand = Stand::start("i-1", vec![]).await;
         let fleet = Fleet::start(&routes(), &[&stand]).await;
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn second_sends_end_where_the_budget_does() {
+fn retries_end_when_the_budget_is_exhausted() {
     run(async {
         let full = || vec![not_executed("503 Service Unavailable")];
         let one = Stand::start("i-1", vec![full(); 60]).await;
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_connection_is_kept_and_used_again() {
+fn connections_are_reused() {
     run(async {
         let stand = Stand::start("i-1", vec![]).await;
         let fleet = Fleet::start(&routes(), &[&stand]).await;
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_connection_that_its_endpoint_is_about_to_close_is_not_used_again() {
+fn a_connection_that_its_endpoint_is_about_to_close_is_not_reused() {
     run(async {
         let closing = vec![answer_with("200 OK", "Connection: close\r\n", "x")];
         let soon = vec![answer_with("200 OK", "Keep-Alive: timeout=0\r\n", "x")];
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn at_the_end_what_is_open_is_answered_and_nothing_more_is_asked_for() {
+fn graceful_shutdown_completes_open_requests_and_withdraws_readiness() {
     run(async {
         let go_on = Rc::new(Notify::new());
         let stand =
@@ -401,7 +401,7 @@
 }
 
 #[test]
-fn an_endpoint_that_fell_silent_gets_nothing_new_until_it_is_heard_again() {
+fn a_suspect_endpoint_gets_no_requests_until_it_is_cleared() {
     run(async {
         let stands = [
             Stand::start("i-1", vec![]).await,
--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn bodies_end_where_they_end() {
+fn bodies_are_delimited_correctly() {
     let cases: Vec<(&str, Vec<Act>, Option<&str>)> = vec![
         ("a length", vec![sealed("Content-Length: 4\r\n\r\nbody")], Some("body")),
         ("no length, an end", vec![sealed("\r\nbody"), Act::Close], Some("body")),
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_stream_without_a_length_that_ends_within_an_event_looks_cut() {
+fn a_stream_without_a_length_that_ends_within_an_event_is_truncated() {
     run(async {
         let acts = vec![sealed(&format!("\r\n{}id: 2\ndata: pie", event(1))), Act::Close];
         let (first, second) = first_and_second("/stream/x", acts).await;
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn what_a_resumable_stream_holds_beside_whole_events_goes_on_as_well() {
+fn bytes_outside_complete_events_of_a_resumable_stream_are_forwarded() {
     run(async {
         let plain = vec![stream_head("s1"), chunk("no event"), support::last_chunk()];
         let (first, second) = first_and_second("/resumed/x", plain).await;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_stream_without_a_length_that_ends_within_an_event_goes_on_elsewhere() {
+fn a_stream_without_a_length_that_ends_within_an_event_is_resumed() {
     run(async {
         let broken = vec![sealed(&format!("\r\n{}id: 2\ndata: pie", event(1))), Act::Close];
         let got = resumed(broken, vec![stream_head("s2"), chunk(&event(2)), support::last_chunk()]).await;
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_run_that_starts_over_is_not_joined_to_what_came_before() {
+fn a_resumed_stream_that_repeats_events_is_not_appended() {
     run(async {
         let broken = vec![stream_head("s1"), chunk(&event(1)), chunk(&event(2)), Act::Close];
         let over = vec![
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_stream_is_not_gone_on_with_behind_an_event_that_was_passed_on_in_parts() {
+fn a_stream_is_not_resumed_after_an_event_forwarded_in_parts() {
     let mut events = EventTracker::default();
     assert!(events.push(event(1).as_bytes()).is_some());
     assert_eq!(events.last_id(), Some("1"));
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn an_answer_before_the_body_is_in_leaves_nothing_else_in_the_bodys_place() {
+fn an_early_response_leaves_only_the_request_body_on_the_connection() {
     const BODY: usize = 24 << 20;
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/proxy/tests/departures.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_the_work_on_its_request() {
+fn a_client_disconnect_cancels_the_attempt() {
     let never = Rc::new(Notify::new());
     run(async move {
         let chunked = "POST /again/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\n\
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_in_the_middle_of_an_answer_ends_it() {
+fn a_client_disconnect_during_the_response_cancels_the_attempt() {
     let never = Rc::new(Notify::new());
     run(async move {
         let stream = vec![stream_head("s1"), chunk(&event(1)), Act::Wait(never.clone())];
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_during_a_graceful_shutdown_ends_the_work_too() {
+fn a_client_disconnect_during_graceful_shutdown_cancels_the_attempt() {
     run(async {
         let never = Rc::new(Notify::new());
         let stand =
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_its_client_left_before_it_failed_is_not_sent_again() {
+fn a_failed_request_is_not_retried_after_its_client_disconnected() {
     run(async {
         for failure in [
             vec![Act::Reset],
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn bytes_behind_a_request_do_not_hide_that_its_client_has_left() {
+fn bytes_after_a_request_do_not_hide_the_client_disconnect() {
     let never = Rc::new(Notify::new());
     run(async move {
         let asked = request("/again/x", "a1", "", "body");
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn bytes_behind_a_request_do_not_hide_that_the_client_of_its_stream_has_left() {
+fn bytes_after_a_streaming_request_do_not_hide_the_client_disconnect() {
     let never = Rc::new(Notify::new());
     run(async move {
         let asked = request("/stream/x", "a1", "", "body");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_request_behind_another_one_waits_for_its_answer() {
+fn a_pipelined_request_waits_for_the_previous_response() {
     let go_on = Rc::new(Notify::new());
     run(async move {
         let first = vec![Act::Wait(go_on.clone()), answer("200 OK", "first")];
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_stream_goes_on_elsewhere_ends_the_run() {
+fn a_client_disconnect_while_its_stream_is_resumed_cancels_the_attempt() {
     run(async {
         let never = Rc::new(Notify::new());
         let broken = vec![stream_head("s1"), chunk(&event(1)), Act::Reset];
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_before_any_answer_ends_the_run() {
+fn a_client_disconnect_before_the_response_cancels_the_attempt() {
     run(async {
         let never = Rc::new(Notify::new());
         let stand = Stand::start("i-1", vec![vec![Act::Wait(never)]]).await;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_client_that_reads_nothing_holds_an_endpoint_no_longer_than_its_time() {
+fn a_client_that_reads_nothing_occupies_an_endpoint_until_its_deadline_at_most() {
     run(async {
         let piece = chunk(&"x".repeat(1 << 20));
         let acts: Vec<Act> = std::iter::once(stream_head("s1")).chain(vec![piece; 64]).collect();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_stream_that_outlasts_its_route_is_cut_when_its_time_is_up() {
+fn a_stream_longer_than_the_route_timeout_is_truncated_at_the_timeout() {
     run(async {
         let never = Rc::new(Notify::new());
         let stand =
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_body_that_does_not_come_in_time_is_refused_and_never_runs() {
+fn a_request_whose_body_is_late_is_refused_and_never_runs() {
     run(async {
         let stand = Stand::start("i-1", vec![]).await;
         let routes = [with_timeout(&route("once", "non_idempotent", 3, false), 400)];
@@ -115,14 +115,14 @@
 }
 
 #[test]
-fn what_a_client_asked_of_a_frozen_proxy_and_left_does_not_run_after_the_thaw() {
+fn a_request_whose_client_disconnects_while_the_proxy_is_suspended_does_not_run() {
     run(async {
         assert_eq!(scenarios::left_while_frozen(None).await, ["before", "after"]);
     });
 }
 
 #[test]
-fn what_comes_after_idle_connections_were_closed_is_refused_at_once() {
+fn requests_after_idle_connections_were_closed_are_refused_immediately() {
     run(async {
         let stand = Stand::start("i-1", vec![vec![answer("200 OK", "first")]]).await;
         let fleet = Fleet::start(&routes(), &[&stand]).await;
--- a/crates/proxy/tests/long_bodies.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn behind_an_early_answer_of_any_form_only_the_body_follows() {
+fn after_an_early_response_only_the_request_body_follows() {
     run(async {
         for (path, status, rest, body) in early_answers() {
             let endpoint = Endpoint::start(&[]).await;
@@ -131,7 +131,7 @@
 
 /// A body that the two machines hold for the endpoint: for the proxy it is sent, and its connection is free.
 #[test]
-fn behind_an_early_answer_to_a_body_on_its_way_the_next_request_follows_the_complete_body() {
+fn after_an_early_response_the_next_request_follows_the_complete_sent_body() {
     const ON_ITS_WAY: usize = 64 << 10;
     run(async {
         let endpoint = Endpoint::start(&[]).await;
@@ -164,7 +164,7 @@
 
 /// An endpoint refuses a request whose body it has not read: another one gets the complete body.
 #[test]
-fn an_early_refusal_moves_the_complete_body_elsewhere() {
+fn after_an_early_refusal_another_endpoint_gets_the_complete_body() {
     run(async {
         let other = Stand::start("i-other", vec![vec![answer("200 OK", "fine")]; 8]).await;
         let endpoint = Endpoint::start(&[&other]).await;
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn an_early_answer_that_lacks_its_end_is_a_failure() {
+fn a_truncated_early_response_is_a_failure() {
     run(async {
         let endpoint = Endpoint::start(&[]).await;
         let asking = async {
--- a/crates/proxy/tests/endings.rs
+++ b/crates/proxy/tests/endings.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn whatever_an_endpoint_is_late_with_the_client_hears_of_it_at_the_routes_time_limit() {
+fn a_late_endpoint_is_reported_to_the_client_at_the_route_timeout() {
     let never = Rc::new(Notify::new());
     let large = "x".repeat(300 << 10);
     let late: Vec<(&str, Vec<Act>)> = vec![
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_endpoint_that_accepts_no_connection_holds_a_request_no_longer_than_its_route_allows() {
+fn an_endpoint_that_accepts_no_connection_delays_a_request_until_the_route_timeout_at_most() {
     run(async {
         // One connection fills its queue; the next ones are not answered.
         let socket =
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_that_is_reset_is_not_complete() {
+fn a_response_without_a_length_that_is_reset_is_truncated() {
     let large = "x".repeat(300 << 10);
     let events = event(1) + &event(2);
     run(async move {
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_hangup_ends_no_request() {
+fn sighup_interrupts_no_request() {
     run(under_way_while(async |fleet, _| {
         fleet.hang_up();
         fleet.logged("settings.unchanged", "").await;
@@ -170,14 +170,14 @@
 }
 
 #[test]
-fn a_configuration_without_its_route_ends_no_request() {
+fn removing_a_route_interrupts_no_request() {
     run(under_way_while(async |fleet, _| {
         fleet.configure(2, &[route("other", "idempotent", 1, false)]).await;
     }));
 }
 
 #[test]
-fn its_endpoint_s_draining_ends_no_request() {
+fn draining_an_endpoint_interrupts_no_request() {
     run(under_way_while(async |fleet, stand| {
         fleet.gossip.merge(vec![stand.record(EndpointState::Draining, 2)], None);
         fleet.logged("endpoints.ready", "\"count\":0").await;
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_graceful_shutdown_ends_no_request() {
+fn a_graceful_shutdown_interrupts_no_request() {
     run(under_way_while(async |fleet, _| {
         fleet.terminate();
         fleet.logged("proxy.terminate", "").await;
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn versions_of_weights_come_back_as_they_are() {
+fn model_weight_versions_are_forwarded_unchanged() {
     run(async {
         let versioned = "versions: 8\nid: 1\ndata: piece 1\n\n";
         for (version, path) in [("7", "/stream/x"), ("7", "/resumed/x"), ("seven, or none", "/resumed/x")] {
@@ -212,7 +212,7 @@
 
 /// The proxy follows no redirection and gives none: what an endpoint says is the client's.
 #[test]
-fn an_endpoints_redirection_is_its_answer() {
+fn a_redirect_is_forwarded_and_not_followed() {
     run(async {
         let circle = || vec![answer_with("307 Temporary Redirect", "Location: /again/x\r\n", "")];
         let stand = Stand::start("i-1", vec![circle(), circle()]).await;
@@ -228,7 +228,7 @@
 
 /// Rule DENIED: only what no configuration allows is not found.
 #[test]
-fn a_proxy_without_a_configuration_refuses_and_takes_what_comes_later() {
+fn a_proxy_without_a_configuration_refuses_requests_until_it_gets_one() {
     run(async {
         let stand = Stand::start("i-1", vec![vec![answer("200 OK", "fine")]]).await;
         let fleet = Fleet::start_unconfigured("bounds.retrySlack=56\n", None).await;
--- a/crates/proxy/tests/headers.rs
+++ b/crates/proxy/tests/headers.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn clients_do_not_set_what_the_fleet_sets() {
+fn client_values_of_fleet_headers_are_replaced() {
     run(async {
         let headers = "Priority: 0\r\nPriority: 9\r\nX-Target-Instance: i-9\r\nX-Target-Instance: i-8\r\n\
                        X-Time-Budget-Ms: 5000\r\nX-Time-Budget-Ms: 9000000\r\n";
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_is_the_clients_goes_on_unchanged_and_in_order() {
+fn client_headers_are_forwarded_unchanged_and_in_order() {
     run(async {
         let headers = "X-Model: m\r\nX-Token-Count: 1460,80\r\nX-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410\r\n\
                        X-Many: one\r\nX-Many: two,three\r\nX-Many: one\r\nExpect-Version: 7\r\nLast-Event-Id: 5\r\n";
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_concerns_a_connection_stays_there_and_nothing_else_does() {
+fn only_hop_by_hop_headers_are_removed() {
     run(async {
         let headers = "Connection: keep-alive, X-Hop, X-Model, X-Prompt-Prefix, X-Token-Count\r\n\
                        Connection: X-Attempt-Id, Host, Last-Event-Id, X-Time-Budget-Ms\r\nX-Hop: 1\r\nX-Model: m\r\n\
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn an_endpoint_does_not_hide_its_seal_behind_its_connection() {
+fn the_connection_header_of_a_response_removes_no_end_to_end_headers() {
     run(async {
         let hiding = "Connection: X-Server-Seal, X-Attempt-Id, Versions, X-Hop\r\nVersions: 3\r\nX-Hop: 1\r\n\
                       X-Attempt-Id: {id}\r\n";
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_request_with_two_lengths_is_read_by_its_chunks() {
+fn chunked_encoding_takes_precedence_over_content_length() {
     run(async {
         let stand = Stand::start("i-1", vec![]).await;
         let fleet = Fleet::start(&routes(), &[&stand]).await;
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/invalid_responses.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_is_no_answer_to_the_request_is_unknown_and_not_repeated() {
+fn an_invalid_response_fails_a_non_idempotent_request() {
     let failed = Observed { status: StatusCode::BAD_GATEWAY, body: scenarios::FAILED.into(), runs: 1 };
     run(async {
         let mut wrong = Vec::new();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn what_is_no_answer_to_the_request_is_asked_for_elsewhere_where_it_may_be() {
+fn an_invalid_response_to_an_idempotent_request_is_retried() {
     let served = Observed { status: StatusCode::OK, body: "fine".into(), runs: 2 };
     run(async {
         let mut wrong = Vec::new();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_request_without_an_id_has_a_connection_of_its_own() {
+fn a_request_without_an_id_uses_a_new_connection() {
     run(async {
         let stand = support::Stand::start("i-1", vec![]).await;
         let fleet = support::Fleet::start(&routes(), &[&stand]).await;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_endpoints_refusal_of_a_request_without_an_id_is_a_promise() {
+fn an_endpoints_refusal_of_a_request_without_an_id_is_accepted() {
     run(async {
         let refused = vec![answer_with("400 Bad Request", "X-Not-Executed: 1\r\n", "")];
         let stand = support::Stand::start("i-1", vec![refused]).await;
--- a/crates/proxy/tests/mutants.rs
+++ b/crates/proxy/tests/mutants.rs
@@ -32,45 +32,45 @@
 }
 
 #[test]
-fn an_id_that_is_not_required_is_noticed() {
+fn accepting_a_response_without_an_attempt_id_is_detected() {
     let bytes = answer("200 OK", "X-Server-Seal: s1\r\n");
     found("proxy_id_not_required", |mutant| scenarios::spoilt_answer_once(&bytes, mutant));
 }
 
 #[test]
-fn an_encoded_body_that_is_passed_on_is_noticed() {
+fn forwarding_an_encoded_body_is_detected() {
     let bytes = answer("200 OK", &format!("{ID_LINE}X-Server-Seal: s1\r\nContent-Encoding: br\r\n"));
     found("proxy_forwards_encoded_body", |mutant| scenarios::spoilt_answer_once(&bytes, mutant));
 }
 
 #[test]
-fn a_success_without_a_seal_that_is_passed_on_is_noticed() {
+fn accepting_a_success_without_a_seal_is_detected() {
     let bytes = answer("200 OK", ID_LINE);
     found("proxy_seal_not_required", |mutant| scenarios::spoilt_answer_once(&bytes, mutant));
 }
 
 #[test]
-fn a_refusal_that_promises_nothing_and_is_passed_on_is_noticed() {
+fn forwarding_an_unconfirmed_refusal_is_detected() {
     let bytes = answer("503 Service Unavailable", &format!("{ID_LINE}X-Server-Seal: s1\r\n"));
     found("proxy_forwards_unconfirmed_refusal", |mutant| scenarios::spoilt_answer_once(&bytes, mutant));
 }
 
 #[test]
-fn an_end_that_need_not_be_said_is_noticed() {
+fn ending_a_dropped_body_as_complete_is_detected() {
     found("proxy_ends_dropped_body", scenarios::stream_that_breaks_off);
 }
 
 #[test]
-fn a_repeat_of_what_may_run_once_is_noticed() {
+fn retrying_a_non_idempotent_request_is_detected() {
     found("proxy_retries_non_idempotent", scenarios::reset_after_it_was_sent);
 }
 
 #[test]
-fn a_refusal_of_what_was_sent_is_noticed() {
+fn refusing_a_dispatched_request_is_detected() {
     found("proxy_refuses_dispatched_request", scenarios::reset_after_it_was_sent);
 }
 
 #[test]
-fn a_request_that_is_sent_for_a_client_who_left_is_noticed() {
+fn sending_after_a_client_disconnect_is_detected() {
     found("proxy_sends_after_disconnect", scenarios::left_while_frozen);
 }
--- a/crates/proxy/tests/tries.rs
+++ b/crates/proxy/tests/retry_limits.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn no_mix_of_failures_reaches_more_endpoints_than_the_route_allows() {
+fn no_combination_of_failures_reaches_more_endpoints_than_max_tries() {
     run(async {
         let mut wrong = Vec::new();
         for (first_name, first) in failures() {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn refusals_between_failures_do_not_add_runs() {
+fn refusals_between_failures_do_not_allow_more_runs() {
     run(async {
         for script in [
             vec![full(), failed(), full(), failed()],
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_stream_breaks_off_on_no_more_endpoints_than_its_route_allows() {
+fn a_failing_stream_reaches_no_more_endpoints_than_max_tries() {
     run(async {
         let before = vec![stream_head("s1"), Act::Close];
         let broken = |id: u32| vec![stream_head("s1"), chunk(&event(id)), Act::Reset];
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_may_run_once_runs_on_one_endpoint_whatever_the_route_allows() {
+fn a_non_idempotent_request_runs_on_one_endpoint_regardless_of_max_tries() {
     run(async {
         for (name, failure) in failures() {
             let (got, reached) = asked("/once/x", vec![full(), failure]).await;
@@ -120,7 +120,7 @@
 
 /// Rule MIXED: a failure that carries an endpoint's seal has the status which that endpoint gave.
 #[test]
-fn a_failure_of_the_proxys_own_carries_no_seal() {
+fn an_error_generated_by_the_proxy_has_no_seal() {
     run(async {
         let failure = |rest: &str| {
             let head = format!("HTTP/1.1 500 Internal Server Error\r\n{ID_LINE}X-Server-Seal: s9\r\n");
--- a/crates/proxy/tests/silence.rs
+++ b/crates/proxy/tests/stalled_streams.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_pause_ends_nothing_where_there_is_no_other_endpoint() {
+fn a_stalled_stream_continues_without_another_endpoint() {
     run(async {
         let go_on = Rc::new(Notify::new());
         let stand = Stand::start("i-1", vec![pausing(&go_on)]).await;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_pause_ends_nothing_where_the_other_endpoint_takes_nothing() {
+fn a_stalled_stream_continues_if_the_other_endpoint_refuses() {
     run(async {
         let go_on = Rc::new(Notify::new());
         let (fleet, one, two) = beside_a_pause(&go_on, vec![not_executed("503 Service Unavailable")]).await;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_pause_ends_nothing_where_the_other_endpoint_fails() {
+fn a_stalled_stream_continues_if_the_other_endpoint_fails() {
     run(async {
         let go_on = Rc::new(Notify::new());
         let (fleet, one, two) = beside_a_pause(&go_on, vec![Act::Reset]).await;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn whoever_goes_on_first_is_followed() {
+fn the_endpoint_that_continues_first_is_used() {
     run(async {
         let (go_on, never) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
         let (fleet, one, two) = beside_a_pause(&go_on, vec![Act::Wait(never)]).await;
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_stream_that_breaks_off_after_its_pause_is_taken_over_by_who_was_asked() {
+fn a_stream_that_fails_after_a_stall_is_resumed_by_the_pending_attempt() {
     run(async {
         let (breaks, go_on) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
         let broken = vec![stream_head("first"), chunk(&event(1)), Act::Wait(breaks.clone()), Act::Reset];
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn pauses_do_not_reach_more_endpoints_than_the_route_allows() {
+fn stalls_reach_no_more_endpoints_than_max_tries() {
     run(async {
         let never = Rc::new(Notify::new());
         let silent = vec![stream_head("s"), chunk(&event(1)), Act::Wait(never.clone())];
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/stream_body.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_body_whose_end_is_said_is_whole() {
+fn a_finished_body_is_complete() {
     let got = relayed(async |sender| {
         half(&sender).await;
         sender.finish();
@@ -38,12 +38,12 @@
 }
 
 #[test]
-fn an_early_return_cuts_the_body() {
+fn an_early_return_truncates_the_body() {
     assert_eq!(relayed(async |sender| half(&sender).await), (b"half".to_vec(), false));
 }
 
 #[test]
-fn a_panic_cuts_the_body() {
+fn a_panic_truncates_the_body() {
     let got = relayed(async |sender| {
         half(&sender).await;
         panic!("planted by the test");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_aborted_task_cuts_the_body() {
+fn an_aborted_task_truncates_the_body() {
     let got = relayed(async |sender| {
         let feeding = spawn_local(async move {
             half(&sender).await;
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/streams.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_stream_comes_whole_and_in_order() {
+fn a_stream_is_forwarded_completely_and_in_order() {
     run(async {
         let stand = Stand::start("i-1", vec![whole_stream("s1", 1..=20), whole_stream("s1", 1..=20)]).await;
         let fleet = Fleet::start(&routes(), &[&stand]).await;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn events_go_on_before_the_next_one_is_made() {
+fn events_are_forwarded_immediately() {
     run(async {
         let go_on = Rc::new(Notify::new());
         let acts = vec![
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_stream_that_breaks_off_looks_cut() {
+fn a_truncated_stream_is_forwarded_as_truncated() {
     run(async {
         let acts = vec![stream_head("s1"), chunk(&event(1)), chunk(&event(2)), Act::Close];
         let one = Stand::start("i-1", vec![acts.clone()]).await;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_stream_that_breaks_before_its_first_event_fails_as_a_whole() {
+fn a_stream_truncated_before_its_first_event_gets_an_error_status() {
     run(async {
         let stand = Stand::start("i-1", vec![vec![stream_head("s1"), Act::Close]]).await;
         let fleet = Fleet::start(&routes(), &[&stand]).await;
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_stream_goes_on_elsewhere_in_one_answer() {
+fn a_resumed_stream_is_one_response() {
     run(async {
         let broken = vec![stream_head("first"), chunk(&event(1)), chunk(&event(2)), Act::Reset];
         let (got, seen) = resumed_after(broken, whole_stream("second", 3..=5)).await;
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn half_an_event_is_not_passed_on_before_a_stream_goes_on_elsewhere() {
+fn a_partial_event_is_not_forwarded_before_a_stream_is_resumed() {
     run(async {
         let broken = vec![stream_head("first"), chunk(&event(1)), chunk("id: 2\ndata: pie"), Act::Close];
         let (got, seen) = resumed_after(broken, whole_stream("second", 2..=3)).await;
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn an_event_in_three_parts_comes_as_one() {
+fn an_event_received_in_three_parts_is_forwarded_as_one() {
     run(async {
         let acts = vec![
             stream_head("s1"),
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_cut_after_the_last_event_but_before_the_end_is_asked_for_again() {
+fn a_stream_truncated_after_its_last_event_is_resumed() {
     run(async {
         let broken = vec![stream_head("first"), chunk(&event(1)), chunk(&event(2)), Act::Close];
         let (got, seen) = resumed_after(broken, vec![stream_head("second"), last_chunk()]).await;
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_stream_that_nobody_can_go_on_with_is_cut() {
+fn a_stream_that_no_endpoint_can_resume_is_truncated() {
     run(async {
         let broken = vec![stream_head("first"), chunk(&event(1)), Act::Close];
         let refused = vec![support::answer("500 Internal Server Error", "no")];
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn an_endpoint_of_other_weights_does_not_go_on_with_a_stream() {
+fn an_endpoint_with_other_model_weights_does_not_resume_a_stream() {
     run(async {
         let broken = vec![stream_head("first"), chunk(&event(1)), Act::Close];
         let (got, _) = resumed_after(broken, vec![support::answer("421 Misdirected Request", "")]).await;
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_silent_stream_goes_on_elsewhere() {
+fn a_stalled_stream_is_resumed_by_another_endpoint() {
     run(async {
         let never = Rc::new(Notify::new());
         let broken = vec![stream_head("first"), chunk(&event(1)), Act::Wait(never)];
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_the_run() {
+fn a_client_disconnect_cancels_the_attempt() {
     run(async {
         let never = Rc::new(Notify::new());
         let stand =
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_silent_stream_that_may_not_go_on_elsewhere_is_waited_for() {
+fn a_stalled_stream_that_cannot_be_resumed_is_kept() {
     run(async {
         let (go_on, never) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
         let waits = vec![
--- a/crates/proxy/tests/time_budgets.rs
+++ b/crates/proxy/tests/time_budgets.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_request_that_is_sent_again_later_has_less_time() {
+fn a_retry_has_a_smaller_time_budget() {
     run(async {
         let go_on = Rc::new(Notify::new());
         let broken = vec![Act::Wait(go_on.clone()), Act::Reset];
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_stream_that_is_resumed_later_has_less_time() {
+fn a_resumed_stream_has_a_smaller_time_budget() {
     run(async {
         let go_on = Rc::new(Notify::new());
         let broken = vec![stream_head("s1"), chunk(&event(1)), Act::Wait(go_on.clone()), Act::Reset];
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_endpoint_is_given_no_more_than_the_client_and_the_route_allow() {
+fn the_time_budget_is_limited_by_the_client_and_the_route() {
     let cases = [
         ("", 8000),
         ("X-Time-Budget-Ms: 1500\r\n", 1500),
