--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -102,8 +102,8 @@
     ranked
 }
 
-/// The controllers that the agent with this name keeps links to: its own selection by consistent hashing, and those that
-/// aggregate load reports for all agents.
+/// The controllers that the agent with this name keeps links to: its own selection by consistent hashing, and those
+/// that aggregate load reports for all agents.
 pub fn controllers_to_link(name: &str, members: &BTreeSet<SocketAddrV4>) -> BTreeSet<SocketAddrV4> {
     let ring = HashRing::new(members.iter().copied(), |member| member.to_string().into_bytes());
     let mut wanted: BTreeSet<SocketAddrV4> =
@@ -112,8 +112,8 @@
     wanted
 }
 
-/// The session with the controller that aggregates load reports. All agents select the same controller, except those that
-/// have lost their link to it.
+/// The session with the controller that aggregates load reports. All agents select the same controller, except those
+/// that have lost their link to it.
 fn backlog_aggregator(gossip: &Gossip) -> Option<Rc<Session>> {
     let sessions = gossip.peers(Role::Controller);
     let linked = sessions.iter().filter_map(|session| session.dialled);
--- a/crates/agent/tests/links.rs
+++ b/crates/agent/tests/links.rs
@@ -19,8 +19,8 @@
     backlog_aggregators(linked.into_iter().filter(|member| !lost.contains(member))).first().copied()
 }
 
-/// With more members than an agent keeps links to, agents are linked to different members and could send their reports to
-/// different ones.
+/// With more members than an agent keeps links to, agents are linked to different members and could send their reports
+/// to different ones.
 #[test]
 fn all_agents_report_to_the_same_member_for_any_number_of_members() {
     for count in 1..=15 {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,5 +1,5 @@
-//! Transport abstraction: traits for networks, listeners and connections, and their TCP implementation. The same code runs
-//! on sockets and, in tests, on a simulated network.
+//! Transport abstraction: traits for networks, listeners and connections, and their TCP implementation. The same code
+//! runs on sockets and, in tests, on a simulated network.
 //!
 //! Time and random numbers need no such abstraction: tests can pause tokio's clock, and random number generators are
 //! seeded by their callers.
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -83,7 +83,8 @@
         let sent = timeout_at(outgoing.deadline, connection.sender.try_send_request(request)).await;
         return match sent {
             Err(_) => Err(AttemptError::sent(Outcome::TimedOut)),
-            // Nothing of the request was written. An idle connection that has ended does not count against its endpoint.
+            // Nothing of the request was written. An idle connection that has ended does not count against its
+            // endpoint.
             Ok(Err(error)) if error.message().is_some() => {
                 if connection.fresh {
                     return Err(AttemptError::unsent(Outcome::ConnectFailed));
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -40,9 +40,9 @@
 /// Interval at which a connection with bytes that the HTTP server has not read yet is checked for a disconnect.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Completes once a client has disconnected, even if the client has sent bytes after its request: with such bytes buffered,
-/// the HTTP server does not watch the connection. Must be polled by the task that serves the connection, since a socket has
-/// only one waker for reading.
+/// Completes once a client has disconnected, even if the client has sent bytes after its request: with such bytes
+/// buffered, the HTTP server does not watch the connection. Must be polled by the task that serves the connection,
+/// since a socket has only one waker for reading.
 pub struct ClientDisconnect {
     client: ClientMonitor,
     recheck: Option<Pin<Box<Sleep>>>,
--- a/crates/proxy/src/complete.rs
+++ b/crates/proxy/src/complete.rs
@@ -19,8 +19,8 @@
 const MAX_BUFFERED_BODY_BYTES: usize = 256 << 10;
 
 impl Forwarder {
-    /// Receives a response completely before forwarding it, so that a truncated one can be retried or replaced by an error.
-    /// A response larger than [`MAX_BUFFERED_BODY_BYTES`] is forwarded as it is received.
+    /// Receives a response completely before forwarding it, so that a truncated one can be retried or replaced by an
+    /// error. A response larger than [`MAX_BUFFERED_BODY_BYTES`] is forwarded as it is received.
     pub(crate) async fn forward_complete(
         self: Rc<Self>,
         request: &Rc<RoutedRequest>,
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -126,8 +126,8 @@
     Err(text_reply(status, reason))
 }
 
-/// Response that closes the connection of a client that has disconnected. No one reads it; dropping the attempt ends the
-/// work at the endpoint.
+/// Response that closes the connection of a client that has disconnected. No one reads it; dropping the attempt ends
+/// the work at the endpoint.
 fn disconnected_reply() -> Reply {
     let mut reply = text_reply(StatusCode::BAD_GATEWAY, "the client has left");
     reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -22,7 +22,8 @@
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
-/// Headers that are forwarded even if `Connection` names them, since the meaning of requests and responses depends on them.
+/// Headers that are forwarded even if `Connection` names them, since the meaning of requests and responses depends on
+/// them.
 const END_TO_END: [HeaderName; 10] = [
     ATTEMPT_ID,
     TIME_BUDGET,
@@ -62,7 +63,8 @@
     }
 }
 
-/// How long the endpoint keeps an idle connection, from `Keep-Alive: timeout=SECONDS`; `None` if it does not state that.
+/// How long the endpoint keeps an idle connection, from `Keep-Alive: timeout=SECONDS`; `None` if it does not state
+/// that.
 pub fn keep_alive(headers: &HeaderMap) -> Option<std::time::Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/proxy/src/ingress.rs
+++ b/crates/proxy/src/ingress.rs
@@ -26,8 +26,8 @@
 const READY_PATH: &str = "/runtrack/readiness";
 /// Delay after a failed accept: without free file descriptors, accepting would fail again immediately in a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// How long new connections can still arrive after readiness is withdrawn: the platform checks readiness once a second and
-/// removes a proxy after two failed checks.
+/// How long new connections can still arrive after readiness is withdrawn: the platform checks readiness once a second
+/// and removes a proxy after two failed checks.
 const READINESS_PROPAGATION: Duration = Duration::from_millis(2600);
 /// Connections that are still open are closed this long before the end of the grace period.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,10 +1,10 @@
 //! The fleet's proxy: accepts clients' requests, sends each to an endpoint that `runtrack_balancer::fleet` selects, and
 //! streams the response back.
 //!
-//! Routes, endpoints and the number of proxies come from the agent of the machine (`runtrack_link::Gossip`). Load balancing
-//! is left to `runtrack_balancer::fleet`. The proxy itself guarantees, whichever endpoint is selected, that a request that
-//! is not idempotent runs at most once, that a request is refused only if it never ran, and that a truncated response is
-//! forwarded as truncated.
+//! Routes, endpoints and the number of proxies come from the agent of the machine (`runtrack_link::Gossip`). Load
+//! balancing is left to `runtrack_balancer::fleet`. The proxy itself guarantees, whichever endpoint is selected, that a
+//! request that is not idempotent runs at most once, that a request is refused only if it never ran, and that a
+//! truncated response is forwarded as truncated.
 
 mod attempt;
 mod attempts;
@@ -37,8 +37,8 @@
 use runtrack_link::{Gossip, MessageHandler, Session, Signals, dial_for_ever, json_logger};
 use runtrack_message::{Hello, Member, Message, Role, WIRE_VERSION};
 use slog::info;
+use std::cell::OnceCell;
 use std::rc::Rc;
-use std::state_cell::OnceCell;
 use tokio::task::spawn_local;
 
 type StateCell = OnceCell<Rc<State>>;
@@ -58,8 +58,8 @@
     }
 }
 
-/// Runs a proxy until SIGTERM, and then until the requests in progress are answered or the grace period ends. Returns an
-/// error if an address in the settings is missing or can't be listened on.
+/// Runs a proxy until SIGTERM, and then until the requests in progress are answered or the grace period ends. Returns
+/// an error if an address in the settings is missing or can't be listened on.
 pub async fn run(node: Node, mut signals: Signals) -> Result<(), String> {
     let logger = json_logger("proxy", &node.name);
     let front = node.front.ok_or("listen.front: is missing")?;
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connection pools by endpoint. Idle connections are kept only as long as the endpoint keeps them, and the number of open
-//! connections stays within this proxy's share of the endpoint's connection limit.
+//! Connection pools by endpoint. Idle connections are kept only as long as the endpoint keeps them, and the number of
+//! open connections stays within this proxy's share of the endpoint's connection limit.
 
 use crate::state::Target;
 use bytes::Bytes;
@@ -97,8 +97,8 @@
 }
 
 impl Connections {
-    /// Returns the most recently used idle connection, or a new one. `limit` is the endpoint's connection limit, of which
-    /// this proxy may use its share among `proxies`. Connecting ends at `deadline` at the latest.
+    /// Returns the most recently used idle connection, or a new one. `limit` is the endpoint's connection limit, of
+    /// which this proxy may use its share among `proxies`. Connecting ends at `deadline` at the latest.
     pub async fn acquire(
         &self,
         target: &Target,
--- a/crates/proxy/src/prompt.rs
+++ b/crates/proxy/src/prompt.rs
@@ -3,8 +3,8 @@
 use runtrack_balancer::fleet::Prompt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Parses the value of `X-Prompt-Prefix`: parts in order as `ID:TOKENS`, separated by commas. All but the last may be shared
-/// with other requests; the last belongs to the request or its session. Returns `None` if the value is invalid.
+/// Parses the value of `X-Prompt-Prefix`: parts in order as `ID:TOKENS`, separated by commas. All but the last may be
+/// shared with other requests; the last belongs to the request or its session. Returns `None` if the value is invalid.
 pub fn parse_prompt(parts: &str) -> Option<Prompt> {
     let (shared, last) = parts.rsplit_once(',').unwrap_or(("", parts));
     let shared: Option<Vec<(u64, u32)>> =
--- a/crates/proxy/src/reply_body.rs
+++ b/crates/proxy/src/reply_body.rs
@@ -30,8 +30,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientDisconnected;
 
-/// The sending half of a streamed body. Dropping it without [`StreamSender::finish`] aborts the body, so that the client
-/// sees it as truncated.
+/// The sending half of a streamed body. Dropping it without [`StreamSender::finish`] aborts the body, so that the
+/// client sees it as truncated.
 pub struct StreamSender {
     bytes: Sender<Bytes>,
     finished: Rc<Cell<bool>>,
--- a/crates/proxy/src/response_class.rs
+++ b/crates/proxy/src/response_class.rs
@@ -1,4 +1,5 @@
-//! Classifies a response head as a valid response to the request, as a statement that the request never ran, or as neither.
+//! Classifies a response head as a valid response to the request, as a statement that the request never ran, or as
+//! neither.
 
 use crate::headers::{ATTEMPT_ID, INSTANCE, NOT_EXECUTED, SERVER_SEAL};
 use crate::outgoing::Outgoing;
@@ -60,15 +61,15 @@
     headers.get_all(INSTANCE).iter().any(|id| id != endpoint)
 }
 
-/// Whether a client would interpret this status as a statement that its request never ran. Such a status must not reach a
-/// client unless the endpoint confirms it with `X-Not-Executed`.
+/// Whether a client would interpret this status as a statement that its request never ran. Such a status must not reach
+/// a client unless the endpoint confirms it with `X-Not-Executed`.
 fn implies_not_executed(status: StatusCode) -> bool {
     [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS, StatusCode::SERVICE_UNAVAILABLE]
         .contains(&status)
 }
 
-/// Whether the head carries the request's attempt id and no other. A request without an id uses a new connection, on which
-/// a response without an id can only belong to that request.
+/// Whether the head carries the request's attempt id and no other. A request without an id uses a new connection, on
+/// which a response without an id can only belong to that request.
 fn has_attempt_id_of(outgoing: &Outgoing, headers: &HeaderMap) -> bool {
     let mut ids = headers.get_all(ATTEMPT_ID).iter();
     let (first, second) = (ids.next(), ids.next());
--- a/crates/proxy/src/response_relay.rs
+++ b/crates/proxy/src/response_relay.rs
@@ -54,7 +54,8 @@
         self.events.last_id().filter(|_| self.unit == Unit::CompleteEvents)
     }
 
-    /// Whether a response that has ended was truncated: a body that ends with its connection must not end within an event.
+    /// Whether a response that has ended was truncated: a body that ends with its connection must not end within an
+    /// event.
     pub(crate) fn is_truncated(&self, active: &ActiveResponse) -> bool {
         active.started.ends_with_connection && self.events.is_within_event()
     }
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -1,5 +1,5 @@
-//! Decides whether a request, or the remainder of a stream, may be sent to another endpoint after a failed attempt, and if
-//! not, which error the client gets.
+//! Decides whether a request, or the remainder of a stream, may be sent to another endpoint after a failed attempt, and
+//! if not, which error the client gets.
 
 use crate::attempt::AttemptError;
 use crate::routed::RoutedRequest;
@@ -67,14 +67,14 @@
         self.dispatched += 1;
     }
 
-    /// Called when the attempt at the endpoint that was tried last was abandoned; the endpoint may have begun to run the
-    /// request.
+    /// Called when the attempt at the endpoint that was tried last was abandoned; the endpoint may have begun to run
+    /// the request.
     pub(crate) fn on_abandoned(&mut self) {
         self.dispatched += 1;
     }
 
-    /// Accounts for a failed attempt; returns whether another endpoint may be tried. Unless the failed attempt was not sent,
-    /// the retry is taken from the budget that all proxies share.
+    /// Accounts for a failed attempt; returns whether another endpoint may be tried. Unless the failed attempt was not
+    /// sent, the retry is taken from the budget that all proxies share.
     pub(crate) fn may_retry(&mut self, state: &State, request: &RoutedRequest, failure: Failure) -> bool {
         self.on_failure(failure);
         self.allows_retry(request, failure)
@@ -93,8 +93,9 @@
         }
     }
 
-    /// Whether the limits of the request itself allow another attempt. The route's `maxTries` limits the number of endpoints
-    /// that may have run the request; endpoints that have not run it only count for [`MAX_UNEXECUTED`] and the retry budget.
+    /// Whether the limits of the request itself allow another attempt. The route's `maxTries` limits the number of
+    /// endpoints that may have run the request; endpoints that have not run it only count for [`MAX_UNEXECUTED`] and
+    /// the retry budget.
     fn allows_retry(&self, request: &RoutedRequest, failure: Failure) -> bool {
         match failure {
             Failure::NotSent => self.failed_connects < MAX_FAILED_CONNECTS && request.outgoing.is_wanted(),
--- a/crates/proxy/src/routed.rs
+++ b/crates/proxy/src/routed.rs
@@ -72,8 +72,8 @@
     headers.get_all(TIME_BUDGET).iter().filter_map(parse_milliseconds).fold(route.timeout, Duration::min)
 }
 
-/// Parses a number of milliseconds, which may have a fraction. A negative number counts as zero; `None` if the value is not
-/// a number.
+/// Parses a number of milliseconds, which may have a fraction. A negative number counts as zero; `None` if the value is
+/// not a number.
 fn parse_milliseconds(value: &HeaderValue) -> Option<Duration> {
     let number: f64 = value.to_str().ok()?.trim().parse().ok()?;
     if number.is_nan() {
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -42,7 +42,8 @@
 /// The ready endpoints of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceEndpoints {
-    /// Keys of the endpoints to select from, in ascending order; suspect endpoints are left out while they are a minority.
+    /// Keys of the endpoints to select from, in ascending order; suspect endpoints are left out while they are a
+    /// minority.
     pub ready: Vec<EndpointId>,
     targets: HashMap<EndpointId, Target>,
 }
@@ -183,7 +184,8 @@
             ready.sort_unstable();
             let unsuspected = |key: &EndpointId| !self.gossip.is_reported_suspect(key.0);
             let trusted: Vec<EndpointId> = ready.iter().copied().filter(unsuspected).collect();
-            // If half or more of the endpoints are suspect, the cause is more likely on this side, so none are excluded.
+            // If half or more of the endpoints are suspect, the cause is more likely on this side, so none are
+            // excluded.
             service.ready = if trusted.len() * 2 > ready.len() { trusted } else { ready };
         }
         let ready = endpoints_by_service.values().map(|service| service.ready.len()).sum();
@@ -217,8 +219,8 @@
         }
     }
 
-    /// Sends load reports to the agent for as long as the process runs. A report holds the pending prompt tokens of this
-    /// proxy's requests by endpoint.
+    /// Sends load reports to the agent for as long as the process runs. A report holds the pending prompt tokens of
+    /// this proxy's requests by endpoint.
     pub async fn report_backlog(self: Rc<Self>) {
         let mut empty = true;
         loop {
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Sends the request to another endpoint to resume a stream after the last complete event that was forwarded. Returns
-    /// `None` if the stream can't be resumed.
+    /// Sends the request to another endpoint to resume a stream after the last complete event that was forwarded.
+    /// Returns `None` if the stream can't be resumed.
     async fn resume(
         &self,
         request: &RoutedRequest,
@@ -174,9 +174,9 @@
         }
     }
 
-    /// Waits for the next bytes of a stalled stream, until the deadline. Meanwhile the request is sent to another endpoint to
-    /// resume the stream, if that is allowed. The stalled attempt is kept until the other endpoint has started its response,
-    /// and continues if its own bytes are received first.
+    /// Waits for the next bytes of a stalled stream, until the deadline. Meanwhile the request is sent to another
+    /// endpoint to resume the stream, if that is allowed. The stalled attempt is kept until the other endpoint has
+    /// started its response, and continues if its own bytes are received first.
     async fn next_after_stall(
         &self,
         request: &RoutedRequest,
--- a/crates/proxy/tests/headers.rs
+++ b/crates/proxy/tests/headers.rs
@@ -1,22 +1,23 @@
-//! Headers on their way to an endpoint and back.
+//! Forwarding of request headers to an endpoint and of response headers to a client.
 
 mod support;
 
 use hyper::StatusCode;
-use support::{Fleet, RawClient, Stand, answer_with, route, run};
+use support::{FakeEndpoint, Fleet, RawClient, reply_with, route, run};
 
 fn routes() -> Vec<String> {
     vec![route("once", "non_idempotent", 3, false)]
 }
 
-/// What an endpoint reads of a request with these headers, each with its line's end, and a body of five bytes.
-async fn sent_on(headers: &str) -> support::Seen {
-    let stand = Stand::start("i-1", vec![]).await;
-    let fleet = Fleet::start(&routes(), &[&stand]).await;
+/// The request that an endpoint receives if a client sends these headers, each ending with CRLF, and a body of five
+/// bytes.
+async fn forwarded(headers: &str) -> support::ReceivedRequest {
+    let endpoint = FakeEndpoint::start("i-1", vec![]).await;
+    let fleet = Fleet::start(&routes(), &[&endpoint]).await;
     let mut client = RawClient::connect(&fleet).await;
     client.write(&support::request("/once/x", "a1", headers, "bytes")).await;
     client.read_until("unscripted").await;
-    stand.seen.take().swap_remove(0)
+    endpoint.received.take().swap_remove(0)
 }
 
 #[test]
@@ -24,12 +25,12 @@
     run(async {
         let headers = "Priority: 0\r\nPriority: 9\r\nX-Target-Instance: i-9\r\nX-Target-Instance: i-8\r\n\
                        X-Time-Budget-Ms: 5000\r\nX-Time-Budget-Ms: 9000000\r\n";
-        let seen = sent_on(headers).await;
-        assert_eq!(seen.all("priority"), ["1"]);
-        assert_eq!(seen.all("x-target-instance"), ["i-1"]);
-        let left = seen.all("x-time-budget-ms");
-        assert_eq!(left.len(), 1);
-        assert!(left[0].parse::<u64>().is_ok_and(|left| left <= 5000), "{left:?}");
+        let received = forwarded(headers).await;
+        assert_eq!(received.all("priority"), ["1"]);
+        assert_eq!(received.all("x-target-instance"), ["i-1"]);
+        let budgets = received.all("x-time-budget-ms");
+        assert_eq!(budgets.len(), 1);
+        assert!(budgets[0].parse::<u64>().is_ok_and(|budget| budget <= 5000), "{budgets:?}");
     });
 }
 
@@ -38,14 +39,14 @@
     run(async {
         let headers = "X-Model: m\r\nX-Token-Count: 1460,80\r\nX-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410\r\n\
                        X-Many: one\r\nX-Many: two,three\r\nX-Many: one\r\nExpect-Version: 7\r\nLast-Event-Id: 5\r\n";
-        let seen = sent_on(headers).await;
-        assert_eq!(seen.all("x-model"), ["m"]);
-        assert_eq!(seen.all("x-token-count"), ["1460,80"]);
-        assert_eq!(seen.all("x-prompt-prefix"), ["5c1e07a2:800,91bd3f06:410"]);
-        assert_eq!(seen.all("x-many"), ["one", "two,three", "one"]);
-        assert_eq!(seen.all("expect-version"), ["7"], "the fleet sets none: it is a header like any other");
-        assert_eq!(seen.all("last-event-id"), ["5"]);
-        assert_eq!(seen.body, b"bytes");
+        let received = forwarded(headers).await;
+        assert_eq!(received.all("x-model"), ["m"]);
+        assert_eq!(received.all("x-token-count"), ["1460,80"]);
+        assert_eq!(received.all("x-prompt-prefix"), ["5c1e07a2:800,91bd3f06:410"]);
+        assert_eq!(received.all("x-many"), ["one", "two,three", "one"]);
+        assert_eq!(received.all("expect-version"), ["7"], "the fleet does not set this header");
+        assert_eq!(received.all("last-event-id"), ["5"]);
+        assert_eq!(received.body, b"bytes");
     });
 }
 
@@ -56,9 +57,9 @@
                        Connection: X-Attempt-Id, Host, Last-Event-Id, X-Time-Budget-Ms\r\nX-Hop: 1\r\nX-Model: m\r\n\
                        X-Prompt-Prefix: a:1\r\nX-Token-Count: 1,1\r\nLast-Event-Id: 5\r\nKeep-Alive: timeout=5\r\n\
                        Proxy-Connection: keep-alive\r\nTE: trailers\r\nUpgrade: other\r\n";
-        let seen = sent_on(headers).await;
+        let received = forwarded(headers).await;
         for name in ["x-hop", "keep-alive", "proxy-connection", "te", "upgrade", "connection"] {
-            assert_eq!(seen.all(name), Vec::<&str>::new(), "{name}");
+            assert_eq!(received.all(name), Vec::<&str>::new(), "{name}");
         }
         for (name, value) in [
             ("x-model", "m"),
@@ -68,7 +69,7 @@
             ("x-attempt-id", "a1"),
             ("host", "h.example"),
         ] {
-            assert_eq!(seen.all(name), [value], "{name}");
+            assert_eq!(received.all(name), [value], "{name}");
         }
     });
 }
@@ -76,24 +77,24 @@
 #[test]
 fn the_connection_header_of_a_response_removes_no_end_to_end_headers() {
     run(async {
-        let hiding = "Connection: X-Server-Seal, X-Attempt-Id, Versions, X-Hop\r\nVersions: 3\r\nX-Hop: 1\r\n\
+        let headers = "Connection: X-Server-Seal, X-Attempt-Id, Versions, X-Hop\r\nVersions: 3\r\nX-Hop: 1\r\n\
                       X-Attempt-Id: {id}\r\n";
-        let stand = Stand::start("i-1", vec![vec![answer_with("200 OK", hiding, "fine")]]).await;
-        let fleet = Fleet::start(&routes(), &[&stand]).await;
-        let got = fleet.ask("/once/x", "a1", &[], "x").await;
-        assert_eq!((got.status, got.body.as_str()), (StatusCode::OK, "fine"));
-        assert_eq!(got.headers["x-server-seal"], "s1");
-        assert_eq!(got.headers["x-attempt-id"], "a1");
-        assert_eq!(got.headers["versions"], "3");
-        assert_eq!(got.headers.get("x-hop"), None);
+        let endpoint = FakeEndpoint::start("i-1", vec![vec![reply_with("200 OK", headers, "fine")]]).await;
+        let fleet = Fleet::start(&routes(), &[&endpoint]).await;
+        let response = fleet.send("/once/x", "a1", &[], "x").await;
+        assert_eq!((response.status, response.body.as_str()), (StatusCode::OK, "fine"));
+        assert_eq!(response.headers["x-server-seal"], "s1");
+        assert_eq!(response.headers["x-attempt-id"], "a1");
+        assert_eq!(response.headers["versions"], "3");
+        assert_eq!(response.headers.get("x-hop"), None);
     });
 }
 
 #[test]
 fn chunked_encoding_takes_precedence_over_content_length() {
     run(async {
-        let stand = Stand::start("i-1", vec![]).await;
-        let fleet = Fleet::start(&routes(), &[&stand]).await;
+        let endpoint = FakeEndpoint::start("i-1", vec![]).await;
+        let fleet = Fleet::start(&routes(), &[&endpoint]).await;
         let mut client = RawClient::connect(&fleet).await;
         let hidden = support::request("/once/x", "hidden", "", "x");
         let outer = format!(
@@ -103,10 +104,11 @@
         );
         client.write(&outer).await;
         client.read_until("HTTP/1.1 ").await;
-        assert!(fleet.ask("/once/x", "a2", &[], "x").await.status.is_success());
-        let seen = stand.seen.borrow();
-        let inside = seen.iter().any(|seen| String::from_utf8_lossy(&seen.body).contains("hidden"));
-        assert!(!inside, "what follows the last chunk is none of the body");
-        assert!(seen.iter().all(|seen| seen.all("transfer-encoding").is_empty()));
+        assert!(fleet.send("/once/x", "a2", &[], "x").await.status.is_success());
+        let received = endpoint.received.borrow();
+        let in_body =
+            received.iter().any(|received| String::from_utf8_lossy(&received.body).contains("hidden"));
+        assert!(!in_body, "bytes after the last chunk are not part of the body");
+        assert!(received.iter().all(|received| received.all("transfer-encoding").is_empty()));
     });
 }
--- a/crates/proxy/tests/retry_limits.rs
+++ b/crates/proxy/tests/retry_limits.rs
@@ -1,4 +1,4 @@
-//! How many endpoints a request is sent to.
+//! Limits of the number of endpoints that a request is sent to.
 
 mod support;
 
@@ -6,55 +6,56 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use support::{
-    Act, Fleet, Got, ID_LINE, Script, Stand, answer, answer_with, chunk, event, not_executed, route, run,
-    stream_head,
+    Action, ClientResponse, FakeEndpoint, Fleet, ID_LINE, Script, chunk, event, not_executed, reply,
+    reply_with, route, run, stream_head,
 };
 
-/// What a client gets whose request is answered like this, by one endpoint after the other, and how many it reached.
-async fn asked(path: &str, script: Vec<Vec<Act>>) -> (Got, usize) {
-    let endpoints = script.len() + 2;
+/// Sends a request that successive attempts answer by the parts of the script. Returns the client's response and the
+/// number of endpoints that the request reached.
+async fn send_through(path: &str, script: Vec<Vec<Action>>) -> (ClientResponse, usize) {
+    let endpoint_count = script.len() + 2;
     let script: Script = Rc::new(RefCell::new(script.into()));
-    let mut stands = Vec::new();
-    for number in 0..endpoints {
-        stands.push(Stand::start_shared(&format!("i-{number}"), script.clone()).await);
+    let mut endpoints = Vec::new();
+    for number in 0..endpoint_count {
+        endpoints.push(FakeEndpoint::start_shared(&format!("i-{number}"), script.clone()).await);
     }
-    let stands: Vec<&Stand> = stands.iter().collect();
+    let endpoints: Vec<&FakeEndpoint> = endpoints.iter().collect();
     let routes = [
         route("again", "idempotent", 2, false),
         route("resumed", "streaming", 2, true),
         route("once", "non_idempotent", 2, false),
     ];
-    let fleet = Fleet::start_with(&routes, &stands, "bounds.retrySlack=1000\n").await;
-    let got = fleet.ask(path, "a1", &[], "x").await;
-    (got, stands.iter().map(|stand| stand.seen.borrow().len()).sum())
+    let fleet = Fleet::start_with(&routes, &endpoints, "bounds.retrySlack=1000\n").await;
+    let response = fleet.send(path, "a1", &[], "x").await;
+    (response, endpoints.iter().map(|endpoint| endpoint.received.borrow().len()).sum())
 }
 
-fn full() -> Vec<Act> {
+fn refusal() -> Vec<Action> {
     vec![not_executed("503 Service Unavailable")]
 }
 
-fn failed() -> Vec<Act> {
-    vec![answer("500 Internal Server Error", "it ran")]
+fn failed() -> Vec<Action> {
+    vec![reply("500 Internal Server Error", "it ran")]
 }
 
-fn truncated() -> Vec<Act> {
+fn truncated() -> Vec<Action> {
     let head = format!("HTTP/1.1 200 OK\r\n{ID_LINE}X-Server-Seal: s1\r\nContent-Length: 9\r\n\r\nhalf");
-    vec![Act::Send(head), Act::Close]
+    vec![Action::Send(head), Action::Close]
 }
 
-/// Ways in which an endpoint fails that may have run a request. Each of them counts.
-fn failures() -> Vec<(&'static str, Vec<Act>)> {
+/// Failures of an endpoint that may have run the request. Each of them counts as an attempt.
+fn failures() -> Vec<(&'static str, Vec<Action>)> {
     vec![
-        ("its own failure", failed()),
-        ("a reset", vec![Act::Reset]),
-        ("a close", vec![Act::Close]),
-        ("a truncated answer", truncated()),
+        ("an error status", failed()),
+        ("a reset", vec![Action::Reset]),
+        ("a close", vec![Action::Close]),
+        ("a truncated response", truncated()),
         (
             "a success without a seal",
-            vec![Act::Send(format!("HTTP/1.1 200 OK\r\n{ID_LINE}\r\n")), Act::Close],
+            vec![Action::Send(format!("HTTP/1.1 200 OK\r\n{ID_LINE}\r\n")), Action::Close],
         ),
-        ("a promise that is none", vec![answer("503 Service Unavailable", "")]),
-        ("an answer to another", vec![answer_with("200 OK", "X-Attempt-Id: other\r\n", "x")]),
+        ("an unconfirmed refusal", vec![reply("503 Service Unavailable", "")]),
+        ("a response to another request", vec![reply_with("200 OK", "X-Attempt-Id: other\r\n", "x")]),
     ]
 }
 
@@ -64,10 +65,12 @@
         let mut wrong = Vec::new();
         for (first_name, first) in failures() {
             for (second_name, second) in failures() {
-                let (got, reached) = asked("/again/x", vec![first.clone(), second]).await;
-                if reached != 2 || !got.status.is_server_error() || got.headers.contains_key("retry-after")
+                let (response, reached) = send_through("/again/x", vec![first.clone(), second]).await;
+                if reached != 2
+                    || !response.status.is_server_error()
+                    || response.headers.contains_key("retry-after")
                 {
-                    wrong.push((first_name, second_name, got.status, reached));
+                    wrong.push((first_name, second_name, response.status, reached));
                 }
             }
         }
@@ -79,13 +82,13 @@
 fn refusals_between_failures_do_not_allow_more_runs() {
     run(async {
         for script in [
-            vec![full(), failed(), full(), failed()],
-            vec![failed(), full(), full(), truncated()],
-            vec![full(), full(), vec![Act::Reset], failed()],
+            vec![refusal(), failed(), refusal(), failed()],
+            vec![failed(), refusal(), refusal(), truncated()],
+            vec![refusal(), refusal(), vec![Action::Reset], failed()],
         ] {
-            let (got, reached) = asked("/again/x", script).await;
-            assert!(got.status.is_server_error(), "{got:?}");
-            assert_eq!(reached, 4, "two that ran it, and two that did not");
+            let (response, reached) = send_through("/again/x", script).await;
+            assert!(response.status.is_server_error(), "{response:?}");
+            assert_eq!(reached, 4, "two endpoints that ran it, and two that did not");
         }
     });
 }
@@ -93,17 +96,19 @@
 #[test]
 fn a_failing_stream_reaches_no_more_endpoints_than_max_tries() {
     run(async {
-        let before = vec![stream_head("s1"), Act::Close];
-        let broken = |id: u32| vec![stream_head("s1"), chunk(&event(id)), Act::Reset];
-        let (got, reached) = asked("/resumed/x", vec![broken(1), broken(2)]).await;
-        assert_eq!((got.whole, reached), (false, 2));
-        assert_eq!(got.body, event(1) + &event(2));
-        let (got, reached) = asked("/resumed/x", vec![before.clone(), broken(1)]).await;
-        assert_eq!((got.whole, reached), (false, 2));
-        let (got, reached) = asked("/resumed/x", vec![before.clone(), before]).await;
-        assert_eq!((got.status, reached), (StatusCode::BAD_GATEWAY, 2));
-        let (got, reached) = asked("/resumed/x", vec![broken(1), full(), failed()]).await;
-        assert_eq!((got.whole, reached), (false, 3), "one of them has not run it");
+        let truncated_before_event = vec![stream_head("s1"), Action::Close];
+        let failing = |id: u32| vec![stream_head("s1"), chunk(&event(id)), Action::Reset];
+        let (response, reached) = send_through("/resumed/x", vec![failing(1), failing(2)]).await;
+        assert_eq!((response.complete, reached), (false, 2));
+        assert_eq!(response.body, event(1) + &event(2));
+        let (response, reached) =
+            send_through("/resumed/x", vec![truncated_before_event.clone(), failing(1)]).await;
+        assert_eq!((response.complete, reached), (false, 2));
+        let (response, reached) =
+            send_through("/resumed/x", vec![truncated_before_event.clone(), truncated_before_event]).await;
+        assert_eq!((response.status, reached), (StatusCode::BAD_GATEWAY, 2));
+        let (response, reached) = send_through("/resumed/x", vec![failing(1), refusal(), failed()]).await;
+        assert_eq!((response.complete, reached), (false, 3), "one of the endpoints has not run it");
     });
 }
 
@@ -111,33 +116,43 @@
 fn a_non_idempotent_request_runs_on_one_endpoint_regardless_of_max_tries() {
     run(async {
         for (name, failure) in failures() {
-            let (got, reached) = asked("/once/x", vec![full(), failure]).await;
-            assert_eq!(reached, 2, "{name}: one that refused it, and one that ran it");
-            assert!(got.status.is_server_error() && !got.headers.contains_key("retry-after"), "{name}");
+            let (response, reached) = send_through("/once/x", vec![refusal(), failure]).await;
+            assert_eq!(reached, 2, "{name}: one endpoint that refused it, and one that ran it");
+            assert!(
+                response.status.is_server_error() && !response.headers.contains_key("retry-after"),
+                "{name}"
+            );
         }
     });
 }
 
-/// Rule MIXED: a failure that carries an endpoint's seal has the status which that endpoint gave.
+/// Rule MIXED: an error response with an endpoint's seal must have the status that the endpoint sent.
 #[test]
 fn an_error_generated_by_the_proxy_has_no_seal() {
     run(async {
         let failure = |rest: &str| {
             let head = format!("HTTP/1.1 500 Internal Server Error\r\n{ID_LINE}X-Server-Seal: s9\r\n");
-            vec![Act::Send(format!("{head}{rest}")), Act::Close]
+            vec![Action::Send(format!("{head}{rest}")), Action::Close]
         };
         for truncated in
             [failure("Content-Length: 9\r\n\r\nhalf"), failure("Transfer-Encoding: chunked\r\n\r\n")]
         {
-            let (got, _) = asked("/once/x", vec![truncated]).await;
-            assert_eq!((got.status, got.headers.get("x-server-seal")), (StatusCode::BAD_GATEWAY, None));
+            let (response, _) = send_through("/once/x", vec![truncated]).await;
+            assert_eq!(
+                (response.status, response.headers.get("x-server-seal")),
+                (StatusCode::BAD_GATEWAY, None)
+            );
         }
-        let (got, _) = asked("/again/x", vec![failed(), full(), full(), full(), full()]).await;
-        assert_eq!((got.status, got.headers.get("x-server-seal")), (StatusCode::BAD_GATEWAY, None));
-        let (got, _) = asked("/again/x", vec![truncated(), failed()]).await;
+        let (response, _) =
+            send_through("/again/x", vec![failed(), refusal(), refusal(), refusal(), refusal()]).await;
         assert_eq!(
-            (got.status, &got.headers["x-server-seal"]),
-            (StatusCode::INTERNAL_SERVER_ERROR, &"s1".parse().expect("a value"))
+            (response.status, response.headers.get("x-server-seal")),
+            (StatusCode::BAD_GATEWAY, None)
+        );
+        let (response, _) = send_through("/again/x", vec![truncated(), failed()]).await;
+        assert_eq!(
+            (response.status, &response.headers["x-server-seal"]),
+            (StatusCode::INTERNAL_SERVER_ERROR, &"s1".parse().expect("invalid header value"))
         );
     });
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A built proxy between an agent, endpoints and clients of the test's own, all on loopback.
+//! Test environment: a real proxy process with an agent, endpoints and clients that the test simulates, all on
+//! loopback.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod scenarios;
@@ -26,50 +27,53 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// Whatever takes longer than this has failed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// An operation that takes longer than this has failed.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test on one thread.
+/// Runs a test on a single-threaded runtime.
 pub fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("failed to build the runtime");
     let all = LocalSet::new();
-    all.block_on(&runtime, async { timeout(3 * PATIENCE, test).await.expect("the test takes too long") });
+    all.block_on(&runtime, async { timeout(3 * TEST_TIMEOUT, test).await.expect("the test timed out") });
 }
 
-/// An address of this machine that no other test uses.
-fn own_ip() -> Ipv4Addr {
+/// A loopback address that no other test uses.
+fn unique_loopback_ip() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
     Ipv4Addr::new(127, 64 + (process >> 8 & 0x3f) as u8, process as u8, number as u8)
 }
 
-/// What an endpoint does with a request.
+/// One step of an endpoint's reaction to a request.
 #[derive(Clone)]
-pub enum Act {
+pub enum Action {
     /// Sends these bytes.
     Send(String),
-    /// Waits until the test says so.
+    /// Waits until the test sends a notification.
     Wait(Rc<Notify>),
     /// Closes the connection.
     Close,
-    /// Sends nothing more, but reads on.
+    /// Closes the sending direction of the connection and continues to read.
     HalfClose,
     /// Resets the connection.
     Reset,
 }
 
-/// What endpoints do, request by request.
-pub type Script = Rc<RefCell<VecDeque<Vec<Act>>>>;
+/// The actions of endpoints, one list per request.
+pub type Script = Rc<RefCell<VecDeque<Vec<Action>>>>;
 
-/// A request as it came to an endpoint.
+/// A request as an endpoint received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl ReceivedRequest {
     /// All values of a header, in order.
     pub fn all(&self, name: &str) -> Vec<&str> {
         let lines = self.head.lines().skip(1).filter_map(|line| line.split_once(':'));
@@ -83,50 +87,67 @@
     }
 }
 
-/// An endpoint that does what the test has written down, request by request.
-pub struct Stand {
+/// An endpoint that performs scripted actions, and responds with status 200 to requests beyond the script.
+pub struct FakeEndpoint {
     pub id: String,
     pub address: SocketAddrV4,
-    pub seen: Rc<RefCell<Vec<Seen>>>,
+    pub received: Rc<RefCell<Vec<ReceivedRequest>>>,
     pub connections: Rc<Cell<usize>>,
-    left: Rc<Notify>,
-    came: Mutex<mpsc::UnboundedReceiver<()>>,
+    disconnect: Rc<Notify>,
+    request_notices: Mutex<mpsc::UnboundedReceiver<()>>,
 }
 
-impl Stand {
-    pub async fn start(id: &str, script: Vec<Vec<Act>>) -> Self {
+impl FakeEndpoint {
+    pub async fn start(id: &str, script: Vec<Vec<Action>>) -> Self {
         Self::start_shared(id, Rc::new(RefCell::new(VecDeque::from(script)))).await
     }
 
-    /// An endpoint that shares its script with others: whoever is asked first plays the first part.
+    /// Starts an endpoint that shares its script with others: each request, at any of them, takes the next part.
     pub async fn start_shared(id: &str, script: Script) -> Self {
-        let listener = TcpListener::bind((own_ip(), 0)).await.expect("a port");
-        let std::net::SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
-            panic!("IPv4")
+        let listener = TcpListener::bind((unique_loopback_ip(), 0)).await.expect("failed to bind");
+        let std::net::SocketAddr::V4(address) = listener.local_addr().expect("no local address") else {
+            panic!("not an IPv4 address")
         };
-        let seen: Rc<RefCell<Vec<Seen>>> = Rc::default();
+        let received: Rc<RefCell<Vec<ReceivedRequest>>> = Rc::default();
         let connections: Rc<Cell<usize>> = Rc::default();
-        let (told, came) = mpsc::unbounded_channel();
-        let left = Rc::new(Notify::new());
-        let (kept, count, gone) = (seen.clone(), connections.clone(), left.clone());
+        let (notifier, notices) = mpsc::unbounded_channel();
+        let disconnect = Rc::new(Notify::new());
+        let (request_log, connection_count, disconnect_notice) =
+            (received.clone(), connections.clone(), disconnect.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                count.set(count.get() + 1);
-                spawn_local(serve(stream, kept.clone(), script.clone(), told.clone(), gone.clone()));
+                connection_count.set(connection_count.get() + 1);
+                spawn_local(serve(
+                    stream,
+                    request_log.clone(),
+                    script.clone(),
+                    notifier.clone(),
+                    disconnect_notice.clone(),
+                ));
             }
         });
-        Stand { id: id.to_owned(), address, seen, connections, left, came: Mutex::new(came) }
+        FakeEndpoint {
+            id: id.to_owned(),
+            address,
+            received,
+            connections,
+            disconnect,
+            request_notices: Mutex::new(notices),
+        }
     }
 
-    /// Waits until one more request has come.
-    pub async fn came(&self) {
-        let mut came = self.came.lock().await;
-        timeout(PATIENCE, came.recv()).await.expect("a request comes").expect("the endpoint is there");
+    /// Waits until another request has been received.
+    pub async fn request_received(&self) {
+        let mut notices = self.request_notices.lock().await;
+        timeout(TEST_TIMEOUT, notices.recv())
+            .await
+            .expect("timed out waiting for a request")
+            .expect("the endpoint has stopped");
     }
 
-    /// Waits until a caller has left in the middle of an answer.
-    pub async fn left(&self) {
-        self.left.notified().await;
+    /// Waits until a caller has disconnected during a response.
+    pub async fn caller_disconnected(&self) {
+        self.disconnect.notified().await;
     }
 
     pub fn record(&self, state: EndpointState, call_seq: u64) -> Endpoint {
@@ -147,43 +168,44 @@
 
 async fn serve(
     mut stream: TcpStream,
-    seen: Rc<RefCell<Vec<Seen>>>,
+    received: Rc<RefCell<Vec<ReceivedRequest>>>,
     script: Script,
-    told: mpsc::UnboundedSender<()>,
-    left: Rc<Notify>,
+    notifier: mpsc::UnboundedSender<()>,
+    disconnect: Rc<Notify>,
 ) {
     let mut read = Vec::new();
     loop {
         let Some(request) = next_request(&mut stream, &mut read).await else { return };
         let id = request.header("x-attempt-id").map(str::to_owned);
-        seen.borrow_mut().push(request);
-        let _ = told.send(());
-        let acts = script.borrow_mut().pop_front().unwrap_or_else(|| vec![answer("200 OK", "unscripted")]);
-        for act in acts {
-            match act {
-                Act::Send(bytes) => {
+        received.borrow_mut().push(request);
+        let _ = notifier.send(());
+        let actions =
+            script.borrow_mut().pop_front().unwrap_or_else(|| vec![reply("200 OK", "unscripted")]);
+        for action in actions {
+            match action {
+                Action::Send(bytes) => {
                     if stream.write_all(with_id(&bytes, id.as_deref()).as_bytes()).await.is_err() {
-                        left.notify_one();
+                        disconnect.notify_one();
                         return;
                     }
                 }
-                Act::Wait(notify) => tokio::select! {
+                Action::Wait(notify) => tokio::select! {
                     () = notify.notified() => {}
                     _ = stream.readable() => {
                         if stream.try_read(&mut [0; 1]).is_ok_and(|count| count == 0) {
-                            left.notify_one();
+                            disconnect.notify_one();
                             return;
                         }
                     }
                 },
-                Act::Close => return,
-                Act::HalfClose => {
-                    let _ = stream.shutdown().await; // the caller may have gone
+                Action::Close => return,
+                Action::HalfClose => {
+                    let _ = stream.shutdown().await; // the caller may have disconnected
                 }
-                Act::Reset => {
-                    let std = stream.into_std().expect("a socket");
+                Action::Reset => {
+                    let std = stream.into_std().expect("failed to create the socket");
                     let _ = std.set_nonblocking(true);
-                    drop(Resetting(std));
+                    drop(ResetOnDrop(std));
                     return;
                 }
             }
@@ -191,7 +213,7 @@
     }
 }
 
-/// The line of an answer that carries the request's id back: [`Act::Send`] puts the id in, or leaves the line out where
+/// The header line of a response that repeats the request's id. [`Action::Send`] inserts the id, or omits the line if
 /// the request has none.
 pub const ID_LINE: &str = "X-Attempt-Id: {id}\r\n";
 
@@ -202,17 +224,17 @@
     }
 }
 
-/// A socket whose end is a reset: unread bytes are left in it on purpose by the caller, or linger is zero.
-struct Resetting(std::net::TcpStream);
+/// A socket that is reset when it is dropped, by a linger time of zero.
+struct ResetOnDrop(std::net::TcpStream);
 
-impl Drop for Resetting {
+impl Drop for ResetOnDrop {
     fn drop(&mut self) {
         let socket = socket2::SockRef::from(&self.0);
-        socket.set_linger(Some(Duration::ZERO)).expect("linger");
+        socket.set_linger(Some(Duration::ZERO)).expect("failed to set SO_LINGER");
     }
 }
 
-async fn next_request(stream: &mut TcpStream, read: &mut Vec<u8>) -> Option<Seen> {
+async fn next_request(stream: &mut TcpStream, read: &mut Vec<u8>) -> Option<ReceivedRequest> {
     let end = loop {
         if let Some(end) = read.windows(4).position(|four| four == b"\r\n\r\n") {
             break end + 4;
@@ -222,8 +244,8 @@
         }
     };
     let head = String::from_utf8_lossy(&read[..end]).into_owned();
-    let seen = Seen { head, body: Vec::new() };
-    let length = seen.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
+    let received = ReceivedRequest { head, body: Vec::new() };
+    let length = received.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
     while read.len() < end + length {
         if stream.read_buf(read).await.ok()? == 0 {
             return None;
@@ -231,48 +253,49 @@
     }
     let body = read[end..end + length].to_vec();
     read.drain(..end + length);
-    Some(Seen { body, ..seen })
+    Some(ReceivedRequest { body, ..received })
 }
 
-/// A whole answer.
-pub fn answer(status: &str, body: &str) -> Act {
-    answer_with(status, "", body)
+/// A complete response.
+pub fn reply(status: &str, body: &str) -> Action {
+    reply_with(status, "", body)
 }
 
-/// A whole answer with more headers, each with its line's end. It carries the request's id unless these name one.
-pub fn answer_with(status: &str, headers: &str, body: &str) -> Act {
+/// A complete response with additional headers, each ending with CRLF. It repeats the request's id unless these headers
+/// include an id.
+pub fn reply_with(status: &str, headers: &str, body: &str) -> Action {
     let length = body.len();
     let id = if headers.contains("X-Attempt-Id") { "" } else { ID_LINE };
-    Act::Send(format!(
+    Action::Send(format!(
         "HTTP/1.1 {status}\r\n{id}X-Server-Seal: s1\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
     ))
 }
 
-/// An endpoint says that it did not run the request.
-pub fn not_executed(status: &str) -> Act {
-    answer_with(status, "X-Not-Executed: 1\r\n", "")
+/// A response that states that the endpoint has not run the request.
+pub fn not_executed(status: &str) -> Action {
+    reply_with(status, "X-Not-Executed: 1\r\n", "")
 }
 
-/// The head of a stream with a seal.
-pub fn stream_head(seal: &str) -> Act {
-    Act::Send(format!(
+/// The head of an event stream with this seal.
+pub fn stream_head(seal: &str) -> Action {
+    Action::Send(format!(
         "HTTP/1.1 200 OK\r\n{ID_LINE}X-Server-Seal: {seal}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     ))
 }
 
 /// A chunk of a stream.
-pub fn chunk(text: &str) -> Act {
-    Act::Send(format!("{:x}\r\n{text}\r\n", text.len()))
+pub fn chunk(text: &str) -> Action {
+    Action::Send(format!("{:x}\r\n{text}\r\n", text.len()))
 }
 
-/// An event.
+/// An event with this id.
 pub fn event(id: u32) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
-/// The end of a stream.
-pub fn last_chunk() -> Act {
-    Act::Send("0\r\n\r\n".to_owned())
+/// The last chunk of a stream.
+pub fn last_chunk() -> Action {
+    Action::Send("0\r\n\r\n".to_owned())
 }
 
 /// A route of the service `llm`, for [`Fleet::start`].
@@ -283,12 +306,12 @@
     )
 }
 
-/// The same route with another time limit.
+/// The same route with another timeout.
 pub fn with_timeout(route: &str, milliseconds: u32) -> String {
     route.replace("\"timeoutMs\":8000", &format!("\"timeoutMs\":{milliseconds}"))
 }
 
-/// A request written out, with an id and a length.
+/// The bytes of a request with an id and `Content-Length`.
 pub fn request(path: &str, id: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -296,7 +319,7 @@
     )
 }
 
-/// A client that writes its bytes itself.
+/// A client that writes and reads raw bytes.
 pub struct RawClient {
     pub stream: TcpStream,
     pub read: Vec<u8>,
@@ -304,19 +327,20 @@
 
 impl RawClient {
     pub async fn connect(fleet: &Fleet) -> Self {
-        let stream = TcpStream::connect(fleet.front).await.expect("the proxy listens");
+        let stream = TcpStream::connect(fleet.front).await.expect("failed to connect to the proxy");
         RawClient { stream, read: Vec::new() }
     }
 
     pub async fn write(&mut self, bytes: &str) {
-        self.stream.write_all(bytes.as_bytes()).await.expect("the proxy reads");
+        self.stream.write_all(bytes.as_bytes()).await.expect("failed to write");
     }
 
-    /// Reads until this has come.
+    /// Reads until this text has been received.
     pub async fn read_until(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.read).contains(text) {
-            let more = timeout(PATIENCE, self.stream.read_buf(&mut self.read)).await;
-            let count = more.unwrap_or_else(|_| panic!("it does not come: {text}")).expect("it is read");
+            let more = timeout(TEST_TIMEOUT, self.stream.read_buf(&mut self.read)).await;
+            let count =
+                more.unwrap_or_else(|_| panic!("timed out waiting for: {text}")).expect("failed to read");
             assert!(
                 count > 0,
                 "the connection ended before {text}: {}",
@@ -325,33 +349,36 @@
         }
     }
 
-    /// Leaves, once the other side's machine is known to have been told.
-    pub async fn leave(mut self) {
-        const NOT_TOLD: [&str; 2] = ["04", "0B"]; // FIN-WAIT-1 and CLOSING: the end has not been acknowledged
-        let port = self.stream.local_addr().expect("an address").port();
-        self.stream.shutdown().await.expect("it can be closed");
-        let is_told = || {
-            let sockets = std::fs::read_to_string("/proc/net/tcp").expect("a list of sockets");
+    /// Closes the connection, and waits until the peer's kernel has acknowledged the FIN.
+    pub async fn disconnect(mut self) {
+        const UNACKNOWLEDGED: [&str; 2] = ["04", "0B"]; // FIN-WAIT-1 and CLOSING, as in /proc/net/tcp
+        let port = self.stream.local_addr().expect("no local address").port();
+        self.stream.shutdown().await.expect("failed to shut down the connection");
+        let is_acknowledged = || {
+            let sockets =
+                std::fs::read_to_string("/proc/net/tcp").expect("failed to read the socket table");
             !sockets.lines().map(|line| line.split_whitespace().collect::<Vec<_>>()).any(|socket| {
                 socket.len() > 3
                     && socket[1].ends_with(&format!(":{port:04X}"))
-                    && NOT_TOLD.contains(&socket[3])
+                    && UNACKNOWLEDGED.contains(&socket[3])
             })
         };
-        while !is_told() {
+        while !is_acknowledged() {
             tokio::task::yield_now().await;
         }
     }
 
     /// Reads until the connection ends.
     pub async fn read_to_end(&mut self) -> String {
-        let end = timeout(PATIENCE, self.stream.read_to_end(&mut self.read)).await.expect("it ends");
-        let _ = end; // by a reset or by an end
+        let end = timeout(TEST_TIMEOUT, self.stream.read_to_end(&mut self.read))
+            .await
+            .expect("timed out waiting for the end");
+        let _ = end; // ends by a close or a reset
         String::from_utf8_lossy(&self.read).into_owned()
     }
 }
 
-/// A configuration of these routes.
+/// A configuration with these routes.
 pub fn config(version: u64, routes: &[String]) -> String {
     let routes = routes.join(",");
     format!(
@@ -360,7 +387,7 @@
     )
 }
 
-/// A proxy with an agent of the test's own.
+/// A proxy process, and the simulated agent that it is linked to.
 pub struct Fleet {
     pub gossip: Rc<Gossip>,
     pub front: SocketAddrV4,
@@ -370,55 +397,56 @@
     log: Mutex<Lines<BufReader<ChildStderr>>>,
 }
 
-/// An answer as a client saw it.
+/// A response as a client received it.
 #[derive(Debug)]
-pub struct Got {
+pub struct ClientResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// What came of the body.
+    /// The received part of the body.
     pub body: String,
-    /// It came to its end.
-    pub whole: bool,
+    /// Whether the body was received completely.
+    pub complete: bool,
 }
 
 impl Fleet {
     /// Starts a proxy, and waits until it serves these routes with these endpoints.
-    pub async fn start(routes: &[String], stands: &[&Stand]) -> Self {
-        Self::start_with(routes, stands, "bounds.retrySlack=56\n").await
+    pub async fn start(routes: &[String], endpoints: &[&FakeEndpoint]) -> Self {
+        Self::start_with(routes, endpoints, "bounds.retrySlack=56\n").await
     }
 
-    /// The same with more settings, each with its line's end.
-    pub async fn start_with(routes: &[String], stands: &[&Stand], more: &str) -> Self {
-        Self::start_with_mutant(routes, stands, more, None).await
+    /// The same with additional settings, each ending with a newline.
+    pub async fn start_with(routes: &[String], endpoints: &[&FakeEndpoint], more: &str) -> Self {
+        Self::start_with_mutant(routes, endpoints, more, None).await
     }
 
-    /// The same with an error planted in the proxy.
+    /// The same with a mutant activated in the proxy.
     pub async fn start_with_mutant(
         routes: &[String],
-        stands: &[&Stand],
+        endpoints: &[&FakeEndpoint],
         more: &str,
         mutant: Option<&str>,
     ) -> Self {
         let fleet = Self::start_unconfigured(more, mutant).await;
         fleet.configure(1, routes).await;
-        fleet
-            .gossip
-            .merge(stands.iter().map(|stand| stand.record(EndpointState::Ready, 1)).collect(), None);
-        if !stands.is_empty() {
-            fleet.logged("endpoints.ready", &format!("\"count\":{}", stands.len())).await;
+        fleet.gossip.merge(
+            endpoints.iter().map(|endpoint| endpoint.record(EndpointState::Ready, 1)).collect(),
+            None,
+        );
+        if !endpoints.is_empty() {
+            fleet.wait_for_log("endpoints.ready", &format!("\"count\":{}", endpoints.len())).await;
         }
         fleet
     }
 
-    /// A proxy that knows neither a configuration nor endpoints.
+    /// Starts a proxy without configuration and endpoints.
     pub async fn start_unconfigured(more: &str, mutant: Option<&str>) -> Self {
-        let ip = own_ip();
+        let ip = unique_loopback_ip();
         let (front, ready) = (SocketAddrV4::new(ip, 8144), SocketAddrV4::new(ip, 8140));
         let logger = json_logger("agent-of-the-test", "test");
         let hello =
             Hello { wire: WIRE_VERSION, role: Role::Agent, node: "test".into(), member: Member::none() };
         let gossip = Gossip::new(hello, Duration::from_millis(1200), logger, Box::new(()));
-        let feed = free_port_after(&gossip).await;
+        let feed = listen_on_free_port(&gossip).await;
         spawn_local(gossip.clone().run());
         let settings = std::env::temp_dir().join(format!("proxy-{}-{ip}.conf", std::process::id()));
         let text = format!(
@@ -427,79 +455,82 @@
             feed - 1,
             feed + 10
         );
-        std::fs::write(&settings, text).expect("the settings can be written");
+        std::fs::write(&settings, text).expect("failed to write the settings file");
         let mut child = Command::new(env!("CARGO_BIN_EXE_runtrack-proxy"))
             .env("RUNTRACK_NODE_FILE", &settings)
             .env("RUNTRACK_MUTANT", mutant.unwrap_or_default())
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .expect("the proxy starts");
-        let log = BufReader::new(child.stderr.take().expect("its log")).lines();
+            .expect("failed to start the proxy");
+        let log = BufReader::new(child.stderr.take().expect("stderr is not piped")).lines();
         Fleet { gossip, front, ready, child, settings, log: Mutex::new(log) }
     }
 
     /// Waits until the proxy accepts clients.
-    pub async fn listens(&self) {
+    pub async fn wait_until_listening(&self) {
         let connected = async {
             while TcpStream::connect(self.front).await.is_err() {
                 tokio::task::yield_now().await;
             }
         };
-        timeout(PATIENCE, connected).await.expect("the proxy listens");
+        timeout(TEST_TIMEOUT, connected).await.expect("failed to connect to the proxy");
     }
 
-    /// Lets time pass by a request whose body does not come: it is refused at the time limit of its route.
-    pub async fn outlast(&self, path: &str) {
+    /// Waits, on the proxy's clock, for the timeout of a route: sends a request with an incomplete body, which is
+    /// refused at the timeout.
+    pub async fn wait_out_timeout(&self, path: &str) {
         let mut client = RawClient::connect(self).await;
         let complete = request(path, "outlast", "", "body");
         client.write(&complete[..complete.len() - 1]).await;
         client.read_until("HTTP/1.1 408").await;
     }
 
-    /// Puts a configuration in force.
+    /// Sends a configuration to the proxy, and waits until it is in force.
     pub async fn configure(&self, version: u64, routes: &[String]) {
         self.gossip.take_config(version, config(version, routes).into_bytes());
-        self.logged("config.in_force", &format!("\"version\":{version}")).await;
+        self.wait_for_log("config.in_force", &format!("\"version\":{version}")).await;
     }
 
-    /// Waits until the proxy has logged this event with this in it.
-    pub async fn logged(&self, event: &str, with: &str) {
+    /// Waits until the proxy has logged this event in a line that contains `with`.
+    pub async fn wait_for_log(&self, event: &str, with: &str) {
         let event = format!("\"event\":\"{event}\"");
         let mut log = self.log.lock().await;
         let wait = async {
-            while let Some(line) = log.next_line().await.expect("the log can be read") {
+            while let Some(line) = log.next_line().await.expect("failed to read the log") {
                 if line.contains(&event) && line.contains(with) {
                     return;
                 }
             }
             panic!("the proxy ended before it logged {event}");
         };
-        timeout(PATIENCE, wait).await.unwrap_or_else(|_| panic!("nothing logged: {event} {with}"));
+        timeout(TEST_TIMEOUT, wait)
+            .await
+            .unwrap_or_else(|_| panic!("timed out waiting for the log event {event} {with}"));
     }
 
-    /// A client's request on a connection of its own.
-    pub async fn ask(&self, path: &str, id: &str, headers: &[(&str, &str)], body: &str) -> Got {
-        let stream = TcpStream::connect(self.front).await.expect("the proxy listens");
+    /// Sends a client's request on a new connection.
+    pub async fn send(&self, path: &str, id: &str, headers: &[(&str, &str)], body: &str) -> ClientResponse {
+        let stream = TcpStream::connect(self.front).await.expect("failed to connect to the proxy");
         let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.expect("a connection");
+            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.expect("failed to connect");
         let serving = spawn_local(async move {
             let _ = connection.await;
         });
-        let got = self.ask_on(&mut sender, path, id, headers, body).await;
+        let response = self.send_on(&mut sender, path, id, headers, body).await;
         serving.abort();
-        got
+        response
     }
 
-    /// A client's request on a connection that is kept.
-    pub async fn ask_on(
+    /// Sends a client's request on an existing connection.
+    pub async fn send_on(
         &self,
         sender: &mut hyper::client::conn::http1::SendRequest<Full<Bytes>>,
         path: &str,
         id: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Got {
+    ) -> ClientResponse {
         let mut request = Request::post(path).header("host", "h.example");
         if !id.is_empty() {
             request = request.header("x-attempt-id", id);
@@ -509,36 +540,43 @@
         }
         for (name, value) in headers {
             request = request.header(
-                name.parse::<HeaderName>().expect("a name"),
-                HeaderValue::from_str(value).expect("a value"),
+                name.parse::<HeaderName>().expect("invalid header name"),
+                HeaderValue::from_str(value).expect("invalid header value"),
             );
         }
-        let request = request.body(Full::new(Bytes::from(body.to_owned()))).expect("a request");
-        let response =
-            timeout(PATIENCE, sender.send_request(request)).await.expect("an answer").expect("an answer");
+        let request = request.body(Full::new(Bytes::from(body.to_owned()))).expect("invalid request");
+        let response = timeout(TEST_TIMEOUT, sender.send_request(request))
+            .await
+            .expect("timed out waiting for the response")
+            .expect("failed to read the response");
         let (head, mut rest) = response.into_parts();
-        let (mut read, mut whole) = (Vec::new(), true);
-        while let Some(frame) = timeout(PATIENCE, rest.frame()).await.expect("the answer goes on") {
+        let (mut read, mut complete) = (Vec::new(), true);
+        while let Some(frame) =
+            timeout(TEST_TIMEOUT, rest.frame()).await.expect("timed out waiting for the body")
+        {
             match frame {
                 Ok(frame) => read.extend_from_slice(&frame.into_data().unwrap_or_default()),
                 Err(_) => {
-                    whole = false;
+                    complete = false;
                     break;
                 }
             }
         }
         let body = String::from_utf8_lossy(&read).into_owned();
-        Got { status: head.status, headers: head.headers, body, whole }
+        ClientResponse { status: head.status, headers: head.headers, body, complete }
     }
 
-    /// Whether the platform would send clients here.
+    /// Whether the readiness check succeeds.
     pub async fn is_ready(&self) -> bool {
-        let mut stream = TcpStream::connect(self.ready).await.expect("the proxy listens");
+        let mut stream = TcpStream::connect(self.ready).await.expect("failed to connect to the proxy");
         let request = "GET /runtrack/readiness HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-        stream.write_all(request.as_bytes()).await.expect("it is read");
-        let mut answer = String::new();
-        timeout(PATIENCE, stream.read_to_string(&mut answer)).await.expect("an answer").expect("an answer");
-        answer.starts_with("HTTP/1.1 200")
+        stream.write_all(request.as_bytes()).await.expect("failed to write");
+        let mut response = String::new();
+        timeout(TEST_TIMEOUT, stream.read_to_string(&mut response))
+            .await
+            .expect("timed out waiting for the response")
+            .expect("failed to read the response");
+        response.starts_with("HTTP/1.1 200")
     }
 
     /// Sends the proxy SIGTERM.
@@ -547,28 +585,28 @@
     }
 
     /// Sends the proxy SIGHUP.
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Stops the proxy's process, and waits until it stands still.
-    pub async fn freeze(&self) {
+    /// Suspends the proxy's process by SIGSTOP, and waits until it has stopped.
+    pub async fn suspend(&self) {
         self.signal(Signal::STOP);
-        let stat = format!("/proc/{}/stat", self.child.id().expect("it runs"));
-        while !std::fs::read_to_string(&stat).expect("its state").contains(") T ") {
+        let stat = format!("/proc/{}/stat", self.child.id().expect("the proxy has exited"));
+        while !std::fs::read_to_string(&stat).expect("failed to read the process state").contains(") T ") {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Lets it go on.
-    pub fn thaw(&self) {
+    /// Resumes the proxy's process by SIGCONT.
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
     fn signal(&self, signal: Signal) {
-        let id = self.child.id().expect("it runs");
-        let pid = rustix::process::Pid::from_raw(id as i32).expect("a process");
-        rustix::process::kill_process(pid, signal).expect("it can be told");
+        let id = self.child.id().expect("the proxy has exited");
+        let pid = rustix::process::Pid::from_raw(id as i32).expect("invalid process id");
+        rustix::process::kill_process(pid, signal).expect("failed to send the signal");
     }
 }
 
@@ -578,11 +616,11 @@
     }
 }
 
-/// Listens as an agent does, at a port that is free.
-async fn free_port_after(gossip: &Rc<Gossip>) -> u16 {
+/// Listens for the proxy on a free port, and returns the port.
+async fn listen_on_free_port(gossip: &Rc<Gossip>) -> u16 {
     loop {
-        let probe = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
-        let port = probe.local_addr().expect("an address").port();
+        let probe = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("failed to bind");
+        let port = probe.local_addr().expect("no local address").port();
         drop(probe);
         if listen(gossip.clone(), SocketAddrV4::new(Ipv4Addr::LOCALHOST, port)).await.is_ok() {
             return port;
--- a/crates/proxy/tests/time_budgets.rs
+++ b/crates/proxy/tests/time_budgets.rs
@@ -1,57 +1,57 @@
-//! How much time endpoints are given: never more than the client has left, whichever attempt it is.
+//! Time budgets sent to endpoints: never more than the client's remaining time, for any attempt.
 
 mod support;
 
 use std::cell::RefCell;
 use std::rc::Rc;
 use support::{
-    Act, Fleet, RawClient, Script, Seen, Stand, answer, chunk, event, last_chunk, route, run, stream_head,
-    with_timeout,
+    Action, FakeEndpoint, Fleet, RawClient, ReceivedRequest, Script, chunk, event, last_chunk, reply,
+    route, run, stream_head, with_timeout,
 };
 use tokio::sync::Notify;
 
-/// Time limit of the route that tests let time pass with, in milliseconds.
-const CLOCK: u64 = 700;
+/// Timeout in milliseconds of the route `clock`, which tests use to wait on the proxy's clock.
+const CLOCK_TIMEOUT_MS: u64 = 700;
 
 fn routes() -> Vec<String> {
     vec![
         route("once", "non_idempotent", 3, false),
         route("again", "idempotent", 3, false),
         route("resumed", "streaming", 3, true),
-        with_timeout(&route("clock", "non_idempotent", 1, false), CLOCK as u32),
+        with_timeout(&route("clock", "non_idempotent", 1, false), CLOCK_TIMEOUT_MS as u32),
     ]
 }
 
-fn budget(seen: &Seen) -> u64 {
-    let budgets = seen.all("x-time-budget-ms");
+fn budget(received: &ReceivedRequest) -> u64 {
+    let budgets = received.all("x-time-budget-ms");
     assert_eq!(budgets.len(), 1, "{budgets:?}");
-    budgets[0].parse().expect("a whole number of milliseconds")
+    budgets[0].parse().expect("not a whole number of milliseconds")
 }
 
-/// The budgets of the two attempts of a request, of which the first one fails some time after it was sent.
+/// The time budgets of the two attempts of a request, of which the first fails `CLOCK_TIMEOUT_MS` after it was sent.
 async fn budgets_of_attempts(
     path: &str,
-    first: Vec<Act>,
-    go_on: Rc<Notify>,
-    second: Vec<Act>,
+    first: Vec<Action>,
+    proceed: Rc<Notify>,
+    second: Vec<Action>,
 ) -> (u64, u64) {
     let script: Script = Rc::new(RefCell::new(vec![first, second].into()));
-    let one = Stand::start_shared("i-1", script.clone()).await;
-    let other = Stand::start_shared("i-2", script).await;
+    let one = FakeEndpoint::start_shared("i-1", script.clone()).await;
+    let other = FakeEndpoint::start_shared("i-2", script).await;
     let fleet = Fleet::start(&routes(), &[&one, &other]).await;
-    let failing = async {
+    let fail_first = async {
         tokio::select! {
-            () = one.came() => {}
-            () = other.came() => {}
+            () = one.request_received() => {}
+            () = other.request_received() => {}
         }
-        fleet.outlast("/clock/x").await;
-        go_on.notify_one();
+        fleet.wait_out_timeout("/clock/x").await;
+        proceed.notify_one();
     };
     let headers = [("x-time-budget-ms", "5000")];
-    let (got, ()) = tokio::join!(fleet.ask(path, "a1", &headers, "x"), failing);
-    assert!(got.status.is_success() && got.whole, "{got:?}");
+    let (response, ()) = tokio::join!(fleet.send(path, "a1", &headers, "x"), fail_first);
+    assert!(response.status.is_success() && response.complete, "{response:?}");
     let mut budgets: Vec<u64> =
-        one.seen.borrow().iter().chain(other.seen.borrow().iter()).map(budget).collect();
+        one.received.borrow().iter().chain(other.received.borrow().iter()).map(budget).collect();
     budgets.sort_unstable();
     assert_eq!(budgets.len(), 2);
     (budgets[1], budgets[0])
@@ -60,36 +60,37 @@
 #[test]
 fn a_retry_has_a_smaller_time_budget() {
     run(async {
-        let go_on = Rc::new(Notify::new());
-        let broken = vec![Act::Wait(go_on.clone()), Act::Reset];
+        let proceed = Rc::new(Notify::new());
+        let failing = vec![Action::Wait(proceed.clone()), Action::Reset];
         let (first, second) =
-            budgets_of_attempts("/again/x", broken, go_on, vec![answer("200 OK", "fine")]).await;
+            budgets_of_attempts("/again/x", failing, proceed, vec![reply("200 OK", "fine")]).await;
         assert!(first <= 5000, "{first}");
-        assert!(second <= first - CLOCK, "{first} {second}");
+        assert!(second <= first - CLOCK_TIMEOUT_MS, "{first} {second}");
     });
 }
 
 #[test]
 fn a_resumed_stream_has_a_smaller_time_budget() {
     run(async {
-        let go_on = Rc::new(Notify::new());
-        let broken = vec![stream_head("s1"), chunk(&event(1)), Act::Wait(go_on.clone()), Act::Reset];
+        let proceed = Rc::new(Notify::new());
+        let failing =
+            vec![stream_head("s1"), chunk(&event(1)), Action::Wait(proceed.clone()), Action::Reset];
         let resumed = vec![stream_head("s2"), chunk(&event(2)), last_chunk()];
-        let (first, second) = budgets_of_attempts("/resumed/x", broken, go_on, resumed).await;
+        let (first, second) = budgets_of_attempts("/resumed/x", failing, proceed, resumed).await;
         assert!(first <= 5000, "{first}");
-        assert!(second <= first - CLOCK, "{first} {second}");
+        assert!(second <= first - CLOCK_TIMEOUT_MS, "{first} {second}");
     });
 }
 
-/// What an endpoint is given where the client sends these lines.
-async fn given(lines: &str) -> u64 {
-    let stand = Stand::start("i-1", vec![]).await;
-    let fleet = Fleet::start(&routes(), &[&stand]).await;
+/// The time budget sent to an endpoint if the client sends these header lines.
+async fn sent_budget(lines: &str) -> u64 {
+    let endpoint = FakeEndpoint::start("i-1", vec![]).await;
+    let fleet = Fleet::start(&routes(), &[&endpoint]).await;
     let mut client = RawClient::connect(&fleet).await;
     client.write(&support::request("/once/x", "a1", lines, "x")).await;
     client.read_until("unscripted").await;
-    let seen = stand.seen.borrow();
-    budget(&seen[0])
+    let received = endpoint.received.borrow();
+    budget(&received[0])
 }
 
 #[test]
@@ -109,8 +110,8 @@
     run(async move {
         let mut wrong = Vec::new();
         for (lines, most) in cases {
-            let given = given(lines).await;
-            wrong.extend((given > most || given + 1000 < most).then_some((lines, given)));
+            let budget = sent_budget(lines).await;
+            wrong.extend((budget > most || budget + 1000 < most).then_some((lines, budget)));
         }
         assert_eq!(wrong, []);
     });
@@ -119,15 +120,15 @@
 #[test]
 fn a_request_without_time_left_reaches_no_endpoint() {
     run(async {
-        let stand = Stand::start("i-1", vec![]).await;
-        let fleet = Fleet::start(&routes(), &[&stand]).await;
+        let endpoint = FakeEndpoint::start("i-1", vec![]).await;
+        let fleet = Fleet::start(&routes(), &[&endpoint]).await;
         let mut wrong = Vec::new();
         for value in ["0", "0.4", "-5", "-Infinity"] {
-            let got = fleet.ask("/once/x", "a1", &[("x-time-budget-ms", value)], "x").await;
-            let never_ran = [503, 408].contains(&got.status.as_u16());
-            wrong.extend((!never_ran).then_some((value, got.status)));
+            let response = fleet.send("/once/x", "a1", &[("x-time-budget-ms", value)], "x").await;
+            let never_ran = [503, 408].contains(&response.status.as_u16());
+            wrong.extend((!never_ran).then_some((value, response.status)));
         }
         assert_eq!(wrong, []);
-        assert_eq!(stand.seen.borrow().len(), 0);
+        assert_eq!(endpoint.received.borrow().len(), 0);
     });
 }
