--- a/crates/agree/tests/members.rs
+++ b/crates/agree/tests/members.rs
@@ -1,4 +1,4 @@
-//! Members that agree, come, go, and are cut off.
+//! Replication, elections, reads and membership changes, with members that are partitioned or removed.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::*;
 
 #[test]
-fn a_cluster_of_one_decides_alone_and_remembers() {
+fn a_single_member_commits_alone_and_keeps_its_state_after_a_power_cycle() {
     let mut cluster = Cluster::new(1);
     for n in 0..20 {
         cluster.write("", hold(n));
@@ -19,13 +19,13 @@
 }
 
 #[test]
-fn three_and_five_members_agree_on_what_was_written() {
+fn three_and_five_members_apply_the_same_writes() {
     for members in [3, 5] {
-        let mut cluster = Cluster::of(members, members);
+        let mut cluster = Cluster::with_members(members, members);
         for n in 0..50 {
             cluster.write("", hold(n));
         }
-        cluster.settle();
+        cluster.wait_for_equal_states();
         for member in 1..=members {
             assert_eq!(cluster.state(member).held.len(), 50);
         }
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_write_through_any_member_reaches_the_log() {
-    let mut cluster = Cluster::of(3, 2);
+    let mut cluster = Cluster::with_members(3, 2);
     let leader = cluster.leader().expect("somebody");
     for (n, member) in (1..=3).enumerate() {
         let write = proposal(&format!("by-{member}"), hold(n as u64));
@@ -44,18 +44,18 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_steps_down_and_its_writes_do_not_count() {
-    let mut cluster = Cluster::of(3, 3);
+fn a_partitioned_leader_steps_down_and_its_writes_are_not_committed() {
+    let mut cluster = Cluster::with_members(3, 3);
     let old = cluster.leader().expect("somebody");
-    cluster.cut_off(old, true);
+    cluster.set_partitioned(old, true);
     let lost = proposal("lost", hold(99));
     cluster.nodes.get_mut(&old).expect("it runs").propose(&lost).expect("it believes that it leads");
     cluster.until("another leads", |c| c.leader().is_some_and(|leader| leader != old));
     cluster.write("kept", hold(1));
-    cluster.until("the old one has stepped down", |c| !c.nodes[&old].leads());
+    cluster.until("the old one has stepped down", |c| !c.nodes[&old].is_leader());
     assert!(cluster.state(old).outcome("lost").is_none());
-    cluster.cut_off(old, false);
-    cluster.settle();
+    cluster.set_partitioned(old, false);
+    cluster.wait_for_equal_states();
     for member in 1..=3 {
         assert!(cluster.state(member).outcome("kept").is_some());
         assert!(cluster.state(member).outcome("lost").is_none());
@@ -63,47 +63,47 @@
 }
 
 #[test]
-fn a_member_that_was_cut_off_disturbs_nobody_when_it_is_back() {
-    let mut cluster = Cluster::of(3, 4);
+fn a_member_returning_from_a_partition_does_not_disrupt_the_leader() {
+    let mut cluster = Cluster::with_members(3, 4);
     let leader = cluster.leader().expect("somebody");
     let other = (1..=3).find(|member| *member != leader).expect("one of the others");
-    let term = cluster.nodes[&leader].standing().term;
-    cluster.cut_off(other, true);
+    let term = cluster.nodes[&leader].status().term;
+    cluster.set_partitioned(other, true);
     for _ in 0..500 {
-        cluster.turn();
+        cluster.tick_all();
     }
-    cluster.cut_off(other, false);
+    cluster.set_partitioned(other, false);
     for _ in 0..100 {
-        cluster.turn();
+        cluster.tick_all();
     }
-    assert_eq!((cluster.leader(), cluster.nodes[&leader].standing().term), (Some(leader), term));
+    assert_eq!((cluster.leader(), cluster.nodes[&leader].status().term), (Some(leader), term));
 }
 
 #[test]
-fn a_read_is_not_answered_by_a_leader_that_is_none_any_more() {
-    let mut cluster = Cluster::of(3, 5);
+fn a_deposed_leader_does_not_answer_reads() {
+    let mut cluster = Cluster::with_members(3, 5);
     let old = cluster.leader().expect("somebody");
     cluster.write("", hold(1));
-    cluster.nodes.get_mut(&old).expect("it runs").read(1);
+    cluster.nodes.get_mut(&old).expect("it runs").request_read(1);
     cluster.until("it is answered", |c| c.reads.contains(&(old, 1)));
-    cluster.cut_off(old, true);
-    cluster.nodes.get_mut(&old).expect("it runs").read(2);
+    cluster.set_partitioned(old, true);
+    cluster.nodes.get_mut(&old).expect("it runs").request_read(2);
     cluster.until("another leads", |c| c.leader().is_some_and(|leader| leader != old));
     cluster.write("", hold(2));
     for _ in 0..50 {
-        cluster.turn();
+        cluster.tick_all();
     }
     assert!(!cluster.reads.contains(&(old, 2)), "it could not know what was written meanwhile");
     // A read through a follower sees what was written before it.
     let follower = (1..=3).find(|m| *m != old && Some(*m) != cluster.leader()).expect("the third");
-    cluster.nodes.get_mut(&follower).expect("it runs").read(3);
+    cluster.nodes.get_mut(&follower).expect("it runs").request_read(3);
     cluster.until("it is answered", |c| c.reads.contains(&(follower, 3)));
     assert_eq!(cluster.state(follower).held.len(), 2);
 }
 
 #[test]
-fn all_members_are_replaced_one_after_the_other() {
-    let mut cluster = Cluster::of(3, 6);
+fn all_members_can_be_replaced_one_by_one() {
+    let mut cluster = Cluster::with_members(3, 6);
     for n in 0..30 {
         cluster.write("", hold(n));
     }
@@ -112,14 +112,14 @@
         cluster.add(new);
         cluster.promote(new);
         if cluster.leader() == Some(old) {
-            cluster.nodes.get_mut(&old).expect("it runs").transfer(new);
+            cluster.nodes.get_mut(&old).expect("it runs").transfer_leader(new);
             cluster.until("the new one leads", |c| c.leader() == Some(new));
         }
         cluster.change(&MemberChange::Remove { member: old });
         cluster.nodes.remove(&old);
         cluster.write("", hold(100 + old));
     }
-    cluster.settle();
+    cluster.wait_for_equal_states();
     let members: Vec<u64> = cluster.state(4).members.keys().copied().collect();
     assert_eq!(members, [4, 5, 6]);
     assert_eq!(cluster.state(5).held.len(), 33);
@@ -127,32 +127,32 @@
 }
 
 #[test]
-fn a_removed_member_counts_for_nothing() {
-    let mut cluster = Cluster::of(3, 7);
+fn a_removed_member_does_not_count_towards_a_majority() {
+    let mut cluster = Cluster::with_members(3, 7);
     let leader = cluster.leader().expect("somebody");
     let gone = (1..=3).find(|member| *member != leader).expect("one of the others");
-    // It does not hear of its removal.
-    cluster.cut_off(gone, true);
+    // It does not learn of its removal.
+    cluster.set_partitioned(gone, true);
     cluster.change(&MemberChange::Remove { member: gone });
-    cluster.settle_without(gone);
-    cluster.cut_off(gone, false);
-    let term = cluster.nodes[&leader].standing().term;
-    // With the third one away the leader can't decide: the removed one does not make up a majority.
+    cluster.wait_for_equal_states_without(gone);
+    cluster.set_partitioned(gone, false);
+    let term = cluster.nodes[&leader].status().term;
+    // With the third member partitioned the leader cannot commit: the removed member must not count towards a majority.
     let third = (1..=3).find(|member| *member != leader && *member != gone).expect("the third");
-    cluster.cut_off(third, true);
+    cluster.set_partitioned(third, true);
     let write = proposal("alone", hold(1));
     let _ = cluster.nodes.get_mut(&leader).expect("it runs").propose(&write);
     for _ in 0..100 {
-        cluster.turn();
+        cluster.tick_all();
     }
     assert!(cluster.state(leader).outcome("alone").is_none());
     assert!(cluster.leaders.iter().all(|(_, leader)| *leader != gone) || term > 0);
-    assert!(!cluster.nodes[&gone].leads());
+    assert!(!cluster.nodes[&gone].is_leader());
 }
 
 #[test]
-fn changes_that_make_no_sense_are_refused_in_words() {
-    let mut cluster = Cluster::of(3, 8);
+fn invalid_membership_changes_are_refused_with_a_reason() {
+    let mut cluster = Cluster::with_members(3, 8);
     let leader = cluster.leader().expect("somebody");
     let node = cluster.nodes.get_mut(&leader).expect("it runs");
     let add = |member: u64, name: &str, address: &str| MemberChange::Add {
@@ -179,8 +179,8 @@
 }
 
 #[test]
-fn a_second_folder_under_one_number_is_refused() {
-    let mut cluster = Cluster::of(3, 9);
+fn a_second_folder_with_the_same_member_id_is_refused() {
+    let mut cluster = Cluster::with_members(3, 9);
     cluster.add(4);
     let seen = |folder: &str| Command::Seen {
         member: 4,
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn no_folder_becomes_a_member_twice() {
+fn a_folder_cannot_be_initialized_twice() {
     let disk = Disk::default();
     Node::join(disk.clone(), identity(4)).expect("made");
     let again = Node::join(disk.clone(), identity(5)).expect_err("there is one");
@@ -205,39 +205,39 @@
 }
 
 #[test]
-fn a_link_that_flaps_costs_no_elections() {
-    let mut cluster = Cluster::of(3, 10);
+fn a_flapping_link_causes_no_elections() {
+    let mut cluster = Cluster::with_members(3, 10);
     let leader = cluster.leader().expect("somebody");
-    let term = cluster.nodes[&leader].standing().term;
+    let term = cluster.nodes[&leader].status().term;
     let other = 1 + leader % 3;
     for turn in 0..2_000 {
         let down = turn % 2 == 0;
         for link in [(leader, other), (other, leader)] {
             if down {
-                cluster.cut.insert(link)
+                cluster.cut_links.insert(link)
             } else {
-                cluster.cut.remove(&link)
+                cluster.cut_links.remove(&link)
             };
         }
-        cluster.turn();
+        cluster.tick_all();
     }
-    let now = cluster.nodes[&leader].standing();
+    let now = cluster.nodes[&leader].status();
     assert_eq!((now.term, cluster.leader()), (term, Some(leader)));
 }
 
 #[test]
-fn a_link_that_is_cut_one_way_leaves_one_leader_and_writes_go_on() {
+fn a_one_way_partition_leaves_one_leader_and_writes_continue() {
     for way in [true, false] {
-        let mut cluster = Cluster::of(3, 11);
+        let mut cluster = Cluster::with_members(3, 11);
         let leader = cluster.leader().expect("somebody");
         for other in (1..=3).filter(|other| *other != leader) {
-            cluster.cut.insert(if way { (leader, other) } else { (other, leader) });
+            cluster.cut_links.insert(if way { (leader, other) } else { (other, leader) });
         }
         for n in 0..10 {
             cluster.write("", hold(n));
         }
-        cluster.cut.clear();
-        cluster.settle();
+        cluster.cut_links.clear();
+        cluster.wait_for_equal_states();
         assert_eq!(cluster.state(leader).held.len(), 10);
     }
 }
--- a/crates/agree/tests/support/mod.rs
+++ b/crates/agree/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Members over disks that can be cut off and links that lose what they like, on one clock of ticks.
+//! A simulated cluster: members on disks that can fail and links that can be cut, driven by one tick clock.
 #![allow(dead_code)]
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use runtrack_agree::command::{By, Commit};
+use runtrack_agree::command::{Attribution, Commit};
 use runtrack_agree::{
     Applied, Command, Identity, MemberChange, MemberId, Node, NodeError, Output, PeerMessage, Proposal,
     State, Tuning,
@@ -11,7 +11,7 @@
 use runtrack_testkit::Disk;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-pub const TUNING: Tuning = Tuning { heartbeat: 1, election: 10, log_bytes: 20_000 };
+pub const TUNING: Tuning = Tuning { heartbeat_ticks: 1, election_ticks: 10, log_bytes: 20_000 };
 
 pub fn identity(member: MemberId) -> Identity {
     Identity {
@@ -27,34 +27,34 @@
     Proposal { id: id.to_owned(), command }
 }
 
-/// A version on top of the one that a state has.
+/// A commit on top of the current version of a state.
 pub fn commit(state: &State, text: &str) -> Command {
     let parent = state.current().map(|version| version.hash.clone()).unwrap_or_default();
     Command::Commit(Commit {
         on: state.serial(),
         parent,
         text: text.to_owned(),
-        by: By { author: "somchai".to_owned(), reason: "a test".to_owned(), at_ms: 1 },
+        by: Attribution { author: "somchai".to_owned(), reason: "a test".to_owned(), at_ms: 1 },
         plan: String::new(),
         stages: Vec::new(),
         pause_ms: 0,
     })
 }
 
-/// Something small that each write does.
+/// A small command; each `n` holds a different endpoint.
 pub fn hold(n: u64) -> Command {
-    Command::Hold { pool: "p".to_owned(), uid: format!("e{n}"), held: true, by: By::default() }
+    Command::Hold { pool: "p".to_owned(), uid: format!("e{n}"), held: true, by: Attribution::default() }
 }
 
 pub struct Cluster {
     pub nodes: BTreeMap<MemberId, Node<Disk>>,
     pub disks: BTreeMap<MemberId, Disk>,
-    /// Messages on their way.
-    pub wire: VecDeque<PeerMessage>,
-    /// Links that are cut, from and to.
-    pub cut: BTreeSet<(MemberId, MemberId)>,
-    pub draws: Pcg32,
-    /// What each member applied, by index: a write's id and its outcome must be the same everywhere.
+    /// Messages in flight.
+    pub in_flight: VecDeque<PeerMessage>,
+    /// Links that are cut, as sender and receiver.
+    pub cut_links: BTreeSet<(MemberId, MemberId)>,
+    pub rng: Pcg32,
+    /// Applied commands by index; a command's id and outcome must be the same on all members.
     pub applied: BTreeMap<u64, Applied>,
     /// Leaders by term.
     pub leaders: BTreeMap<u64, MemberId>,
@@ -64,17 +64,17 @@
 }
 
 impl Cluster {
-    /// A cluster of one.
+    /// A cluster of one member.
     pub fn new(seed: u64) -> Cluster {
         let disk = Disk::default();
         let state = State::new("lineage-1", 7, "m1", "a1", "folder-1");
-        Node::found(disk.clone(), identity(1), &state).expect("made");
+        Node::bootstrap(disk.clone(), identity(1), &state).expect("made");
         let mut cluster = Cluster {
             nodes: BTreeMap::new(),
             disks: [(1, disk)].into(),
-            wire: VecDeque::new(),
-            cut: BTreeSet::new(),
-            draws: Pcg32::seed_from_u64(seed),
+            in_flight: VecDeque::new(),
+            cut_links: BTreeSet::new(),
+            rng: Pcg32::seed_from_u64(seed),
             applied: BTreeMap::new(),
             leaders: BTreeMap::new(),
             reads: Vec::new(),
@@ -85,8 +85,8 @@
         cluster
     }
 
-    /// A cluster of so many, all of which vote.
-    pub fn of(members: u64, seed: u64) -> Cluster {
+    /// A cluster of this many voting members.
+    pub fn with_members(members: u64, seed: u64) -> Cluster {
         let mut cluster = Cluster::new(seed);
         for member in 2..=members {
             cluster.add(member);
@@ -100,12 +100,12 @@
         self.nodes.insert(member, node);
     }
 
-    /// A member's power goes: what it had not synced may be lost.
+    /// Cuts a member's power: unsynced data may be lost.
     pub fn power_off(&mut self, member: MemberId) {
         self.nodes.remove(&member);
-        let left = self.disks[&member].after_cut(&mut self.draws);
+        let left = self.disks[&member].after_cut(&mut self.rng);
         self.disks.insert(member, left);
-        self.wire.retain(|message| message.to != member);
+        self.in_flight.retain(|message| message.to != member);
     }
 
     pub fn power_cycle(&mut self, member: MemberId) {
@@ -113,7 +113,7 @@
         self.start(member);
     }
 
-    /// Adds a learner and waits until it has shown itself.
+    /// Adds a learner and records its first contact.
     pub fn add(&mut self, member: MemberId) {
         let (name, address) = (format!("m{member}"), format!("a{member}"));
         let change = MemberChange::Add { member, name, address, ticket: format!("ticket-{member}") };
@@ -129,13 +129,13 @@
 
     pub fn promote(&mut self, member: MemberId) {
         self.until("it has caught up", |c| {
-            let leader = c.leader().map(|leader| c.nodes[&leader].standing());
+            let leader = c.leader().map(|leader| c.nodes[&leader].status());
             leader.is_some_and(|s| s.peers.get(&member).is_some_and(|p| p.heard && p.matched + 10 > s.last))
         });
         self.change(&MemberChange::Promote { member });
     }
 
-    /// Makes a change of members and waits until it is applied where it leads.
+    /// Proposes a membership change until it is applied on the leader.
     pub fn change(&mut self, change: &MemberChange) {
         let id = format!("change-{change:?}").chars().take(60).collect::<String>();
         for _ in 0..200 {
@@ -144,7 +144,7 @@
             let node = self.nodes.get_mut(&leader).expect("it runs");
             let done = node.change_members(&id, change);
             for _ in 0..5 {
-                self.turn();
+                self.tick_all();
             }
             if self.applied.values().any(|applied| applied.id == id && applied.outcome.is_done()) {
                 return;
@@ -154,26 +154,26 @@
         panic!("never made: {change:?}");
     }
 
-    /// The one that leads in the highest term among those that run.
+    /// The running leader with the highest term.
     pub fn leader(&self) -> Option<MemberId> {
         let standing = self
             .nodes
             .iter()
-            .filter(|(_, node)| node.leads())
-            .map(|(id, node)| (node.standing().term, *id));
+            .filter(|(_, node)| node.is_leader())
+            .map(|(id, node)| (node.status().term, *id));
         standing.max().map(|(_, id)| id)
     }
 
-    /// Proposes a command at the leader until it is applied there; gives its index.
+    /// Proposes a command on the leader until it is applied; returns its index.
     pub fn write(&mut self, id: &str, command: Command) -> u64 {
-        let id = if id.is_empty() { format!("write-{}", self.draws.next_u64()) } else { id.to_owned() };
+        let id = if id.is_empty() { format!("write-{}", self.rng.next_u64()) } else { id.to_owned() };
         for _ in 0..200 {
             self.until("somebody leads", |c| c.leader().is_some());
             let leader = self.leader().expect("just seen");
             let node = self.nodes.get_mut(&leader).expect("it runs");
             let _ = node.propose(&proposal(&id, command.clone()));
             for _ in 0..30 {
-                self.turn();
+                self.tick_all();
                 if let Some(applied) = self.applied.values().find(|applied| applied.id == id) {
                     return applied.index;
                 }
@@ -186,8 +186,8 @@
         self.nodes[&member].state().expect("it has heard")
     }
 
-    /// One tick for all, and what comes of it.
-    pub fn turn(&mut self) {
+    /// Runs one tick on all members, and delivers the resulting messages.
+    pub fn tick_all(&mut self) {
         self.ticks += 1;
         let members: Vec<MemberId> = self.nodes.keys().copied().collect();
         for member in &members {
@@ -199,8 +199,8 @@
             for member in &members {
                 self.drive(*member);
             }
-            for message in std::mem::take(&mut self.wire) {
-                if self.cut.contains(&(message.from, message.to)) {
+            for message in std::mem::take(&mut self.in_flight) {
+                if self.cut_links.contains(&(message.from, message.to)) {
                     continue;
                 }
                 if let Some(node) = self.nodes.get_mut(&message.to) {
@@ -220,70 +220,73 @@
                 return;
             }
         };
-        if node.leads() {
-            let term = node.standing().term;
+        if node.is_leader() {
+            let term = node.status().term;
             let before = *self.leaders.entry(term).or_insert(member);
             assert_eq!(before, member, "two lead in term {term}");
         }
-        self.wire.extend(messages);
+        self.in_flight.extend(messages);
         self.reads.extend(reads.into_iter().map(|number| (member, number)));
         for applied in applied {
             let before = self.applied.entry(applied.index).or_insert_with(|| applied.clone());
             assert_eq!(before, &applied, "two members disagree on entry {}", applied.index);
         }
         if let Some(fetch) = fetch {
-            let from = self.nodes.get(&fetch.from).filter(|_| !self.cut.contains(&(fetch.from, member)));
+            let from =
+                self.nodes.get(&fetch.from).filter(|_| !self.cut_links.contains(&(fetch.from, member)));
             let text = from
-                .filter(|from| *from.snapshot() == fetch.place)
+                .filter(|from| *from.snapshot() == fetch.snapshot)
                 .and_then(|from| from.snapshot_text().ok()?);
             let node = self.nodes.get_mut(&member).expect("it runs");
             match text {
-                Some(text) => assert!(node.fetched(text), "the text of the snapshot that was offered"),
-                None => node.not_fetched(),
+                Some(text) => {
+                    assert!(node.snapshot_fetched(text), "the fetched text does not match the offer")
+                }
+                None => node.snapshot_fetch_failed(),
             }
         }
     }
 
-    /// Takes turns until a condition holds.
+    /// Runs ticks until a condition holds.
     pub fn until(&mut self, what: &str, holds: impl Fn(&Cluster) -> bool) {
         for _ in 0..2_000 {
             if holds(self) {
                 return;
             }
-            self.turn();
+            self.tick_all();
         }
         panic!("never came: {what}");
     }
 
-    /// Waits until all that run have applied the same, and looks that they hold the same.
-    pub fn settle(&mut self) {
+    /// Waits until all running members have applied the same entries, and checks that their states are equal.
+    pub fn wait_for_equal_states(&mut self) {
         self.until("all have applied the same", |c| {
-            let applied: BTreeSet<u64> = c.nodes.values().map(|node| node.standing().applied).collect();
-            let last = c.leader().map(|leader| c.nodes[&leader].standing().last);
+            let applied: BTreeSet<u64> = c.nodes.values().map(|node| node.status().applied).collect();
+            let last = c.leader().map(|leader| c.nodes[&leader].status().last);
             applied.len() == 1 && last == applied.first().copied()
         });
         let snapshots: BTreeSet<String> =
             self.nodes.values().map(|node| node.state().expect("it has heard").snapshot()).collect();
-        assert_eq!(snapshots.len(), 1, "equal logs, unequal states");
+        assert_eq!(snapshots.len(), 1, "states differ after equal logs");
     }
 
-    /// Waits until all but one have applied the same.
-    pub fn settle_without(&mut self, member: MemberId) {
+    /// Waits until all members but one have applied the same entries.
+    pub fn wait_for_equal_states_without(&mut self, member: MemberId) {
         self.until("the others have applied the same", |c| {
             let others = c.nodes.iter().filter(|(id, _)| **id != member);
-            let applied: BTreeSet<u64> = others.map(|(_, node)| node.standing().applied).collect();
+            let applied: BTreeSet<u64> = others.map(|(_, node)| node.status().applied).collect();
             applied.len() == 1
         });
     }
 
-    /// Cuts a member off from all others, both ways, or heals that.
-    pub fn cut_off(&mut self, member: MemberId, cut: bool) {
+    /// Cuts all links between a member and the others, in both directions, or restores them.
+    pub fn set_partitioned(&mut self, member: MemberId, cut: bool) {
         for other in self.disks.keys().copied().filter(|other| *other != member) {
             for link in [(member, other), (other, member)] {
                 if cut {
-                    self.cut.insert(link)
+                    self.cut_links.insert(link)
                 } else {
-                    self.cut.remove(&link)
+                    self.cut_links.remove(&link)
                 };
             }
         }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -69,16 +69,16 @@
             .await;
         let mut connection = acquired.map_err(|error| {
             AttemptError::unsent(match error {
-                ConnectionError::LimitReached => Outcome::Full,
+                ConnectionError::LimitReached => Outcome::Rejected,
                 ConnectionError::ConnectFailed => Outcome::ConnectFailed,
             })
         })?;
         // Checks again, since connecting may have been slow or the process may have been paused.
         if !state.is_ready(target.key) || !outgoing.is_wanted() {
-            return Err(AttemptError::unsent(Outcome::Moot));
+            return Err(AttemptError::unsent(Outcome::NotSent));
         }
         let Some(request) = build_request(target, outgoing, last_event_id) else {
-            return Err(AttemptError::unsent(Outcome::Moot));
+            return Err(AttemptError::unsent(Outcome::NotSent));
         };
         let sent = timeout_at(outgoing.deadline, connection.sender.try_send_request(request)).await;
         return match sent {
@@ -136,7 +136,7 @@
                 !headers.contains_key(CONTENT_LENGTH) && !headers.contains_key(TRANSFER_ENCODING);
             Ok(ResponseStarted { response, connection, ends_with_connection })
         }
-        ResponseClass::NotExecuted => Err(AttemptError::sent(Outcome::Full)),
+        ResponseClass::NotExecuted => Err(AttemptError::sent(Outcome::Rejected)),
         ResponseClass::Unknown(outcome) => Err(AttemptError::sent(outcome)),
     }
 }
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -56,7 +56,7 @@
             };
             in_flight.outcome = error.outcome;
             drop(in_flight);
-            if error.outcome != Outcome::Full {
+            if error.outcome != Outcome::Rejected {
                 self.connections.close_idle(target.key);
             }
             if !attempts.may_retry(&self.state, request, error.into()) {
--- a/crates/runtrack/src/net/driver.rs
+++ b/crates/runtrack/src/net/driver.rs
@@ -11,7 +11,7 @@
     Action, AttemptEnded, AttemptNo, Balancer, EndpointId, EndpointState, Event, Membership, Outcome,
     RequestId, TimerToken,
 };
-use runtrack_discovery::{Call, Clock};
+use runtrack_discovery::{ClientCommand, Clock};
 use runtrack_net::mutant;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -129,7 +129,7 @@
     /// Attempts that have not ended.
     pub attempts: usize,
     /// Calls that the module counts as in flight.
-    pub counted: u32,
+    pub calls_in_flight: u32,
     /// What the module remembers of requests.
     pub remembered: usize,
 }
@@ -149,7 +149,7 @@
     summary_at: Instant,
     outbound: Rc<Outbound>,
     listing: Rc<Listing>,
-    calls: UnboundedSender<Call>,
+    calls: UnboundedSender<ClientCommand>,
     inbox: Inbox,
     /// What was open has been given up, and nothing more is sent.
     over: bool,
@@ -163,7 +163,7 @@
         max_attempts: u32,
         outbound: Rc<Outbound>,
         listing: Rc<Listing>,
-        calls: UnboundedSender<Call>,
+        calls: UnboundedSender<ClientCommand>,
         inbox: Inbox,
     ) -> Self {
         Driver {
@@ -247,7 +247,7 @@
             log::info!("{}", std::mem::take(&mut self.spans));
             // What is kept must stay in proportion to what is open and listed.
             let (open, timers, module) =
-                (self.requests.len(), self.timers.len(), self.balancer.remembered());
+                (self.requests.len(), self.timers.len(), self.balancer.state_size());
             let (listed, names, links) = (self.addresses.len(), self.listing.names(), self.outbound.idle());
             log::info!(
                 "outcomes in {} s: {counts:?}; open {open}, timers {timers}, module {module}, \
@@ -273,7 +273,7 @@
                 self.over = !mutant("over-unsaid");
                 for id in open {
                     if !mutant("given-up-alike") {
-                        self.end_unbegun(id, Outcome::Moot);
+                        self.end_unbegun(id, Outcome::NotSent);
                         self.handle(Event::GiveUp(id));
                     }
                     // The module's word on it has come; without one it has failed all the same.
@@ -296,8 +296,8 @@
         Gauges {
             open: self.requests.len(),
             attempts: self.requests.values().map(|open| open.out).sum(),
-            counted: self.balancer.calls_in_flight(),
-            remembered: self.balancer.remembered(),
+            calls_in_flight: self.balancer.calls_in_flight(),
+            remembered: self.balancer.state_size(),
         }
     }
 
@@ -388,7 +388,7 @@
         for entry in entries.iter().filter(|entry| entry.state != EndpointState::Ready) {
             // Nothing new goes there.
             withdrawn.insert(entry.id);
-            let state = if entry.state == EndpointState::Gone {
+            let state = if entry.state == EndpointState::Removed {
                 self.addresses.remove(&entry.id);
                 self.outbound.forget(entry.id);
                 "gone"
@@ -466,8 +466,8 @@
                 self.timers.push(Reverse((Instant::now() + after, token.0)));
             }
             // These fail only while the process ends.
-            Action::Watch(on) => drop(self.calls.send(Call::Watch(on))),
-            Action::FetchList => drop(self.calls.send(Call::Fetch)),
+            Action::Watch(on) => drop(self.calls.send(ClientCommand::Watch(on))),
+            Action::FetchList => drop(self.calls.send(ClientCommand::Fetch)),
             Action::Probe { endpoint } => self.probe(endpoint),
             Action::CloseIdle { endpoint } => self.outbound.close_idle(endpoint),
             Action::Log(text) => log::info!("module: {}", text.replace(['\n', '\r'], " ")),
@@ -489,12 +489,12 @@
                 request: id,
                 attempt,
                 endpoint,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
                 finished: open.answer.is_none(),
                 report: None,
             }));
-            return self.count(outcome_name(Outcome::Moot));
+            return self.count(outcome_name(Outcome::NotSent));
         };
         let (cancel, mut cancelled) = oneshot::channel();
         let window = open.window.clone().map(|window| (window, open.tries.len()));
@@ -557,11 +557,11 @@
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
-        Outcome::Full => "turned away",
+        Outcome::Rejected => "turned away",
         Outcome::TimedOut => "timed out",
         Outcome::ConnectFailed => "not connected",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::NotSent => "moot",
     }
 }
