--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -119,7 +119,7 @@
     }
 
     /// Reports to the load balancer that an endpoint with requests in progress has sent nothing for too long.
-    pub fn on_missing_event(&self, key: EndpointId) {
+    pub fn on_stall(&self, key: EndpointId) {
         let now = self.now();
         self.router().on_stall(now, key);
     }
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -168,7 +168,7 @@
             Err(_) => Err(Interruption::Ended(Outcome::Cancelled)),
             Ok(Ok(next)) => body_result(next),
             Ok(Err(_)) => {
-                self.state.on_missing_event(key);
+                self.state.on_stall(key);
                 self.next_after_stall(request, body, attempts, relay).await
             }
         }
