--- a/crates/agree/src/host/link.rs
+++ b/crates/agree/src/host/link.rs
@@ -91,9 +91,9 @@
             // A heartbeat supersedes the queued ones of its kind.
             let mut removed_bytes = 0;
             queue.messages.retain(|old| {
-                let keeps = old.kind != message.kind || !old.is_heartbeat();
-                removed_bytes += if keeps { 0 } else { old.size() };
-                keeps
+                let is_kept = old.kind != message.kind || !old.is_heartbeat();
+                removed_bytes += if is_kept { 0 } else { old.size() };
+                is_kept
             });
             queue.bytes -= removed_bytes;
         }
--- a/crates/agree/src/state.rs
+++ b/crates/agree/src/state.rs
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Adds the versions of a single-instance store, oldest first, with their texts.
+    /// Adds the versions of a single-instance store, oldest first, with their texts. A version without a text cannot be
+    /// kept and must be left out by the caller.
     pub fn with_versions(mut self, versions: impl IntoIterator<Item = (Version, String)>) -> State {
         for (version, text) in versions {
             self.texts.insert(version.serial, text.into());
@@ -313,8 +314,8 @@
         loop {
             let bytes: usize = self.texts.values().map(|text| text.len()).sum();
             let Some(oldest) = self.versions.first().map(|version| version.serial) else { return };
-            let over = self.versions.len() > MAX_VERSIONS || bytes > MAX_TEXT_BYTES;
-            if !over || self.versions.len() == 1 || oldest >= needed {
+            let exceeds_limit = self.versions.len() > MAX_VERSIONS || bytes > MAX_TEXT_BYTES;
+            if !exceeds_limit || self.versions.len() == 1 || oldest >= needed {
                 return;
             }
             self.versions.remove(0);
