--- a/crates/control/src/pool.rs
+++ b/crates/control/src/pool.rs
@@ -5,7 +5,7 @@
 use runtrack_balancer::{
     Balancer, EndpointId, EndpointInfo, EndpointState, Event, Membership, Rules, Settings, ZoneId, wire,
 };
-use runtrack_discovery::{List, State, Target, Told};
+use runtrack_discovery::{List, State, Target, Update};
 use runtrack_model::{Fleet, Pool, Source};
 use runtrack_xds::translate::Member;
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +33,7 @@
 /// A pool's endpoints.
 pub struct Members {
     balancer: Balancer,
-    ids: wire::Names,
+    ids: wire::EndpointNames,
     /// By uid.
     targets: BTreeMap<String, Target>,
     /// Uids of endpoints whose part still rises, and the step last told.
@@ -60,7 +60,7 @@
                 cold_share: fleet.rules.cold_share,
                 warm_within: fleet.rules.warm_within,
                 drain_grace: fleet.rules.drain_grace,
-                fall_multiple: fleet.rules.fall_multiple,
+                cold_overload_factor: fleet.rules.fall_multiple,
                 ..Settings::default().rules
             },
             ..Settings::default()
@@ -69,7 +69,7 @@
         let mut members = Members {
             // The model has checked these figures; the module's own defaults are sound.
             balancer: balancer.unwrap_or_else(|_| by_default(seed, now)),
-            ids: wire::Names::default(),
+            ids: wire::EndpointNames::default(),
             targets: BTreeMap::new(),
             cold: BTreeMap::new(),
             rev: 0,
@@ -131,15 +131,15 @@
     }
 
     /// Takes what the source told; tells whether the endpoints may differ.
-    pub fn told(&mut self, now: Duration, told: Told) -> bool {
+    pub fn told(&mut self, now: Duration, told: Update) -> bool {
         let list = match told {
-            Told::Failed(why) => {
+            Update::Failed(why) => {
                 let since = self.stale.as_ref().map_or(now, |stale| stale.since);
                 self.stale = Some(Stale { since, why });
                 return false;
             }
-            Told::Unchanged => return false,
-            Told::List(list) => list,
+            Update::Unchanged => return false,
+            Update::List(list) => list,
         };
         self.stale = None;
         if !list.all {
@@ -265,10 +265,11 @@
             state: match target.state {
                 State::Up => EndpointState::Ready,
                 State::Draining => EndpointState::Draining,
-                State::Removed => EndpointState::Gone,
+                State::Removed => EndpointState::Removed,
             },
             weight: target.capacity_hint,
-            started: (target.boot_ms > 0.0).then(|| Duration::from_micros((target.boot_ms * 1e3) as u64)),
+            started_at: (target.boot_ms > 0.0)
+                .then(|| Duration::from_micros((target.boot_ms * 1e3) as u64)),
             ..EndpointInfo::ready(0)
         }
     }
@@ -276,7 +277,8 @@
     /// The part of its capacity that an endpoint has, in whole steps.
     fn step(&mut self, now: Duration, uid: &str) -> u32 {
         let id = self.ids.id(uid);
-        let part = self.balancer.standing(now, id).map_or(1.0, |standing| standing.part);
+        let part =
+            self.balancer.endpoint_status(now, id).map_or(1.0, |standing| standing.capacity_fraction);
         (part * PART_STEPS).floor() as u32
     }
 
@@ -288,15 +290,15 @@
         let mut members = Vec::with_capacity(self.targets.len());
         for (uid, target) in &self.targets {
             let id = self.ids.id(uid);
-            let Some(standing) = self.balancer.standing(now, id) else { continue };
+            let Some(standing) = self.balancer.endpoint_status(now, id) else { continue };
             members.push(Member {
                 name: uid.clone(),
                 address: target.endpoint,
                 zone: target.az.clone(),
                 weight: target.capacity_hint,
                 draining: standing.info.state != EndpointState::Ready || self.held_back.contains(uid),
-                part: (standing.part * PART_STEPS).floor().max(1.0) / PART_STEPS,
-                heat: standing.heat,
+                part: (standing.capacity_fraction * PART_STEPS).floor().max(1.0) / PART_STEPS,
+                heat: standing.failure_penalty,
             });
         }
         Some(members)
@@ -359,8 +361,8 @@
         Target { state: State::Draining, ..up(uid) }
     }
 
-    fn whole(rev: u64, targets: Vec<Target>) -> Told {
-        Told::List(List { rev, all: true, targets })
+    fn whole(rev: u64, targets: Vec<Target>) -> Update {
+        Update::List(List { rev, all: true, targets })
     }
 
     fn pool() -> Members {
@@ -386,7 +388,7 @@
     fn nothing_is_known_before_the_first_list_and_an_empty_one_is_knowledge() {
         let mut members = pool();
         assert_eq!(members.members(NOW), None);
-        members.told(NOW, Told::Failed("refused".to_owned()));
+        members.told(NOW, Update::Failed("refused".to_owned()));
         assert_eq!(members.members(NOW), None);
         assert!(members.told(NOW, whole(1, Vec::new())));
         assert_eq!(members.members(NOW), Some(Vec::new()));
@@ -395,12 +397,12 @@
     #[test]
     fn a_source_that_fails_leaves_the_list_and_marks_it() {
         let mut members = with(vec![up("a"), draining("b")]);
-        assert!(!members.told(NOW, Told::Failed("silent".to_owned())));
-        members.told(NOW + Duration::from_secs(5), Told::Failed("refused".to_owned()));
+        assert!(!members.told(NOW, Update::Failed("silent".to_owned())));
+        members.told(NOW + Duration::from_secs(5), Update::Failed("refused".to_owned()));
         let stale = members.stale().cloned().expect("marked");
         assert_eq!((stale.since, stale.why.as_str()), (NOW, "refused"), "since the first failure");
         assert_eq!(names(&mut members, NOW), (vec!["a".to_owned()], 2));
-        members.told(NOW, Told::List(List { rev: 11, all: false, targets: vec![draining("a")] }));
+        members.told(NOW, Update::List(List { rev: 11, all: false, targets: vec![draining("a")] }));
         assert!(members.stale().is_none());
         assert_eq!(names(&mut members, NOW).0, Vec::<String>::new());
     }
@@ -434,7 +436,8 @@
     fn changes_that_come_while_a_list_is_doubted_outlive_the_doubt() {
         let mut members = with(vec![up("a"), up("b"), up("c")]);
         members.told(NOW, whole(11, vec![up("a")]));
-        members.told(NOW, Told::List(List { rev: 12, all: false, targets: vec![up("d"), draining("a")] }));
+        members
+            .told(NOW, Update::List(List { rev: 12, all: false, targets: vec![up("d"), draining("a")] }));
         assert_eq!(names(&mut members, NOW), (["b", "c", "d"].map(str::to_owned).to_vec(), 4));
         members.tick(NOW + Duration::from_secs(10));
         assert_eq!(names(&mut members, NOW), (vec!["d".to_owned()], 2));
@@ -455,7 +458,7 @@
     fn explicit_removals_are_never_doubted() {
         let mut members = with(vec![up("a"), up("b")]);
         let gone = ["a", "b"].map(|uid| Target { state: State::Removed, ..up(uid) });
-        assert!(members.told(NOW, Told::List(List { rev: 11, all: false, targets: gone.to_vec() })));
+        assert!(members.told(NOW, Update::List(List { rev: 11, all: false, targets: gone.to_vec() })));
         assert_eq!(names(&mut members, NOW).1, 0);
     }
 
@@ -497,9 +500,9 @@
         let mut members = with(vec![up("stays")]);
         for n in 0..1000 {
             let uid = format!("e{n}");
-            members.told(NOW, Told::List(List { rev: 11 + n, all: false, targets: vec![up(&uid)] }));
+            members.told(NOW, Update::List(List { rev: 11 + n, all: false, targets: vec![up(&uid)] }));
             let gone = Target { state: State::Removed, ..up(&uid) };
-            members.told(NOW, Told::List(List { rev: 11 + n, all: false, targets: vec![gone] }));
+            members.told(NOW, Update::List(List { rev: 11 + n, all: false, targets: vec![gone] }));
         }
         assert!(members.ids.len() < 40, "{} names", members.ids.len());
     }
--- a/crates/runtrack/src/net/listing.rs
+++ b/crates/runtrack/src/net/listing.rs
@@ -2,9 +2,9 @@
 
 use super::config::Names;
 use runtrack_balancer::{
-    CellId, EndpointId, EndpointInfo, EndpointState, KindId, Membership, ZoneId, wire,
+    CellId, EndpointId, EndpointInfo, EndpointState, MachineTypeId, Membership, ZoneId, wire,
 };
-use runtrack_discovery::{List, State, Told};
+use runtrack_discovery::{List, State, Update};
 use runtrack_net::mutant;
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -22,7 +22,7 @@
 /// The names behind the module's numbers for endpoints, zones and kinds.
 pub struct Listing {
     names: Names,
-    ids: RefCell<wire::Names>,
+    ids: RefCell<wire::EndpointNames>,
 }
 
 impl Listing {
@@ -41,11 +41,11 @@
     }
 
     /// What discovery's client told, for the module.
-    pub fn told(&self, told: Told) -> News {
+    pub fn told(&self, told: Update) -> News {
         let membership = match told {
-            Told::List(list) => return self.news(list),
-            Told::Unchanged => Membership::Delta(Vec::new()),
-            Told::Failed(_) => Membership::Failed,
+            Update::List(list) => return self.news(list),
+            Update::Unchanged => Membership::Delta(Vec::new()),
+            Update::Failed(_) => Membership::Failed,
         };
         News { membership, addresses: Vec::new() }
     }
@@ -81,16 +81,16 @@
             entries.push(EndpointInfo {
                 id,
                 zone: ZoneId(place(&self.names.areas, &target.az)),
-                kind: KindId(place(&self.names.kinds, &target.model)),
+                machine_type: MachineTypeId(place(&self.names.kinds, &target.model)),
                 cell: CellId(target.pod_group),
                 state: match target.state {
                     State::Up => EndpointState::Ready,
                     State::Draining if mutant("drain-unheard") => EndpointState::Ready,
                     State::Draining => EndpointState::Draining,
-                    State::Removed => EndpointState::Gone,
+                    State::Removed => EndpointState::Removed,
                 },
                 weight: target.capacity_hint,
-                started: (target.boot_ms > 0.0)
+                started_at: (target.boot_ms > 0.0)
                     .then(|| Duration::from_micros((target.boot_ms * 1e3) as u64)),
             });
         }
