--- a/crates/runtrack/src/net/driver.rs
+++ b/crates/runtrack/src/net/driver.rs
@@ -214,7 +214,7 @@
     /// attempt's own task reports its end only when it is scheduled; until then the request would count as possibly
     /// executed.
     fn end_overdue_attempts(&mut self, now: Instant) {
-        if mutant("overdue-untold") {
+        if mutant("overdue-attempts-not-ended") {
             return;
         }
         for id in self.sorted_ids(|open| open.answer.is_some() && open.deadline <= now) {
@@ -275,9 +275,9 @@
             Input::GiveUp => {
                 let open = self.sorted_ids(|open| open.answer.is_some());
                 log::info!("shutdown time is over: finishing {} open requests", open.len());
-                self.terminated = !mutant("over-unsaid");
+                self.terminated = !mutant("sends-after-forced-end");
                 for id in open {
-                    if !mutant("given-up-alike") {
+                    if !mutant("unsent-fails-at-exit") {
                         self.end_unstarted_attempts(id, Outcome::NotSent);
                         self.handle(Event::GiveUp(id));
                     }
@@ -434,7 +434,7 @@
         }
         // A pending connection may be established only after the drain grace period: its attempt is cancelled at
         // once, so that the request goes to another endpoint.
-        if !unavailable.is_empty() && !mutant("drain-waits") {
+        if !unavailable.is_empty() && !mutant("drain-keeps-pending-attempts") {
             let to = |state: &AttemptState| unavailable.contains(&state.endpoint);
             for id in self.sorted_ids(|open| open.attempts.iter().any(to)) {
                 let attempts = self.requests.get_mut(&id).into_iter().flat_map(|open| &mut open.attempts);
--- a/crates/runtrack/src/net/inbound.rs
+++ b/crates/runtrack/src/net/inbound.rs
@@ -155,7 +155,7 @@
     fn request_arriving(&self) -> bool {
         !self.busy.get()
             && (self.socket.first_byte_at().is_some() || self.socket.peek_status() == PeekStatus::Data)
-            && !mutant("closed-unread")
+            && !mutant("closes-with-unread-input")
     }
 
     /// How long it has been without a request since it was accepted, or with an incomplete request head.
@@ -258,7 +258,7 @@
 
     /// Like `accept`, but waits at most `time` once a socket is available; whether a connection was accepted.
     async fn accept_within(self: &Rc<Self>, listener: &dyn Listener, time: Duration) -> bool {
-        let wait = if mutant("crowd-is-empty") { time } else { Duration::MAX };
+        let wait = if mutant("backlog-assumed-empty") { time } else { Duration::MAX };
         let Ok(permit) = timeout(wait, self.acquire_slot()).await else { return false };
         let Ok(accepted) = timeout(time, poll_fn(|cx| listener.poll_accept(cx))).await else {
             return false;
@@ -323,7 +323,7 @@
     fn evict(&self, shed: bool) -> bool {
         let connections = self.connections.borrow();
         let same_kind =
-            || connections.values().filter(|conn| conn.shed == shed || mutant("crowd-is-empty"));
+            || connections.values().filter(|conn| conn.shed == shed || mutant("backlog-assumed-empty"));
         let close_to_evict = |conn: &Rc<ClientConn>| {
             conn.evicted.set(true);
             conn.close.notify_one();
@@ -481,7 +481,7 @@
             }
         };
         // Checked only now, since shutdown may have begun while the request was open.
-        is_last |= self.shutting_down.get() && !mutant("end-unsaid");
+        is_last |= self.shutting_down.get() && !mutant("no-close-header");
         conn.busy.set(false);
         conn.answered.set(Some(Instant::now()));
         conn.socket.clear_first_byte();
@@ -494,7 +494,10 @@
     /// Refuses a request that was not sent to any endpoint, so that it may be retried anywhere.
     fn refuse_unsent(&self, reason: &'static str) -> Reply {
         let by_settings = self.settings.limits.capped_retry_after(SHED_RETRY_AFTER);
-        refusal(reason, if mutant("retry-unasked") { Some(SHED_RETRY_AFTER) } else { by_settings })
+        refusal(
+            reason,
+            if mutant("retry-after-unconditional") { Some(SHED_RETRY_AFTER) } else { by_settings },
+        )
     }
 
     /// Awaits `future`, or fails if the client sends more input meanwhile: pipelined requests are not supported.
@@ -544,7 +547,7 @@
             Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "body never came")),
         };
         Self::reject_pipelined(conn, std::future::ready(())).await?;
-        if self.terminated.get() && !mutant("over-unsaid") {
+        if self.terminated.get() && !mutant("sends-after-forced-end") {
             return Ok(self.refuse_unsent("ending"));
         }
         // The client's timeout starts at its last byte.
@@ -596,7 +599,7 @@
     ) -> Result<OpenIdGuard<'a>, RequestError> {
         let mut open = self.open.borrow_mut();
         if let Some(other) = open.get(&id)
-            && (other.peek_status() != PeekStatus::Eof || mutant("end-unlooked-for"))
+            && (other.peek_status() != PeekStatus::Eof || mutant("old-connection-not-checked"))
         {
             return Err((StatusCode::CONFLICT, "a request of that id is open"));
         }
--- a/crates/runtrack/src/net/outbound.rs
+++ b/crates/runtrack/src/net/outbound.rs
@@ -278,7 +278,7 @@
             // Read after connecting, since another attempt may have started meanwhile.
             let write_deadline =
                 window.as_ref().and_then(|(window, number)| window.write_deadline(*number));
-            let write_deadline = write_deadline.filter(|_| !mutant("copy-unseen"));
+            let write_deadline = write_deadline.filter(|_| !mutant("ignores-earlier-copy"));
             if write_deadline.is_some_and(|by| Instant::now() >= by) {
                 if !is_new {
                     self.return_to_pool(endpoint, conn);
--- a/crates/runtrack/src/net/socket.rs
+++ b/crates/runtrack/src/net/socket.rs
@@ -73,7 +73,9 @@
     }
 
     fn check_write_deadline(&self) -> io::Result<()> {
-        if self.write_deadline.get().is_none_or(|by| Instant::now() < by) || mutant("window-unasked") {
+        if self.write_deadline.get().is_none_or(|by| Instant::now() < by)
+            || mutant("window-not-checked-at-write")
+        {
             return Ok(());
         }
         self.write_refused.set(true);
@@ -117,7 +119,7 @@
         let state = &self.0;
         let before = buf.filled().len();
         let read = Pin::new(&mut *state.stream.borrow_mut()).poll_read(cx, buf);
-        if matches!(read, Poll::Ready(Err(_))) && mutant("reset-ends") {
+        if matches!(read, Poll::Ready(Err(_))) && mutant("reset-taken-as-eof") {
             return Poll::Ready(Ok(()));
         }
         let received = matches!(read, Poll::Ready(Ok(()))) && buf.filled().len() > before;
--- a/crates/runtrack/src/sidecar.rs
+++ b/crates/runtrack/src/sidecar.rs
@@ -90,7 +90,7 @@
     let mut driver = spawn_local(driver.run(inputs));
     spawn_local(client.run(discovery_requests));
     spawn_local(outbound.sweep());
-    if watch == WatchMode::LocalAgent && !runtrack_net::mutant("old-list-first") {
+    if watch == WatchMode::LocalAgent && !runtrack_net::mutant("serves-known-list-first") {
         // The sidecar is expected to act on the agent's current list from its first request on, and the last known
         // list may be older.
         let _ = timeout(FIRST_LIST_TIMEOUT, first_list.notified()).await;
--- a/crates/runtrack/tests/client_disconnects.rs
+++ b/crates/runtrack/tests/client_disconnects.rs
@@ -247,7 +247,11 @@
 #[test]
 fn a_client_that_reconnects_with_the_same_id_before_its_close_was_read_is_served() {
     assert_eq!(status_on_reconnect(""), 200);
-    assert_eq!(status_on_reconnect("RUNTRACK_MUTANT=end-unlooked-for"), 409, "the test detects the mutant");
+    assert_eq!(
+        status_on_reconnect("RUNTRACK_MUTANT=old-connection-not-checked"),
+        409,
+        "the test detects the mutant"
+    );
 }
 
 /// Whether a request was sent whose client disconnected during the reuse delay of the only connection, with no new
--- a/crates/runtrack/tests/endpoint_connection_races.rs
+++ b/crates/runtrack/tests/endpoint_connection_races.rs
@@ -94,7 +94,11 @@
     for class in CLASSES {
         assert_eq!(status_after_standstill(class, ""), (503, true), "{class}");
     }
-    assert_eq!(status_after_standstill("book", "overdue-untold").0, 502, "the test detects the mutant");
+    assert_eq!(
+        status_after_standstill("book", "overdue-attempts-not-ended").0,
+        502,
+        "the test detects the mutant"
+    );
 }
 
 /// An endpoint that reads complete requests, waits for `free`, writes this text and resets the connection. Returns
@@ -141,7 +145,7 @@
         "safe: sent again, and refused because that attempt failed too"
     );
     assert_eq!(reset_after(begun, "pay", ""), (503, 2), "keyed: sent again as well");
-    assert_eq!(reset_after(begun, "book", "reset-ends"), (200, 1), "the test detects the mutant");
+    assert_eq!(reset_after(begun, "book", "reset-taken-as-eof"), (200, 1), "the test detects the mutant");
 }
 
 #[test]
@@ -305,7 +309,7 @@
 fn the_repeat_window_is_checked_at_each_write() {
     assert_eq!(written_by_deadline(None), b"in time,");
     assert_eq!(
-        written_by_deadline(Some("window-unasked")),
+        written_by_deadline(Some("window-not-checked-at-write")),
         b"in time, late",
         "the test detects the mutant"
     );
@@ -376,5 +380,5 @@
 #[test]
 fn an_attempt_created_first_but_started_last_is_bounded_by_an_executed_copy() {
     assert_eq!(attempts_after_copy(None), 0);
-    assert_eq!(attempts_after_copy(Some("copy-unseen")), 1, "the test detects the mutant");
+    assert_eq!(attempts_after_copy(Some("ignores-earlier-copy")), 1, "the test detects the mutant");
 }
--- a/crates/runtrack/tests/endpoint_list_races.rs
+++ b/crates/runtrack/tests/endpoint_list_races.rs
@@ -84,7 +84,11 @@
 #[test]
 fn a_drain_known_to_the_agent_holds_from_the_first_request_after_a_restart() {
     assert_eq!(first_served_after_a_restart(""), b"new");
-    assert_eq!(first_served_after_a_restart("old-list-first"), b"old", "the test detects the mutant");
+    assert_eq!(
+        first_served_after_a_restart("serves-known-list-first"),
+        b"old",
+        "the test detects the mutant"
+    );
 }
 
 #[test]
@@ -134,7 +138,7 @@
             assert_eq!(update_while_connecting(update, class, ""), expected, "{update} {class}");
         }
     }
-    let late = update_while_connecting("draining", "book", "drain-waits");
+    let late = update_while_connecting("draining", "book", "drain-keeps-pending-attempts");
     assert_eq!(late, (b"old".to_vec(), 1), "the test detects the mutant");
 }
 
--- a/crates/runtrack/tests/settings_validation.rs
+++ b/crates/runtrack/tests/settings_validation.rs
@@ -256,7 +256,7 @@
     assert_eq!(retry_after_over_limit(true, 200.0, ""), "0.200", "capped at the maximum");
     assert_eq!(retry_after_over_limit(false, 2000.0, ""), "", "the settings forbid the header");
     assert_eq!(
-        retry_after_over_limit(false, 2000.0, "retry-unasked"),
+        retry_after_over_limit(false, 2000.0, "retry-after-unconditional"),
         "0.500",
         "the test detects the mutant"
     );
--- a/crates/runtrack/tests/shutdown_races.rs
+++ b/crates/runtrack/tests/shutdown_races.rs
@@ -160,7 +160,7 @@
 #[test]
 fn requests_that_cross_the_signal_are_answered_as_the_last_of_their_connections() {
     assert_eq!(connection_headers_at_shutdown(""), ["close"; 3]);
-    assert_eq!(connection_headers_at_shutdown("end-unsaid")[0], "", "the test detects the mutant");
+    assert_eq!(connection_headers_at_shutdown("no-close-header")[0], "", "the test detects the mutant");
 }
 
 /// Open requests are failed 1.65 s after the signal at the earliest; the steps of a test must be faster.
@@ -208,7 +208,7 @@
 fn a_partly_received_request_on_a_kept_connection_is_answered_at_shutdown() {
     let status = |mutant| in_time(BEFORE_FORCED_END, || partial_request_at_shutdown(mutant));
     assert_eq!(status(""), [Some(200), Some(200)]);
-    assert_eq!(status("closed-unread"), [None, Some(200)], "the test detects the mutant");
+    assert_eq!(status("closes-with-unread-input"), [None, Some(200)], "the test detects the mutant");
 }
 
 const LONG_BODY_BYTES: usize = 60_000;
@@ -320,7 +320,7 @@
 fn silent_connections_in_the_backlog_do_not_cut_off_a_request_behind_them_at_shutdown() {
     let status = |mutant| in_time(WHILE_ACCEPTING, || status_behind_silent_clients(mutant));
     assert_eq!(status(""), Some(503));
-    assert_eq!(status("crowd-is-empty"), None, "the test detects the mutant");
+    assert_eq!(status("backlog-assumed-empty"), None, "the test detects the mutant");
 }
 
 /// The answer at shutdown to a request that was never sent: it is queued by the decision module, or its attempt is
@@ -362,7 +362,7 @@
             }
             all.spawn(move || {
                 assert_eq!(
-                    refusal_at_shutdown(connecting, "book", "given-up-alike").0,
+                    refusal_at_shutdown(connecting, "book", "unsent-fails-at-exit").0,
                     502,
                     "the test detects the mutant"
                 );
@@ -467,5 +467,5 @@
         tries.find_map(|seen| seen).expect("a run in which the request arrived before the exit")
     };
     assert_eq!(once(""), (Some(503), 1));
-    assert_eq!(once("over-unsaid").1, 2, "the test detects the mutant");
+    assert_eq!(once("sends-after-forced-end").1, 2, "the test detects the mutant");
 }
