--- a/crates/agree/src/disk.rs
+++ b/crates/agree/src/disk.rs
@@ -1,13 +1,13 @@
-//! A member's folder: who it is, its last snapshot, its log and its promises, durable before anybody is told.
+//! A member's storage folder: its identity, last snapshot, log and hard state, made durable before they are acknowledged.
 //!
 //! ```text
-//! head             identity, names of the snapshot and of the segment; replaced by rename
-//! snapshot-INDEX   the state up to there, sealed; written whole before the head names it
-//! segment-N        records, appended; written whole before the head names it. Its entries begin at or before the
-//!                  snapshot: others may be a little behind
+//! member           the head: identity, names of the snapshot and of the segment; replaced by rename
+//! snapshot-INDEX   the state up to that index, sealed; fully written before the head refers to it
+//! segment-N        records, appended; fully written before the head refers to it. Its entries begin at or before the
+//!                  snapshot, because other members may lag a little
 //! ```
 
-use crate::record::{self, Entry, Promise, Record};
+use crate::record::{self, Entry, HardStateRecord, Record};
 use runtrack_net::mutant;
 use runtrack_store::{Files, seal};
 use serde::{Deserialize, Serialize};
@@ -20,28 +20,29 @@
 const SNAPSHOT_MAGIC: &str = "runtrack-snapshot";
 const FORMAT: u32 = 1;
 
-/// Why a member's folder can't be used.
+/// Why a member's folder cannot be used.
 #[derive(Debug, Error)]
 pub enum DiskError {
-    /// The system refuses something.
+    /// A file operation failed.
     #[error("{file}: {error}")]
     File {
         /// The file.
         file: String,
-        /// What the system says.
+        /// The I/O error.
         error: io::Error,
     },
-    /// A file is not what was written. The member must be removed and another one added: what it had promised is lost.
+    /// A file's content is not what was written. The member must be replaced by a new one, because its votes and
+    /// acknowledgements may be lost.
     #[error(
         "{file}: damaged: {problem}. Remove this member from the cluster, and add a new one with an empty folder"
     )]
     Damaged {
         /// The file.
         file: String,
-        /// What does not fit.
+        /// What is wrong with it.
         problem: String,
     },
-    /// A newer version wrote it.
+    /// A file was written by a newer version of the program.
     #[error("{file}: format {found}, this version reads up to {FORMAT}")]
     Newer {
         /// The file.
@@ -49,66 +50,66 @@
         /// Its format.
         found: u32,
     },
-    /// There is no member in the folder.
+    /// The folder holds no member.
     #[error(
         "there is no member here: `runtrackctl cluster init` makes a cluster, `runtrackctl cluster join` takes an invitation"
     )]
     NoMember,
-    /// There is one already.
+    /// The folder already holds the member with this id.
     #[error("there is a member here already: number {0}")]
     Member(u64),
 }
 
-/// Who a member is.
+/// A member's identity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
-    /// The cluster's lineage.
+    /// Lineage of the cluster.
     pub lineage: String,
-    /// Its number in it.
+    /// Member id.
     pub member: u64,
-    /// The ticket of its invitation; empty for the first member.
+    /// Ticket of its invitation; empty for the first member.
     pub ticket: String,
-    /// A random number of this folder's: no two folders have the same.
+    /// Random id of this folder; no two folders have the same one.
     pub folder: String,
-    /// Where the others were reached when it was invited, by number.
+    /// Ids and addresses of the other members at the time of the invitation.
     pub others: Vec<(u64, String)>,
 }
 
-/// An invitation: what a new member's folder is made of. The folder's own random number is for who takes it to make.
+/// Invitation for a new member, from which its folder is created. Whoever accepts it generates the folder's random id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Invitation {
-    /// The new member's name, for people.
+    /// Display name of the new member.
     pub name: String,
-    /// Who it will be.
+    /// Identity of the new member.
     pub identity: Identity,
 }
 
-/// Where a snapshot stands in the log.
+/// Metadata of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
-    /// The last index in it; 0: nothing yet.
+pub struct SnapshotMeta {
+    /// Index of the last entry that it contains; 0 for an empty state.
     pub index: u64,
-    /// That entry's term.
+    /// Term of that entry.
     pub term: u64,
-    /// Members that vote, as of then.
+    /// Voting members as of that entry.
     pub voters: Vec<u64>,
-    /// Members that learn.
+    /// Learners as of that entry.
     pub learners: Vec<u64>,
-    /// SHA-256 of its text, in hex; empty for none.
+    /// SHA-256 of its text, in hex; empty if there is no text.
     pub hash: String,
-    /// Its size in bytes.
+    /// Size of its text in bytes.
     pub size: u64,
 }
 
-/// The entry before the first one of the log.
+/// Position of the entry that precedes the first one of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Base {
-    /// Its index; 0: there was none.
+pub struct LogBase {
+    /// Index of that entry; 0 if there was none.
     pub index: u64,
-    /// Its term.
+    /// Term of that entry.
     pub term: u64,
 }
 
@@ -116,37 +117,37 @@
 #[serde(deny_unknown_fields)]
 struct Head {
     identity: Identity,
-    snapshot: Place,
-    base: Base,
+    snapshot: SnapshotMeta,
+    base: LogBase,
     segment: u64,
 }
 
-/// What a folder holds.
+/// What was read from a folder when it was opened.
 #[derive(Clone, Debug)]
-pub struct Found {
-    /// Where the snapshot stands.
-    pub place: Place,
-    /// Its text; none before the first.
-    pub snapshot: Option<String>,
-    /// What was promised last.
-    pub promise: Promise,
-    /// The entry before the first of these.
-    pub base: Base,
+pub struct RecoveredState {
+    /// Metadata of the snapshot.
+    pub snapshot_meta: SnapshotMeta,
+    /// Text of the snapshot; `None` before the first one.
+    pub snapshot_text: Option<String>,
+    /// The last hard state.
+    pub hard_state: HardStateRecord,
+    /// Position before the first of `entries`.
+    pub base: LogBase,
     /// The log's entries.
     pub entries: Vec<Entry>,
 }
 
-/// A member's folder, open.
-pub struct Disk<F> {
+/// A member's open storage folder.
+pub struct MemberStore<F> {
     files: F,
     head: Head,
-    /// Bytes of the segment, and how many of them are durable.
+    /// Length of the segment in bytes, and how many of them are durable.
     length: u64,
     durable: u64,
-    promise: Promise,
+    hard_state: HardStateRecord,
 }
 
-fn file(name: &str) -> impl FnOnce(io::Error) -> DiskError {
+fn file_error(name: &str) -> impl FnOnce(io::Error) -> DiskError {
     let file = name.to_owned();
     |error| DiskError::File { file, error }
 }
@@ -163,54 +164,61 @@
     format!("segment-{number:08}")
 }
 
-/// A sealed file's text; none where there is no such file.
-fn sealed(files: &impl Files, name: &str, magic: &str) -> Result<Option<String>, DiskError> {
+/// Reads a sealed file's text; `None` if there is no such file.
+fn read_sealed(files: &impl Files, name: &str, magic: &str) -> Result<Option<String>, DiskError> {
     let bytes = match files.read(name) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(error) => return Err(file(name)(error)),
+        Err(error) => return Err(file_error(name)(error)),
     };
     match seal::open(magic, FORMAT, &bytes) {
         Ok((_, text)) => Ok(Some(text.to_owned())),
-        Err(seal::Broken::Newer { found, .. }) => Err(DiskError::Newer { file: name.to_owned(), found }),
+        Err(seal::SealError::Newer { found, .. }) => Err(DiskError::Newer { file: name.to_owned(), found }),
         Err(broken) => Err(damaged(name, broken)),
     }
 }
 
-/// Who the member of a folder is, if there is one.
+/// Identity of the member in a folder; `None` if it holds none.
 pub fn identity(files: &impl Files) -> Result<Option<Identity>, DiskError> {
-    let Some(text) = sealed(files, HEAD, HEAD_MAGIC)? else { return Ok(None) };
+    let Some(text) = read_sealed(files, HEAD, HEAD_MAGIC)? else { return Ok(None) };
     let head: Head = serde_json::from_str(&text).map_err(|problem| damaged(HEAD, problem))?;
     Ok(Some(head.identity))
 }
 
-impl<F: Files> Disk<F> {
-    /// Makes a member in an empty folder, with a snapshot to begin with, or with nothing, to learn all from others.
-    pub fn make(files: F, identity: Identity, begin: Option<(Place, &str)>) -> Result<Disk<F>, DiskError> {
+impl<F: Files> MemberStore<F> {
+    /// Creates a member in an empty folder, with an initial snapshot, or without one if it gets its state from others.
+    pub fn create(
+        files: F,
+        identity: Identity,
+        initial: Option<(SnapshotMeta, &str)>,
+    ) -> Result<MemberStore<F>, DiskError> {
         if let Some(there) = self::identity(&files)? {
             return Err(DiskError::Member(there.member));
         }
-        let head = Head { identity, snapshot: Place::default(), base: Base::default(), segment: 0 };
-        let mut disk = Disk { files, head, length: 0, durable: 0, promise: Promise::default() };
-        let (place, text) = begin.map_or((Place::default(), None), |(place, text)| (place, Some(text)));
-        let base = Base { index: place.index, term: place.term };
-        let promise = Promise { term: place.term, vote: 0, commit: place.index };
-        disk.replace(place, text, promise, base, &[])?;
+        let head =
+            Head { identity, snapshot: SnapshotMeta::default(), base: LogBase::default(), segment: 0 };
+        let mut disk =
+            MemberStore { files, head, length: 0, durable: 0, hard_state: HardStateRecord::default() };
+        let (snapshot_meta, text) = initial
+            .map_or((SnapshotMeta::default(), None), |(snapshot_meta, text)| (snapshot_meta, Some(text)));
+        let base = LogBase { index: snapshot_meta.index, term: snapshot_meta.term };
+        let hard_state = HardStateRecord { term: snapshot_meta.term, vote: 0, commit: snapshot_meta.index };
+        disk.replace(snapshot_meta, text, hard_state, base, &[])?;
         Ok(disk)
     }
 
-    /// Opens a member's folder. A torn tail of the log is cut off: nothing in it was answered for.
-    pub fn open(files: F) -> Result<(Disk<F>, Found), DiskError> {
-        let text = sealed(&files, HEAD, HEAD_MAGIC)?.ok_or(DiskError::NoMember)?;
+    /// Opens a member's folder. A torn tail of the log is truncated, since nothing in it was acknowledged.
+    pub fn open(files: F) -> Result<(MemberStore<F>, RecoveredState), DiskError> {
+        let text = read_sealed(&files, HEAD, HEAD_MAGIC)?.ok_or(DiskError::NoMember)?;
         let head: Head = serde_json::from_str(&text).map_err(|problem| damaged(HEAD, problem))?;
-        let (place, base) = (head.snapshot.clone(), head.base);
-        let snapshot = match place.hash.is_empty() {
+        let (snapshot_meta, base) = (head.snapshot.clone(), head.base);
+        let snapshot_text = match snapshot_meta.hash.is_empty() {
             true => None,
             false => {
-                let name = snapshot_name(place.index);
-                let text = sealed(&files, &name, SNAPSHOT_MAGIC)?
+                let name = snapshot_name(snapshot_meta.index);
+                let text = read_sealed(&files, &name, SNAPSHOT_MAGIC)?
                     .ok_or_else(|| damaged(&name, "it is missing"))?;
-                if seal::hash(&text) != place.hash {
+                if seal::hash(&text) != snapshot_meta.hash {
                     return Err(damaged(&name, "it is not the snapshot that the head names"));
                 }
                 Some(text)
@@ -222,13 +230,13 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
                 return Err(damaged(&name, "it is missing"));
             }
-            Err(error) => return Err(file(&name)(error)),
+            Err(error) => return Err(file_error(&name)(error)),
         };
-        let (records, sound) = record::read(&bytes)
+        let (records, intact) = record::decode_all(&bytes)
             .map_err(|at| damaged(&name, format!("the record at byte {at} is broken")))?;
-        let (mut promise, mut entries) = (Promise::default(), Vec::<Entry>::new());
+        let (mut hard_state, mut entries) = (HardStateRecord::default(), Vec::<Entry>::new());
         for record in records {
-            promise = record.promise.unwrap_or(promise);
+            hard_state = record.hard_state.unwrap_or(hard_state);
             for entry in record.entries {
                 let next = base.index + 1 + entries.len() as u64;
                 if entry.index > next || entry.index <= base.index {
@@ -242,121 +250,127 @@
             }
         }
         let last = base.index + entries.len() as u64;
-        if promise.commit.max(place.index) > last {
+        if hard_state.commit.max(snapshot_meta.index) > last {
             return Err(damaged(
                 &name,
-                format!("entries up to {} were agreed, and {last} is the last", promise.commit),
+                format!("entries up to {} were agreed, and {last} is the last", hard_state.commit),
             ));
         }
-        if sound < bytes.len() {
-            files.cut(&name, sound as u64).map_err(file(&name))?;
+        if intact < bytes.len() {
+            files.truncate(&name, intact as u64).map_err(file_error(&name))?;
         }
-        // What was read may be in the system's memory alone, after a crash of the process.
-        files.sync(&name).map_err(file(&name))?;
-        let length = sound as u64;
-        let mut disk = Disk { files, head, length, durable: length, promise };
-        disk.mark()?;
-        Ok((disk, Found { place, snapshot, promise, base, entries }))
+        // After a crash of the process, the bytes read may be only in the page cache.
+        files.sync(&name).map_err(file_error(&name))?;
+        let length = intact as u64;
+        let mut disk = MemberStore { files, head, length, durable: length, hard_state };
+        disk.append_marker()?;
+        Ok((disk, RecoveredState { snapshot_meta, snapshot_text, hard_state, base, entries }))
     }
 
-    /// Who this is.
+    /// Identity of the member.
     pub fn identity(&self) -> &Identity {
         &self.head.identity
     }
 
-    /// Where the last snapshot stands.
-    pub fn snapshot(&self) -> &Place {
+    /// Metadata of the last snapshot.
+    pub fn snapshot(&self) -> &SnapshotMeta {
         &self.head.snapshot
     }
 
-    /// The text of the last snapshot.
+    /// Text of the last snapshot.
     pub fn snapshot_text(&self) -> Result<Option<String>, DiskError> {
         match self.head.snapshot.hash.is_empty() {
             true => Ok(None),
-            false => sealed(&self.files, &snapshot_name(self.head.snapshot.index), SNAPSHOT_MAGIC),
+            false => read_sealed(&self.files, &snapshot_name(self.head.snapshot.index), SNAPSHOT_MAGIC),
         }
     }
 
-    /// Bytes of the log behind the last snapshot.
-    pub fn length(&self) -> u64 {
+    /// Length of the current log segment, in bytes.
+    pub fn segment_bytes(&self) -> u64 {
         self.length
     }
 
-    /// Makes entries and a promise durable. Where this fails nothing may be answered for, and the folder must be opened
-    /// anew.
-    pub fn save(&mut self, entries: Vec<Entry>, promise: Option<Promise>) -> Result<(), DiskError> {
-        let promise = promise.filter(|promise| *promise != self.promise);
-        if entries.is_empty() && promise.is_none() {
+    /// Makes entries and the hard state durable. After an error nothing of them may be acknowledged, and the folder must
+    /// be reopened.
+    pub fn save(
+        &mut self,
+        entries: Vec<Entry>,
+        hard_state: Option<HardStateRecord>,
+    ) -> Result<(), DiskError> {
+        let hard_state = hard_state.filter(|hard_state| *hard_state != self.hard_state);
+        if entries.is_empty() && hard_state.is_none() {
             return Ok(());
         }
-        let lazy = mutant(if entries.is_empty() { "vote-unsynced" } else { "entry-unsynced" });
-        let record = Record { entries, promise };
+        let skip_sync = mutant(if entries.is_empty() { "vote-unsynced" } else { "entry-unsynced" });
+        let record = Record { entries, hard_state };
         let name = segment_name(self.head.segment);
-        let bytes = record::write(&record, self.durable);
-        self.files.append(&name, &bytes).map_err(file(&name))?;
-        if lazy {
-            (self.length, self.promise) =
-                (self.length + bytes.len() as u64, promise.unwrap_or(self.promise));
+        let bytes = record::encode(&record, self.durable);
+        self.files.append(&name, &bytes).map_err(file_error(&name))?;
+        if skip_sync {
+            (self.length, self.hard_state) =
+                (self.length + bytes.len() as u64, hard_state.unwrap_or(self.hard_state));
             return Ok(());
         }
-        self.files.sync(&name).map_err(file(&name))?;
+        self.files.sync(&name).map_err(file_error(&name))?;
         self.length += bytes.len() as u64;
         self.durable = self.length;
-        self.promise = promise.unwrap_or(self.promise);
-        self.mark()
+        self.hard_state = hard_state.unwrap_or(self.hard_state);
+        self.append_marker()
     }
 
-    /// Says of all before it that it is durable. The mark itself need not be.
-    fn mark(&mut self) -> Result<(), DiskError> {
+    /// Appends a marker that all bytes before it are durable. The marker itself is not synced.
+    fn append_marker(&mut self) -> Result<(), DiskError> {
         let name = segment_name(self.head.segment);
-        let bytes = record::write(&Record::default(), self.durable);
-        self.files.append(&name, &bytes).map_err(file(&name))?;
+        let bytes = record::encode(&Record::default(), self.durable);
+        self.files.append(&name, &bytes).map_err(file_error(&name))?;
         self.length += bytes.len() as u64;
         Ok(())
     }
 
-    /// Puts a snapshot and the entries that are still needed in place of all there was: at once or not at all. `text`
-    /// is none only for a member that knows nothing yet.
+    /// Atomically replaces the whole content by a snapshot and the log entries that are still needed. `text` is `None`
+    /// only for a member without any state yet.
     pub fn replace(
         &mut self,
-        mut place: Place,
+        mut snapshot_meta: SnapshotMeta,
         text: Option<&str>,
-        promise: Promise,
-        base: Base,
+        hard_state: HardStateRecord,
+        base: LogBase,
         entries: &[Entry],
     ) -> Result<(), DiskError> {
         let old = self.head.clone();
-        let mut changed = false;
+        let mut replaced = false;
         if let Some(text) = text {
-            (place.hash, place.size) = (seal::hash(text), text.len() as u64);
-            if place != old.snapshot {
-                let name = snapshot_name(place.index);
-                self.files.write(&name, &seal::seal(SNAPSHOT_MAGIC, FORMAT, text)).map_err(file(&name))?;
-                self.files.sync(&name).map_err(file(&name))?;
-                changed = old.snapshot.index != place.index && !old.snapshot.hash.is_empty();
+            (snapshot_meta.hash, snapshot_meta.size) = (seal::hash(text), text.len() as u64);
+            if snapshot_meta != old.snapshot {
+                let name = snapshot_name(snapshot_meta.index);
+                self.files
+                    .write(&name, &seal::seal(SNAPSHOT_MAGIC, FORMAT, text))
+                    .map_err(file_error(&name))?;
+                self.files.sync(&name).map_err(file_error(&name))?;
+                replaced = old.snapshot.index != snapshot_meta.index && !old.snapshot.hash.is_empty();
             }
         }
         let segment = old.segment + 1;
         let name = segment_name(segment);
-        let bytes = record::write(&Record { entries: entries.to_vec(), promise: Some(promise) }, 0);
-        self.files.write(&name, &bytes).map_err(file(&name))?;
-        self.files.sync(&name).map_err(file(&name))?;
-        self.files.sync_folder().map_err(file("."))?;
-        let head = Head { identity: old.identity, snapshot: place, base, segment };
+        let bytes = record::encode(&Record { entries: entries.to_vec(), hard_state: Some(hard_state) }, 0);
+        self.files.write(&name, &bytes).map_err(file_error(&name))?;
+        self.files.sync(&name).map_err(file_error(&name))?;
+        self.files.sync_folder().map_err(file_error("."))?;
+        let head = Head { identity: old.identity, snapshot: snapshot_meta, base, segment };
         let text = serde_json::to_string(&head).map_err(|problem| damaged(HEAD, problem))?;
-        self.files.write(HEAD_NEW, &seal::seal(HEAD_MAGIC, FORMAT, &text)).map_err(file(HEAD_NEW))?;
-        self.files.sync(HEAD_NEW).map_err(file(HEAD_NEW))?;
-        self.files.rename(HEAD_NEW, HEAD).map_err(file(HEAD))?;
-        self.files.sync_folder().map_err(file("."))?;
-        (self.head, self.promise) = (head, promise);
+        self.files.write(HEAD_NEW, &seal::seal(HEAD_MAGIC, FORMAT, &text)).map_err(file_error(HEAD_NEW))?;
+        self.files.sync(HEAD_NEW).map_err(file_error(HEAD_NEW))?;
+        self.files.rename(HEAD_NEW, HEAD).map_err(file_error(HEAD))?;
+        self.files.sync_folder().map_err(file_error("."))?;
+        (self.head, self.hard_state) = (head, hard_state);
         (self.length, self.durable) = (bytes.len() as u64, bytes.len() as u64);
-        // What nothing refers to any more may stay where it can't be removed.
+        // A failure to remove old files is harmless: nothing refers to them any more.
         if old.segment > 0 {
             let _ = self.files.remove(&segment_name(old.segment));
         }
-        if changed {
+        if replaced {
             let _ = self.files.remove(&snapshot_name(old.snapshot.index));
         }
-        self.mark()
+        self.append_marker()
     }
 }
