--- a/crates/discovery/src/client.rs
+++ b/crates/discovery/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks discovery for the list and follows its changes.
+//! HTTP client of discovery: fetches the endpoint list and watches it for changes.
 
 use crate::framing;
 use crate::list::List;
@@ -17,55 +17,55 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// A connection to discovery that is not up after this long has failed ...
-const CONNECT: Duration = Duration::from_secs(1);
-/// ... and one to the agent on this machine after this long.
-const AGENT_CONNECT: Duration = Duration::from_millis(500);
-/// A call not answered after this long has failed: discovery itself gives up well before ...
-const ANSWER: Duration = Duration::from_secs(3);
-/// ... and the agent, which answers at once, with what it has.
-const AGENT_ANSWER: Duration = Duration::from_secs(1);
-/// A watch brings at least an empty line every 2 s: one silent for this long is dead, as that of a
-/// machine cut off is, which nothing else would ever tell. What a silent watch misses counts as told 6 s after it fell
-/// silent: this, the longest wait before the next try, its connection and its answer come to 4.9 s with an agent.
-const SILENCE: Duration = Duration::from_secs(3);
-/// No list, and no line of a watch, is longer than this.
-const LIST_MOST: usize = 4 << 20;
-/// First wait before a watch that the node keeps up itself is tried again; doubles with each failure.
-const BACKOFF: Duration = Duration::from_millis(250);
-/// Doublings of that wait.
-const BACKOFF_DOUBLES: u32 = 4;
+/// Connect timeout to discovery.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Connect timeout to the agent on the same machine.
+const AGENT_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Response timeout of discovery, well above discovery's own limit for a request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Response timeout of the agent, which answers at once from what it holds.
+const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// A watch that delivers nothing for this long is dead. A live one sends at least an empty line every 2 s; on a
+/// partitioned machine no other event would reveal the failure. Changes must arrive within 6 s of a watch going silent:
+/// with an agent, this timeout, the longest backoff, the connection and the response add up to 4.9 s.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Upper bound for a list, and for a line of a watch.
+const MAX_LIST_BYTES: usize = 4 << 20;
+/// Wait before the first retry of a watch that the client maintains itself; doubles with each failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// Number of times that the backoff doubles at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// What may be asked of the client.
+/// A command to the client.
 pub enum ClientCommand {
-    /// Follow changes, or stop.
+    /// Start watching for changes, or stop.
     Watch(bool),
-    /// Ask for the whole list once.
+    /// Fetch the full list once.
     Fetch,
-    /// Discovery is at another address from now on.
+    /// Use discovery at another address from now on.
     SetAddress(SocketAddr),
 }
 
-/// What the client has to tell.
+/// What the client reports.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// A list came, whole or changes.
+    /// A list arrived: the full list, or changes.
     List(List),
-    /// A call was answered, and nothing is new.
+    /// A command succeeded, and nothing has changed.
     Unchanged,
-    /// A call failed or the watch ended, for this reason; the list stands.
+    /// A request failed or the watch ended, for this reason; the last list stays valid.
     Failed(String),
 }
 
-/// Who keeps the watch up.
+/// Who maintains the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMode {
-    /// The client, from the start and for good: it tries again by itself, with growing waits.
+    /// The client, from the start: it retries by itself with exponential backoff.
     Persistent,
-    /// The same, of an agent on this machine, which answers at once and at no cost, and is silent while discovery is
-    /// down: what it gets at the return counts as told at once, so that the waits do not grow.
+    /// The client, towards an agent on the same machine. The agent answers cheaply, and is silent while discovery is
+    /// down; the backoff stays constant so that the client gets new lists soon after discovery is back.
     LocalAgent,
-    /// The caller, by [`ClientCommand::Watch`]: a failure is told, and the caller decides when to ask again.
+    /// The caller, by [`ClientCommand::Watch`]: a failure is reported, and the caller decides when to retry.
     OnRequest,
 }
 
@@ -75,86 +75,95 @@
     address: Cell<SocketAddr>,
     mode: WatchMode,
     rev: Cell<u64>,
-    /// The server is new: its versions don't compare with those of the list held, so that a whole list
-    /// must come first, whatever its number.
-    moved: Cell<bool>,
-    draws: RefCell<Pcg32>,
-    tell: Box<dyn Fn(Update)>,
+    /// A full list must be fetched before watching: the server may be another one, and versions of different servers
+    /// don't compare.
+    full_list_required: Cell<bool>,
+    rng: RefCell<Pcg32>,
+    on_update: Box<dyn Fn(Update)>,
 }
 
 impl Client {
-    /// A client of discovery at this address. `seed` jitters its waits; `tell` takes all it has to tell.
+    /// Creates a client of discovery at `address`. `seed` jitters the backoff; `on_update` receives each update.
     pub fn new(
         network: Rc<dyn Network>,
         address: SocketAddr,
         mode: WatchMode,
         seed: u64,
-        tell: impl Fn(Update) + 'static,
+        on_update: impl Fn(Update) + 'static,
     ) -> Rc<Self> {
-        let draws = RefCell::new(Pcg32::seed_from_u64(seed));
-        let (rev, moved) = Default::default();
+        let rng = RefCell::new(Pcg32::seed_from_u64(seed));
+        let (rev, full_list_required) = Default::default();
         let address = Cell::new(address);
-        Rc::new(Client { network, address, mode, rev, moved, draws, tell: Box::new(tell) })
+        Rc::new(Client {
+            network,
+            address,
+            mode,
+            rev,
+            full_list_required,
+            rng,
+            on_update: Box::new(on_update),
+        })
     }
 
-    /// Asks for the whole list before it follows changes, whatever version is held.
+    /// Fetches the full list before watching, whatever version is held.
     pub fn request_full_list(&self) {
-        self.moved.set(true);
+        self.full_list_required.set(true);
     }
 
-    /// Goes on from a list of this version instead of asking for all.
+    /// Resumes from a list of version `rev` instead of fetching the full list.
     pub fn resume_from(&self, rev: u64) {
         self.rev.set(rev);
     }
 
-    /// Carries out the caller's calls. Each is answered by exactly one event; a watch then goes on.
-    pub async fn run(self: Rc<Self>, mut calls: UnboundedReceiver<ClientCommand>) {
-        let mut watch = (self.mode != WatchMode::OnRequest).then(|| self.watch());
+    /// Executes commands until their channel is closed. Each command yields exactly one update; a watch then goes on
+    /// to deliver more.
+    pub async fn run(self: Rc<Self>, mut commands: UnboundedReceiver<ClientCommand>) {
+        let mut watch = (self.mode != WatchMode::OnRequest).then(|| self.spawn_watch());
         let mut fetches = JoinSet::new();
         loop {
-            let call = tokio::select! {
+            let command = tokio::select! {
                 biased;
-                call = calls.recv() => call,
+                command = commands.recv() => command,
                 Some(_) = fetches.join_next() => continue,
             };
-            match call {
+            match command {
                 None => return,
                 Some(ClientCommand::Watch(true)) if self.mode != WatchMode::OnRequest => {
-                    (self.tell)(Update::Unchanged)
-                } // it is up already
-                Some(ClientCommand::Watch(true)) => drop(watch.replace(self.watch())),
+                    (self.on_update)(Update::Unchanged)
+                } // the watch is always up
+                Some(ClientCommand::Watch(true)) => drop(watch.replace(self.spawn_watch())),
                 Some(ClientCommand::Watch(false)) => {
                     drop(watch.take());
-                    (self.tell)(Update::Unchanged);
+                    (self.on_update)(Update::Unchanged);
                 }
                 Some(ClientCommand::Fetch) => drop(fetches.spawn_local(self.clone().fetch_once())),
                 Some(ClientCommand::SetAddress(_)) if mutant("move-unheard") => {}
                 Some(ClientCommand::SetAddress(address)) => {
                     self.address.set(address);
-                    self.moved.set(true);
-                    // Nothing of the old server may come in any more; what was asked of it is asked anew.
+                    self.full_list_required.set(true);
+                    // Drops responses of the old server, and sends open requests to the new one.
                     let open = fetches.len();
                     fetches = JoinSet::new();
                     for _ in 0..open {
                         fetches.spawn_local(self.clone().fetch_once());
                     }
-                    // The old list goes on until the new server's whole list is there. Where the
-                    // module has to ask, a failure here is told, and it asks again.
-                    drop(watch.replace(self.watch()));
+                    // The old list stays in use until the new server's full list arrives. With
+                    // `WatchMode::OnRequest` a failure is reported, and the caller retries.
+                    drop(watch.replace(self.spawn_watch()));
                 }
             }
         }
     }
 
-    fn watch(self: &Rc<Self>) -> JoinSet<()> {
+    fn spawn_watch(self: &Rc<Self>) -> JoinSet<()> {
         let this = self.clone();
-        let mut task = JoinSet::new(); // ends with its holder
+        let mut task = JoinSet::new(); // aborted on drop
         task.spawn_local(async move {
             match this.mode {
-                WatchMode::Persistent | WatchMode::LocalAgent => this.keep_watch().await,
+                WatchMode::Persistent | WatchMode::LocalAgent => this.watch_with_retries().await,
                 WatchMode::OnRequest => {
-                    let reason = this.follow().await;
-                    this.failed(&reason);
+                    let reason = this.watch_until_end().await;
+                    this.report_failure(&reason);
                 }
             }
         });
@@ -163,130 +172,141 @@
 
     async fn fetch_once(self: Rc<Self>) {
         match self.fetch().await {
-            // It may be older than what the watch has brought since.
-            Ok(list) if list.rev < self.rev.get() && !self.moved.get() => (self.tell)(Update::Unchanged),
-            Ok(list) => self.take(list),
-            Err(reason) => self.failed(&reason),
+            // The watch may have delivered a newer version in the meantime.
+            Ok(list) if list.rev < self.rev.get() && !self.full_list_required.get() => {
+                (self.on_update)(Update::Unchanged)
+            }
+            Ok(list) => self.accept_list(list),
+            Err(reason) => self.report_failure(&reason),
         }
     }
 
-    /// Where lists are pushed, a watch must always be up: the module never asks for one.
-    async fn keep_watch(&self) {
+    /// Keeps a watch open without commands from the caller, retrying with backoff.
+    async fn watch_with_retries(&self) {
         let mut failures = 0;
         loop {
             let before = self.rev.get();
-            let reason = self.follow().await;
-            self.failed(&reason);
-            let grows = self.mode != WatchMode::LocalAgent && self.rev.get() == before;
-            failures = if grows { failures + 1 } else { 0 };
-            let jitter = 0.5 + f64::from(self.draws.borrow_mut().next_u32()) / f64::from(u32::MAX);
-            let doubled = BACKOFF * (1 << failures.min(BACKOFF_DOUBLES));
+            let reason = self.watch_until_end().await;
+            self.report_failure(&reason);
+            let backoff_grows = self.mode != WatchMode::LocalAgent && self.rev.get() == before;
+            failures = if backoff_grows { failures + 1 } else { 0 };
+            let jitter = 0.5 + f64::from(self.rng.borrow_mut().next_u32()) / f64::from(u32::MAX);
+            let doubled = INITIAL_BACKOFF * (1 << failures.min(MAX_BACKOFF_DOUBLINGS));
             tokio::time::sleep(doubled.mul_f64(jitter)).await;
         }
     }
 
-    /// Follows changes until the watch ends; gives the reason.
-    async fn follow(&self) -> String {
-        if self.moved.get() {
+    /// Watches for changes until the watch ends; returns the reason.
+    async fn watch_until_end(&self) -> String {
+        if self.full_list_required.get() {
             match self.fetch().await {
-                Ok(list) if list.all => self.take(list),
-                Ok(_) => return "the list is not whole".to_owned(),
+                Ok(list) if list.all => self.accept_list(list),
+                Ok(_) => return "expected a full list, got changes".to_owned(),
                 Err(reason) => return reason,
             }
         }
         let path =
             format!("/api/targets?watch=1&after={}", self.rev.get() + u64::from(mutant("watch-skips")));
-        let (response, _connection) = match self.call(&path).await {
+        let (response, _connection) = match self.send_request(&path).await {
             Ok(answered) => answered,
             Err(reason) => return reason,
         };
         let mut body = response.into_body();
         let mut text = Vec::new();
         loop {
-            let silence = if mutant("silence-unheard") { SILENCE * 1000 } else { SILENCE };
-            match timeout(silence, body.frame()).await {
-                Err(_) => return "the watch fell silent".to_owned(),
+            let idle_timeout =
+                if mutant("silence-unheard") { WATCH_IDLE_TIMEOUT * 1000 } else { WATCH_IDLE_TIMEOUT };
+            match timeout(idle_timeout, body.frame()).await {
+                Err(_) => return "the watch delivered nothing within the idle timeout".to_owned(),
                 Ok(None) => return "the watch ended".to_owned(),
-                Ok(Some(Err(e))) => return format!("the watch broke: {e}"),
+                Ok(Some(Err(e))) => return format!("the watch failed: {e}"),
                 Ok(Some(Ok(frame))) => text.extend_from_slice(frame.data_ref().map_or(&[][..], |d| d)),
             }
-            // A list ends with its line, but may be laid out over several.
-            let read =
-                if text.contains(&b'\n') { framing::whole(&text) } else { Ok((Vec::new(), text.len())) };
+            // A list ends at the end of a line, but may span several lines.
+            let read = if text.contains(&b'\n') {
+                framing::parse_lists(&text)
+            } else {
+                Ok((Vec::new(), text.len()))
+            };
             let (lists, rest) = match read {
                 Ok(read) => read,
-                // To skip a change would leave the list wrong for good: the watch begins again instead.
-                Err(e) => return format!("the watch brought what is no list: {e}"),
+                // Skipping a change would leave the list wrong permanently; the watch is reopened instead.
+                Err(e) => return format!("the watch delivered an invalid list: {e}"),
             };
             text.drain(..text.len() - rest);
             for list in lists {
                 if list.rev < self.rev.get() && !list.all {
-                    // Not the server that the list held is from, whatever its address.
-                    self.moved.set(true);
-                    return format!("the watch brought version {} after {}", list.rev, self.rev.get());
+                    // A decreasing version means another server, even at the same address.
+                    self.full_list_required.set(true);
+                    return format!("the watch delivered version {} after {}", list.rev, self.rev.get());
                 }
-                self.take(list);
+                self.accept_list(list);
             }
-            if text.len() > LIST_MOST {
-                return "the watch brought too long a line".to_owned();
+            if text.len() > MAX_LIST_BYTES {
+                return "a line of the watch exceeds the size limit".to_owned();
             }
         }
     }
 
     async fn fetch(&self) -> Result<List, String> {
         let whole = async {
-            let (response, _connection) = self.call("/api/targets").await?;
-            Limited::new(response.into_body(), LIST_MOST).collect().await.map_err(|e| e.to_string())
+            let (response, _connection) = self.send_request("/api/targets").await?;
+            Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await.map_err(|e| e.to_string())
         };
-        // As long as for an answer's beginning: one that falls silent in the middle is asked for anew as soon.
-        let (connect, answer) = self.limits();
-        let body =
-            timeout(connect + answer, whole).await.map_err(|_| "the list never came".to_owned())??;
-        serde_json::from_slice(&body.to_bytes()).map_err(|e| format!("no list: {e}"))
+        // The body gets no extra time: a response that stalls midway is retried as soon as one that never starts.
+        let (connect, answer) = self.timeouts();
+        let body = timeout(connect + answer, whole)
+            .await
+            .map_err(|_| "the list did not arrive in time".to_owned())??;
+        serde_json::from_slice(&body.to_bytes()).map_err(|e| format!("invalid list: {e}"))
     }
 
-    /// How long a connection to discovery and its answer may take.
-    fn limits(&self) -> (Duration, Duration) {
+    /// The connect timeout and the response timeout.
+    fn timeouts(&self) -> (Duration, Duration) {
         match self.mode {
-            WatchMode::LocalAgent => (AGENT_CONNECT, AGENT_ANSWER),
-            WatchMode::Persistent | WatchMode::OnRequest => (CONNECT, ANSWER),
+            WatchMode::LocalAgent => (AGENT_CONNECT_TIMEOUT, AGENT_RESPONSE_TIMEOUT),
+            WatchMode::Persistent | WatchMode::OnRequest => (CONNECT_TIMEOUT, RESPONSE_TIMEOUT),
         }
     }
 
-    async fn call(&self, path: &str) -> Result<(Response<Incoming>, JoinSet<hyper::Result<()>>), String> {
-        let (connect, answer) = self.limits();
+    async fn send_request(
+        &self,
+        path: &str,
+    ) -> Result<(Response<Incoming>, JoinSet<hyper::Result<()>>), String> {
+        let (connect, answer) = self.timeouts();
         let connect = timeout(connect, self.network.connect(self.address.get())).await;
-        let stream = connect.map_err(|_| "no connection in time".to_owned())?.map_err(|e| e.to_string())?;
+        let stream = connect.map_err(|_| "connecting timed out".to_owned())?.map_err(|e| e.to_string())?;
         let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
         let (mut sender, connection) = handshake.map_err(|e| e.to_string())?;
-        let mut guard = JoinSet::new(); // the connection ends with its holder
+        let mut guard = JoinSet::new(); // the connection is closed on drop
         guard.spawn_local(connection);
         let request = Request::get(path)
             .header(header::HOST, self.address.get().to_string())
             .body(Empty::<Bytes>::new())
             .map_err(|e| e.to_string())?;
         let answer = timeout(answer, sender.send_request(request)).await;
-        let response = answer.map_err(|_| "no answer in time".to_owned())?.map_err(|e| e.to_string())?;
+        let response =
+            answer.map_err(|_| "the response timed out".to_owned())?.map_err(|e| e.to_string())?;
         match response.status() {
             StatusCode::OK => Ok((response, guard)),
-            status => Err(format!("answered {status}")),
+            status => Err(format!("discovery returned status {status}")),
         }
     }
 
-    fn take(&self, list: List) {
+    fn accept_list(&self, list: List) {
         self.rev.set(list.rev);
         if list.all {
-            self.moved.set(false);
+            self.full_list_required.set(false);
         }
         if !list.targets.is_empty() {
-            let sort = if list.all { "whole list" } else { "changes" };
+            let sort = if list.all { "full list" } else { "changes" };
             log::info!("list: {sort}, rev {}, {} entries", list.rev, list.targets.len());
         }
-        (self.tell)(Update::List(list));
+        (self.on_update)(Update::List(list));
     }
 
-    fn failed(&self, reason: &str) {
+    fn report_failure(&self, reason: &str) {
         log::info!("discovery: {reason}");
-        (self.tell)(Update::Failed(reason.to_owned()));
+        (self.on_update)(Update::Failed(reason.to_owned()));
     }
 }
--- a/crates/discovery/src/clock.rs
+++ b/crates/discovery/src/clock.rs
@@ -1,9 +1,9 @@
-//! The clock that start times in the list compare with.
+//! A monotonic clock in Unix time, for comparison with the start times in the list.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// One monotonic clock, anchored once to Unix time so that endpoints' start times compare with it.
+/// A monotonic clock, anchored once to Unix time so that it compares with endpoints' start times.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -11,18 +11,18 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that is anchored to the current wall-clock time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix }
     }
 
-    /// A clock that starts now, at this Unix time: the wall clock is not asked.
+    /// Creates a clock that starts at the given Unix time, without reading the wall clock.
     pub fn at(unix: Duration) -> Self {
         Clock { start: Instant::now(), unix }
     }
 
-    /// The time now.
+    /// The current time, since the Unix epoch.
     pub fn now(&self) -> Duration {
         self.unix + self.start.elapsed()
     }
--- a/crates/discovery/src/framing.rs
+++ b/crates/discovery/src/framing.rs
@@ -1,13 +1,13 @@
-//! Lists as they come on a watch: one after another, each on a line of its own or laid out over several, in pieces that
-//! end anywhere. Free of I/O.
+//! Parses the stream of lists on a watch: consecutive JSON values, each on one or several lines, in arbitrary chunks.
+//! No I/O.
 
 use crate::list::List;
 
-/// The whole lists that this text begins with, and how many bytes are left behind them.
+/// Parses the complete lists at the beginning of `text`; returns them and the number of bytes that remain.
 ///
 /// # Errors
-/// What is no list, or one that broke off: an empty line, which says that the watch is alive, never stands inside a list.
-pub fn whole(text: &[u8]) -> Result<(Vec<List>, usize), String> {
+/// Fails on invalid JSON, and on a truncated list: an empty line, sent as keepalive, never occurs inside a list.
+pub fn parse_lists(text: &[u8]) -> Result<(Vec<List>, usize), String> {
     let mut lists = Vec::new();
     let mut read = serde_json::Deserializer::from_slice(text).into_iter::<List>();
     loop {
@@ -19,7 +19,7 @@
                 let rest = text[before..].trim_ascii_start();
                 let mut lines = rest.split(|&byte| byte == b'\n').rev().skip(1);
                 return match lines.any(|line| line.trim_ascii().is_empty()) {
-                    true => Err("a list broke off".to_owned()),
+                    true => Err("a list is truncated".to_owned()),
                     false => Ok((lists, rest.len())),
                 };
             }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's discovery: its list, and a client that asks for it and follows its changes.
+//! Client of the platform's discovery service: the endpoint list, and a client that fetches it and watches for changes.
 //!
-//! Both the sidecar and the control service learn of endpoints through this crate. It knows the words of the
-//! protocol and keeps connections; what a change means is its callers' concern.
+//! Both the sidecar and the control service learn of endpoints through this crate. It implements the protocol and
+//! manages connections; the callers interpret the changes.
 
 mod client;
 mod clock;
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -1,57 +1,57 @@
-//! The list of endpoints in the platform's own words.
+//! The list of endpoints in discovery's JSON format.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A list as discovery words it: whole, or the entries that changed.
+/// A list from discovery: the full list, or the entries that changed.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct List {
     /// Version of the list at this server; versions of different servers don't compare.
     pub rev: u64,
-    /// Whether what is missing from it is gone.
+    /// Whether this is the full list, so that endpoints missing from it are gone.
     pub all: bool,
-    /// The entries. Of an endpoint named twice the last word counts.
+    /// The entries. If an endpoint occurs twice, the last entry counts.
     pub targets: Vec<Target>,
 }
 
 /// One endpoint.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Target {
-    /// Its name, the same at every asker.
+    /// Its unique name, the same for every client.
     pub uid: String,
-    /// Where it listens, as seen by this asker.
+    /// Its address, as seen by this client.
     pub endpoint: SocketAddr,
     /// Its zone.
     #[serde(default)]
     pub az: String,
-    /// Its machine kind.
+    /// Its machine type.
     #[serde(default)]
     pub model: String,
     /// Its cell.
     #[serde(default)]
     pub pod_group: u64,
-    /// Its standing.
+    /// Its state.
     pub state: State,
-    /// Its registered size; one is the usual.
-    #[serde(default = "one")]
+    /// Its registered capacity, relative to a usual endpoint (1).
+    #[serde(default = "default_capacity_hint")]
     pub capacity_hint: f64,
     /// When its process last started, Unix time in milliseconds; 0 for long ago.
     #[serde(default)]
     pub boot_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_capacity_hint() -> f64 {
     1.0
 }
 
-/// An endpoint's standing in the list.
+/// An endpoint's state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// May be sent to.
+    /// Accepts requests.
     Up,
-    /// Finishes what it has, wants nothing new.
+    /// Completes requests in flight, and must get no new ones.
     Draining,
-    /// Gone; among changes only.
+    /// Removed; occurs in changes only.
     Removed,
 }
