--- a/crates/control/src/admin.rs
+++ b/crates/control/src/admin.rs
@@ -22,7 +22,7 @@
 use tokio::net::UnixListener;
 
 /// A resumption that is not agreed after so long may come to pass yet.
-const RESUME_MOST: Duration = Duration::from_secs(5);
+const RESUME_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Has a roll-out that has halted go on.
 async fn resume(State(shared): State<Arc<Shared>>) -> StatusCode {
@@ -34,7 +34,7 @@
     let Some((serial, stage)) = halted else { return StatusCode::CONFLICT };
     if let Some(cluster) = &shared.cluster {
         let step = RolloutStep { serial, stage, to: RolloutAction::Resume };
-        return match cluster.write("", Command::Rollout(step), RESUME_MOST).await {
+        return match cluster.write("", Command::Rollout(step), RESUME_TIMEOUT).await {
             Ok((_, outcome)) if outcome.is_done() => StatusCode::ACCEPTED,
             Ok(_) => StatusCode::CONFLICT,
             Err(_) => StatusCode::SERVICE_UNAVAILABLE,
@@ -47,7 +47,9 @@
 /// Ready is who can serve; in a cluster, who can decide with the others.
 async fn ready(State(shared): State<Arc<Shared>>) -> (StatusCode, String) {
     match shared.cluster.as_ref().filter(|handle| !handle.has_majority()) {
-        Some(handle) => (StatusCode::SERVICE_UNAVAILABLE, replicated::trouble_of(&handle.view()) + "\n"),
+        Some(handle) => {
+            (StatusCode::SERVICE_UNAVAILABLE, replicated::describe_trouble(&handle.view()) + "\n")
+        }
         None => (StatusCode::OK, "ready\n".to_owned()),
     }
 }
@@ -99,7 +101,7 @@
         });
         pools.insert(name.clone(), pool);
     }
-    let fleet = shared.core.lock().unwrap_or_else(PoisonError::into_inner).fleet().hash();
+    let fleet = shared.fleet_state.lock().unwrap_or_else(PoisonError::into_inner).fleet().hash();
     let version = shared.version.lock().unwrap_or_else(PoisonError::into_inner).clone();
     let rollout = shared.rollout.lock().unwrap_or_else(PoisonError::into_inner).clone();
     let before = rollout.as_ref().map(|rollout| rollout.progress().from);
@@ -133,7 +135,7 @@
     let proxies: Vec<Value> = shared.hub.streams().iter().map(|stream| {
         let types: Vec<Value> = stream.standings.iter().map(|s| {
             json!({
-                "type": short(s.kind), "wildcard": s.wildcard, "names": s.names,
+                "type": type_name(s.kind), "wildcard": s.wildcard, "names": s.names,
                 "sent": s.sent.as_ref().map(|(version, at)| json!({"version": version, "ago_s": ago(*at)})),
                 "acked": s.acked.as_ref().map(|(version, at)| json!({"version": version, "ago_s": ago(*at)})),
                 "rejected": s.rejected.as_ref().map(|r| {
@@ -156,12 +158,12 @@
         .map(|ended| json!({"node": ended.node, "ago_s": ago(ended.at), "why": ended.why}))
         .collect();
     let (resources, epoch, seq, encodings) = shared.hub.cache(|cache| {
-        let count = |&kind: &Kind| (short(kind).to_owned(), json!(cache.len(kind)));
+        let count = |&kind: &Kind| (type_name(kind).to_owned(), json!(cache.len(kind)));
         let resources: serde_json::Map<String, Value> = Kind::ALL.iter().map(count).collect();
         (resources, cache.epoch(), cache.seq(), cache.encodings())
     });
     let troubles = shared.troubles.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    let cluster = shared.cluster.as_ref().map(cluster::standing);
+    let cluster = shared.cluster.as_ref().map(cluster::status);
     json!({
         "cluster": cluster, "epoch": epoch, "seq": seq, "encodings": encodings, "fleet": fleet,
         "serial": serial, "version": version, "rollout": rollout,
@@ -169,7 +171,7 @@
     })
 }
 
-fn short(kind: Kind) -> &'static str {
+fn type_name(kind: Kind) -> &'static str {
     match kind {
         Kind::Cluster => "cds",
         Kind::Endpoint => "eds",
--- a/crates/control/src/cluster.rs
+++ b/crates/control/src/cluster.rs
@@ -17,10 +17,10 @@
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
-use tonic::transport::{Certificate, ClientTlsConfig, Identity as Certified};
+use tonic::transport::{Certificate, ClientTlsConfig, Identity as TlsIdentity};
 
 /// A write or a read that has no answer after so long is answered with "unknown".
-const WITHIN: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Opens the member's folder and starts it; the service for its peers is to be served by the caller.
 pub fn start(cluster: &Cluster, settings: &Settings) -> Result<(Handle, PeerService), io::Error> {
@@ -34,7 +34,7 @@
 }
 
 fn client_tls(tls: &Tls) -> io::Result<ClientTlsConfig> {
-    let identity = Certified::from_pem(std::fs::read(&tls.certificate)?, std::fs::read(&tls.key)?);
+    let identity = TlsIdentity::from_pem(std::fs::read(&tls.certificate)?, std::fs::read(&tls.key)?);
     let config = ClientTlsConfig::new().identity(identity);
     Ok(match &tls.client_ca {
         Some(ca) => config.ca_certificate(Certificate::from_pem(std::fs::read(ca)?)),
@@ -53,14 +53,14 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Changed {
+struct ChangeRequest {
     id: String,
     change: Change,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Write {
+struct WriteRequest {
     id: String,
     command: Command,
 }
@@ -78,9 +78,9 @@
     age_ms: Option<u64>,
 }
 
-type Answer = Result<Json<Value>, (StatusCode, Json<Value>)>;
+type JsonResult = Result<Json<Value>, (StatusCode, Json<Value>)>;
 
-fn failed(problem: &RequestError) -> (StatusCode, Json<Value>) {
+fn error_response(problem: &RequestError) -> (StatusCode, Json<Value>) {
     let code = match problem {
         RequestError::OutcomeUnknown => StatusCode::GATEWAY_TIMEOUT,
         RequestError::Refused(_) => StatusCode::CONFLICT,
@@ -88,8 +88,8 @@
     (code, Json(json!({ "error": problem.to_string() })))
 }
 
-fn refused(why: impl Into<String>) -> (StatusCode, Json<Value>) {
-    failed(&RequestError::Refused(why.into()))
+fn refusal(why: impl Into<String>) -> (StatusCode, Json<Value>) {
+    error_response(&RequestError::Refused(why.into()))
 }
 
 fn age_ms(handle: &Handle) -> Option<u64> {
@@ -98,12 +98,12 @@
 
 async fn state(handle: &Handle, consistent: bool) -> Result<Arc<Agreed>, (StatusCode, Json<Value>)> {
     match consistent {
-        true => handle.read(WITHIN).await.map_err(|problem| failed(&problem)),
-        false => handle.view().state.clone().ok_or_else(|| refused("nothing was heard of the cluster yet")),
+        true => handle.read(REQUEST_TIMEOUT).await.map_err(|problem| error_response(&problem)),
+        false => handle.view().state.clone().ok_or_else(|| refusal("nothing was heard of the cluster yet")),
     }
 }
 
-async fn versions(handle: Handle, consistent: bool) -> Answer {
+async fn versions(handle: Handle, consistent: bool) -> JsonResult {
     let state = state(&handle, consistent).await?;
     let age_ms = if consistent { Some(0) } else { age_ms(&handle) };
     let versions = Versions {
@@ -128,26 +128,32 @@
     })
 }
 
-async fn write(State(handle): State<Handle>, Json(Write { id, command }): Json<Write>) -> Answer {
+async fn write(
+    State(handle): State<Handle>,
+    Json(WriteRequest { id, command }): Json<WriteRequest>,
+) -> JsonResult {
     // Members' own words come by their own links.
     if matches!(command, Command::Seen { .. } | Command::Listed(_) | Command::Draining { .. }) {
-        return Err(refused("this is for instances alone"));
+        return Err(refusal("this is for instances alone"));
     }
-    match handle.write(&id, command, WITHIN).await {
+    match handle.write(&id, command, REQUEST_TIMEOUT).await {
         Ok((index, Outcome::Refused(why))) => {
             Err((StatusCode::CONFLICT, Json(json!({"error": why, "index": index}))))
         }
         Ok((index, outcome)) => Ok(Json(json!({"index": index, "outcome": outcome}))),
-        Err(problem) => Err(failed(&problem)),
+        Err(problem) => Err(error_response(&problem)),
     }
 }
 
-fn by_name(state: &Agreed, name: &str) -> Result<MemberId, (StatusCode, Json<Value>)> {
+fn member_by_name(state: &Agreed, name: &str) -> Result<MemberId, (StatusCode, Json<Value>)> {
     let found = state.members.iter().find(|(id, member)| member.name == name || id.to_string() == name);
-    found.map(|(id, _)| *id).ok_or_else(|| refused(format!("there is no member {name}")))
+    found.map(|(id, _)| *id).ok_or_else(|| refusal(format!("there is no member {name}")))
 }
 
-async fn change(State(handle): State<Handle>, Json(Changed { id, change }): Json<Changed>) -> Answer {
+async fn change(
+    State(handle): State<Handle>,
+    Json(ChangeRequest { id, change }): Json<ChangeRequest>,
+) -> JsonResult {
     let before = state(&handle, true).await?;
     let done = match change {
         Change::Add { name, address } => {
@@ -158,10 +164,13 @@
             );
             let member = before.next_member();
             let change = MemberChange::Add { member, name: name.clone(), address, ticket };
-            handle.change(&id, change, WITHIN).await.map_err(|problem| failed(&problem))?;
+            handle
+                .change(&id, change, REQUEST_TIMEOUT)
+                .await
+                .map_err(|problem| error_response(&problem))?;
             // A repeat is answered with the invitation of the first time.
             let state = state(&handle, true).await?;
-            let member = by_name(&state, &name)?;
+            let member = member_by_name(&state, &name)?;
             let others = state.members.iter().filter(|(id, _)| **id != member);
             let identity = Identity {
                 lineage: state.lineage.clone(),
@@ -173,16 +182,18 @@
             return Ok(Json(json!(Invitation { name, identity })));
         }
         Change::Remove { name } => {
-            let member = by_name(&before, &name)?;
-            handle.change(&id, MemberChange::Remove { member }, WITHIN).await
+            let member = member_by_name(&before, &name)?;
+            handle.change(&id, MemberChange::Remove { member }, REQUEST_TIMEOUT).await
+        }
+        Change::Transfer { name } => {
+            handle.transfer(member_by_name(&before, &name)?, REQUEST_TIMEOUT).await
         }
-        Change::Transfer { name } => handle.transfer(by_name(&before, &name)?, WITHIN).await,
     };
-    done.map(|()| Json(json!({"done": true}))).map_err(|problem| failed(&problem))
+    done.map(|()| Json(json!({"done": true}))).map_err(|problem| error_response(&problem))
 }
 
 /// How the cluster stands, as this instance sees it.
-pub fn standing(handle: &Handle) -> Value {
+pub fn status(handle: &Handle) -> Value {
     let view = handle.view();
     let state = view.state.as_ref();
     let members: Vec<Value> = state
@@ -190,7 +201,7 @@
         .flat_map(|state| &state.members)
         .map(|(id, member)| {
             let link = view.links.get(id);
-            let peer = view.status.as_ref().and_then(|standing| standing.peers.get(id));
+            let peer = view.status.as_ref().and_then(|status| status.peers.get(id));
             json!({
                 "id": id, "name": member.name, "address": member.address, "voter": member.voter,
                 "joined": member.folder.is_some(),
@@ -214,7 +225,7 @@
 /// What the admin port offers in a cluster.
 pub fn router(handle: Handle) -> Router {
     Router::new()
-        .route("/cluster", get(|State(handle): State<Handle>| async move { Json(standing(&handle)) }))
+        .route("/cluster", get(|State(handle): State<Handle>| async move { Json(status(&handle)) }))
         .route("/cluster/change", post(change))
         .route("/versions", get(|State(handle): State<Handle>| versions(handle, false)))
         .route("/versions/now", get(|State(handle): State<Handle>| versions(handle, true)))
--- a/crates/control/src/desired.rs
+++ b/crates/control/src/desired.rs
@@ -16,13 +16,13 @@
     Folder(PathBuf, std::io::Error),
     /// There is no state in the folder.
     #[error("{path}: there is no state here: make one with `runtrackctl --state {path} init`", path = .0.display())]
-    NoState(PathBuf),
+    MissingState(PathBuf),
     /// The state is damaged or newer than this version.
     #[error("{}: {}", .0.display(), .1)]
     Store(PathBuf, StoreError),
     /// The state's current version is no fleet.
     #[error("{}: serial {} is no fleet: {}", .0.display(), .1, .2)]
-    NoFleet(PathBuf, u64, String),
+    InvalidFleet(PathBuf, u64, String),
 }
 
 /// The desired state, and which version of the store it is; none for a file or an empty store.
@@ -44,7 +44,7 @@
 
 impl Origin {
     /// As the settings say, which name one of the two.
-    pub fn settings(settings: &Settings) -> Origin {
+    pub fn from_settings(settings: &Settings) -> Origin {
         match (&settings.store, &settings.fleet) {
             (Some(store), _) => Origin::Store(store.clone()),
             (None, fleet) => Origin::File(fleet.clone().unwrap_or_default()),
@@ -67,7 +67,7 @@
     }
 
     /// The serial that is there now, if it comes from a store: cheap enough to be asked twice a second.
-    pub fn serial(&self) -> Option<Result<u64, DesiredError>> {
+    pub fn head_serial(&self) -> Option<Result<u64, DesiredError>> {
         match self {
             Origin::File(_) => None,
             Origin::Store(path) => Some(open(path).map(|store| store.serial())),
@@ -79,17 +79,17 @@
     let text = std::fs::read_to_string(path).map_err(|e| SettingsError::Unreadable(path.to_owned(), e))?;
     Fleet::read(&text).map_err(|problems| {
         let lines: Vec<String> = problems.to_string().lines().map(str::to_owned).collect();
-        SettingsError::Wrong(path.to_owned(), lines.join(&format!("\n{}:", path.display())))
+        SettingsError::Invalid(path.to_owned(), lines.join(&format!("\n{}:", path.display())))
     })
 }
 
 fn open(path: &Path) -> Result<Store<Folder>, DesiredError> {
     if !path.is_dir() {
-        return Err(DesiredError::NoState(path.to_owned()));
+        return Err(DesiredError::MissingState(path.to_owned()));
     }
     let folder = Folder::new(path).map_err(|e| DesiredError::Folder(path.to_owned(), e))?;
     let store = Store::open(folder).map_err(|e| DesiredError::Store(path.to_owned(), e))?;
-    store.ok_or_else(|| DesiredError::NoState(path.to_owned()))
+    store.ok_or_else(|| DesiredError::MissingState(path.to_owned()))
 }
 
 fn read_store(path: &Path) -> Result<Desired, DesiredError> {
@@ -99,6 +99,6 @@
     };
     let text = store.text(version.serial).map_err(|e| DesiredError::Store(path.to_owned(), e))?;
     let fleet = Fleet::from_canonical(&text)
-        .map_err(|problem| DesiredError::NoFleet(path.to_owned(), version.serial, problem))?;
+        .map_err(|problem| DesiredError::InvalidFleet(path.to_owned(), version.serial, problem))?;
     Ok(Desired { fleet, version: Some(version) })
 }
--- a/crates/control/src/errors.rs
+++ b/crates/control/src/error_rate.rs
@@ -8,12 +8,12 @@
 use runtrack_xds::{Compared, Tally};
 
 /// Fewer requests than this show nothing.
-const ENDED_LEAST: u64 = 100;
+const MIN_REQUESTS: u64 = 100;
 /// Nor do fewer failures: chance makes two of one.
-const FAILED_LEAST: u64 = 10;
+const MIN_FAILURES: u64 = 10;
 /// The rise must be so many standard errors of the difference of two shares: chance alone gives as much once in
 /// 30,000 looks, and a look comes with every report, for every pool.
-const STANDARD_ERRORS: f64 = 4.0;
+const MIN_STANDARD_ERRORS: f64 = 4.0;
 
 /// What is no reason to halt.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -36,36 +36,36 @@
     let pools: Vec<(&str, Compared)> = pools.collect();
     let all =
         pools.iter().fold(Tally::default(), |sum, (_, pool)| sum.plus(pool.without).plus(pool.before));
-    let worse = pools.iter().filter_map(|(name, pool)| {
-        let known = [(pool.without, "without it"), (pool.before, "before it")];
-        let known = known.into_iter().filter(|(tally, _)| tally.ended >= ENDED_LEAST);
-        let (against, whose) = known
+    let increases = pools.iter().filter_map(|(name, pool)| {
+        let baselines = [(pool.without, "without it"), (pool.before, "before it")];
+        let baselines = baselines.into_iter().filter(|(tally, _)| tally.ended >= MIN_REQUESTS);
+        let (baseline, baseline_name) = baselines
             .max_by(|(a, _), (b, _)| a.share().unwrap_or(0.0).total_cmp(&b.share().unwrap_or(0.0)))
-            .or((all.ended >= ENDED_LEAST).then_some((all, "in all pools without it")))?;
-        let rise = rise(pool.with, against, tolerance)?;
-        Some((rise, name, pool.with, against, whose))
+            .or((all.ended >= MIN_REQUESTS).then_some((all, "in all pools without it")))?;
+        let rise = rise(pool.with, baseline, tolerance)?;
+        Some((rise, name, pool.with, baseline, baseline_name))
     });
-    let (_, name, with, against, whose) = worse.max_by(|a, b| a.0.total_cmp(&b.0))?;
+    let (_, name, with, baseline, baseline_name) = increases.max_by(|a, b| a.0.total_cmp(&b.0))?;
     Some(format!(
-        "requests to pool {name} fail more often: {} with it, {} {whose}",
-        words(with),
-        words(against)
+        "requests to pool {name} fail more often: {} with it, {} {baseline_name}",
+        format_share(with),
+        format_share(baseline)
     ))
 }
 
 /// By how much the share is higher, where that is more than is tolerated and than chance.
-fn rise(with: Tally, against: Tally, tolerance: Tolerance) -> Option<f64> {
-    if with.ended < ENDED_LEAST || with.failed < FAILED_LEAST {
+fn rise(with: Tally, baseline: Tally, tolerance: Tolerance) -> Option<f64> {
+    if with.ended < MIN_REQUESTS || with.failed < MIN_FAILURES {
         return None;
     }
-    let rise = with.share()? - against.share()?;
-    let pooled = with.plus(against).share()?;
-    let parts = 1.0 / with.ended as f64 + 1.0 / against.ended as f64;
-    let error = (pooled * (1.0 - pooled) * parts).sqrt();
-    (rise > tolerance.rise && rise > STANDARD_ERRORS * error).then_some(rise)
+    let rise = with.share()? - baseline.share()?;
+    let pooled_share = with.plus(baseline).share()?;
+    let inverse_counts = 1.0 / with.ended as f64 + 1.0 / baseline.ended as f64;
+    let standard_error = (pooled_share * (1.0 - pooled_share) * inverse_counts).sqrt();
+    (rise > tolerance.rise && rise > MIN_STANDARD_ERRORS * standard_error).then_some(rise)
 }
 
-fn words(tally: Tally) -> String {
+fn format_share(tally: Tally) -> String {
     format!("{:.1}% of {}", tally.share().unwrap_or_default() * 100.0, tally.ended)
 }
 
@@ -73,53 +73,61 @@
 mod tests {
     use super::*;
 
-    fn of(ended: u64, failed: u64) -> Tally {
+    fn tally(ended: u64, failed: u64) -> Tally {
         Tally { ended, failed }
     }
 
-    fn judge(with: Tally, without: Tally, before: Tally) -> Option<String> {
+    fn check(with: Tally, without: Tally, before: Tally) -> Option<String> {
         failing([("p", Compared { with, without, before })].into_iter(), Tolerance::default())
     }
 
     #[test]
     fn a_rise_over_both_is_told_with_its_figures() {
-        let told = judge(of(500, 60), of(5000, 10), of(9000, 90)).expect("worse");
+        let message = check(tally(500, 60), tally(5000, 10), tally(9000, 90)).expect("worse");
         assert_eq!(
-            told,
+            message,
             "requests to pool p fail more often: 12.0% of 500 with it, 1.0% of 9000 before it"
         );
     }
 
     #[test]
     fn what_strikes_all_or_struck_before_halts_nothing() {
-        assert_eq!(judge(of(500, 60), of(5000, 600), of(9000, 0)), None, "an incident everywhere");
-        assert_eq!(judge(of(500, 60), of(5000, 0), of(9000, 1080)), None, "it was like that before");
+        assert_eq!(check(tally(500, 60), tally(5000, 600), tally(9000, 0)), None, "an incident everywhere");
+        assert_eq!(
+            check(tally(500, 60), tally(5000, 0), tally(9000, 1080)),
+            None,
+            "it was like that before"
+        );
     }
 
     #[test]
     fn the_last_stage_stands_against_the_time_before() {
-        assert!(judge(of(500, 60), of(0, 0), of(9000, 9)).is_some());
+        assert!(check(tally(500, 60), tally(0, 0), tally(9000, 9)).is_some());
     }
 
     #[test]
     fn few_requests_small_rises_and_chance_halt_nothing() {
-        assert_eq!(judge(of(99, 99), of(5000, 0), of(5000, 0)), None, "too few requests");
-        assert_eq!(judge(of(5000, 9), of(5000, 0), of(5000, 0)), None, "too few failures");
+        assert_eq!(check(tally(99, 99), tally(5000, 0), tally(5000, 0)), None, "too few requests");
+        assert_eq!(check(tally(5000, 9), tally(5000, 0), tally(5000, 0)), None, "too few failures");
         assert_eq!(
-            judge(of(100_000, 900), of(100_000, 0), of(100_000, 0)),
+            check(tally(100_000, 900), tally(100_000, 0), tally(100_000, 0)),
             None,
             "within what is tolerated"
         );
-        assert_eq!(judge(of(200, 16), of(200, 8), of(200, 8)), None, "chance");
-        assert!(judge(of(20_000, 1600), of(20_000, 800), of(20_000, 800)).is_some(), "the same, proved");
+        assert_eq!(check(tally(200, 16), tally(200, 8), tally(200, 8)), None, "chance");
+        assert!(
+            check(tally(20_000, 1600), tally(20_000, 800), tally(20_000, 800)).is_some(),
+            "the same, proved"
+        );
     }
 
     #[test]
     fn a_new_pool_stands_against_all_others() {
-        let old = Compared { with: of(50, 0), without: of(4000, 20), before: of(9000, 40) };
-        let new = Compared { with: of(300, 200), ..Compared::default() };
-        let told = failing([("old", old), ("new", new)].into_iter(), Tolerance::default()).expect("worse");
-        assert!(told.contains("pool new") && told.contains("in all pools without it"), "{told}");
+        let old = Compared { with: tally(50, 0), without: tally(4000, 20), before: tally(9000, 40) };
+        let new = Compared { with: tally(300, 200), ..Compared::default() };
+        let message =
+            failing([("old", old), ("new", new)].into_iter(), Tolerance::default()).expect("worse");
+        assert!(message.contains("pool new") && message.contains("in all pools without it"), "{message}");
         assert_eq!(
             failing([("new", new)].into_iter(), Tolerance::default()),
             None,
@@ -129,7 +137,7 @@
 
     #[test]
     fn any_rise_is_tolerated_where_the_operator_says_so() {
-        let pool = Compared { with: of(500, 500), without: of(5000, 0), before: of(0, 0) };
+        let pool = Compared { with: tally(500, 500), without: tally(5000, 0), before: tally(0, 0) };
         assert_eq!(failing([("p", pool)].into_iter(), Tolerance { rise: 1.0 }), None);
     }
 }
--- a/crates/control/src/core.rs
+++ b/crates/control/src/fleet_state.rs
@@ -1,6 +1,6 @@
 //! What the service decides: from a fleet and what sources tell, the resources that proxies get. No I/O.
 
-use crate::pool::{Members, Stale};
+use crate::pool::{PoolMembers, Stale};
 use runtrack_discovery::{List, Update};
 use runtrack_model::{Fleet, Pool, Source};
 use runtrack_xds::{Cache, Change, Kind, translate};
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 /// The desired state and what is known of its pools.
-pub struct Core {
+pub struct FleetState {
     fleet: Fleet,
-    pools: BTreeMap<String, Members>,
+    pools: BTreeMap<String, PoolMembers>,
     /// Pools whose endpoints may differ from what was published.
     dirty: BTreeSet<String>,
     seed: u64,
@@ -34,26 +34,26 @@
 
 /// What there is to do, in this order: the lists are committed, then the changes are published.
 #[derive(Default)]
-pub struct Due {
+pub struct PendingChanges {
     /// Lists for the journal, by pool.
     pub lists: Vec<(String, List)>,
     /// Changes for the proxies.
     pub changes: Vec<Change>,
 }
 
-impl Core {
+impl FleetState {
     /// A core with the lists that were held before a restart.
-    pub fn new(fleet: Fleet, mut held: BTreeMap<String, List>, seed: u64, now: Duration) -> Self {
+    pub fn new(fleet: Fleet, mut saved_lists: BTreeMap<String, List>, seed: u64, now: Duration) -> Self {
         let mut pools = BTreeMap::new();
         for (name, pool) in &fleet.pools {
-            let mut members = Members::new(pool, &fleet, seed, now);
-            if let (Source::Platform(_), Some(list)) = (&pool.source, held.remove(name)) {
-                members.remember(now, list, "from before a restart; the source has not answered yet");
+            let mut members = PoolMembers::new(pool, &fleet, seed, now);
+            if let (Source::Platform(_), Some(list)) = (&pool.source, saved_lists.remove(name)) {
+                members.restore(now, list, "from before a restart; the source has not answered yet");
             }
             pools.insert(name.clone(), members);
         }
         let dirty = pools.keys().cloned().collect();
-        Core { fleet, pools, dirty, seed }
+        FleetState { fleet, pools, dirty, seed }
     }
 
     /// The desired state.
@@ -63,12 +63,12 @@
 
     /// How the pools stand.
     pub fn status(&self) -> BTreeMap<String, PoolStatus> {
-        let one = |(name, members): (&String, &Members)| {
+        let pool_status = |(name, members): (&String, &PoolMembers)| {
             let (ready, draining, cold) = members.counts();
             let stale = members.stale().cloned();
             (name.clone(), PoolStatus { known: members.known(), ready, draining, cold, stale })
         };
-        self.pools.iter().map(one).collect()
+        self.pools.iter().map(pool_status).collect()
     }
 
     /// The lists of all pools that follow a source, whole, for the journal.
@@ -88,46 +88,46 @@
     }
 
     /// Takes what the source of a pool at an address told; what a source told that is followed no more is ignored.
-    pub fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Update) {
+    pub fn handle_update(&mut self, now: Duration, pool: &str, from: SocketAddr, update: Update) {
         let current = self.fleet.pools.get(pool).map(|pool| &pool.source);
         let Some(members) = self.pools.get_mut(pool).filter(|_| current == Some(&Source::Platform(from)))
         else {
             return;
         };
-        if members.told(now, told) {
+        if members.handle_update(now, update) {
             self.dirty.insert(pool.to_owned());
         }
     }
 
     /// Takes the list of a pool that is agreed with the other instances, whole.
-    pub fn agreed(&mut self, now: Duration, pool: &str, list: List) {
+    pub fn set_agreed(&mut self, now: Duration, pool: &str, list: List) {
         let followed = |pool: &Pool| matches!(pool.source, Source::Platform(_));
         if !self.fleet.pools.get(pool).is_some_and(followed) {
             return;
         }
-        if self.pools.get_mut(pool).is_some_and(|members| members.agreed(now, list)) {
+        if self.pools.get_mut(pool).is_some_and(|members| members.set_agreed(now, list)) {
             self.dirty.insert(pool.to_owned());
         }
     }
 
     /// From now on these endpoints of each pool and no others get nothing new, whatever the lists say.
-    pub fn hold_back(&mut self, uids: &BTreeMap<String, BTreeSet<String>>) {
+    pub fn set_held_back(&mut self, uids: &BTreeMap<String, BTreeSet<String>>) {
         for (name, members) in &mut self.pools {
-            if members.hold_back(uids.get(name).cloned().unwrap_or_default()) {
+            if members.set_held_back(uids.get(name).cloned().unwrap_or_default()) {
                 self.dirty.insert(name.clone());
             }
         }
     }
 
     /// What is believed of a pool that follows a source, and whether that counts its lists anew; none: nothing was heard.
-    pub fn heard(&self, pool: &str) -> Option<(List, bool)> {
-        let members = self.pools.get(pool).filter(|members| members.hears())?;
-        Some((members.list(), members.counts_anew()))
+    pub fn source_list(&self, pool: &str) -> Option<(List, bool)> {
+        let members = self.pools.get(pool).filter(|members| members.has_source_list())?;
+        Some((members.list(), members.numbering_restarted()))
     }
 
     /// Looks at the clock.
     pub fn tick(&mut self, now: Duration) {
-        for (name, members) in self.pools.iter_mut().filter(|(_, members)| members.waits()) {
+        for (name, members) in self.pools.iter_mut().filter(|(_, members)| members.needs_tick()) {
             if members.tick(now) {
                 self.dirty.insert(name.clone());
             }
@@ -140,63 +140,64 @@
     }
 
     /// What the pools' changes make necessary.
-    pub fn take(&mut self, now: Duration) -> Due {
-        let mut due = Due::default();
+    pub fn take_pending(&mut self, now: Duration) -> PendingChanges {
+        let mut pending = PendingChanges::default();
         for name in std::mem::take(&mut self.dirty) {
             let (Some(members), Some(pool)) = (self.pools.get_mut(&name), self.fleet.pools.get(&name))
             else {
                 continue;
             };
             if let (Source::Platform(_), Some(list)) = (&pool.source, members.take_changes()) {
-                due.lists.push((name.clone(), list));
+                pending.lists.push((name.clone(), list));
             }
-            due.changes.push(match members.members(now) {
+            pending.changes.push(match members.members(now) {
                 Some(members) => translate::endpoints(&name, pool, &self.fleet, &members),
                 None => Change::Unknown(Kind::Endpoint, name),
             });
         }
-        due
+        pending
     }
 
     /// Everything that the desired state makes necessary, against what is served now.
-    pub fn whole(&mut self, now: Duration, served: &Cache) -> Due {
+    pub fn full_update(&mut self, now: Duration, served: &Cache) -> PendingChanges {
         self.dirty = self.pools.keys().cloned().collect();
-        let mut due = self.take(now);
+        let mut pending = self.take_pending(now);
         for (name, pool) in &self.fleet.pools {
-            due.changes.push(translate::cluster(name, pool, &self.fleet.rules));
+            pending.changes.push(translate::cluster(name, pool, &self.fleet.rules));
         }
         for (name, listener) in &self.fleet.listeners {
-            due.changes.extend(translate::listener(name, listener, &self.fleet));
+            pending.changes.extend(translate::listener(name, listener, &self.fleet));
         }
-        let kept: BTreeSet<(Kind, &str)> = due.changes.iter().map(Change::key).collect();
+        let kept: BTreeSet<(Kind, &str)> = pending.changes.iter().map(Change::key).collect();
         let mut gone = Vec::new();
         for kind in Kind::ALL {
             let names = served.names(kind).filter(|name| !kept.contains(&(kind, *name)));
             gone.extend(names.map(|name| Change::Remove(kind, name.to_owned())));
         }
-        due.changes.extend(gone);
-        due
+        pending.changes.extend(gone);
+        pending
     }
 
     /// Takes another desired state; [`whole`](Self::whole) then says what that makes necessary.
     pub fn replace(&mut self, now: Duration, fleet: Fleet) {
         let mut old = std::mem::take(&mut self.pools);
         for (name, pool) in &fleet.pools {
-            let was = self.fleet.pools.get(name);
-            let kept = was.is_some_and(|was| was.source == pool.source) && fleet.rules == self.fleet.rules;
+            let old_pool = self.fleet.pools.get(name);
+            let kept = old_pool.is_some_and(|old_pool| old_pool.source == pool.source)
+                && fleet.rules == self.fleet.rules;
             let before = old.remove(name);
             let members = match before {
                 Some(mut members) if kept => {
-                    members.retune(pool);
+                    members.update_panic_settings(pool);
                     members
                 }
                 before => {
-                    let mut members = Members::new(pool, &fleet, self.seed, now);
+                    let mut members = PoolMembers::new(pool, &fleet, self.seed, now);
                     if let (Source::Platform(_), Some(before)) =
-                        (&pool.source, before.filter(Members::known))
+                        (&pool.source, before.filter(PoolMembers::known))
                     {
                         // Until the new source answers the old list stands.
-                        members.remember(now, before.list(), "from before the last reload");
+                        members.restore(now, before.list(), "from before the last reload");
                     }
                     members
                 }
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -2,10 +2,10 @@
 
 mod admin;
 mod cluster;
-mod core;
 mod desired;
-mod errors;
-mod memory;
+mod error_rate;
+mod fleet_state;
+mod persistence;
 mod pool;
 mod progress;
 mod replicated;
@@ -62,7 +62,9 @@
             .map_err(desired::DesiredError::from)
             .and_then(|settings| match &settings.cluster {
                 Some(cluster) => Ok(format!("a member of a cluster, in {}", cluster.member.display())),
-                None => desired::Origin::settings(&settings).read().map(|desired| desired.fleet.hash()),
+                None => {
+                    desired::Origin::from_settings(&settings).read().map(|desired| desired.fleet.hash())
+                }
             })
             .map(|found| println!("{found}"))
             .map_err(|problem| problem.to_string()),
--- a/crates/control/src/memory.rs
+++ b/crates/control/src/persistence.rs
@@ -13,26 +13,26 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-const EPOCH: &str = "epoch";
-const LISTS: &str = "lists.log";
+const EPOCH_FILE: &str = "epoch";
+const JOURNAL_FILE: &str = "lists.log";
 /// A journal below this size is never written anew.
-const SMALL: u64 = 1 << 20;
+const MIN_REWRITE_BYTES: u64 = 1 << 20;
 
 #[derive(Serialize, Deserialize)]
-struct Line {
+struct JournalEntry {
     pool: String,
     list: List,
 }
 
 /// The folder and what it holds.
-pub struct Memory {
+pub struct ListJournal {
     folder: PathBuf,
     file: File,
     /// Bytes in the journal, and when it was last written anew.
     size: u64,
-    whole: u64,
+    compacted_size: u64,
     /// A commit failed: what it held is in the journal only once that is written anew.
-    lacks: bool,
+    incomplete: bool,
 }
 
 /// A new epoch, higher than any before, from a file that each start raises.
@@ -40,7 +40,7 @@
 /// The file is written beside the old one, synced, renamed over it and the folder synced before the epoch is used:
 /// so no two starts share one, whenever they end.
 pub fn next_epoch(folder: &Path) -> io::Result<u64> {
-    let path = folder.join(EPOCH);
+    let path = folder.join(EPOCH_FILE);
     let last = match std::fs::read_to_string(&path) {
         Ok(text) => {
             let problem = || format!("{}: `{}` is no number", path.display(), text.trim());
@@ -51,7 +51,7 @@
     };
     // Not below the clock: a folder that was lost must not bring back old epochs.
     let epoch = (last + 1).max(clock_epoch());
-    replace(folder, EPOCH, format!("{epoch}\n").as_bytes())?;
+    replace_file(folder, EPOCH_FILE, format!("{epoch}\n").as_bytes())?;
     Ok(epoch)
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// Puts a file in place of the one of this name, durably, at once or not at all.
-pub fn replace(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
+pub fn replace_file(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
     let new = folder.join(format!("{name}.new"));
     let mut file = File::create(&new)?;
     file.write_all(bytes)?;
@@ -72,36 +72,45 @@
     File::open(folder)?.sync_all()
 }
 
-impl Memory {
+impl ListJournal {
     /// Opens the folder, made if it is missing, and reads each pool's list.
-    pub fn open(folder: &Path) -> io::Result<(Memory, BTreeMap<String, List>)> {
+    pub fn open(folder: &Path) -> io::Result<(ListJournal, BTreeMap<String, List>)> {
         std::fs::create_dir_all(folder)?;
-        let path = folder.join(LISTS);
+        let path = folder.join(JOURNAL_FILE);
         let mut bytes = Vec::new();
         match File::open(&path) {
             Ok(mut file) => drop(file.read_to_end(&mut bytes)?),
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
             Err(e) => return Err(e),
         }
-        let (lists, good) = read(&bytes);
+        let (lists, valid_bytes) = replay(&bytes);
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
         // What a crash cut short must not stand before the next line.
-        file.set_len(good)?;
+        file.set_len(valid_bytes)?;
         file.sync_all()?;
         File::open(folder)?.sync_all()?;
-        Ok((Memory { folder: folder.to_owned(), file, size: good, whole: good, lacks: false }, lists))
+        Ok((
+            ListJournal {
+                folder: folder.to_owned(),
+                file,
+                size: valid_bytes,
+                compacted_size: valid_bytes,
+                incomplete: false,
+            },
+            lists,
+        ))
     }
 
     /// Adds lists, whole or changes, in one append and one sync.
     pub fn commit(&mut self, lists: Vec<(String, List)>) -> io::Result<()> {
         let mut bytes = Vec::new();
         for (pool, list) in lists {
-            bytes.extend(line(&Line { pool, list })?);
+            bytes.extend(encode_entry(&JournalEntry { pool, list })?);
         }
         if let Err(problem) = self.file.write_all(&bytes).and_then(|()| self.file.sync_data()) {
             // Part of a line may be there: it must not stand before the next one.
             let _ = self.file.set_len(self.size);
-            self.lacks = true;
+            self.incomplete = true;
             return Err(problem);
         }
         self.size += bytes.len() as u64;
@@ -109,25 +118,25 @@
     }
 
     /// Whether the journal is to be written anew: it is long for what it says, or lacks a commit that failed.
-    pub fn wants_rewrite(&self) -> bool {
-        self.lacks || self.size > SMALL && self.size > 4 * self.whole
+    pub fn needs_rewrite(&self) -> bool {
+        self.incomplete || self.size > MIN_REWRITE_BYTES && self.size > 4 * self.compacted_size
     }
 
     /// Writes the journal anew, with just these lists.
     pub fn rewrite(&mut self, lists: impl IntoIterator<Item = (String, List)>) -> io::Result<()> {
         let mut bytes = Vec::new();
         for (pool, list) in lists {
-            bytes.extend(line(&Line { pool, list })?);
+            bytes.extend(encode_entry(&JournalEntry { pool, list })?);
         }
-        replace(&self.folder, LISTS, &bytes)?;
-        self.file = OpenOptions::new().append(true).open(self.folder.join(LISTS))?;
-        (self.size, self.whole, self.lacks) = (bytes.len() as u64, bytes.len() as u64, false);
+        replace_file(&self.folder, JOURNAL_FILE, &bytes)?;
+        self.file = OpenOptions::new().append(true).open(self.folder.join(JOURNAL_FILE))?;
+        (self.size, self.compacted_size, self.incomplete) = (bytes.len() as u64, bytes.len() as u64, false);
         Ok(())
     }
 }
 
-fn line(line: &Line) -> io::Result<Vec<u8>> {
-    let text = serde_json::to_string(line)?;
+fn encode_entry(entry: &JournalEntry) -> io::Result<Vec<u8>> {
+    let text = serde_json::to_string(entry)?;
     Ok(format!("{:016x} {text}\n", checksum(text.as_bytes())).into_bytes())
 }
 
@@ -139,11 +148,11 @@
 }
 
 /// The lists that a journal says, and how many of its bytes are sound.
-fn read(bytes: &[u8]) -> (BTreeMap<String, List>, u64) {
+fn replay(bytes: &[u8]) -> (BTreeMap<String, List>, u64) {
     let mut pools: BTreeMap<String, (u64, BTreeMap<String, Target>)> = BTreeMap::new();
-    let mut good = 0;
+    let mut valid_bytes = 0;
     for text in bytes.split_inclusive(|&b| b == b'\n') {
-        let Some(Line { pool, list }) = parse(text) else { break };
+        let Some(JournalEntry { pool, list }) = parse_entry(text) else { break };
         let (rev, targets) = pools.entry(pool).or_default();
         *rev = list.rev;
         if list.all {
@@ -155,21 +164,21 @@
                 _ => drop(targets.insert(target.uid.clone(), target)),
             }
         }
-        good += text.len() as u64;
+        valid_bytes += text.len() as u64;
     }
     let list = |(rev, targets): (u64, BTreeMap<String, Target>)| List {
         rev,
         all: true,
         targets: targets.into_values().collect(),
     };
-    (pools.into_iter().map(|(pool, held)| (pool, list(held))).collect(), good)
+    (pools.into_iter().map(|(pool, state)| (pool, list(state))).collect(), valid_bytes)
 }
 
-fn parse(text: &[u8]) -> Option<Line> {
+fn parse_entry(text: &[u8]) -> Option<JournalEntry> {
     let text = std::str::from_utf8(text).ok()?.strip_suffix('\n')?;
     let (sum, json) = text.split_once(' ')?;
-    let sound = sum.len() == 16 && u64::from_str_radix(sum, 16).ok()? == checksum(json.as_bytes());
-    if sound { serde_json::from_str(json).ok() } else { None }
+    let valid = sum.len() == 16 && u64::from_str_radix(sum, 16).ok()? == checksum(json.as_bytes());
+    if valid { serde_json::from_str(json).ok() } else { None }
 }
 
 #[cfg(test)]
@@ -193,20 +202,20 @@
         ]
     }
 
-    fn written(folder: &Folder) -> Vec<u8> {
-        let (mut memory, lists) = Memory::open(folder.path()).expect("a new folder");
+    fn write_commits(folder: &Folder) -> Vec<u8> {
+        let (mut journal, lists) = ListJournal::open(folder.path()).expect("a new folder");
         assert!(lists.is_empty());
         for commit in commits() {
-            memory.commit(vec![commit]).expect("written");
+            journal.commit(vec![commit]).expect("written");
         }
-        std::fs::read(folder.path().join(LISTS)).expect("there")
+        std::fs::read(folder.path().join(JOURNAL_FILE)).expect("there")
     }
 
     #[test]
     fn what_was_committed_is_read_back() {
         let folder = Folder::new();
-        written(&folder);
-        let (_, lists) = Memory::open(folder.path()).expect("sound");
+        write_commits(&folder);
+        let (_, lists) = ListJournal::open(folder.path()).expect("sound");
         let uids: Vec<&str> = lists["p"].targets.iter().map(|t| t.uid.as_str()).collect();
         assert_eq!((uids, lists["p"].rev, lists["p"].all), (vec!["b", "c"], 3, true));
         assert_eq!(lists["p"].targets[0].state, State::Draining);
@@ -216,22 +225,22 @@
     /// The states after each commit, by what they read as.
     fn states(bytes: &[u8]) -> Vec<String> {
         let ends = bytes.iter().enumerate().filter(|&(_, &b)| b == b'\n').map(|(i, _)| i + 1);
-        [0].into_iter().chain(ends).map(|end| format!("{:?}", read(&bytes[..end]).0)).collect()
+        [0].into_iter().chain(ends).map(|end| format!("{:?}", replay(&bytes[..end]).0)).collect()
     }
 
     #[test]
     fn a_cut_anywhere_leaves_the_state_before_or_after_a_commit_and_takes_more() {
         let folder = Folder::new();
-        let bytes = written(&folder);
-        let whole = states(&bytes);
+        let bytes = write_commits(&folder);
+        let full = states(&bytes);
         for cut in 0..bytes.len() {
-            std::fs::write(folder.path().join(LISTS), &bytes[..cut]).expect("written");
-            let (mut memory, lists) = Memory::open(folder.path()).expect("readable");
+            std::fs::write(folder.path().join(JOURNAL_FILE), &bytes[..cut]).expect("written");
+            let (mut journal, lists) = ListJournal::open(folder.path()).expect("readable");
             let complete = bytes[..cut].iter().filter(|&&b| b == b'\n').count();
-            assert_eq!(format!("{lists:?}"), whole[complete], "cut at {cut}");
+            assert_eq!(format!("{lists:?}"), full[complete], "cut at {cut}");
             let more = List { rev: 9, all: false, targets: vec![target("n", at(9), "")] };
-            memory.commit(vec![("n".to_owned(), more)]).expect("written");
-            let (_, lists) = Memory::open(folder.path()).expect("readable");
+            journal.commit(vec![("n".to_owned(), more)]).expect("written");
+            let (_, lists) = ListJournal::open(folder.path()).expect("readable");
             assert_eq!(lists["n"].rev, 9, "cut at {cut}: a commit after the cut is kept");
         }
     }
@@ -239,21 +248,21 @@
     #[test]
     fn a_flipped_byte_anywhere_is_never_served() {
         let folder = Folder::new();
-        let bytes = written(&folder);
-        let whole = states(&bytes);
+        let bytes = write_commits(&folder);
+        let full = states(&bytes);
         for place in 0..bytes.len() {
-            let mut spoilt = bytes.clone();
-            spoilt[place] ^= 0x08;
-            let (lists, _) = read(&spoilt);
+            let mut corrupted = bytes.clone();
+            corrupted[place] ^= 0x08;
+            let (lists, _) = replay(&corrupted);
             let before = bytes[..place].iter().filter(|&&b| b == b'\n').count();
-            assert_eq!(format!("{lists:?}"), whole[before], "byte {place}");
+            assert_eq!(format!("{lists:?}"), full[before], "byte {place}");
         }
     }
 
     #[test]
     fn a_journal_written_anew_says_the_same_in_less() {
         let folder = Folder::new();
-        let (mut memory, _) = Memory::open(folder.path()).expect("a new folder");
+        let (mut journal, _) = ListJournal::open(folder.path()).expect("a new folder");
         let list = List {
             rev: 1,
             all: false,
@@ -261,36 +270,36 @@
         };
         let mut rewrites = 0;
         for rev in 0..1000 {
-            memory.commit(vec![("p".to_owned(), List { rev, ..list.clone() })]).expect("written");
-            if memory.wants_rewrite() {
-                memory
+            journal.commit(vec![("p".to_owned(), List { rev, ..list.clone() })]).expect("written");
+            if journal.needs_rewrite() {
+                journal
                     .rewrite([("p".to_owned(), List { rev, all: true, ..list.clone() })])
                     .expect("written");
                 rewrites += 1;
             }
         }
         assert!(rewrites > 2, "{rewrites}");
-        let size = std::fs::metadata(folder.path().join(LISTS)).expect("there").len();
-        assert!(size < 2 * SMALL, "{size} bytes");
-        let (_, lists) = Memory::open(folder.path()).expect("sound");
+        let size = std::fs::metadata(folder.path().join(JOURNAL_FILE)).expect("there").len();
+        assert!(size < 2 * MIN_REWRITE_BYTES, "{size} bytes");
+        let (_, lists) = ListJournal::open(folder.path()).expect("sound");
         assert_eq!((lists["p"].rev, lists["p"].targets.len()), (999, 100));
     }
 
     #[test]
     fn a_commit_that_failed_is_made_good_by_writing_anew() {
         let folder = Folder::new();
-        let (mut memory, _) = Memory::open(folder.path()).expect("a new folder");
+        let (mut journal, _) = ListJournal::open(folder.path()).expect("a new folder");
         let list = |uid: &str| List { rev: 1, all: false, targets: vec![target(uid, at(1), "")] };
-        memory.commit(vec![("p".to_owned(), list("a"))]).expect("written");
-        memory.file = File::open(folder.path().join(LISTS)).expect("there"); // for reading alone
-        assert!(memory.commit(vec![("p".to_owned(), list("b"))]).is_err());
-        assert!(memory.wants_rewrite());
-        let whole =
+        journal.commit(vec![("p".to_owned(), list("a"))]).expect("written");
+        journal.file = File::open(folder.path().join(JOURNAL_FILE)).expect("there"); // for reading alone
+        assert!(journal.commit(vec![("p".to_owned(), list("b"))]).is_err());
+        assert!(journal.needs_rewrite());
+        let full =
             List { all: true, targets: vec![target("a", at(1), ""), target("b", at(1), "")], ..list("a") };
-        memory.rewrite([("p".to_owned(), whole)]).expect("written");
-        assert!(!memory.wants_rewrite());
-        memory.commit(vec![("p".to_owned(), list("c"))]).expect("written");
-        let (_, lists) = Memory::open(folder.path()).expect("sound");
+        journal.rewrite([("p".to_owned(), full)]).expect("written");
+        assert!(!journal.needs_rewrite());
+        journal.commit(vec![("p".to_owned(), list("c"))]).expect("written");
+        let (_, lists) = ListJournal::open(folder.path()).expect("sound");
         assert_eq!(lists["p"].targets.len(), 3);
     }
 
@@ -300,10 +309,10 @@
         let first = next_epoch(folder.path()).expect("written");
         assert!(first >= 1_600_000_000_000_000, "not below the clock");
         let far = first + 1_000_000_000_000;
-        std::fs::write(folder.path().join(EPOCH), format!("{far}\n")).expect("written");
+        std::fs::write(folder.path().join(EPOCH_FILE), format!("{far}\n")).expect("written");
         assert_eq!(next_epoch(folder.path()).expect("written"), far + 1);
         assert_eq!(next_epoch(folder.path()).expect("written"), far + 2);
-        std::fs::write(folder.path().join(EPOCH), "12x").expect("written");
+        std::fs::write(folder.path().join(EPOCH_FILE), "12x").expect("written");
         let problem = next_epoch(folder.path()).expect_err("no number").to_string();
         assert!(problem.contains("epoch: `12x` is no number"), "{problem}");
     }
--- a/crates/control/src/replicated.rs
+++ b/crates/control/src/replicated.rs
@@ -4,11 +4,11 @@
 //! alone, so a proxy that moves between instances never goes back. With one exception, which only takes away: a drain
 //! that this instance hears of itself is shown to its proxies at once, majority or not.
 
-use crate::core::Core;
-use crate::errors::Tolerance;
-use crate::memory::replace;
-use crate::rollout::{Cohort, Next, Progress, Rollout};
-use crate::serving_state::{ServingState, halted, locked};
+use crate::error_rate::Tolerance;
+use crate::fleet_state::FleetState;
+use crate::persistence::replace_file;
+use crate::rollout::{Cohort, Decision, Progress, Rollout};
+use crate::serving_state::{ServingState, halt_message, with_lock};
 use crate::shared::Shared;
 use crate::source::Sources;
 use runtrack_agree::host::{Handle, View};
@@ -24,15 +24,15 @@
 use std::time::{Duration, Instant};
 
 /// What was proposed and is not agreed after so long is proposed again.
-const AGAIN: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// What the leader does not hear of a source, another instance tells after so long.
-const DEPUTY: Duration = Duration::from_secs(2);
+const FALLBACK_DELAY: Duration = Duration::from_secs(2);
 /// How the proxies of another instance stood longer ago says nothing.
-const COHORT_FRESH: Duration = Duration::from_secs(2);
+const COHORT_MAX_AGE: Duration = Duration::from_secs(2);
 /// Nodes named in a note to the leader.
-const NAMED_MOST: usize = 8;
+const MAX_NAMED_NODES: usize = 8;
 /// The kind of those notes.
-const COHORT: &str = "cohort";
+const COHORT_NOTE: &str = "cohort";
 
 /// How an instance's proxies stand towards a stage.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
 
 /// A drain that was heard here and is not agreed yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Drain {
+struct PendingDrain {
     pool: String,
     uid: String,
     boot_ms: u64,
@@ -57,17 +57,17 @@
 }
 
 /// The file of those, in the member's folder: what a proxy was told a restart knows.
-const DRAINS: &str = "drains";
+const DRAINS_FILE: &str = "drains";
 const DRAINS_MAGIC: &str = "runtrack-drains";
 const DRAINS_FORMAT: u32 = 1;
 
-type Drains = BTreeMap<(String, String), Drain>;
+type PendingDrains = BTreeMap<(String, String), PendingDrain>;
 
 /// The drains of the file; none where there is none of use.
-fn read_drains(folder: &Path) -> Drains {
+fn read_drains(folder: &Path) -> PendingDrains {
     let read = || {
-        let bytes = std::fs::read(folder.join(DRAINS)).ok()?;
-        let drains: Vec<Drain> =
+        let bytes = std::fs::read(folder.join(DRAINS_FILE)).ok()?;
+        let drains: Vec<PendingDrain> =
             serde_json::from_str(seal::open(DRAINS_MAGIC, DRAINS_FORMAT, &bytes).ok()?.1).ok()?;
         Some(drains.into_iter().map(|drain| ((drain.pool.clone(), drain.uid.clone()), drain)).collect())
     };
@@ -81,68 +81,69 @@
     handle: Handle,
     tolerance: Tolerance,
     /// What this instance's own sources told, believed and doubted as everywhere.
-    heard: Core,
+    local: FleetState,
     /// Drains that were heard here and are not agreed yet, by pool and uid.
-    drains: Drains,
+    drains: PendingDrains,
     /// The member's folder, and which drains its file has.
     folder: PathBuf,
-    kept: Vec<(String, String)>,
+    saved_drains: Vec<(String, String)>,
     /// What is served.
-    seen: Option<Arc<Agreed>>,
+    served: Option<Arc<Agreed>>,
     /// Since when a pool's list differs from the agreed one, and when that was proposed last.
-    differs: BTreeMap<String, (Instant, Option<Instant>)>,
+    divergences: BTreeMap<String, (Instant, Option<Instant>)>,
     /// The step of the roll-out proposed last.
-    stepped: Option<(command::RolloutStep, Instant)>,
-    promoted: Option<Instant>,
+    last_step: Option<(command::RolloutStep, Instant)>,
+    last_promotion: Option<Instant>,
     /// Since when rejections count, on the hub's clock: the stage began, or was resumed.
     stage_since: Duration,
 }
 
-fn boot_of(target: &Target) -> u64 {
+fn boot_ms_of(target: &Target) -> u64 {
     target.boot_ms.max(0.0) as u64
 }
 
-fn listed(target: &Target) -> command::Endpoint {
+fn to_agreed_endpoint(target: &Target) -> command::Endpoint {
     // Whether it drains is told apart: an instance may learn that alone.
-    let said = Target { state: State::Up, ..target.clone() };
+    let up = Target { state: State::Up, ..target.clone() };
     command::Endpoint {
-        said: serde_json::to_string(&said).unwrap_or_default(), // fails only for maps with odd keys
+        said: serde_json::to_string(&up).unwrap_or_default(), // fails only for maps with odd keys
         draining: target.state == State::Draining,
-        boot_ms: boot_of(target),
+        boot_ms: boot_ms_of(target),
     }
 }
 
 /// The list that is agreed, in the source's words.
-fn list_of(pool: &state::Pool) -> List {
+fn to_list(pool: &state::Pool) -> List {
     let target = |endpoint: &command::Endpoint| {
-        let said: Target = serde_json::from_str(&endpoint.said).ok()?;
+        let target: Target = serde_json::from_str(&endpoint.said).ok()?;
         let state = if endpoint.draining { State::Draining } else { State::Up };
-        Some(Target { state, ..said })
+        Some(Target { state, ..target })
     };
     List { rev: pool.rev, all: true, targets: pool.endpoints.values().filter_map(target).collect() }
 }
 
 /// What must be agreed so that the log says what is heard; none: it does.
-fn difference(
+fn list_update(
     name: &str,
-    heard: &List,
-    anew: bool,
+    local: &List,
+    numbering_restarted: bool,
     agreed: Option<&state::Pool>,
 ) -> Option<command::PoolUpdate> {
     let nothing = state::Pool::default();
     let known = agreed.unwrap_or(&nothing);
-    if heard.rev < known.rev && !anew {
+    if local.rev < known.rev && !numbering_restarted {
         return None; // others have heard more
     }
     let mut endpoints: BTreeMap<String, Option<command::Endpoint>> = BTreeMap::new();
-    let uids: BTreeSet<&str> = heard.targets.iter().map(|target| target.uid.as_str()).collect();
-    for target in heard.targets.iter().filter(|target| target.state != State::Removed) {
-        let endpoint = listed(target);
+    let uids: BTreeSet<&str> = local.targets.iter().map(|target| target.uid.as_str()).collect();
+    for target in local.targets.iter().filter(|target| target.state != State::Removed) {
+        let endpoint = to_agreed_endpoint(target);
         let old = known.endpoints.get(&target.uid);
-        let undrains =
+        let reverts_drain =
             old.is_some_and(|old| old.draining && old.boot_ms >= endpoint.boot_ms) && !endpoint.draining;
-        let said_at = known.drained_at.get(&target.uid).copied().unwrap_or_default();
-        if old != Some(&endpoint) && !(undrains && heard.rev <= said_at && !anew) {
+        let drained_at_rev = known.drained_at.get(&target.uid).copied().unwrap_or_default();
+        if old != Some(&endpoint) && !(reverts_drain && local.rev <= drained_at_rev && !numbering_restarted)
+        {
             endpoints.insert(target.uid.clone(), Some(endpoint));
         }
     }
@@ -151,9 +152,9 @@
     }
     (agreed.is_none() || !endpoints.is_empty()).then(|| command::PoolUpdate {
         pool: name.to_owned(),
-        rev: heard.rev,
+        rev: local.rev,
         whole: false,
-        settled: anew,
+        settled: numbering_restarted,
         endpoints,
     })
 }
@@ -175,14 +176,14 @@
             shared,
             handle,
             tolerance,
-            heard: Core::new(Fleet::default(), BTreeMap::new(), seed, now),
-            kept: drains.keys().cloned().collect(),
+            local: FleetState::new(Fleet::default(), BTreeMap::new(), seed, now),
+            saved_drains: drains.keys().cloned().collect(),
             drains,
             folder: folder.to_owned(),
-            seen: None,
-            differs: BTreeMap::new(),
-            stepped: None,
-            promoted: None,
+            served: None,
+            divergences: BTreeMap::new(),
+            last_step: None,
+            last_promotion: None,
             stage_since: Duration::ZERO,
         };
         replicated.publish();
@@ -200,48 +201,48 @@
     }
 
     fn is_up_to_date(&self) -> bool {
-        match (&self.handle.view().state, &self.seen) {
-            (Some(now), Some(seen)) => Arc::ptr_eq(now, seen),
+        match (&self.handle.view().state, &self.served) {
+            (Some(now), Some(served)) => Arc::ptr_eq(now, served),
             (now, _) => now.is_none(),
         }
     }
 
     /// Takes what a source told.
-    pub fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Update) {
-        self.heard.told(now, pool, from, told);
-        self.hear(pool);
-        self.hold_back();
+    pub fn handle_update(&mut self, now: Duration, pool: &str, from: SocketAddr, update: Update) {
+        self.local.handle_update(now, pool, from, update);
+        self.propose_list(pool);
+        self.update_held_back();
     }
 
     /// Shows drains that the log does not know, and has the list agreed.
-    fn hear(&mut self, pool: &str) {
-        let Some((heard, anew)) = self.heard.heard(pool) else { return };
+    fn propose_list(&mut self, pool: &str) {
+        let Some((local, numbering_restarted)) = self.local.source_list(pool) else { return };
         let view = self.handle.view();
         let agreed = view.state.as_ref().and_then(|state| state.pools.get(pool)).map(Arc::as_ref);
-        for target in heard.targets.iter().filter(|target| target.state == State::Draining) {
+        for target in local.targets.iter().filter(|target| target.state == State::Draining) {
             let known = agreed.and_then(|agreed| agreed.endpoints.get(&target.uid));
-            if known.is_some_and(|known| known.draining || known.boot_ms > boot_of(target)) {
+            if known.is_some_and(|known| known.draining || known.boot_ms > boot_ms_of(target)) {
                 continue;
             }
             let (pool, uid) = (pool.to_owned(), target.uid.clone());
-            let drain = Drain {
+            let drain = PendingDrain {
                 pool: pool.clone(),
                 uid: uid.clone(),
-                boot_ms: boot_of(target),
-                rev: heard.rev,
+                boot_ms: boot_ms_of(target),
+                rev: local.rev,
                 proposed: None,
             };
             self.drains.entry((pool, uid)).or_insert(drain);
         }
         let now = Instant::now();
-        let Some(listed) = difference(pool, &heard, anew, agreed) else {
-            self.differs.remove(pool);
+        let Some(listed) = list_update(pool, &local, numbering_restarted, agreed) else {
+            self.divergences.remove(pool);
             return self.propose_drains(&view);
         };
-        let (since, proposed) = *self.differs.entry(pool.to_owned()).or_insert((now, None));
-        let mine = view.is_leader() || now >= since + DEPUTY;
-        if mine && proposed.is_none_or(|at| now >= at + AGAIN) {
-            self.differs.insert(pool.to_owned(), (since, Some(now)));
+        let (since, proposed) = *self.divergences.entry(pool.to_owned()).or_insert((now, None));
+        let should_propose = view.is_leader() || now >= since + FALLBACK_DELAY;
+        if should_propose && proposed.is_none_or(|at| now >= at + RETRY_INTERVAL) {
+            self.divergences.insert(pool.to_owned(), (since, Some(now)));
             self.handle.propose(Command::Listed(listed));
         }
         self.propose_drains(&view);
@@ -251,10 +252,10 @@
         let (now, known) = (Instant::now(), view.state.as_ref());
         for ((pool, uid), drain) in &mut self.drains {
             // An endpoint that the log does not know yet comes with its pool's list.
-            let there = known
+            let is_known = known
                 .and_then(|state| state.pools.get(pool))
                 .is_some_and(|p| p.endpoints.contains_key(uid));
-            if there && drain.proposed.is_none_or(|at| now >= at + AGAIN) {
+            if is_known && drain.proposed.is_none_or(|at| now >= at + RETRY_INTERVAL) {
                 drain.proposed = Some(now);
                 let (pool, uid) = (pool.clone(), uid.clone());
                 let (boot_ms, rev) = (drain.boot_ms, drain.rev);
@@ -264,13 +265,13 @@
     }
 
     /// A drain that was heard here stands until the log has it, or a newer word of the source.
-    fn settle_drains(&mut self) {
-        let Some(state) = &self.seen else { return };
-        let heard = &self.heard;
+    fn drop_settled_drains(&mut self) {
+        let Some(state) = &self.served else { return };
+        let local = &self.local;
         self.drains.retain(|(pool, uid), drain| {
             let Some(agreed) = state.pools.get(pool) else { return true };
             let up_here = || {
-                let (list, _) = heard.heard(pool)?;
+                let (list, _) = local.source_list(pool)?;
                 let target = list.targets.iter().find(|target| target.uid == *uid)?;
                 Some(target.state == State::Up)
             };
@@ -283,58 +284,59 @@
     }
 
     /// First the disk, then the proxies. A disk that fails holds no drain up.
-    fn keep_drains(&mut self) {
+    fn save_drains(&mut self) {
         let names: Vec<(String, String)> = self.drains.keys().cloned().collect();
-        if names == self.kept {
+        if names == self.saved_drains {
             return;
         }
-        let drains: Vec<&Drain> = self.drains.values().collect();
+        let drains: Vec<&PendingDrain> = self.drains.values().collect();
         let text = serde_json::to_string(&drains).unwrap_or_default(); // fails only for maps with odd keys
-        let done = replace(&self.folder, DRAINS, &seal::seal(DRAINS_MAGIC, DRAINS_FORMAT, &text));
+        let done = replace_file(&self.folder, DRAINS_FILE, &seal::seal(DRAINS_MAGIC, DRAINS_FORMAT, &text));
         let what = |e| format!("{e}: a restart now would not know of the last drains");
-        self.shared.trouble("drains", done.err().map(what));
-        self.kept = names;
+        self.shared.set_trouble("drains", done.err().map(what));
+        self.saved_drains = names;
     }
 
-    fn hold_back(&mut self) {
-        self.keep_drains();
+    fn update_held_back(&mut self) {
+        self.save_drains();
         let mut held: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
-        let agreed = self.seen.iter().flat_map(|state| state.held.iter().cloned());
+        let agreed = self.served.iter().flat_map(|state| state.held.iter().cloned());
         for (pool, uid) in agreed.chain(self.drains.keys().cloned()) {
             held.entry(pool).or_default().insert(uid);
         }
-        self.serving.both(|core| core.hold_back(&held));
+        self.serving.for_each_state(|fleet_state| fleet_state.set_held_back(&held));
     }
 
     /// Looks at the clock; says whether the sources may have changed.
     pub fn tick(&mut self) -> bool {
         let now = self.shared.clock.now();
-        self.heard.tick(now);
-        self.serving.both(|core| core.tick(now));
-        let pools: BTreeSet<String> = self.heard.sources().into_iter().map(|(pool, _)| pool).collect();
-        self.differs.retain(|pool, _| pools.contains(pool));
-        pools.iter().for_each(|pool| self.hear(pool));
-        self.hold_back();
+        self.local.tick(now);
+        self.serving.for_each_state(|fleet_state| fleet_state.tick(now));
+        let pools: BTreeSet<String> = self.local.sources().into_iter().map(|(pool, _)| pool).collect();
+        self.divergences.retain(|pool, _| pools.contains(pool));
+        pools.iter().for_each(|pool| self.propose_list(pool));
+        self.update_held_back();
         let view = self.handle.view();
-        self.roll(&view);
-        self.promote(&view);
-        self.serving.show();
-        let alone = (!self.handle.has_majority()).then(|| trouble_of(&view));
-        self.shared.trouble("cluster", alone);
+        self.propose_rollout_step(&view);
+        self.promote_learner(&view);
+        self.serving.update_pool_status();
+        let no_majority = (!self.handle.has_majority()).then(|| describe_trouble(&view));
+        self.shared.set_trouble("cluster", no_majority);
         false
     }
 
     /// Brings what is served to what is agreed, and tells proxies. Says whether the sources may have changed.
     pub fn publish(&mut self) -> bool {
         let state = self.handle.view().state.clone();
-        let news = state.filter(|state| !self.seen.as_ref().is_some_and(|seen| Arc::ptr_eq(seen, state)));
-        let Some(state) = news else {
+        let changed_state =
+            state.filter(|state| !self.served.as_ref().is_some_and(|served| Arc::ptr_eq(served, state)));
+        let Some(state) = changed_state else {
             self.serving.publish(false, drop);
             return false;
         };
-        let before = self.seen.replace(state.clone());
-        let was = before.as_ref().map(|before| (before.epoch, before.served));
-        if was == Some((state.epoch, state.served)) {
+        let before = self.served.replace(state.clone());
+        let previous = before.as_ref().map(|before| (before.epoch, before.served));
+        if previous == Some((state.epoch, state.served)) {
             self.serving.publish(false, drop);
             return false;
         }
@@ -342,13 +344,13 @@
         let version = |state: &Agreed| (state.serial(), state.rollout.as_ref().map(|r| (r.serial, r.from)));
         let moved = before.as_ref().map(|before| version(before)) != Some(version(&state));
         if moved {
-            self.take_version(&state, before.as_deref());
+            self.apply_version(&state, before.as_deref());
         }
-        self.take_lists(&state, before.as_deref(), moved);
-        self.settle_drains();
-        self.hold_back();
+        self.apply_lists(&state, before.as_deref(), moved);
+        self.drop_settled_drains();
+        self.update_held_back();
         self.serving.publish(moved, drop);
-        self.take_stage(&state);
+        self.apply_stage(&state);
         self.shared.hub.arrive();
         moved
     }
@@ -362,63 +364,63 @@
             .ok_or_else(|| "it is no longer kept".to_owned())
             .and_then(Fleet::from_canonical);
         let problem = read.as_ref().err().map(|why| format!("serial {serial} can't be served: {why}"));
-        self.shared.trouble("reload", problem);
+        self.shared.set_trouble("reload", problem);
         read.ok()
     }
 
     /// Serves another version, or the two of a roll-out.
-    fn take_version(&mut self, state: &Agreed, before: Option<&Agreed>) {
+    fn apply_version(&mut self, state: &Agreed, before: Option<&Agreed>) {
         let now = self.shared.clock.now();
         let Some(fleet) = self.fleet(state, state.serial()) else { return };
-        self.heard.replace(now, fleet.clone());
+        self.local.replace(now, fleet.clone());
         if before.is_none() {
             // Lists from before a restart: what the source says next is doubted against them.
-            let held = state.pools.iter().map(|(name, pool)| (name.clone(), list_of(pool))).collect();
-            self.heard = Core::new(fleet.clone(), held, state.epoch, now);
+            let held = state.pools.iter().map(|(name, pool)| (name.clone(), to_list(pool))).collect();
+            self.local = FleetState::new(fleet.clone(), held, state.epoch, now);
         }
         match state.rollout.as_ref().and_then(|rollout| self.fleet(state, rollout.from)) {
             Some(from) => {
-                if self.serving.is_parted() {
-                    self.serving.settle();
+                if self.serving.is_split() {
+                    self.serving.finish_rollout();
                 }
-                self.serving.core(|core| core.replace(now, from));
+                self.serving.fleet_state(|fleet_state| fleet_state.replace(now, from));
                 self.serving.publish(true, drop);
-                self.serving.part(fleet);
+                self.serving.split(fleet);
                 self.stage_since = self.shared.hub.now();
             }
             None => {
-                self.serving.core(|core| core.replace(now, fleet));
-                if self.serving.is_parted() {
+                self.serving.fleet_state(|fleet_state| fleet_state.replace(now, fleet));
+                if self.serving.is_split() {
                     self.serving.publish(true, drop);
-                    self.serving.settle();
+                    self.serving.finish_rollout();
                 }
             }
         }
         let version = state.current().cloned();
-        locked(&self.shared.version, |shown| *shown = version);
+        with_lock(&self.shared.version, |shown| *shown = version);
         eprintln!("agreed: serial {}, index {}", state.serial(), state.served);
     }
 
-    fn take_lists(&mut self, state: &Agreed, before: Option<&Agreed>, all: bool) {
+    fn apply_lists(&mut self, state: &Agreed, before: Option<&Agreed>, all: bool) {
         let now = self.shared.clock.now();
         for (name, pool) in &state.pools {
             let old = before.and_then(|before| before.pools.get(name));
             if !all && old.is_some_and(|old| Arc::ptr_eq(old, pool)) {
                 continue;
             }
-            let list = list_of(pool);
-            self.serving.both(|core| core.agreed(now, name, list.clone()));
+            let list = to_list(pool);
+            self.serving.for_each_state(|fleet_state| fleet_state.set_agreed(now, name, list.clone()));
         }
     }
 
     /// Hands the new version to as many as is agreed.
-    fn take_stage(&mut self, state: &Agreed) {
+    fn apply_stage(&mut self, state: &Agreed) {
         let Some((agreed, version)) = state.rollout.as_ref().zip(state.current()) else {
-            self.shared.trouble("rollout", None);
-            if self.serving.is_parted() {
-                self.serving.settle();
+            self.shared.set_trouble("rollout", None);
+            if self.serving.is_split() {
+                self.serving.finish_rollout();
             }
-            locked(&self.shared.rollout, |shown| *shown = None);
+            with_lock(&self.shared.rollout, |shown| *shown = None);
             return;
         };
         let progress = Progress {
@@ -428,24 +430,24 @@
             stage: agreed.stage,
             halted: agreed.halted.clone(),
         };
-        let was =
-            locked(&self.shared.rollout, |shown| shown.as_ref().map(|shown| shown.progress().clone()));
-        if was.as_ref() == Some(&progress) {
+        let previous =
+            with_lock(&self.shared.rollout, |shown| shown.as_ref().map(|shown| shown.progress().clone()));
+        if previous.as_ref() == Some(&progress) {
             return;
         }
         self.stage_since = self.shared.hub.now();
-        let what = progress.halted.as_ref().map(|why| halted(progress.serial, why));
-        self.shared.trouble("rollout", what);
+        let what = progress.halted.as_ref().map(|why| halt_message(progress.serial, why));
+        self.shared.set_trouble("rollout", what);
         let pause = Duration::from_millis(version.pause_ms);
         let rollout = Rollout::new(progress, &version.stages, pause, self.stage_since);
         self.shared.hub.set_share(rollout.share());
         eprintln!("serial {}: {} of 10000 nodes", agreed.serial, rollout.share());
-        locked(&self.shared.rollout, |shown| *shown = Some(rollout));
+        with_lock(&self.shared.rollout, |shown| *shown = Some(rollout));
     }
 
     /// The leader looks at all proxies of the stage and proposes what follows; the others tell it how theirs stand.
-    fn roll(&mut self, view: &View) {
-        let Some(rollout) = locked(&self.shared.rollout, |rollout| rollout.clone()) else { return };
+    fn propose_rollout_step(&mut self, view: &View) {
+        let Some(rollout) = with_lock(&self.shared.rollout, |rollout| rollout.clone()) else { return };
         let own = self.serving.cohort(&rollout, self.stage_since, self.tolerance);
         let progress = rollout.progress().clone();
         if !view.is_leader() {
@@ -457,32 +459,37 @@
                 rejected: own.rejected,
                 failing: own.failing,
             };
-            note.behind.truncate(NAMED_MOST);
-            note.rejected.truncate(NAMED_MOST);
-            return self.handle.note(COHORT, serde_json::to_string(&note).unwrap_or_default());
+            note.behind.truncate(MAX_NAMED_NODES);
+            note.rejected.truncate(MAX_NAMED_NODES);
+            return self.handle.note(COHORT_NOTE, serde_json::to_string(&note).unwrap_or_default());
         }
-        let cohort = self.all_cohorts(view, &progress, own);
-        let mut looked = rollout;
-        let to = match looked.look(self.shared.hub.now(), &cohort) {
-            Next::Wait => return,
-            Next::Halt => {
-                command::RolloutAction::Halt(looked.progress().halted.clone().unwrap_or_default())
+        let cohort = self.collect_cohorts(view, &progress, own);
+        let mut evaluated = rollout;
+        let to = match evaluated.evaluate(self.shared.hub.now(), &cohort) {
+            Decision::Wait => return,
+            Decision::Halt => {
+                command::RolloutAction::Halt(evaluated.progress().halted.clone().unwrap_or_default())
             }
-            Next::Stage | Next::Done => command::RolloutAction::Next,
+            Decision::Stage | Decision::Done => command::RolloutAction::Next,
         };
         let step = command::RolloutStep { serial: progress.serial, stage: progress.stage, to };
         let now = Instant::now();
-        if self.stepped.as_ref().is_some_and(|(was, at)| *was == step && now < *at + AGAIN) {
+        if self
+            .last_step
+            .as_ref()
+            .is_some_and(|(previous, at)| *previous == step && now < *at + RETRY_INTERVAL)
+        {
             return;
         }
-        self.stepped = Some((step.clone(), now));
+        self.last_step = Some((step.clone(), now));
         self.handle.propose(Command::Rollout(step));
     }
 
-    fn all_cohorts(&self, view: &View, progress: &Progress, mut all: Cohort) -> Cohort {
-        let notes = self.handle.notes(COHORT, COHORT_FRESH);
-        let heard = view.status.iter().flat_map(|standing| &standing.peers).filter(|(_, peer)| peer.heard);
-        for (member, _) in heard {
+    fn collect_cohorts(&self, view: &View, progress: &Progress, mut all: Cohort) -> Cohort {
+        let notes = self.handle.notes(COHORT_NOTE, COHORT_MAX_AGE);
+        let connected =
+            view.status.iter().flat_map(|standing| &standing.peers).filter(|(_, peer)| peer.heard);
+        for (member, _) in connected {
             let note = notes.get(member).and_then(|text| serde_json::from_str::<CohortNote>(text).ok());
             let note = note.filter(|note| {
                 (note.serial, note.stage, note.halted)
@@ -501,31 +508,31 @@
     }
 
     /// A learner that has caught up may vote.
-    fn promote(&mut self, view: &View) {
+    fn promote_learner(&mut self, view: &View) {
         let Some(state) = view.state.as_ref().filter(|_| view.is_leader()) else { return };
         let (now, standing) = (Instant::now(), view.status.as_ref());
-        if self.promoted.is_some_and(|at| now < at + AGAIN) {
+        if self.last_promotion.is_some_and(|at| now < at + RETRY_INTERVAL) {
             return;
         }
         let ready = state.members.iter().find(|(id, member)| {
-            let heard = standing
+            let caught_up = standing
                 .and_then(|standing| standing.peers.get(id))
                 .is_some_and(|peer| peer.heard && !peer.snapshot);
-            !member.voter && member.folder.is_some() && heard
+            !member.voter && member.folder.is_some() && caught_up
         });
         if let Some((&member, _)) = ready {
-            self.promoted = Some(now);
+            self.last_promotion = Some(now);
             let (handle, id) = (self.handle.clone(), format!("promote-{member}-{}", state.index));
             tokio::spawn(async move {
                 // What is refused, because it lacks too much yet, is tried again.
-                let _ = handle.change(&id, MemberChange::Promote { member }, AGAIN).await;
+                let _ = handle.change(&id, MemberChange::Promote { member }, RETRY_INTERVAL).await;
             });
         }
     }
 }
 
 /// What ails the cluster as this instance sees it.
-pub fn trouble_of(view: &View) -> String {
+pub fn describe_trouble(view: &View) -> String {
     let why = view.removed.clone().or_else(|| view.storage_error.clone());
     let why = why.unwrap_or_else(|| {
         let down: Vec<String> = view
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// A proxy of the stage that has not acknowledged after so long halts the roll-out.
-const ACKNOWLEDGE_MOST: Duration = Duration::from_secs(60);
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How far a version has come; kept beside the service's other state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
     }
 
     /// Whether it speaks of this version.
-    pub fn is_of(&self, serial: u64, hash: &str) -> bool {
+    pub fn matches(&self, serial: u64, hash: &str) -> bool {
         self.serial == serial && self.hash == hash
     }
 }
@@ -45,7 +45,7 @@
     stages: Vec<u32>,
     pause: Duration,
     /// When the stage began.
-    since: Duration,
+    counting_since: Duration,
 }
 
 /// How the proxies of the stage stand.
@@ -55,13 +55,13 @@
     pub behind: Vec<String>,
     /// Nodes that have rejected a part of it, and their words.
     pub rejected: Vec<(String, String)>,
-    /// What shows that requests fail more often where it is; see [`crate::errors`].
+    /// What shows that requests fail more often where it is; see [`crate::error_rate`].
     pub failing: Option<String>,
 }
 
 /// What follows from a look.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Decision {
     /// Nothing.
     Wait,
     /// The stage has changed.
@@ -75,7 +75,7 @@
 impl Rollout {
     /// A roll-out of a version in stages, from where it is.
     pub fn new(progress: Progress, stages: &[u32], pause: Duration, now: Duration) -> Rollout {
-        Rollout { progress, stages: stages.to_vec(), pause, since: now }
+        Rollout { progress, stages: stages.to_vec(), pause, counting_since: now }
     }
 
     /// How far it has come.
@@ -95,49 +95,49 @@
 
     /// Looks at the proxies of the stage: a rejection, a silence or a rise of errors halts, and what all have
     /// acknowledged for as long as the pause goes on.
-    pub fn look(&mut self, now: Duration, cohort: &Cohort) -> Next {
+    pub fn evaluate(&mut self, now: Duration, cohort: &Cohort) -> Decision {
         if self.progress.halted.is_some() {
-            return Next::Wait;
+            return Decision::Wait;
         }
-        let stood = now.saturating_sub(self.since);
-        if let Some((node, words)) = cohort.rejected.first() {
-            return self.halt(format!("{node} rejects a part of it: {words}"));
+        let elapsed = now.saturating_sub(self.counting_since);
+        if let Some((node, detail)) = cohort.rejected.first() {
+            return self.halt(format!("{node} rejects a part of it: {detail}"));
         }
-        if let Some(words) = &cohort.failing {
-            return self.halt(words.clone());
+        if let Some(detail) = &cohort.failing {
+            return self.halt(detail.clone());
         }
         if !cohort.behind.is_empty() {
-            if stood < ACKNOWLEDGE_MOST {
-                return Next::Wait;
+            if elapsed < ACKNOWLEDGE_TIMEOUT {
+                return Decision::Wait;
             }
             let others = cohort.behind.len() - 1;
             return self.halt(format!("{} and {others} more have not acknowledged it", cohort.behind[0]));
         }
         // The last stage stands as long as the others: errors show only once requests have been sent.
-        if stood < self.pause {
-            return Next::Wait;
+        if elapsed < self.pause {
+            return Decision::Wait;
         }
         let last = self.progress.stage + 1 >= self.stages.len();
         self.progress.stage += 1;
-        self.since = now;
-        if last { Next::Done } else { Next::Stage }
+        self.counting_since = now;
+        if last { Decision::Done } else { Decision::Stage }
     }
 
-    fn halt(&mut self, why: String) -> Next {
+    fn halt(&mut self, why: String) -> Decision {
         self.progress.halted = Some(why);
-        Next::Halt
+        Decision::Halt
     }
 
     /// Goes on after a halt: rejections from before no longer count, which the caller sees to. Says whether it had
     /// halted.
     pub fn resume(&mut self, now: Duration) -> bool {
-        self.since = now;
+        self.counting_since = now;
         self.progress.halted.take().is_some()
     }
 
     /// Since when rejections count: the stage's beginning, or the last resumption.
-    pub fn since(&self) -> Duration {
-        self.since
+    pub fn counting_since(&self) -> Duration {
+        self.counting_since
     }
 }
 
@@ -160,18 +160,35 @@
     #[test]
     fn stages_follow_each_other_once_acknowledged_and_paused() {
         let mut rollout = rollout();
-        assert_eq!((rollout.share(), rollout.look(at(109), &Cohort::default())), (1000, Next::Wait));
-        assert_eq!(rollout.look(at(111), &behind()), Next::Wait, "the pause is over, the proxies are not");
-        assert_eq!((rollout.look(at(112), &Cohort::default()), rollout.share()), (Next::Stage, 5000));
         assert_eq!(
-            rollout.look(at(121), &Cohort::default()),
-            Next::Wait,
+            (rollout.share(), rollout.evaluate(at(109), &Cohort::default())),
+            (1000, Decision::Wait)
+        );
+        assert_eq!(
+            rollout.evaluate(at(111), &behind()),
+            Decision::Wait,
+            "the pause is over, the proxies are not"
+        );
+        assert_eq!(
+            (rollout.evaluate(at(112), &Cohort::default()), rollout.share()),
+            (Decision::Stage, 5000)
+        );
+        assert_eq!(
+            rollout.evaluate(at(121), &Cohort::default()),
+            Decision::Wait,
             "the pause counts from the stage"
         );
-        assert_eq!((rollout.look(at(122), &Cohort::default()), rollout.share()), (Next::Stage, 10_000));
-        assert_eq!(rollout.look(at(123), &behind()), Next::Wait);
-        assert_eq!(rollout.look(at(131), &Cohort::default()), Next::Wait, "so does the last stage's");
-        assert_eq!(rollout.look(at(132), &Cohort::default()), Next::Done);
+        assert_eq!(
+            (rollout.evaluate(at(122), &Cohort::default()), rollout.share()),
+            (Decision::Stage, 10_000)
+        );
+        assert_eq!(rollout.evaluate(at(123), &behind()), Decision::Wait);
+        assert_eq!(
+            rollout.evaluate(at(131), &Cohort::default()),
+            Decision::Wait,
+            "so does the last stage's"
+        );
+        assert_eq!(rollout.evaluate(at(132), &Cohort::default()), Decision::Done);
         assert_eq!(rollout.progress(), &Progress { stage: 3, ..Progress::new(7, "h", 6) });
     }
 
@@ -180,29 +197,29 @@
         let mut rollout = rollout();
         let rejected =
             Cohort { rejected: vec![("p7".to_owned(), "no such".to_owned())], ..Cohort::default() };
-        assert_eq!(rollout.look(at(101), &rejected), Next::Halt);
+        assert_eq!(rollout.evaluate(at(101), &rejected), Decision::Halt);
         assert!(rollout.progress().halted.as_ref().is_some_and(|why| why.contains("p7 rejects")));
-        assert_eq!(rollout.look(at(1000), &Cohort::default()), Next::Wait);
+        assert_eq!(rollout.evaluate(at(1000), &Cohort::default()), Decision::Wait);
         assert!(rollout.resume(at(1000)));
-        assert_eq!(rollout.look(at(1009), &Cohort::default()), Next::Wait, "the pause begins anew");
-        assert_eq!(rollout.look(at(1010), &Cohort::default()), Next::Stage);
+        assert_eq!(rollout.evaluate(at(1009), &Cohort::default()), Decision::Wait, "the pause begins anew");
+        assert_eq!(rollout.evaluate(at(1010), &Cohort::default()), Decision::Stage);
     }
 
     #[test]
     fn a_rise_of_errors_halts_in_the_last_stage_too() {
         let mut rollout = rollout();
         let failing = Cohort { failing: Some("pool p fails".to_owned()), ..Cohort::default() };
-        assert_eq!(rollout.look(at(111), &Cohort::default()), Next::Stage);
-        assert_eq!(rollout.look(at(121), &Cohort::default()), Next::Stage);
-        assert_eq!(rollout.look(at(122), &failing), Next::Halt);
+        assert_eq!(rollout.evaluate(at(111), &Cohort::default()), Decision::Stage);
+        assert_eq!(rollout.evaluate(at(121), &Cohort::default()), Decision::Stage);
+        assert_eq!(rollout.evaluate(at(122), &failing), Decision::Halt);
         assert_eq!(rollout.progress().halted.as_deref(), Some("pool p fails"));
     }
 
     #[test]
     fn a_proxy_that_never_acknowledges_halts() {
         let mut rollout = rollout();
-        assert_eq!(rollout.look(at(159), &behind()), Next::Wait);
-        assert_eq!(rollout.look(at(160), &behind()), Next::Halt);
+        assert_eq!(rollout.evaluate(at(159), &behind()), Decision::Wait);
+        assert_eq!(rollout.evaluate(at(160), &behind()), Decision::Halt);
     }
 
     #[test]
@@ -210,6 +227,6 @@
         let was = Progress { stage: 1, halted: Some("why".to_owned()), ..Progress::new(7, "h", 6) };
         let same = Rollout::new(was.clone(), &[1000, 5000, 10_000], at(10), at(0));
         assert_eq!((same.share(), same.progress()), (5000, &was));
-        assert!(was.is_of(7, "h") && !was.is_of(7, "g") && !was.is_of(8, "h"));
+        assert!(was.matches(7, "h") && !was.matches(7, "g") && !was.matches(8, "h"));
     }
 }
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -1,14 +1,14 @@
 //! The service: sockets, signals, the clock and the disk round the core.
 
-use crate::core::Core;
 use crate::desired::{self, DesiredError};
-use crate::memory::{self, Memory};
+use crate::fleet_state::FleetState;
+use crate::persistence::{self, ListJournal};
 use crate::progress::ProgressFile;
 use crate::replicated::Replicated;
 use crate::settings::{Cluster, Settings, SettingsError};
 use crate::shared::Shared;
 use crate::single_instance::SingleInstance;
-use crate::source::{self, News, Sources};
+use crate::source::{self, SourceUpdate, Sources};
 use crate::{admin, cluster};
 use runtrack_agree::host::{Handle, View};
 use runtrack_discovery::{Clock, Update};
@@ -29,16 +29,16 @@
 use tonic::transport::{Certificate, Identity, Server, ServerTlsConfig};
 
 /// Cold endpoints and doubted lists are looked at this often.
-const TICK: Duration = Duration::from_millis(500);
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
 /// News taken at once, before anything is published.
-const BATCH: usize = 1024;
+const MAX_UPDATE_BATCH: usize = 1024;
 /// A proxy whose machine is gone says nothing: asked this often ...
-const PING: Duration = Duration::from_secs(20);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(20);
 /// ... and given up after so long without an answer.
-const PONG: Duration = Duration::from_secs(10);
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Connections of other members at once: a few of each, as one that broke may not have been noticed yet.
-const PEERS_MOST: usize = 256;
+const MAX_PEER_CONNECTIONS: usize = 256;
 
 /// Why the service can't start or go on.
 #[derive(Debug, thiserror::Error)]
@@ -69,9 +69,9 @@
 /// Serves until SIGTERM or SIGINT.
 pub async fn serve(path: &Path) -> Result<(), ServeError> {
     let settings = Settings::read(path)?;
-    let mut hup = signal(SignalKind::hangup()).map_err(system("SIGHUP"))?;
-    let mut term = signal(SignalKind::terminate()).map_err(system("SIGTERM"))?;
-    let (shared, mut keeps) = match &settings.cluster {
+    let mut sighup = signal(SignalKind::hangup()).map_err(system("SIGHUP"))?;
+    let mut sigterm = signal(SignalKind::terminate()).map_err(system("SIGTERM"))?;
+    let (shared, mut state_source) = match &settings.cluster {
         Some(cluster) => replicated(cluster, &settings).await?,
         None => single_instance(&settings)?,
     };
@@ -88,9 +88,9 @@
         let admin = TcpListener::bind(at).await.map_err(system(format!("admin: {at}")))?;
         tokio::spawn(admin::serve(admin, shared.clone()));
     }
-    let mut server = server(&settings)?;
+    let mut grpc_server = grpc_server(&settings)?;
     let incoming = Incoming::new(listener, settings.limits.connections);
-    let router = server
+    let router = grpc_server
         .add_service(Discovery::<Aggregated>::new(hub.clone()))
         .add_service(Discovery::<Clusters>::new(hub.clone()))
         .add_service(Discovery::<Endpoints>::new(hub.clone()))
@@ -101,55 +101,55 @@
                 .max_decoding_message_size(settings.xds().request_bytes),
         )
         .add_service(ClientStatusDiscoveryServiceServer::new(ClientStatus::new(hub.clone())));
-    let mut serving = tokio::spawn(router.serve_with_incoming(incoming));
+    let mut server_task = tokio::spawn(router.serve_with_incoming(incoming));
 
-    let (told, mut news) = mpsc::unbounded_channel();
-    let wanted = source::follow(hub.cache(|cache| cache.epoch()), told)
+    let (update_sender, mut updates) = mpsc::unbounded_channel();
+    let source_sender = source::spawn(hub.cache(|cache| cache.epoch()), update_sender)
         .map_err(system("a thread for the sources"))?;
-    let _ = wanted.send(keeps.sources());
+    let _ = source_sender.send(state_source.sources());
     let epoch = hub.cache(|cache| cache.epoch());
     eprintln!("serving xDS on {}, epoch {epoch}", settings.listen);
 
     let push_every = settings.push_every();
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     let mut next_push = tokio::time::Instant::now();
-    let mut batch: Vec<News> = Vec::new();
+    let mut batch: Vec<SourceUpdate> = Vec::new();
     loop {
-        let dirty = keeps.is_dirty();
+        let dirty = state_source.is_dirty();
         tokio::select! {
-            taken = news.recv_many(&mut batch, BATCH) => {
+            taken = updates.recv_many(&mut batch, MAX_UPDATE_BATCH) => {
                 if taken == 0 {
                     return Ok(()); // the sources' thread ends only with the process
                 }
                 let now = clock.now();
-                for News { pool, from, told } in batch.drain(..) {
-                    log(&pool, &told);
-                    keeps.told(now, &pool, from, told);
+                for SourceUpdate { pool, from, update } in batch.drain(..) {
+                    log_failure(&pool, &update);
+                    state_source.handle_update(now, &pool, from, update);
                 }
             }
             () = sleep_until(next_push), if dirty => {
-                if keeps.publish() {
-                    let _ = wanted.send(keeps.sources());
+                if state_source.publish() {
+                    let _ = source_sender.send(state_source.sources());
                 }
                 next_push = tokio::time::Instant::now() + push_every;
             }
             _ = ticks.tick() => {
-                if keeps.tick() {
-                    let _ = wanted.send(keeps.sources());
+                if state_source.tick() {
+                    let _ = source_sender.send(state_source.sources());
                 }
             }
-            () = news_of(&mut agreed) => {} // it is taken with the next push
-            () = shared.resume.notified() => keeps.resume(),
-            _ = hup.recv() => {
-                keeps.reload();
-                let _ = wanted.send(keeps.sources());
+            () = agreed_change(&mut agreed) => {} // it is taken with the next push
+            () = shared.resume.notified() => state_source.resume(),
+            _ = sighup.recv() => {
+                state_source.reload();
+                let _ = source_sender.send(state_source.sources());
             }
-            _ = term.recv() => {
+            _ = sigterm.recv() => {
                 eprintln!("SIGTERM: proxies keep what they have");
                 return Ok(());
             }
             _ = tokio::signal::ctrl_c() => return Ok(()),
-            ended = &mut serving => {
+            ended = &mut server_task => {
                 return match ended {
                     Ok(ended) => Ok(ended?),
                     Err(e) => Err(system("the xDS server")(e.into())),
@@ -160,7 +160,7 @@
 }
 
 /// Waits until something more is agreed; for ever, where this instance is alone.
-async fn news_of(agreed: &mut Option<watch::Receiver<Arc<View>>>) {
+async fn agreed_change(agreed: &mut Option<watch::Receiver<Arc<View>>>) {
     let heard = match agreed {
         Some(agreed) => agreed.changed().await.is_ok(),
         None => false,
@@ -174,7 +174,7 @@
     let (now, epoch) = (clock.now(), hub.cache(|cache| cache.epoch()));
     Arc::new(Shared {
         hub,
-        core: Mutex::new(Core::new(Fleet::default(), BTreeMap::new(), epoch, now)),
+        fleet_state: Mutex::new(FleetState::new(Fleet::default(), BTreeMap::new(), epoch, now)),
         pools: Mutex::default(),
         version: Mutex::default(),
         rollout: Mutex::default(),
@@ -187,39 +187,51 @@
 
 /// One instance for itself, whose desired state comes from a file or a store.
 fn single_instance(settings: &Settings) -> Result<(Arc<Shared>, StateSource), ServeError> {
-    let from = desired::Origin::settings(settings);
+    let from = desired::Origin::from_settings(settings);
     let desired = from.read()?;
-    let (epoch, memory, held) = match &settings.state {
+    let (epoch, journal, held) = match &settings.state {
         Some(folder) => {
-            let (memory, held) = Memory::open(folder).map_err(system(folder.display().to_string()))?;
-            let epoch = memory::next_epoch(folder).map_err(system(folder.display().to_string()))?;
-            (epoch, Some(memory), held)
+            let (journal, held) =
+                ListJournal::open(folder).map_err(system(folder.display().to_string()))?;
+            let epoch = persistence::next_epoch(folder).map_err(system(folder.display().to_string()))?;
+            (epoch, Some(journal), held)
         }
-        None => (memory::clock_epoch(), None, BTreeMap::new()),
+        None => (persistence::clock_epoch(), None, BTreeMap::new()),
     };
     let shared = shared(Hub::new(epoch, settings.xds()), Clock::start(), None);
     let progress = settings.state.as_deref().map(ProgressFile::new);
     let tolerance = settings.rollouts.tolerance();
-    let mut instance = SingleInstance::new(shared.clone(), from, memory, progress, epoch, tolerance);
+    let mut instance = SingleInstance::new(shared.clone(), from, journal, progress, epoch, tolerance);
     instance.start(desired, held);
     Ok((shared, StateSource::SingleInstance(Box::new(instance))))
 }
 
 /// One instance of a cluster. What is desired comes from what is agreed.
-async fn replicated(of: &Cluster, settings: &Settings) -> Result<(Arc<Shared>, StateSource), ServeError> {
-    let (handle, peers) = cluster::start(of, settings).map_err(system(of.member.display().to_string()))?;
-    let listener = TcpListener::bind(of.listen).await.map_err(system(format!("cluster: {}", of.listen)))?;
-    let router = server(settings)?.add_service(peers);
-    let incoming = Incoming::new(listener, PEERS_MOST);
+async fn replicated(
+    cluster_settings: &Cluster,
+    settings: &Settings,
+) -> Result<(Arc<Shared>, StateSource), ServeError> {
+    let (handle, peers) = cluster::start(cluster_settings, settings)
+        .map_err(system(cluster_settings.member.display().to_string()))?;
+    let listener = TcpListener::bind(cluster_settings.listen)
+        .await
+        .map_err(system(format!("cluster: {}", cluster_settings.listen)))?;
+    let router = grpc_server(settings)?.add_service(peers);
+    let incoming = Incoming::new(listener, MAX_PEER_CONNECTIONS);
     tokio::spawn(async move {
         if let Err(problem) = router.serve_with_incoming(incoming).await {
             eprintln!("cluster: {problem}");
         }
     });
     let shared = shared(Hub::new(0, settings.xds()), Clock::start(), Some(handle.clone()));
-    let seed = memory::clock_epoch();
-    let replicated =
-        Replicated::new(shared.clone(), handle, &of.member, seed, settings.rollouts.tolerance());
+    let seed = persistence::clock_epoch();
+    let replicated = Replicated::new(
+        shared.clone(),
+        handle,
+        &cluster_settings.member,
+        seed,
+        settings.rollouts.tolerance(),
+    );
     Ok((shared, StateSource::Replicated(Box::new(replicated))))
 }
 
@@ -244,10 +256,10 @@
         }
     }
 
-    fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Update) {
+    fn handle_update(&mut self, now: Duration, pool: &str, from: SocketAddr, update: Update) {
         match self {
-            StateSource::SingleInstance(instance) => instance.told(now, pool, from, told),
-            StateSource::Replicated(replicated) => replicated.told(now, pool, from, told),
+            StateSource::SingleInstance(instance) => instance.handle_update(now, pool, from, update),
+            StateSource::Replicated(replicated) => replicated.handle_update(now, pool, from, update),
         }
     }
 
@@ -284,10 +296,10 @@
     }
 }
 
-fn server(settings: &Settings) -> Result<Server, ServeError> {
-    let mut server = Server::builder()
-        .http2_keepalive_interval(Some(PING))
-        .http2_keepalive_timeout(Some(PONG))
+fn grpc_server(settings: &Settings) -> Result<Server, ServeError> {
+    let mut grpc_server = Server::builder()
+        .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
+        .http2_keepalive_timeout(Some(KEEPALIVE_TIMEOUT))
         .max_concurrent_streams(settings.xds().streams_of_connection);
     if let Some(tls) = &settings.tls {
         let read = |path: &PathBuf| std::fs::read(path).map_err(system(path.display().to_string()));
@@ -296,13 +308,13 @@
         if let Some(ca) = &tls.client_ca {
             config = config.client_ca_root(Certificate::from_pem(read(ca)?));
         }
-        server = server.tls_config(config)?;
+        grpc_server = grpc_server.tls_config(config)?;
     }
-    Ok(server)
+    Ok(grpc_server)
 }
 
-fn log(pool: &str, told: &Update) {
-    if let Update::Failed(why) = told {
+fn log_failure(pool: &str, update: &Update) {
+    if let Update::Failed(why) = update {
         eprintln!("pool {pool}: discovery: {why}; its last list stands");
     }
 }
--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -1,7 +1,7 @@
 //! What is served: the newest state, and while a version is rolled out the one before it too.
 
-use crate::core::{Core, Due};
-use crate::errors::{Tolerance, failing};
+use crate::error_rate::{Tolerance, failing};
+use crate::fleet_state::{FleetState, PendingChanges};
 use crate::rollout::{Cohort, Rollout};
 use crate::shared::Shared;
 use crate::source::Sources;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Looks at what is shared.
-pub fn locked<T, R>(of: &Mutex<T>, with: impl FnOnce(&mut T) -> R) -> R {
+pub fn with_lock<T, R>(of: &Mutex<T>, with: impl FnOnce(&mut T) -> R) -> R {
     with(&mut of.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
@@ -24,93 +24,99 @@
     seed: u64,
     /// While a version is rolled out: the one before it, for the proxies that do not have the new one yet. It hears
     /// of drains like the other.
-    before: Option<Core>,
+    previous: Option<FleetState>,
 }
 
 impl ServingState {
     /// Nothing is served yet.
     pub fn new(shared: Arc<Shared>, seed: u64) -> ServingState {
-        ServingState { shared, seed, before: None }
+        ServingState { shared, seed, previous: None }
     }
 
     /// Looks at the newest state.
-    pub fn core<T>(&self, with: impl FnOnce(&mut Core) -> T) -> T {
-        locked(&self.shared.core, with)
+    pub fn fleet_state<T>(&self, with: impl FnOnce(&mut FleetState) -> T) -> T {
+        with_lock(&self.shared.fleet_state, with)
     }
 
     /// Serves a fleet from the beginning, with the lists that were held before.
-    pub fn begin(&self, fleet: Fleet, held: BTreeMap<String, List>) {
+    pub fn start(&self, fleet: Fleet, lists: BTreeMap<String, List>) {
         let now = self.shared.clock.now();
-        self.core(|core| *core = Core::new(fleet, held, self.seed, now));
+        self.fleet_state(|fleet_state| *fleet_state = FleetState::new(fleet, lists, self.seed, now));
     }
 
     /// Whether two states are served.
-    pub fn is_parted(&self) -> bool {
-        self.before.is_some()
+    pub fn is_split(&self) -> bool {
+        self.previous.is_some()
     }
 
     /// Parts a new state from the one that is served, for nobody yet.
-    pub fn part(&mut self, fleet: Fleet) {
+    pub fn split(&mut self, fleet: Fleet) {
         let now = self.shared.clock.now();
-        let before = self.core(|core| {
-            let held: BTreeMap<String, List> = core.lists().into_iter().collect();
-            Core::new(core.fleet().clone(), held, self.seed, now)
+        let previous = self.fleet_state(|fleet_state| {
+            let lists: BTreeMap<String, List> = fleet_state.lists().into_iter().collect();
+            FleetState::new(fleet_state.fleet().clone(), lists, self.seed, now)
         });
-        self.before = Some(before);
+        self.previous = Some(previous);
         self.shared.hub.fork();
-        self.core(|core| core.replace(now, fleet));
+        self.fleet_state(|fleet_state| fleet_state.replace(now, fleet));
     }
 
     /// Gives the newest state to all.
-    pub fn settle(&mut self) {
+    pub fn finish_rollout(&mut self) {
         self.shared.hub.settle();
-        self.before = None;
-        locked(&self.shared.rollout, |rollout| *rollout = None);
+        self.previous = None;
+        with_lock(&self.shared.rollout, |rollout| *rollout = None);
     }
 
     /// The sources to follow.
     pub fn sources(&self) -> Sources {
-        let before = self.before.as_ref().map(Core::sources).unwrap_or_default();
-        self.core(|core| core.sources()).into_iter().chain(before).collect()
+        let previous = self.previous.as_ref().map(FleetState::sources).unwrap_or_default();
+        self.fleet_state(|fleet_state| fleet_state.sources()).into_iter().chain(previous).collect()
     }
 
     /// Whether there is anything to publish.
     pub fn is_dirty(&self) -> bool {
-        self.core(|core| core.is_dirty()) || self.before.as_ref().is_some_and(Core::is_dirty)
+        self.fleet_state(|fleet_state| fleet_state.is_dirty())
+            || self.previous.as_ref().is_some_and(FleetState::is_dirty)
     }
 
     /// Has both states take something.
-    pub fn both(&mut self, take: impl Fn(&mut Core)) {
-        self.before.as_mut().into_iter().for_each(&take);
-        self.core(take);
+    pub fn for_each_state(&mut self, take: impl Fn(&mut FleetState)) {
+        self.previous.as_mut().into_iter().for_each(&take);
+        self.fleet_state(take);
     }
 
     /// Tells proxies what has changed, or all; first the lists are kept.
-    pub fn publish(&mut self, whole: bool, keep: impl FnOnce(Vec<(String, List)>)) {
+    pub fn publish(&mut self, full: bool, persist: impl FnOnce(Vec<(String, List)>)) {
         let (now, hub) = (self.shared.clock.now(), self.shared.hub.clone());
-        let Due { mut lists, changes } = match whole {
-            true => hub.cache(|cache| self.core(|core| core.whole(now, cache))),
-            false => self.core(|core| core.take(now)),
+        let PendingChanges { mut lists, changes } = match full {
+            true => hub.cache(|cache| self.fleet_state(|fleet_state| fleet_state.full_update(now, cache))),
+            false => self.fleet_state(|fleet_state| fleet_state.take_pending(now)),
         };
-        let before = self.before.as_mut().map(|before| match whole {
-            true => hub.cache_before(|cache| before.whole(now, cache)),
-            false => before.take(now),
+        let previous = self.previous.as_mut().map(|previous| match full {
+            true => hub.cache_before(|cache| previous.full_update(now, cache)),
+            false => previous.take_pending(now),
         });
-        let before = before.unwrap_or_default();
+        let previous = previous.unwrap_or_default();
         // A pool of both is kept as the newer one has it.
-        let newer: BTreeSet<String> =
-            self.core(|core| core.sources()).into_iter().map(|(pool, _)| pool).collect();
-        lists.extend(before.lists.into_iter().filter(|(pool, _)| !newer.contains(pool)));
-        keep(lists);
-        self.show();
+        let newest_pools: BTreeSet<String> = self
+            .fleet_state(|fleet_state| fleet_state.sources())
+            .into_iter()
+            .map(|(pool, _)| pool)
+            .collect();
+        lists.extend(previous.lists.into_iter().filter(|(pool, _)| !newest_pools.contains(pool)));
+        persist(lists);
+        self.update_pool_status();
         hub.publish(changes);
-        hub.publish_before(before.changes);
+        hub.publish_before(previous.changes);
     }
 
     /// Shows how the pools stand, unless there is something to commit first.
-    pub fn show(&self) {
-        if let Some(pools) = self.core(|core| (!core.is_dirty()).then(|| core.status())) {
-            locked(&self.shared.pools, |shown| *shown = pools);
+    pub fn update_pool_status(&self) {
+        if let Some(pools) =
+            self.fleet_state(|fleet_state| (!fleet_state.is_dirty()).then(|| fleet_state.status()))
+        {
+            with_lock(&self.shared.pools, |shown| *shown = pools);
         }
     }
 
@@ -125,8 +131,8 @@
                 cohort.behind.push(stream.node.clone());
             }
             let rejected = stream.standings.iter().filter_map(|standing| standing.rejected.as_ref());
-            let late = rejected.filter(|rejected| rejected.at >= since);
-            cohort.rejected.extend(late.map(|rejected| (stream.node.clone(), rejected.detail.clone())));
+            let counted = rejected.filter(|rejected| rejected.at >= since);
+            cohort.rejected.extend(counted.map(|rejected| (stream.node.clone(), rejected.detail.clone())));
         }
         cohort.failing = self.shared.hub.loads(|loads| failing(loads.compared(), tolerance));
         cohort
@@ -134,6 +140,6 @@
 }
 
 /// What is said of a version that goes no further.
-pub fn halted(serial: u64, why: &str) -> String {
+pub fn halt_message(serial: u64, why: &str) -> String {
     format!("serial {serial} goes no further: {why}. Resume it, or abort it: runtrackctl rollout")
 }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,6 +1,6 @@
 //! The service's own settings, from a TOML file; what it serves is in the fleet's file, which this one names.
 
-use crate::errors::Tolerance;
+use crate::error_rate::Tolerance;
 use runtrack_xds as xds;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     Unreadable(PathBuf, std::io::Error),
     /// It says what makes no sense.
     #[error("{}:{}", .0.display(), .1)]
-    Wrong(PathBuf, String),
+    Invalid(PathBuf, String),
 }
 
 /// Everything that the service is told.
@@ -148,14 +148,14 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        let usual = xds::Settings::default();
+        let defaults = xds::Settings::default();
         Limits {
             push_every_ms: 50,
-            streams: usual.streams,
-            streams_of_node: usual.streams_of_node,
-            names_of_stream: usual.limits.names,
-            requests_per_s: usual.requests_per_s,
-            connections: usual.connections,
+            streams: defaults.streams,
+            streams_of_node: defaults.streams_of_node,
+            names_of_stream: defaults.limits.names,
+            requests_per_s: defaults.requests_per_s,
+            connections: defaults.connections,
         }
     }
 }
@@ -165,12 +165,12 @@
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
         let text =
             std::fs::read_to_string(path).map_err(|e| SettingsError::Unreadable(path.to_owned(), e))?;
-        let wrong = |what: String| SettingsError::Wrong(path.to_owned(), what);
+        let invalid = |what: String| SettingsError::Invalid(path.to_owned(), what);
         let mut settings: Settings = toml::from_str(&text).map_err(|e| {
             let before = &text[..e.span().map_or(0, |span| span.start)];
             let (line, column) =
                 (before.matches('\n').count() + 1, before.rsplit('\n').next().map_or(0, str::len) + 1);
-            wrong(format!("{line}:{column}: {}", e.message().replace('\n', " ")))
+            invalid(format!("{line}:{column}: {}", e.message().replace('\n', " ")))
         })?;
         let folder = path.parent().unwrap_or(Path::new(""));
         settings.fleet = settings.fleet.map(|fleet| folder.join(fleet));
@@ -179,24 +179,24 @@
         if from.into_iter().filter(|from| *from).count() != 1 {
             let what =
                 " `fleet` (a file), `store` (a folder) or `[cluster]`: one of the three, and no other";
-            return Err(wrong(what.to_owned()));
+            return Err(invalid(what.to_owned()));
         }
         if let Some(cluster) = &mut settings.cluster {
             cluster.member = folder.join(&cluster.member);
             if !(5..=1000).contains(&cluster.tick_ms) || cluster.log_bytes < 4096 {
-                return Err(wrong(
+                return Err(invalid(
                     " cluster: tick_ms must be 5 to 1000, and log_bytes at least 4096".to_owned(),
                 ));
             }
             let open = settings.tls.is_none() && !settings.plain_text_anywhere;
             if open && !cluster.listen.ip().is_loopback() {
-                return Err(wrong(format!(
+                return Err(invalid(format!(
                     " cluster.listen: {} is not loopback, and there is no [tls]: add it, or say plain_text_anywhere = true",
                     cluster.listen
                 )));
             }
             if settings.tls.as_ref().is_some_and(|tls| tls.client_ca.is_none()) {
-                return Err(wrong(" tls: members know each other by `client_ca`: add it".to_owned()));
+                return Err(invalid(" tls: members know each other by `client_ca`: add it".to_owned()));
             }
         }
         settings.admin_socket = settings.admin_socket.map(|socket| folder.join(socket));
@@ -207,24 +207,24 @@
             tls.client_ca = tls.client_ca.take().map(|ca| folder.join(ca));
         }
         if settings.tls.is_none() && !settings.plain_text_anywhere && !settings.listen.ip().is_loopback() {
-            return Err(wrong(format!(
+            return Err(invalid(format!(
                 " listen: {} is not loopback, and there is no [tls]: add it, or say plain_text_anywhere = true",
                 settings.listen
             )));
         }
         if let Some(admin) = settings.admin.filter(|admin| !admin.ip().is_loopback()) {
-            return Err(wrong(format!(" admin: {admin} is not loopback; it asks nobody who they are")));
+            return Err(invalid(format!(" admin: {admin} is not loopback; it asks nobody who they are")));
         }
-        let paced = settings.limits.requests_per_s >= 1.0 && settings.limits.push_every_ms <= 1000;
-        if !paced {
-            return Err(wrong(
+        let limits_valid = settings.limits.requests_per_s >= 1.0 && settings.limits.push_every_ms <= 1000;
+        if !limits_valid {
+            return Err(invalid(
                 " limits: requests_per_s must be at least 1, and push_every_ms at most 1000, or drains come late"
                     .to_owned(),
             ));
         }
         let Rollouts { reports_every_ms, error_rise } = settings.rollouts;
         if !(100..=600_000).contains(&reports_every_ms) || !(0.0..=1.0).contains(&error_rise) {
-            return Err(wrong(
+            return Err(invalid(
                 " rollouts: reports_every_ms must be 100 to 600000, and error_rise 0 to 1".to_owned(),
             ));
         }
@@ -233,18 +233,18 @@
 
     /// As the xDS server takes them.
     pub fn xds(&self) -> xds::Settings {
-        let usual = xds::Settings::default();
+        let defaults = xds::Settings::default();
         let access =
             self.access.iter().map(|a| xds::Access { id: a.id.clone(), cluster: a.cluster.clone() });
         xds::Settings {
-            limits: xds::Limits { names: self.limits.names_of_stream, ..usual.limits.clone() },
+            limits: xds::Limits { names: self.limits.names_of_stream, ..defaults.limits.clone() },
             streams: self.limits.streams,
             streams_of_node: self.limits.streams_of_node,
             requests_per_s: self.limits.requests_per_s,
             connections: self.limits.connections,
             access: access.collect(),
             report_every: Duration::from_millis(self.rollouts.reports_every_ms),
-            ..usual
+            ..defaults
         }
     }
 
--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -1,6 +1,6 @@
 //! What the service knows, for all of its parts.
 
-use crate::core::{Core, PoolStatus};
+use crate::fleet_state::{FleetState, PoolStatus};
 use crate::rollout::Rollout;
 use runtrack_agree::host::Handle;
 use runtrack_discovery::Clock;
@@ -15,7 +15,7 @@
     /// What proxies are told, and who they are.
     pub hub: Arc<Hub>,
     /// What is known of the pools.
-    pub core: Mutex<Core>,
+    pub fleet_state: Mutex<FleetState>,
     /// How the pools stand, as committed: what is shown here a restart knows.
     pub pools: Mutex<BTreeMap<String, PoolStatus>>,
     /// Which version of the store is served; none: it comes from a file, or the store is empty.
@@ -34,7 +34,7 @@
 
 impl Shared {
     /// Notes what is wrong, or that it has been put right.
-    pub fn trouble(&self, of: &'static str, what: Option<String>) {
+    pub fn set_trouble(&self, of: &'static str, what: Option<String>) {
         let mut troubles = self.troubles.lock().unwrap_or_else(PoisonError::into_inner);
         match what {
             Some(what) => {
