--- a/crates/control/src/admin.rs
+++ b/crates/control/src/admin.rs
@@ -1,4 +1,4 @@
-//! What people and their tools may ask, as JSON over HTTP on loopback.
+//! The admin interface: JSON over HTTP, on loopback or a Unix socket.
 
 use crate::rollout::Rollout;
 use crate::shared::Shared;
@@ -21,10 +21,10 @@
 use std::time::Duration;
 use tokio::net::UnixListener;
 
-/// A resumption that is not agreed after so long may come to pass yet.
+/// Time to wait for the cluster to commit a resumption; it may still be committed later.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Has a roll-out that has halted go on.
+/// Resumes a halted roll-out.
 async fn resume(State(shared): State<Arc<Shared>>) -> StatusCode {
     let halted = {
         let rollout = shared.rollout.lock().unwrap_or_else(PoisonError::into_inner);
@@ -44,7 +44,7 @@
     StatusCode::ACCEPTED
 }
 
-/// Ready is who can serve; in a cluster, who can decide with the others.
+/// Readiness: in a cluster, an instance is ready while it is in touch with a majority.
 async fn ready(State(shared): State<Arc<Shared>>) -> (StatusCode, String) {
     match shared.cluster.as_ref().filter(|handle| !handle.has_majority()) {
         Some(handle) => {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Serves `GET /status`, `GET /ready` and `POST /rollout/resume`, and what a cluster has besides, at an address or a Unix socket.
+/// Serves `GET /status`, `GET /ready`, `POST /rollout/resume` and the routes of a cluster, on a TCP or a Unix listener.
 pub async fn serve<L: Listener<Addr: Debug>>(listener: L, shared: Arc<Shared>) {
     let cluster = shared.cluster.clone().map(cluster::router);
     let router = Router::new()
@@ -68,8 +68,8 @@
     }
 }
 
-/// A Unix socket that nobody but this user may ever connect to: it is made in a folder of this user's alone, and
-/// takes its place, that of an earlier one too, when its own permissions are set.
+/// Binds a Unix socket that only this user can connect to at any time: it is created in a private folder, and renamed
+/// to its path (replacing an earlier socket) once its own permissions are set.
 pub fn bind_socket(at: &Path) -> io::Result<UnixListener> {
     let folder = at.with_extension(format!("new-{}", std::process::id()));
     DirBuilder::new().mode(0o700).create(&folder)?;
@@ -86,7 +86,7 @@
     bound
 }
 
-/// All that the service knows of itself. Times are seconds ago.
+/// The status of the service as JSON. Times are ages in seconds.
 pub fn status(shared: &Shared) -> Value {
     let (hub_now, now) = (shared.hub.now(), shared.clock.now());
     let ago = |at: Duration| hub_now.saturating_sub(at).as_secs_f64();
@@ -130,7 +130,7 @@
     });
     let newest = shared.hub.newest_line();
     let serial = version.as_ref().map(|version| version.serial);
-    // While a version is rolled out, who does not follow it has the one before.
+    // During a roll-out, proxies outside of the stage have the previous version.
     let serial_of = |line: u64| if line == newest { serial } else { before };
     let proxies: Vec<Value> = shared.hub.streams().iter().map(|stream| {
         let types: Vec<Value> = stream.standings.iter().map(|s| {
--- a/crates/control/src/cluster.rs
+++ b/crates/control/src/cluster.rs
@@ -1,4 +1,4 @@
-//! This instance's membership of a cluster: its start, and what people and their tools may ask of it.
+//! Cluster membership of this instance: starting the member, and the admin routes for the cluster.
 
 use crate::settings::{Cluster, Settings, Tls};
 use axum::extract::{Path, State};
@@ -19,10 +19,10 @@
 use std::time::Duration;
 use tonic::transport::{Certificate, ClientTlsConfig, Identity as TlsIdentity};
 
-/// A write or a read that has no answer after so long is answered with "unknown".
+/// Time limit of a write or a consistent read; after it the outcome is reported as unknown.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Opens the member's folder and starts it; the service for its peers is to be served by the caller.
+/// Opens the member's folder and starts the member. The caller must serve the returned service to its peers.
 pub fn start(cluster: &Cluster, settings: &Settings) -> Result<(Handle, PeerService), io::Error> {
     let tls = settings.tls.as_ref().map(client_tls).transpose()?;
     let folder = Folder::new(&cluster.member)?;
@@ -42,7 +42,7 @@
     })
 }
 
-/// A change of the members, by their names.
+/// A membership change, with members identified by name.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 enum Change {
@@ -65,16 +65,16 @@
     command: Command,
 }
 
-/// The versions that are agreed, and how old that word is.
+/// The committed versions, and how old this information is.
 #[derive(Debug, Serialize)]
 struct Versions<'a> {
     lineage: &'a str,
     index: u64,
     serial: u64,
     versions: &'a [Version],
-    /// Endpoints that are held back, by pool and name.
+    /// Endpoints that must get no new requests, by pool and name.
     held: &'a BTreeSet<(String, String)>,
-    /// Milliseconds since this instance was last in touch with a majority; none: never.
+    /// Milliseconds since this instance was last in touch with a majority; none if it never was.
     age_ms: Option<u64>,
 }
 
@@ -132,7 +132,7 @@
     State(handle): State<Handle>,
     Json(WriteRequest { id, command }): Json<WriteRequest>,
 ) -> JsonResult {
-    // Members' own words come by their own links.
+    // These commands come from members, over the links between them.
     if matches!(command, Command::Seen { .. } | Command::Listed(_) | Command::Draining { .. }) {
         return Err(refusal("this is for instances alone"));
     }
@@ -168,7 +168,7 @@
                 .change(&id, change, REQUEST_TIMEOUT)
                 .await
                 .map_err(|problem| error_response(&problem))?;
-            // A repeat is answered with the invitation of the first time.
+            // A repeated request returns the invitation of the first one.
             let state = state(&handle, true).await?;
             let member = member_by_name(&state, &name)?;
             let others = state.members.iter().filter(|(id, _)| **id != member);
@@ -192,7 +192,7 @@
     done.map(|()| Json(json!({"done": true}))).map_err(|problem| error_response(&problem))
 }
 
-/// How the cluster stands, as this instance sees it.
+/// The status of the cluster as seen by this instance.
 pub fn status(handle: &Handle) -> Value {
     let view = handle.view();
     let state = view.state.as_ref();
@@ -222,7 +222,7 @@
     })
 }
 
-/// What the admin port offers in a cluster.
+/// The admin routes of a cluster member.
 pub fn router(handle: Handle) -> Router {
     Router::new()
         .route("/cluster", get(|State(handle): State<Handle>| async move { Json(status(&handle)) }))
--- a/crates/control/src/desired.rs
+++ b/crates/control/src/desired.rs
@@ -1,49 +1,49 @@
-//! Where the desired state comes from: a file that a person writes, or the store that plans are applied to.
+//! Reads the desired fleet from a file, or from the store that plans are applied to.
 
 use crate::settings::{Settings, SettingsError};
 use runtrack_model::Fleet;
 use runtrack_store::{Folder, Store, StoreError, Version};
 use std::path::{Path, PathBuf};
 
-/// Why there is no desired state.
+/// Why the desired fleet could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum DesiredError {
-    /// The file is wrong.
+    /// The file is invalid.
     #[error(transparent)]
     File(#[from] SettingsError),
-    /// The folder can't be used.
+    /// The folder is not accessible.
     #[error("{}: {}", .0.display(), .1)]
     Folder(PathBuf, std::io::Error),
-    /// There is no state in the folder.
+    /// The folder contains no store.
     #[error("{path}: there is no state here: make one with `runtrackctl --state {path} init`", path = .0.display())]
     MissingState(PathBuf),
-    /// The state is damaged or newer than this version.
+    /// The store is damaged, or its format is newer than this program.
     #[error("{}: {}", .0.display(), .1)]
     Store(PathBuf, StoreError),
-    /// The state's current version is no fleet.
+    /// The store's current version is not a valid fleet.
     #[error("{}: serial {} is no fleet: {}", .0.display(), .1, .2)]
     InvalidFleet(PathBuf, u64, String),
 }
 
-/// The desired state, and which version of the store it is; none for a file or an empty store.
+/// The desired fleet, with its version in the store.
 pub struct Desired {
-    /// What is to be served.
+    /// The fleet to serve.
     pub fleet: Fleet,
-    /// Its version.
+    /// Its version; none for a file or an empty store.
     pub version: Option<Version>,
 }
 
-/// Where it comes from.
+/// Where the desired fleet is read from.
 #[derive(Clone, Debug)]
 pub enum Origin {
-    /// A file, read at the start and by SIGHUP.
+    /// A file, read at start and on SIGHUP.
     File(PathBuf),
-    /// A store, read whenever its head has moved.
+    /// A store, read whenever its head changes.
     Store(PathBuf),
 }
 
 impl Origin {
-    /// As the settings say, which name one of the two.
+    /// The origin that the settings name.
     pub fn from_settings(settings: &Settings) -> Origin {
         match (&settings.store, &settings.fleet) {
             (Some(store), _) => Origin::Store(store.clone()),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Reads it.
+    /// Reads the desired fleet.
     pub fn read(&self) -> Result<Desired, DesiredError> {
         match self {
             Origin::File(path) => Ok(Desired { fleet: read_file(path)?, version: None }),
@@ -59,14 +59,14 @@
         }
     }
 
-    /// The fleet of a version; none where it can't be read any more.
+    /// The fleet of a version of the store; none if it can no longer be read.
     pub fn fleet_of(&self, serial: u64) -> Option<Fleet> {
         let Origin::Store(path) = self else { return None };
         let text = open(path).ok()?.text(serial).ok()?;
         Fleet::from_canonical(&text).ok()
     }
 
-    /// The serial that is there now, if it comes from a store: cheap enough to be asked twice a second.
+    /// The serial at the head of the store; none for a file. Cheap enough to be polled twice a second.
     pub fn head_serial(&self) -> Option<Result<u64, DesiredError>> {
         match self {
             Origin::File(_) => None,
--- a/crates/control/src/error_rate.rs
+++ b/crates/control/src/error_rate.rs
@@ -1,24 +1,24 @@
-//! Whether requests fail more often where a new version is. No I/O.
+//! Compares error rates to detect that requests fail more often with a new version. No I/O.
 //!
-//! The new version is compared with two others, and only what is worse than both counts: the proxies that do not have
-//! it, at the same time (so that an incident that strikes all halts nothing), and all proxies before it (so that a
-//! pool that always failed more on the one side does not, and the last stage, which leaves nobody without it, still has
-//! something to stand against). A pool that neither knows, a new one, stands against all pools together.
+//! The error rate of proxies with the new version is compared with two baselines, and must exceed both: the proxies
+//! without it at the same time (an incident that affects all must not halt the roll-out), and all proxies before it (a
+//! pool that always failed more on one side must not halt it, and the last stage, which has no proxies without the
+//! version, still has a baseline). A pool without either baseline, a new one, is compared with all pools together.
 
 use runtrack_xds::{Compared, Tally};
 
-/// Fewer requests than this show nothing.
+/// Sample size below which a pool is not judged.
 const MIN_REQUESTS: u64 = 100;
-/// Nor do fewer failures: chance makes two of one.
+/// Number of failures below which a pool is not judged: with few, chance easily doubles the rate.
 const MIN_FAILURES: u64 = 10;
-/// The rise must be so many standard errors of the difference of two shares: chance alone gives as much once in
-/// 30,000 looks, and a look comes with every report, for every pool.
+/// Significance threshold, in standard errors of the difference of two proportions: chance alone exceeds it once in
+/// 30,000 checks, and a check is made for every pool with every report.
 const MIN_STANDARD_ERRORS: f64 = 4.0;
 
-/// What is no reason to halt.
+/// The increase of the error rate that does not halt a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// The part of the requests that may fail over the others' part.
+    /// Tolerated increase of the share of failed requests over the baseline, `0..=1`.
     pub rise: f64,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// The pool whose requests fail more often than is tolerated, in words with its figures.
+/// Describes the pool with the greatest increase of its error rate beyond the tolerance; none if there is none.
 pub fn failing<'a>(
     pools: impl Iterator<Item = (&'a str, Compared)>,
     tolerance: Tolerance,
@@ -53,7 +53,7 @@
     ))
 }
 
-/// By how much the share is higher, where that is more than is tolerated and than chance.
+/// The increase of the share of failures, if it exceeds the tolerance and is significant.
 fn rise(with: Tally, baseline: Tally, tolerance: Tolerance) -> Option<f64> {
     if with.ended < MIN_REQUESTS || with.failed < MIN_FAILURES {
         return None;
--- a/crates/control/src/fleet_state.rs
+++ b/crates/control/src/fleet_state.rs
@@ -1,4 +1,4 @@
-//! What the service decides: from a fleet and what sources tell, the resources that proxies get. No I/O.
+//! Computes the resources for proxies from the desired fleet and the endpoint lists of its pools. No I/O.
 
 use crate::pool::{PoolMembers, Stale};
 use runtrack_discovery::{List, Update};
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The desired state and what is known of its pools.
+/// The desired fleet and the known endpoints of its pools.
 pub struct FleetState {
     fleet: Fleet,
     pools: BTreeMap<String, PoolMembers>,
@@ -17,32 +17,32 @@
     seed: u64,
 }
 
-/// How a pool stands, for people.
+/// The status of a pool, for the admin interface.
 #[derive(Clone, Debug)]
 pub struct PoolStatus {
-    /// Whether any list has come.
+    /// Whether any list has been received.
     pub known: bool,
-    /// Endpoints that may be sent to.
+    /// Number of endpoints that accept requests.
     pub ready: usize,
-    /// Endpoints that drain.
+    /// Number of draining endpoints.
     pub draining: usize,
-    /// Endpoints that are cold.
+    /// Number of endpoints that are still warming up.
     pub cold: usize,
-    /// Why the list may be old.
+    /// Why the list may be stale, if so.
     pub stale: Option<Stale>,
 }
 
-/// What there is to do, in this order: the lists are committed, then the changes are published.
+/// Pending work, in this order: commit the lists, then publish the changes.
 #[derive(Default)]
 pub struct PendingChanges {
-    /// Lists for the journal, by pool.
+    /// Lists to commit to the journal, by pool.
     pub lists: Vec<(String, List)>,
-    /// Changes for the proxies.
+    /// Resource changes to publish to proxies.
     pub changes: Vec<Change>,
 }
 
 impl FleetState {
-    /// A core with the lists that were held before a restart.
+    /// Creates the state, with the lists that were saved before a restart.
     pub fn new(fleet: Fleet, mut saved_lists: BTreeMap<String, List>, seed: u64, now: Duration) -> Self {
         let mut pools = BTreeMap::new();
         for (name, pool) in &fleet.pools {
@@ -56,12 +56,12 @@
         FleetState { fleet, pools, dirty, seed }
     }
 
-    /// The desired state.
+    /// The desired fleet.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// How the pools stand.
+    /// The status of each pool.
     pub fn status(&self) -> BTreeMap<String, PoolStatus> {
         let pool_status = |(name, members): (&String, &PoolMembers)| {
             let (ready, draining, cold) = members.counts();
@@ -71,14 +71,14 @@
         self.pools.iter().map(pool_status).collect()
     }
 
-    /// The lists of all pools that follow a source, whole, for the journal.
+    /// The full lists of all pools that follow discovery, for the journal.
     pub fn lists(&self) -> Vec<(String, List)> {
         let followed: BTreeSet<String> = self.sources().into_iter().map(|(pool, _)| pool).collect();
         let pools = self.pools.iter().filter(|(name, _)| followed.contains(*name));
         pools.map(|(name, members)| (name.clone(), members.list())).collect()
     }
 
-    /// The pools that follow discovery, and where.
+    /// The pools that follow discovery, with its addresses.
     pub fn sources(&self) -> BTreeSet<(String, SocketAddr)> {
         let address = |(name, pool): (&String, &Pool)| match pool.source {
             Source::Platform(address) => Some((name.clone(), address)),
@@ -87,7 +87,7 @@
         self.fleet.pools.iter().filter_map(address).collect()
     }
 
-    /// Takes what the source of a pool at an address told; what a source told that is followed no more is ignored.
+    /// Handles an update from a pool's discovery server at `from`; ignores servers that the pool no longer follows.
     pub fn handle_update(&mut self, now: Duration, pool: &str, from: SocketAddr, update: Update) {
         let current = self.fleet.pools.get(pool).map(|pool| &pool.source);
         let Some(members) = self.pools.get_mut(pool).filter(|_| current == Some(&Source::Platform(from)))
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Takes the list of a pool that is agreed with the other instances, whole.
+    /// Replaces a pool's list by the one that the cluster has committed.
     pub fn set_agreed(&mut self, now: Duration, pool: &str, list: List) {
         let followed = |pool: &Pool| matches!(pool.source, Source::Platform(_));
         if !self.fleet.pools.get(pool).is_some_and(followed) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// From now on these endpoints of each pool and no others get nothing new, whatever the lists say.
+    /// Sets the endpoints of each pool that must get no new requests, whatever the lists say.
     pub fn set_held_back(&mut self, uids: &BTreeMap<String, BTreeSet<String>>) {
         for (name, members) in &mut self.pools {
             if members.set_held_back(uids.get(name).cloned().unwrap_or_default()) {
@@ -119,13 +119,14 @@
         }
     }
 
-    /// What is believed of a pool that follows a source, and whether that counts its lists anew; none: nothing was heard.
+    /// The accepted list of a pool that follows discovery, and whether its version numbers have restarted; none if no
+    /// list has been received.
     pub fn source_list(&self, pool: &str) -> Option<(List, bool)> {
         let members = self.pools.get(pool).filter(|members| members.has_source_list())?;
         Some((members.list(), members.numbering_restarted()))
     }
 
-    /// Looks at the clock.
+    /// Handles the passing of time: unconfirmed lists and warming endpoints.
     pub fn tick(&mut self, now: Duration) {
         for (name, members) in self.pools.iter_mut().filter(|(_, members)| members.needs_tick()) {
             if members.tick(now) {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Whether there is anything to commit or publish.
+    /// Whether there are changes to commit or publish.
     pub fn is_dirty(&self) -> bool {
         !self.dirty.is_empty()
     }
@@ -158,7 +159,7 @@
         pending
     }
 
-    /// Everything that the desired state makes necessary, against what is served now.
+    /// All changes from the resources in `served` to those of the desired fleet.
     pub fn full_update(&mut self, now: Duration, served: &Cache) -> PendingChanges {
         self.dirty = self.pools.keys().cloned().collect();
         let mut pending = self.take_pending(now);
@@ -178,7 +179,7 @@
         pending
     }
 
-    /// Takes another desired state; [`whole`](Self::whole) then says what that makes necessary.
+    /// Replaces the desired fleet; [`full_update`](Self::full_update) then gives the changes.
     pub fn replace(&mut self, now: Duration, fleet: Fleet) {
         let mut old = std::mem::take(&mut self.pools);
         for (name, pool) in &fleet.pools {
@@ -196,7 +197,7 @@
                     if let (Source::Platform(_), Some(before)) =
                         (&pool.source, before.filter(PoolMembers::known))
                     {
-                        // Until the new source answers the old list stands.
+                        // The old list stays valid until the new source answers.
                         members.restore(now, before.list(), "from before the last reload");
                     }
                     members
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -1,4 +1,4 @@
-//! `runtrack-control`: learns of endpoints, health and drains, and hands decisions to proxies through xDS.
+//! `runtrack-control`: the control plane. Learns of endpoints, their health and drains, and configures proxies through xDS.
 
 mod admin;
 mod cluster;
--- a/crates/control/src/persistence.rs
+++ b/crates/control/src/persistence.rs
@@ -1,9 +1,9 @@
-//! What outlives the process: the epoch, and each pool's list as last held.
+//! Persistent state of a single instance: the epoch, and the last list of each pool.
 //!
-//! The list file is a journal of lines, each a checksum and a list in discovery's own words, whole or changes.
-//! A commit is one append and one sync; a line that is cut or spoilt ends the reading, so that a crash leaves the
-//! state before or after the commit. When the journal has grown well beyond what it says, it is written anew
-//! beside the old one, synced, renamed over it, and the folder synced.
+//! The list file is a journal of lines, each a checksum and a list in discovery's format, full or changes.
+//! A commit is one append and one sync. Replay stops at a truncated or corrupted line, so that a crash leaves the
+//! state before or after a commit. When the journal has grown well beyond its content, it is rewritten to a new file,
+//! which is synced and renamed over the old one, and the folder is synced.
 
 use runtrack_discovery::{List, State, Target};
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
 
 const EPOCH_FILE: &str = "epoch";
 const JOURNAL_FILE: &str = "lists.log";
-/// A journal below this size is never written anew.
+/// A journal below this size is never rewritten.
 const MIN_REWRITE_BYTES: u64 = 1 << 20;
 
 #[derive(Serialize, Deserialize)]
@@ -24,21 +24,20 @@
     list: List,
 }
 
-/// The folder and what it holds.
+/// The journal of lists in the state folder.
 pub struct ListJournal {
     folder: PathBuf,
     file: File,
-    /// Bytes in the journal, and when it was last written anew.
+    /// Size of the journal in bytes, now and after the last rewrite.
     size: u64,
     compacted_size: u64,
-    /// A commit failed: what it held is in the journal only once that is written anew.
+    /// A commit has failed: its lists are missing until the next rewrite.
     incomplete: bool,
 }
 
-/// A new epoch, higher than any before, from a file that each start raises.
+/// Returns a new epoch, higher than all before, and persists it.
 ///
-/// The file is written beside the old one, synced, renamed over it and the folder synced before the epoch is used:
-/// so no two starts share one, whenever they end.
+/// The file is replaced durably before the epoch is used, so that no two starts share one, whenever they crash.
 pub fn next_epoch(folder: &Path) -> io::Result<u64> {
     let path = folder.join(EPOCH_FILE);
     let last = match std::fs::read_to_string(&path) {
@@ -49,20 +48,19 @@
         Err(e) if e.kind() == io::ErrorKind::NotFound => 0,
         Err(e) => return Err(e),
     };
-    // Not below the clock: a folder that was lost must not bring back old epochs.
+    // At least the clock: after the loss of the folder no old epoch may be used again.
     let epoch = (last + 1).max(clock_epoch());
     replace_file(folder, EPOCH_FILE, format!("{epoch}\n").as_bytes())?;
     Ok(epoch)
 }
 
-/// An epoch where there is no folder: microseconds of Unix time, which no two starts share unless the clock is
-/// set back.
+/// An epoch without a state folder: Unix time in microseconds. Unique per start unless the clock is set back.
 pub fn clock_epoch() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(now.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Puts a file in place of the one of this name, durably, at once or not at all.
+/// Replaces the file of this name durably and atomically.
 pub fn replace_file(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
     let new = folder.join(format!("{name}.new"));
     let mut file = File::create(&new)?;
@@ -73,7 +71,7 @@
 }
 
 impl ListJournal {
-    /// Opens the folder, made if it is missing, and reads each pool's list.
+    /// Opens the folder, creating it if missing, and reads each pool's list.
     pub fn open(folder: &Path) -> io::Result<(ListJournal, BTreeMap<String, List>)> {
         std::fs::create_dir_all(folder)?;
         let path = folder.join(JOURNAL_FILE);
@@ -85,7 +83,7 @@
         }
         let (lists, valid_bytes) = replay(&bytes);
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
-        // What a crash cut short must not stand before the next line.
+        // Removes a partial line left by a crash before the next one is appended.
         file.set_len(valid_bytes)?;
         file.sync_all()?;
         File::open(folder)?.sync_all()?;
@@ -101,14 +99,14 @@
         ))
     }
 
-    /// Adds lists, whole or changes, in one append and one sync.
+    /// Appends lists, full or changes, with one write and one sync.
     pub fn commit(&mut self, lists: Vec<(String, List)>) -> io::Result<()> {
         let mut bytes = Vec::new();
         for (pool, list) in lists {
             bytes.extend(encode_entry(&JournalEntry { pool, list })?);
         }
         if let Err(problem) = self.file.write_all(&bytes).and_then(|()| self.file.sync_data()) {
-            // Part of a line may be there: it must not stand before the next one.
+            // Removes a partially written line.
             let _ = self.file.set_len(self.size);
             self.incomplete = true;
             return Err(problem);
@@ -117,12 +115,12 @@
         Ok(())
     }
 
-    /// Whether the journal is to be written anew: it is long for what it says, or lacks a commit that failed.
+    /// Whether the journal needs a rewrite: it is large for its content, or lacks a failed commit.
     pub fn needs_rewrite(&self) -> bool {
         self.incomplete || self.size > MIN_REWRITE_BYTES && self.size > 4 * self.compacted_size
     }
 
-    /// Writes the journal anew, with just these lists.
+    /// Rewrites the journal with just these lists.
     pub fn rewrite(&mut self, lists: impl IntoIterator<Item = (String, List)>) -> io::Result<()> {
         let mut bytes = Vec::new();
         for (pool, list) in lists {
@@ -140,14 +138,14 @@
     Ok(format!("{:016x} {text}\n", checksum(text.as_bytes())).into_bytes())
 }
 
-/// FNV-1a: against cuts and flipped bits, not against people.
+/// FNV-1a: detects truncation and bit flips, not tampering.
 fn checksum(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
     })
 }
 
-/// The lists that a journal says, and how many of its bytes are sound.
+/// Replays a journal; returns its lists and the number of valid bytes.
 fn replay(bytes: &[u8]) -> (BTreeMap<String, List>, u64) {
     let mut pools: BTreeMap<String, (u64, BTreeMap<String, Target>)> = BTreeMap::new();
     let mut valid_bytes = 0;
@@ -222,7 +220,7 @@
         assert_eq!(lists["q"].targets.len(), 1);
     }
 
-    /// The states after each commit, by what they read as.
+    /// The replayed state after each commit.
     fn states(bytes: &[u8]) -> Vec<String> {
         let ends = bytes.iter().enumerate().filter(|&(_, &b)| b == b'\n').map(|(i, _)| i + 1);
         [0].into_iter().chain(ends).map(|end| format!("{:?}", replay(&bytes[..end]).0)).collect()
@@ -291,7 +289,7 @@
         let (mut journal, _) = ListJournal::open(folder.path()).expect("a new folder");
         let list = |uid: &str| List { rev: 1, all: false, targets: vec![target(uid, at(1), "")] };
         journal.commit(vec![("p".to_owned(), list("a"))]).expect("written");
-        journal.file = File::open(folder.path().join(JOURNAL_FILE)).expect("there"); // for reading alone
+        journal.file = File::open(folder.path().join(JOURNAL_FILE)).expect("there"); // read-only, so that writes fail
         assert!(journal.commit(vec![("p".to_owned(), list("b"))]).is_err());
         assert!(journal.needs_rewrite());
         let full =
--- a/crates/control/src/pool.rs
+++ b/crates/control/src/pool.rs
@@ -1,6 +1,6 @@
-//! Membership of one pool: what its source says, doubted where a fault is likelier, as the module sees it.
+//! Endpoints of one pool, from the lists of its discovery server; implausible lists are held back for a while.
 //!
-//! No I/O. Time is Unix time, so that endpoints' start times compare with it.
+//! No I/O. Times are Unix time, so that they compare with endpoints' start times.
 
 use runtrack_balancer::{
     Balancer, EndpointId, EndpointInfo, EndpointState, Event, Membership, Rules, Settings, ZoneId, wire,
@@ -11,32 +11,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A cold endpoint's part is told in so many steps: each is a push to all proxies of the pool.
+/// Number of steps in which a cold endpoint's share rises; each is a push to all proxies of the pool.
 const WARMUP_STEPS: f64 = 20.0;
 
-/// Why a pool's list may be old.
+/// Why a pool's list may be stale.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stale {
     /// Since when.
     pub since: Duration,
-    /// Why.
+    /// The reason.
     pub why: String,
 }
 
-/// A whole list that is not believed yet.
+/// An implausible full list that has not been accepted yet.
 #[derive(Clone, Debug)]
 struct UnconfirmedList {
     list: List,
     since: Duration,
 }
 
-/// A pool's endpoints.
+/// The endpoints of a pool.
 pub struct PoolMembers {
     balancer: Balancer,
     ids: wire::Names,
     /// By uid.
     targets: BTreeMap<String, Target>,
-    /// Uids of endpoints whose part still rises, and the step last told.
+    /// Uids of endpoints that are warming up, with the step last published.
     cold: BTreeMap<String, u32>,
     rev: u64,
     known: bool,
@@ -44,16 +44,16 @@
     unconfirmed: Option<UnconfirmedList>,
     panic_threshold: f64,
     panic_hold: Duration,
-    /// Changes since they were last taken, for the journal.
+    /// Changes since the last [`take_changes`](Self::take_changes), for the journal.
     changes: BTreeMap<String, Target>,
-    /// Endpoints that are to get nothing new, whatever the list says.
+    /// Endpoints that must get no new requests, whatever the list says.
     held_back: BTreeSet<String>,
-    /// The list that is believed was doubted for being older, and stood: the source counts anew.
+    /// The accepted list was an older one that persisted: the version numbers of the server have restarted.
     numbering_restarted: bool,
 }
 
 impl PoolMembers {
-    /// A pool that knows nothing yet.
+    /// Creates a pool without a list; a static pool has its endpoints at once.
     pub fn new(pool: &Pool, fleet: &Fleet, seed: u64, now: Duration) -> Self {
         let settings = Settings {
             rules: Rules {
@@ -67,7 +67,7 @@
         };
         let balancer = Balancer::new(settings, seed, now);
         let mut members = PoolMembers {
-            // The model has checked these figures; the module's own defaults are sound.
+            // The model has validated these settings; the balancer's defaults are valid.
             balancer: balancer.unwrap_or_else(|_| default_balancer(seed, now)),
             ids: wire::Names::default(),
             targets: BTreeMap::new(),
@@ -101,35 +101,35 @@
         members
     }
 
-    /// A list from before: it stands until the source answers.
+    /// Restores a saved list, which is marked stale until the source answers.
     pub fn restore(&mut self, now: Duration, list: List, why: &str) {
         self.apply(now, List { all: true, ..list });
         self.changes.clear();
         self.stale = Some(Stale { since: now, why: why.to_owned() });
     }
 
-    /// Takes the list that is agreed with the other instances, whole; tells whether the endpoints may differ.
+    /// Replaces the list by the one that the cluster has committed; returns whether endpoints may have changed.
     pub fn set_agreed(&mut self, now: Duration, list: List) -> bool {
         (self.stale, self.unconfirmed) = (None, None);
         self.apply(now, List { all: true, ..list })
     }
 
-    /// From now on these endpoints and no others get nothing new, whatever the list says; tells whether that differs.
+    /// Sets the endpoints that must get no new requests, whatever the list says; returns whether the set has changed.
     pub fn set_held_back(&mut self, uids: BTreeSet<String>) -> bool {
         std::mem::replace(&mut self.held_back, uids) != self.held_back
     }
 
-    /// Whether the source counts its lists anew, as far as is believed.
+    /// Whether the version numbers of the accepted list have restarted.
     pub fn numbering_restarted(&self) -> bool {
         self.numbering_restarted
     }
 
-    /// Takes the pool's other settings, while its source and its endpoints stay.
+    /// Updates the panic settings; the source and the endpoints stay.
     pub fn update_panic_settings(&mut self, pool: &Pool) {
         (self.panic_threshold, self.panic_hold) = (pool.panic_threshold, pool.panic_hold);
     }
 
-    /// Takes what the source told; tells whether the endpoints may differ.
+    /// Handles an update from the source; returns whether endpoints may have changed.
     pub fn handle_update(&mut self, now: Duration, update: Update) -> bool {
         let list = match update {
             Update::Failed(why) => {
@@ -152,7 +152,7 @@
             self.unconfirmed = None;
             return self.apply(now, list);
         };
-        // What it says of those that it names is believed, drains above all; not that the others are gone.
+        // Its entries are accepted, drains above all; but endpoints missing from it are kept.
         let since = self.unconfirmed.as_ref().map_or(now, |unconfirmed| unconfirmed.since);
         self.stale = Some(Stale { since, why });
         self.unconfirmed = Some(UnconfirmedList { list: list.clone(), since });
@@ -162,14 +162,14 @@
         changed | self.tick(now)
     }
 
-    /// Whether an entry would take a drain back.
+    /// Whether an entry would revert a drain of the same process.
     fn reverts_drain(&self, target: &Target) -> bool {
         let old = self.targets.get(&target.uid);
         target.state == State::Up
             && old.is_some_and(|t| t.state == State::Draining && t.boot_ms >= target.boot_ms)
     }
 
-    /// Why a whole list is taken for a fault first.
+    /// Why a full list is implausible, if so: it is older, or too many endpoints are missing.
     fn reason_to_distrust(&self, list: &List) -> Option<String> {
         if !self.known || self.panic_threshold >= 1.0 {
             return None;
@@ -187,8 +187,8 @@
         })
     }
 
-    /// Looks at the clock: believes a doubted list that has stood long enough, lets cold endpoints warm; tells
-    /// whether the endpoints may differ.
+    /// Accepts an unconfirmed list after the hold time, and updates warming endpoints; returns whether endpoints may
+    /// have changed.
     pub fn tick(&mut self, now: Duration) -> bool {
         let mut changed = false;
         if let Some(unconfirmed) =
@@ -210,7 +210,7 @@
         changed
     }
 
-    /// Whether [`tick`](Self::tick) has anything to wait for.
+    /// Whether [`tick`](Self::tick) is needed.
     pub fn needs_tick(&self) -> bool {
         self.unconfirmed.is_some() || !self.cold.is_empty()
     }
@@ -218,7 +218,7 @@
     fn apply(&mut self, now: Duration, list: List) -> bool {
         let mut entries: BTreeMap<String, Target> = BTreeMap::new();
         for target in list.targets {
-            entries.insert(target.uid.clone(), target); // of an endpoint named twice the last word counts
+            entries.insert(target.uid.clone(), target); // the last entry of a uid counts
         }
         if list.all {
             for (uid, old) in &self.targets {
@@ -261,7 +261,7 @@
     fn endpoint_info(&mut self, target: &Target) -> EndpointInfo {
         EndpointInfo {
             id: self.ids.id(&target.uid),
-            // The service has no zone of its own, and sends to none: all are alike to this balancer.
+            // The service has no zone and sends no requests; this balancer treats all zones alike.
             zone: ZoneId(0),
             state: match target.state {
                 State::Up => EndpointState::Ready,
@@ -274,14 +274,14 @@
         }
     }
 
-    /// The part of its capacity that an endpoint has, in whole steps.
+    /// The share of an endpoint's capacity that is warmed up, in whole steps.
     fn warmup_step(&mut self, now: Duration, uid: &str) -> u32 {
         let id = self.ids.id(uid);
         let part = self.balancer.standing(now, id).map_or(1.0, |standing| standing.part);
         (part * WARMUP_STEPS).floor() as u32
     }
 
-    /// The endpoints as proxies are told of them, by zone and name; none while nothing is known.
+    /// The endpoints as published to proxies, by name; none before the first list.
     pub fn members(&mut self, now: Duration) -> Option<Vec<Member>> {
         if !self.known {
             return None;
@@ -303,33 +303,33 @@
         Some(members)
     }
 
-    /// The changes since they were last taken, as the source would word them; none if there are none.
+    /// Takes the changes since the last call, in discovery's format; none if there are none.
     pub fn take_changes(&mut self) -> Option<List> {
         let targets: Vec<Target> = std::mem::take(&mut self.changes).into_values().collect();
         (!targets.is_empty()).then_some(List { rev: self.rev, all: false, targets })
     }
 
-    /// The whole list, as the source would word it.
+    /// The full list, in discovery's format.
     pub fn list(&self) -> List {
         List { rev: self.rev, all: true, targets: self.targets.values().cloned().collect() }
     }
 
-    /// Whether any list has come.
+    /// Whether any list has been received.
     pub fn known(&self) -> bool {
         self.known
     }
 
-    /// Whether the source has answered, and what it says lately is believed or looked into.
+    /// Whether a list is known and the last update of the source was one too, even if it is not confirmed yet.
     pub fn has_source_list(&self) -> bool {
         self.known && (self.stale.is_none() || self.unconfirmed.is_some())
     }
 
-    /// Why the list may be old.
+    /// Why the list may be stale, if so.
     pub fn stale(&self) -> Option<&Stale> {
         self.stale.as_ref()
     }
 
-    /// How many endpoints are ready, draining and cold.
+    /// The number of ready, draining and warming endpoints.
     pub fn counts(&self) -> (usize, usize, usize) {
         let drains =
             |(uid, t): &(&String, &Target)| t.state == State::Draining || self.held_back.contains(*uid);
@@ -341,7 +341,7 @@
 fn default_balancer(seed: u64, now: Duration) -> Balancer {
     match Balancer::new(Settings::default(), seed, now) {
         Ok(balancer) => balancer,
-        Err(problem) => panic!("the module refuses its own defaults: {problem}"),
+        Err(problem) => panic!("the balancer rejects its default settings: {problem}"),
     }
 }
 
@@ -376,7 +376,7 @@
         members
     }
 
-    /// Names that may be sent to, and all names.
+    /// The names of ready endpoints, and the number of all.
     fn names(members: &mut PoolMembers, now: Duration) -> (Vec<String>, usize) {
         let all = members.members(now).expect("known");
         let ready = all.iter().filter(|m| !m.draining).map(|m| m.name.clone());
--- a/crates/control/src/replicated.rs
+++ b/crates/control/src/replicated.rs
@@ -1,8 +1,9 @@
-//! StateSource what is served in step with what the instances of a cluster have agreed; and has agreed what this one hears.
+//! State source of a cluster member: serves the state that the cluster has committed, and proposes what this instance
+//! learns from discovery.
 //!
-//! What is desired, how far a roll-out has come, which endpoints there are and which are held back comes from the log
-//! alone, so a proxy that moves between instances never goes back. With one exception, which only takes away: a drain
-//! that this instance hears of itself is shown to its proxies at once, majority or not.
+//! The desired fleet, the progress of a roll-out, the endpoints and the held-back endpoints come from the replicated log
+//! alone, so that a proxy that moves between instances never goes back to an older state. One exception only removes
+//! endpoints: a drain that this instance learns itself is published to its proxies at once, with or without a majority.
 
 use crate::error_rate::Tolerance;
 use crate::fleet_state::FleetState;
@@ -23,18 +24,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What was proposed and is not agreed after so long is proposed again.
+/// Time after which an uncommitted proposal is repeated.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// What the leader does not hear of a source, another instance tells after so long.
+/// Time after which a follower proposes a list itself, in case the leader cannot reach the source.
 const FALLBACK_DELAY: Duration = Duration::from_secs(2);
-/// How the proxies of another instance stood longer ago says nothing.
+/// Maximum age of another instance's note on its proxies.
 const COHORT_MAX_AGE: Duration = Duration::from_secs(2);
-/// Nodes named in a note to the leader.
+/// Maximum number of nodes per category in a note to the leader.
 const MAX_NAMED_NODES: usize = 8;
-/// The kind of those notes.
+/// The kind of those notes on the wire.
 const COHORT_NOTE: &str = "cohort";
 
-/// How an instance's proxies stand towards a stage.
+/// Note to the leader: the status of an instance's proxies in a stage.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct CohortNote {
     serial: u64,
@@ -45,7 +46,7 @@
     failing: Option<String>,
 }
 
-/// A drain that was heard here and is not agreed yet.
+/// A drain that this instance has learned and the cluster has not committed yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct PendingDrain {
     pool: String,
@@ -56,14 +57,14 @@
     proposed: Option<Instant>,
 }
 
-/// The file of those, in the member's folder: what a proxy was told a restart knows.
+/// File of the pending drains in the member's folder, so that a restart knows all drains that proxies have got.
 const DRAINS_FILE: &str = "drains";
 const DRAINS_MAGIC: &str = "runtrack-drains";
 const DRAINS_FORMAT: u32 = 1;
 
 type PendingDrains = BTreeMap<(String, String), PendingDrain>;
 
-/// The drains of the file; none where there is none of use.
+/// Reads the pending drains; empty if the file is missing or invalid.
 fn read_drains(folder: &Path) -> PendingDrains {
     let read = || {
         let bytes = std::fs::read(folder.join(DRAINS_FILE)).ok()?;
@@ -74,27 +75,27 @@
     read().unwrap_or_default()
 }
 
-/// One that keeps what is served in step with the log.
+/// State source of a cluster member.
 pub struct Replicated {
     shared: Arc<Shared>,
     serving: ServingState,
     handle: Handle,
     tolerance: Tolerance,
-    /// What this instance's own sources told, believed and doubted as everywhere.
+    /// The lists from this instance's own discovery clients, with the usual plausibility checks.
     local: FleetState,
-    /// Drains that were heard here and are not agreed yet, by pool and uid.
+    /// Pending drains, by pool and uid.
     drains: PendingDrains,
-    /// The member's folder, and which drains its file has.
+    /// The member's folder, and the drains that are saved in it.
     folder: PathBuf,
     saved_drains: Vec<(String, String)>,
-    /// What is served.
+    /// The committed state that is served.
     served: Option<Arc<Agreed>>,
-    /// Since when a pool's list differs from the agreed one, and when that was proposed last.
+    /// By pool: since when the local list differs from the committed one, and when it was last proposed.
     divergences: BTreeMap<String, (Instant, Option<Instant>)>,
-    /// The step of the roll-out proposed last.
+    /// The roll-out step last proposed, and when.
     last_step: Option<(command::RolloutStep, Instant)>,
     last_promotion: Option<Instant>,
-    /// Since when rejections count, on the hub's clock: the stage began, or was resumed.
+    /// Since when rejections count, on the hub's clock: the beginning of the stage, or its resumption.
     stage_since: Duration,
 }
 
@@ -103,16 +104,16 @@
 }
 
 fn to_agreed_endpoint(target: &Target) -> command::Endpoint {
-    // Whether it drains is told apart: an instance may learn that alone.
+    // The drain is a separate field, since it may be committed without a new list.
     let up = Target { state: State::Up, ..target.clone() };
     command::Endpoint {
-        said: serde_json::to_string(&up).unwrap_or_default(), // fails only for maps with odd keys
+        said: serde_json::to_string(&up).unwrap_or_default(), // fails only for maps with non-string keys
         draining: target.state == State::Draining,
         boot_ms: boot_ms_of(target),
     }
 }
 
-/// The list that is agreed, in the source's words.
+/// The committed list, in discovery's format.
 fn to_list(pool: &state::Pool) -> List {
     let target = |endpoint: &command::Endpoint| {
         let target: Target = serde_json::from_str(&endpoint.said).ok()?;
@@ -122,7 +123,7 @@
     List { rev: pool.rev, all: true, targets: pool.endpoints.values().filter_map(target).collect() }
 }
 
-/// What must be agreed so that the log says what is heard; none: it does.
+/// The update to propose so that the committed list matches the local one; none if it does already.
 fn list_update(
     name: &str,
     local: &List,
@@ -132,7 +133,7 @@
     let nothing = state::Pool::default();
     let known = agreed.unwrap_or(&nothing);
     if local.rev < known.rev && !numbering_restarted {
-        return None; // others have heard more
+        return None; // the committed list is newer
     }
     let mut endpoints: BTreeMap<String, Option<command::Endpoint>> = BTreeMap::new();
     let uids: BTreeSet<&str> = local.targets.iter().map(|target| target.uid.as_str()).collect();
@@ -160,7 +161,7 @@
 }
 
 impl Replicated {
-    /// Nothing is served before something is agreed.
+    /// Creates the state source; nothing is served before the committed state is known.
     pub fn new(
         shared: Arc<Shared>,
         handle: Handle,
@@ -190,12 +191,12 @@
         replicated
     }
 
-    /// The sources to follow.
+    /// The discovery servers to watch.
     pub fn sources(&self) -> Sources {
         self.serving.sources()
     }
 
-    /// Whether there is anything to publish.
+    /// Whether there are changes to publish.
     pub fn is_dirty(&self) -> bool {
         self.serving.is_dirty() || !self.is_up_to_date()
     }
@@ -207,14 +208,14 @@
         }
     }
 
-    /// Takes what a source told.
+    /// Handles an update from discovery.
     pub fn handle_update(&mut self, now: Duration, pool: &str, from: SocketAddr, update: Update) {
         self.local.handle_update(now, pool, from, update);
         self.propose_list(pool);
         self.update_held_back();
     }
 
-    /// Shows drains that the log does not know, and has the list agreed.
+    /// Records drains that are not committed, and proposes the pool's list if it differs from the committed one.
     fn propose_list(&mut self, pool: &str) {
         let Some((local, numbering_restarted)) = self.local.source_list(pool) else { return };
         let view = self.handle.view();
@@ -251,7 +252,7 @@
     fn propose_drains(&mut self, view: &View) {
         let (now, known) = (Instant::now(), view.state.as_ref());
         for ((pool, uid), drain) in &mut self.drains {
-            // An endpoint that the log does not know yet comes with its pool's list.
+            // An endpoint that is not committed yet is proposed with its pool's list.
             let is_known = known
                 .and_then(|state| state.pools.get(pool))
                 .is_some_and(|p| p.endpoints.contains_key(uid));
@@ -264,7 +265,7 @@
         }
     }
 
-    /// A drain that was heard here stands until the log has it, or a newer word of the source.
+    /// Drops pending drains that are committed, or superseded by a newer list of the source.
     fn drop_settled_drains(&mut self) {
         let Some(state) = &self.served else { return };
         let local = &self.local;
@@ -283,14 +284,14 @@
         });
     }
 
-    /// First the disk, then the proxies. A disk that fails holds no drain up.
+    /// Saves the pending drains before they are published. A disk failure does not delay them.
     fn save_drains(&mut self) {
         let names: Vec<(String, String)> = self.drains.keys().cloned().collect();
         if names == self.saved_drains {
             return;
         }
         let drains: Vec<&PendingDrain> = self.drains.values().collect();
-        let text = serde_json::to_string(&drains).unwrap_or_default(); // fails only for maps with odd keys
+        let text = serde_json::to_string(&drains).unwrap_or_default(); // fails only for maps with non-string keys
         let done = replace_file(&self.folder, DRAINS_FILE, &seal::seal(DRAINS_MAGIC, DRAINS_FORMAT, &text));
         let what = |e| format!("{e}: a restart now would not know of the last drains");
         self.shared.set_trouble("drains", done.err().map(what));
@@ -307,7 +308,7 @@
         self.serving.for_each_state(|fleet_state| fleet_state.set_held_back(&held));
     }
 
-    /// Looks at the clock; says whether the sources may have changed.
+    /// Checks timers and proposes changes; returns whether the sources may have changed.
     pub fn tick(&mut self) -> bool {
         let now = self.shared.clock.now();
         self.local.tick(now);
@@ -325,7 +326,7 @@
         false
     }
 
-    /// Brings what is served to what is agreed, and tells proxies. Says whether the sources may have changed.
+    /// Applies and publishes the committed state; returns whether the sources may have changed.
     pub fn publish(&mut self) -> bool {
         let state = self.handle.view().state.clone();
         let changed_state =
@@ -368,13 +369,13 @@
         read.ok()
     }
 
-    /// Serves another version, or the two of a roll-out.
+    /// Serves another version, or the two versions of a roll-out.
     fn apply_version(&mut self, state: &Agreed, before: Option<&Agreed>) {
         let now = self.shared.clock.now();
         let Some(fleet) = self.fleet(state, state.serial()) else { return };
         self.local.replace(now, fleet.clone());
         if before.is_none() {
-            // Lists from before a restart: what the source says next is doubted against them.
+            // The committed lists from before a restart are the reference for the checks of discovery's next lists.
             let held = state.pools.iter().map(|(name, pool)| (name.clone(), to_list(pool))).collect();
             self.local = FleetState::new(fleet.clone(), held, state.epoch, now);
         }
@@ -413,7 +414,7 @@
         }
     }
 
-    /// Hands the new version to as many as is agreed.
+    /// Serves the new version to the committed share of proxies.
     fn apply_stage(&mut self, state: &Agreed) {
         let Some((agreed, version)) = state.rollout.as_ref().zip(state.current()) else {
             self.shared.set_trouble("rollout", None);
@@ -445,7 +446,7 @@
         with_lock(&self.shared.rollout, |shown| *shown = Some(rollout));
     }
 
-    /// The leader looks at all proxies of the stage and proposes what follows; the others tell it how theirs stand.
+    /// The leader evaluates all proxies of the stage and proposes the next step; the others send it notes on theirs.
     fn propose_rollout_step(&mut self, view: &View) {
         let Some(rollout) = with_lock(&self.shared.rollout, |rollout| rollout.clone()) else { return };
         let own = self.serving.cohort(&rollout, self.stage_since, self.tolerance);
@@ -507,7 +508,7 @@
         all
     }
 
-    /// A learner that has caught up may vote.
+    /// Promotes a learner that has caught up to a voter.
     fn promote_learner(&mut self, view: &View) {
         let Some(state) = view.state.as_ref().filter(|_| view.is_leader()) else { return };
         let (now, standing) = (Instant::now(), view.status.as_ref());
@@ -524,14 +525,14 @@
             self.last_promotion = Some(now);
             let (handle, id) = (self.handle.clone(), format!("promote-{member}-{}", state.index));
             tokio::spawn(async move {
-                // What is refused, because it lacks too much yet, is tried again.
+                // A refusal, because it still lags too far behind, is retried.
                 let _ = handle.change(&id, MemberChange::Promote { member }, RETRY_INTERVAL).await;
             });
         }
     }
 }
 
-/// What ails the cluster as this instance sees it.
+/// Describes why this instance has no majority.
 pub fn describe_trouble(view: &View) -> String {
     let why = view.removed.clone().or_else(|| view.storage_error.clone());
     let why = why.unwrap_or_else(|| {
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,100 +1,100 @@
-//! A version that proxies get in stages: how far it has come, and when it goes on or halts. No I/O.
+//! Staged roll-out of a version to proxies: its progress, and when it advances or halts. No I/O.
 //!
-//! Which proxies are in a stage follows from a hash of their node ids ([`runtrack_xds::place`]), so they are the same
-//! ones after a reconnect or a restart, and those of one stage are in all later ones.
+//! The proxies of a stage are determined by a hash of their node ids ([`runtrack_xds::place`]), so that they stay the
+//! same after a reconnect or a restart, and are in all later stages too.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A proxy of the stage that has not acknowledged after so long halts the roll-out.
+/// Time after which a proxy of the stage that has not acknowledged the version halts the roll-out.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How far a version has come; kept beside the service's other state.
+/// The persistent progress of a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Progress {
-    /// The version.
+    /// The serial of the version.
     pub serial: u64,
-    /// Its hash: another state may have a version of the same number.
+    /// Its hash: another store may have a version of the same serial.
     pub hash: String,
-    /// The version that proxies have until they get it.
+    /// The serial of the version before it.
     pub from: u64,
-    /// The stage that it is in, from 0; as many as there are: it is done.
+    /// The current stage, from 0; equal to the number of stages once it is done.
     pub stage: usize,
-    /// Why it goes no further, until somebody says so.
+    /// Why it has halted, until it is resumed.
     pub halted: Option<String>,
 }
 
 impl Progress {
-    /// Of a version that nobody has yet.
+    /// The progress of a version at its first stage.
     pub fn new(serial: u64, hash: &str, from: u64) -> Progress {
         Progress { serial, hash: hash.to_owned(), from, stage: 0, halted: None }
     }
 
-    /// Whether it speaks of this version.
+    /// Whether this is the progress of the given version.
     pub fn matches(&self, serial: u64, hash: &str) -> bool {
         self.serial == serial && self.hash == hash
     }
 }
 
-/// A roll-out under way.
+/// A roll-out in progress.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     progress: Progress,
-    /// Parts of the proxies, in 10,000, rising.
+    /// Share of the proxies per stage, in 1/10,000, increasing.
     stages: Vec<u32>,
     pause: Duration,
-    /// When the stage began.
+    /// When the stage began, or was resumed.
     counting_since: Duration,
 }
 
-/// How the proxies of the stage stand.
+/// The status of the proxies of the current stage.
 #[derive(Clone, Debug, Default)]
 pub struct Cohort {
-    /// Nodes that have not acknowledged all of it.
+    /// Nodes that have not acknowledged all resources.
     pub behind: Vec<String>,
-    /// Nodes that have rejected a part of it, and their words.
+    /// Nodes that have rejected a resource, with their error details.
     pub rejected: Vec<(String, String)>,
-    /// What shows that requests fail more often where it is; see [`crate::error_rate`].
+    /// A description of an increased error rate; see [`crate::error_rate`].
     pub failing: Option<String>,
 }
 
-/// What follows from a look.
+/// The result of an evaluation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Nothing.
+    /// No change.
     Wait,
-    /// The stage has changed.
+    /// The next stage begins.
     Stage,
-    /// It halts.
+    /// The roll-out halts.
     Halt,
-    /// All proxies have it.
+    /// The last stage is complete.
     Done,
 }
 
 impl Rollout {
-    /// A roll-out of a version in stages, from where it is.
+    /// Creates a roll-out that continues from `progress`.
     pub fn new(progress: Progress, stages: &[u32], pause: Duration, now: Duration) -> Rollout {
         Rollout { progress, stages: stages.to_vec(), pause, counting_since: now }
     }
 
-    /// How far it has come.
+    /// The progress.
     pub fn progress(&self) -> &Progress {
         &self.progress
     }
 
-    /// Its stages, parts in 10,000.
+    /// The share of the proxies per stage, in 1/10,000.
     pub fn stages(&self) -> &[u32] {
         &self.stages
     }
 
-    /// The part of the proxies that get the version now, in 10,000.
+    /// The share of the proxies in the current stage, in 1/10,000.
     pub fn share(&self) -> u32 {
         self.stages.get(self.progress.stage).copied().unwrap_or(10_000)
     }
 
-    /// Looks at the proxies of the stage: a rejection, a silence or a rise of errors halts, and what all have
-    /// acknowledged for as long as the pause goes on.
+    /// Evaluates the proxies of the stage: a rejection, a missing acknowledgement or an increased error rate halts the
+    /// roll-out; it advances once all have acknowledged and the pause is over.
     pub fn evaluate(&mut self, now: Duration, cohort: &Cohort) -> Decision {
         if self.progress.halted.is_some() {
             return Decision::Wait;
@@ -113,7 +113,7 @@
             let others = cohort.behind.len() - 1;
             return self.halt(format!("{} and {others} more have not acknowledged it", cohort.behind[0]));
         }
-        // The last stage stands as long as the others: errors show only once requests have been sent.
+        // The pause applies to the last stage too: errors appear only once requests have been sent.
         if elapsed < self.pause {
             return Decision::Wait;
         }
@@ -128,14 +128,14 @@
         Decision::Halt
     }
 
-    /// Goes on after a halt: rejections from before no longer count, which the caller sees to. Says whether it had
-    /// halted.
+    /// Resumes after a halt; returns whether it was halted. The caller must ignore rejections from before
+    /// [`counting_since`](Self::counting_since).
     pub fn resume(&mut self, now: Duration) -> bool {
         self.counting_since = now;
         self.progress.halted.take().is_some()
     }
 
-    /// Since when rejections count: the stage's beginning, or the last resumption.
+    /// Since when rejections count: the beginning of the stage, or the last resumption.
     pub fn counting_since(&self) -> Duration {
         self.counting_since
     }
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -1,4 +1,4 @@
-//! The service: sockets, signals, the clock and the disk round the core.
+//! The main loop of the service: sockets, signals, timers and the state source.
 
 use crate::desired::{self, DesiredError};
 use crate::fleet_state::FleetState;
@@ -28,33 +28,33 @@
 use tokio::time::sleep_until;
 use tonic::transport::{Certificate, Identity, Server, ServerTlsConfig};
 
-/// Cold endpoints and doubted lists are looked at this often.
+/// Interval of checks of warming endpoints, unconfirmed lists, the store and the roll-out.
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
-/// News taken at once, before anything is published.
+/// Maximum number of updates that are handled before the next publication.
 const MAX_UPDATE_BATCH: usize = 1024;
-/// A proxy whose machine is gone says nothing: asked this often ...
+/// Interval of HTTP/2 keepalive pings, which detect proxies whose machine is gone.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(20);
-/// ... and given up after so long without an answer.
+/// Time without a response to a keepalive ping after which a connection is closed.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Connections of other members at once: a few of each, as one that broke may not have been noticed yet.
+/// Maximum number of connections from other members: several per member, as a broken one may not be detected yet.
 const MAX_PEER_CONNECTIONS: usize = 256;
 
-/// Why the service can't start or go on.
+/// Why the service can't start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// A file is wrong.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// There is no desired state to begin with.
+    /// The desired fleet could not be read at start.
     #[error(transparent)]
     Desired(#[from] DesiredError),
-    /// The system refuses something.
+    /// An operating system call failed.
     #[error("{what}: {why}")]
     System {
-        /// What was wanted.
+        /// The operation.
         what: String,
-        /// The refusal.
+        /// The error.
         why: std::io::Error,
     },
     /// The gRPC server ended.
@@ -79,7 +79,7 @@
     let mut agreed = shared.cluster.as_ref().map(Handle::watch);
     let listener = TcpListener::bind(settings.listen).await;
     let listener = listener.map_err(system(format!("listen: {}", settings.listen)))?;
-    // The socket first: whoever finds the service at its address finds it there too.
+    // The socket is bound before the TCP listener: once the service answers there, its socket exists too.
     if let Some(at) = &settings.admin_socket {
         let socket = admin::bind_socket(at).map_err(system(format!("admin_socket: {}", at.display())))?;
         tokio::spawn(admin::serve(socket, shared.clone()));
@@ -119,7 +119,7 @@
         tokio::select! {
             taken = updates.recv_many(&mut batch, MAX_UPDATE_BATCH) => {
                 if taken == 0 {
-                    return Ok(()); // the sources' thread ends only with the process
+                    return Ok(()); // the sources' thread ends only at exit
                 }
                 let now = clock.now();
                 for SourceUpdate { pool, from, update } in batch.drain(..) {
@@ -138,14 +138,14 @@
                     let _ = source_sender.send(state_source.sources());
                 }
             }
-            () = agreed_change(&mut agreed) => {} // it is taken with the next push
+            () = agreed_change(&mut agreed) => {} // applied with the next push
             () = shared.resume.notified() => state_source.resume(),
             _ = sighup.recv() => {
                 state_source.reload();
                 let _ = source_sender.send(state_source.sources());
             }
             _ = sigterm.recv() => {
-                eprintln!("SIGTERM: proxies keep what they have");
+                eprintln!("SIGTERM: shutting down; proxies keep their last state");
                 return Ok(());
             }
             _ = tokio::signal::ctrl_c() => return Ok(()),
@@ -159,7 +159,7 @@
     }
 }
 
-/// Waits until something more is agreed; for ever, where this instance is alone.
+/// Waits until the committed state changes; never returns for a single instance.
 async fn agreed_change(agreed: &mut Option<watch::Receiver<Arc<View>>>) {
     let heard = match agreed {
         Some(agreed) => agreed.changed().await.is_ok(),
@@ -185,7 +185,7 @@
     })
 }
 
-/// One instance for itself, whose desired state comes from a file or a store.
+/// Sets up a single instance, with the desired fleet from a file or a store.
 fn single_instance(settings: &Settings) -> Result<(Arc<Shared>, StateSource), ServeError> {
     let from = desired::Origin::from_settings(settings);
     let desired = from.read()?;
@@ -206,7 +206,7 @@
     Ok((shared, StateSource::SingleInstance(Box::new(instance))))
 }
 
-/// One instance of a cluster. What is desired comes from what is agreed.
+/// Sets up a cluster member, with the desired fleet from the committed state.
 async fn replicated(
     cluster_settings: &Cluster,
     settings: &Settings,
@@ -235,7 +235,7 @@
     Ok((shared, StateSource::Replicated(Box::new(replicated))))
 }
 
-/// What keeps what is served in step with what is desired.
+/// The source of the served state.
 enum StateSource {
     SingleInstance(Box<SingleInstance>),
     Replicated(Box<Replicated>),
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Says whether the sources may have changed.
+    /// Returns whether the sources may have changed.
     fn tick(&mut self) -> bool {
         match self {
             StateSource::SingleInstance(instance) => instance.tick(),
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Says whether the sources may have changed.
+    /// Returns whether the sources may have changed.
     fn publish(&mut self) -> bool {
         match self {
             StateSource::SingleInstance(instance) => {
@@ -284,14 +284,16 @@
 
     fn resume(&mut self) {
         if let StateSource::SingleInstance(instance) = self {
-            instance.resume(); // in a cluster it is agreed first
+            instance.resume(); // a cluster commits the resumption first
         }
     }
 
     fn reload(&mut self) {
         match self {
             StateSource::SingleInstance(instance) => drop(instance.reload()),
-            StateSource::Replicated(_) => eprintln!("SIGHUP: in a cluster there is no file to read again"),
+            StateSource::Replicated(_) => {
+                eprintln!("SIGHUP ignored: a cluster member has no fleet file to reload")
+            }
         }
     }
 }
@@ -315,6 +317,6 @@
 
 fn log_failure(pool: &str, update: &Update) {
     if let Update::Failed(why) = update {
-        eprintln!("pool {pool}: discovery: {why}; its last list stands");
+        eprintln!("pool {pool}: discovery: {why}; keeping its last list");
     }
 }
--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -1,4 +1,4 @@
-//! What is served: the newest state, and while a version is rolled out the one before it too.
+//! The served state: the newest version, and during a roll-out the previous one too.
 
 use crate::error_rate::{Tolerance, failing};
 use crate::fleet_state::{FleetState, PendingChanges};
@@ -12,44 +12,44 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Looks at what is shared.
+/// Calls `with` with the locked value.
 pub fn with_lock<T, R>(of: &Mutex<T>, with: impl FnOnce(&mut T) -> R) -> R {
     with(&mut of.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// What is served.
+/// The served state.
 pub struct ServingState {
-    /// What all parts know.
+    /// State shared by the parts of the service.
     pub shared: Arc<Shared>,
     seed: u64,
-    /// While a version is rolled out: the one before it, for the proxies that do not have the new one yet. It hears
-    /// of drains like the other.
+    /// During a roll-out, the previous version, for the proxies that do not have the new one yet. It gets the same
+    /// updates, drains above all.
     previous: Option<FleetState>,
 }
 
 impl ServingState {
-    /// Nothing is served yet.
+    /// Creates the state; nothing is served yet.
     pub fn new(shared: Arc<Shared>, seed: u64) -> ServingState {
         ServingState { shared, seed, previous: None }
     }
 
-    /// Looks at the newest state.
+    /// Calls `with` with the newest state.
     pub fn fleet_state<T>(&self, with: impl FnOnce(&mut FleetState) -> T) -> T {
         with_lock(&self.shared.fleet_state, with)
     }
 
-    /// Serves a fleet from the beginning, with the lists that were held before.
+    /// Starts serving a fleet, with the lists that were saved before a restart.
     pub fn start(&self, fleet: Fleet, lists: BTreeMap<String, List>) {
         let now = self.shared.clock.now();
         self.fleet_state(|fleet_state| *fleet_state = FleetState::new(fleet, lists, self.seed, now));
     }
 
-    /// Whether two states are served.
+    /// Whether two versions are served.
     pub fn is_split(&self) -> bool {
         self.previous.is_some()
     }
 
-    /// Parts a new state from the one that is served, for nobody yet.
+    /// Adds a new version beside the served one; no proxy gets it yet.
     pub fn split(&mut self, fleet: Fleet) {
         let now = self.shared.clock.now();
         let previous = self.fleet_state(|fleet_state| {
@@ -61,32 +61,32 @@
         self.fleet_state(|fleet_state| fleet_state.replace(now, fleet));
     }
 
-    /// Gives the newest state to all.
+    /// Serves the newest version to all proxies.
     pub fn finish_rollout(&mut self) {
         self.shared.hub.settle();
         self.previous = None;
         with_lock(&self.shared.rollout, |rollout| *rollout = None);
     }
 
-    /// The sources to follow.
+    /// The discovery servers to watch.
     pub fn sources(&self) -> Sources {
         let previous = self.previous.as_ref().map(FleetState::sources).unwrap_or_default();
         self.fleet_state(|fleet_state| fleet_state.sources()).into_iter().chain(previous).collect()
     }
 
-    /// Whether there is anything to publish.
+    /// Whether there are changes to publish.
     pub fn is_dirty(&self) -> bool {
         self.fleet_state(|fleet_state| fleet_state.is_dirty())
             || self.previous.as_ref().is_some_and(FleetState::is_dirty)
     }
 
-    /// Has both states take something.
+    /// Applies a change to both versions.
     pub fn for_each_state(&mut self, take: impl Fn(&mut FleetState)) {
         self.previous.as_mut().into_iter().for_each(&take);
         self.fleet_state(take);
     }
 
-    /// Tells proxies what has changed, or all; first the lists are kept.
+    /// Publishes the changes, or all resources if `full`; first passes the changed lists to `persist`.
     pub fn publish(&mut self, full: bool, persist: impl FnOnce(Vec<(String, List)>)) {
         let (now, hub) = (self.shared.clock.now(), self.shared.hub.clone());
         let PendingChanges { mut lists, changes } = match full {
@@ -98,7 +98,7 @@
             false => previous.take_pending(now),
         });
         let previous = previous.unwrap_or_default();
-        // A pool of both is kept as the newer one has it.
+        // For a pool in both versions, the list of the newer one is persisted.
         let newest_pools: BTreeSet<String> = self
             .fleet_state(|fleet_state| fleet_state.sources())
             .into_iter()
@@ -111,7 +111,7 @@
         hub.publish_before(previous.changes);
     }
 
-    /// Shows how the pools stand, unless there is something to commit first.
+    /// Updates the status of the pools, unless there are changes to commit first.
     pub fn update_pool_status(&self) {
         if let Some(pools) =
             self.fleet_state(|fleet_state| (!fleet_state.is_dirty()).then(|| fleet_state.status()))
@@ -120,7 +120,7 @@
         }
     }
 
-    /// How the proxies here that are to have the new version stand, if rejections count from this time on.
+    /// The status of this instance's proxies in the current stage; rejections before `since` are ignored.
     pub fn cohort(&self, rollout: &Rollout, since: Duration, tolerance: Tolerance) -> Cohort {
         let (newest, mut cohort) = (self.shared.hub.newest_line(), Cohort::default());
         for stream in self.shared.hub.streams() {
@@ -139,7 +139,7 @@
     }
 }
 
-/// What is said of a version that goes no further.
+/// The message about a halted roll-out.
 pub fn halt_message(serial: u64, why: &str) -> String {
     format!("serial {serial} goes no further: {why}. Resume it, or abort it: runtrackctl rollout")
 }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,4 +1,4 @@
-//! The service's own settings, from a TOML file; what it serves is in the fleet's file, which this one names.
+//! The service's settings, from a TOML file. The fleet to serve is in a separate file or store, which it names.
 
 use crate::error_rate::Tolerance;
 use runtrack_xds as xds;
@@ -7,58 +7,58 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A file that can't be used: its name and, for each problem, the place and the way out.
+/// An unusable file: its name and, for each problem, the position and how to fix it.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It can't be read.
+    /// The file is not readable.
     #[error("{}: {}", .0.display(), .1)]
     Unreadable(PathBuf, std::io::Error),
-    /// It says what makes no sense.
+    /// The content is invalid.
     #[error("{}:{}", .0.display(), .1)]
     Invalid(PathBuf, String),
 }
 
-/// Everything that the service is told.
+/// The settings of the service. Relative paths start at the folder of the settings file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The fleet's file, from this file's folder; or ...
+    /// The fleet's file. Exactly one of `fleet`, `store` and `cluster` is set.
     pub fleet: Option<PathBuf>,
-    /// ... the folder of the state that plans are applied to.
+    /// The folder of the store that plans are applied to.
     pub store: Option<PathBuf>,
-    /// ... membership of a cluster, which agrees on it.
+    /// Membership of a cluster that replicates the desired state.
     pub cluster: Option<Cluster>,
-    /// Where proxies connect.
+    /// Address for proxies.
     pub listen: SocketAddr,
-    /// Where people and their tools ask; none: nowhere.
+    /// Address of the admin interface; none disables it.
     pub admin: Option<SocketAddr>,
-    /// The same at a Unix socket, from this file's folder, for the user that the service runs as; none: nowhere.
+    /// Path of a Unix socket for the admin interface, for the user that the service runs as; none disables it.
     pub admin_socket: Option<PathBuf>,
-    /// Where the epoch and the last lists are kept, from this file's folder; none: nowhere.
+    /// Folder for the epoch and the last lists; none: they are not persisted.
     pub state: Option<PathBuf>,
-    /// Serve without TLS on other addresses than loopback.
+    /// Allows plain text on addresses other than loopback.
     #[serde(default)]
     pub plain_text_anywhere: bool,
-    /// Certificates; none: plain text.
+    /// TLS certificates; none for plain text.
     pub tls: Option<Tls>,
-    /// Nodes that may connect; none: all.
+    /// Nodes that may connect; all if empty.
     #[serde(default)]
     pub access: Vec<Access>,
     /// Limits.
     #[serde(default)]
     pub limits: Limits,
-    /// When a version that is handed out in stages goes no further.
+    /// When a staged roll-out halts.
     #[serde(default)]
     pub rollouts: Rollouts,
 }
 
-/// When a version that is handed out in stages goes no further.
+/// When a staged roll-out halts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rollouts {
-    /// How often proxies are asked to report how their requests ended, in milliseconds.
+    /// Interval of the load reports requested from proxies, in milliseconds.
     pub reports_every_ms: u64,
-    /// The part of a pool's requests that may fail over what fails elsewhere and did before, `0..=1`; 1: any.
+    /// Tolerated increase of a pool's share of failed requests over the baselines, `0..=1`; 1 tolerates any.
     pub error_rise: f64,
 }
 
@@ -70,24 +70,25 @@
 }
 
 impl Rollouts {
-    /// As the comparison takes it.
+    /// The tolerance for the comparison of error rates.
     pub fn tolerance(&self) -> Tolerance {
         Tolerance { rise: self.error_rise }
     }
 }
 
-/// Membership of a cluster: several instances that decide as one.
+/// Membership of a cluster of instances that replicate the desired state.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cluster {
-    /// This member's folder, from this file's folder: made by `runtrackctl cluster init` or `join`.
+    /// This member's folder, created by `runtrackctl cluster init` or `join`.
     pub member: PathBuf,
-    /// Where the other members connect.
+    /// Address for the other members.
     pub listen: SocketAddr,
-    /// The tick of the agreement, in milliseconds: a leader shows itself every 2, and is given up after 20 to 40.
+    /// The tick of the consensus protocol, in milliseconds: the leader sends heartbeats every 2 ticks, and the election
+    /// timeout is 20 to 40 ticks.
     #[serde(default = "tick_ms")]
     pub tick_ms: u64,
-    /// A log beyond this size is cut behind a snapshot.
+    /// Size in bytes beyond which the log is compacted into a snapshot.
     #[serde(default = "log_bytes")]
     pub log_bytes: u64,
 }
@@ -100,26 +101,26 @@
     4 << 20
 }
 
-/// Certificates, as PEM files from the settings' folder.
+/// TLS certificates, as PEM files.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tls {
-    /// The service's certificate and what signed it.
+    /// The service's certificate chain.
     pub certificate: PathBuf,
-    /// Its key.
+    /// The certificate's private key.
     pub key: PathBuf,
-    /// What proxies' certificates must be signed by; none: proxies show none.
+    /// CA that must have signed proxies' certificates; none: proxies need no certificate.
     pub client_ca: Option<PathBuf>,
 }
 
-/// Nodes that may connect; a `*` at the end stands for any rest.
+/// A rule for nodes that may connect; a trailing `*` matches any suffix.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Access {
-    /// Their ids.
+    /// Pattern of the node id.
     #[serde(default = "any")]
     pub id: String,
-    /// Their clusters.
+    /// Pattern of the node cluster.
     #[serde(default = "any")]
     pub cluster: String,
 }
@@ -128,21 +129,21 @@
     "*".to_owned()
 }
 
-/// Limits; each guards the service or the proxies against too much at once.
+/// Limits that protect the service and the proxies from overload.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Least time between two pushes, in milliseconds: what changes in between goes out together.
+    /// Minimum time between two pushes, in milliseconds; changes in between are batched.
     pub push_every_ms: u64,
-    /// Streams in all.
+    /// Maximum number of streams.
     pub streams: usize,
-    /// Streams of one node id.
+    /// Maximum number of streams per node id.
     pub streams_of_node: usize,
-    /// Names that a stream may subscribe to.
+    /// Maximum number of names that a stream may subscribe to.
     pub names_of_stream: usize,
-    /// Requests of a stream, a second.
+    /// Maximum number of requests per stream and second.
     pub requests_per_s: f64,
-    /// Connections in all.
+    /// Maximum number of connections.
     pub connections: usize,
 }
 
@@ -161,7 +162,7 @@
 }
 
 impl Settings {
-    /// Reads a file; the paths that it names become relative to where the process runs.
+    /// Reads and checks a settings file; joins the paths in it to the folder of the file.
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
         let text =
             std::fs::read_to_string(path).map_err(|e| SettingsError::Unreadable(path.to_owned(), e))?;
@@ -231,7 +232,7 @@
         Ok(settings)
     }
 
-    /// As the xDS server takes them.
+    /// The settings of the xDS server.
     pub fn xds(&self) -> xds::Settings {
         let defaults = xds::Settings::default();
         let access =
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Least time between two pushes.
+    /// Minimum time between two pushes.
     pub fn push_every(&self) -> Duration {
         Duration::from_millis(self.limits.push_every_ms)
     }
--- a/crates/control/src/shared.rs
+++ b/crates/control/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the service knows, for all of its parts.
+//! State shared by the parts of the service, such as the admin interface.
 
 use crate::fleet_state::{FleetState, PoolStatus};
 use crate::rollout::Rollout;
@@ -10,35 +10,35 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::Notify;
 
-/// What the service knows, for whoever asks.
+/// State shared by the parts of the service.
 pub struct Shared {
-    /// What proxies are told, and who they are.
+    /// The xDS server: resources and connected proxies.
     pub hub: Arc<Hub>,
-    /// What is known of the pools.
+    /// The fleet and the known endpoints of its pools.
     pub fleet_state: Mutex<FleetState>,
-    /// How the pools stand, as committed: what is shown here a restart knows.
+    /// The status of the pools as committed: a restart restores what is shown here.
     pub pools: Mutex<BTreeMap<String, PoolStatus>>,
-    /// Which version of the store is served; none: it comes from a file, or the store is empty.
+    /// The version of the store that is served; none if the fleet comes from a file, or the store is empty.
     pub version: Mutex<Option<Version>>,
-    /// The roll-out under way.
+    /// The current roll-out.
     pub rollout: Mutex<Option<Rollout>>,
-    /// Somebody wants a roll-out that has halted to go on.
+    /// Notified on a request to resume a halted roll-out.
     pub resume: Notify,
-    /// This instance's part in a cluster; none: it is alone.
+    /// The handle of the cluster member; none for a single instance.
     pub cluster: Option<Handle>,
     /// The clock.
     pub clock: Clock,
-    /// What went wrong last with the disk or a reload, and has not been put right.
+    /// Current problems by subsystem, such as the disk or a reload.
     pub troubles: Mutex<BTreeMap<&'static str, String>>,
 }
 
 impl Shared {
-    /// Notes what is wrong, or that it has been put right.
+    /// Sets the current problem of a subsystem, or clears it.
     pub fn set_trouble(&self, of: &'static str, what: Option<String>) {
         let mut troubles = self.troubles.lock().unwrap_or_else(PoisonError::into_inner);
         match what {
             Some(what) => {
-                // What goes on being wrong is said once.
+                // A persisting problem is logged once.
                 if troubles.get(of) != Some(&what) {
                     eprintln!("{of}: {what}");
                 }
--- a/crates/control/src/single_instance.rs
+++ b/crates/control/src/single_instance.rs
@@ -1,5 +1,5 @@
-//! StateSource what is served in step with what is desired and what sources tell: commits first, then publishes; and takes
-//! a version that is handed out in stages through them.
+//! State source of a single instance: applies the desired fleet and discovery's updates, commits them before it
+//! publishes them, and takes a staged version through its roll-out.
 
 use crate::desired::{Desired, Origin};
 use crate::error_rate::Tolerance;
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Commits and publishes what the core makes necessary.
+/// State source of a single instance, with the desired fleet from a file or a store.
 pub struct SingleInstance {
     shared: Arc<Shared>,
     serving: ServingState,
@@ -24,12 +24,12 @@
     journal: Option<ListJournal>,
     progress: Option<ProgressFile>,
     tolerance: Tolerance,
-    /// A version in stages that waits for another one's roll-out to end.
+    /// The serial of a staged version that waits for the current roll-out to end.
     queued_serial: Option<u64>,
 }
 
 impl SingleInstance {
-    /// Nothing is served yet.
+    /// Creates the state source; nothing is served yet.
     pub fn new(
         shared: Arc<Shared>,
         origin: Origin,
@@ -42,7 +42,7 @@
         SingleInstance { shared, serving, origin, journal, progress, tolerance, queued_serial: None }
     }
 
-    /// Serves what is desired, with the lists that were held before a restart; a roll-out goes on where it was.
+    /// Starts serving the desired fleet, with the lists saved before a restart; resumes an unfinished roll-out.
     pub fn start(&mut self, desired: Desired, held: BTreeMap<String, List>) {
         let staged = desired.version.as_ref().filter(|version| !version.stages.is_empty()).map(|version| {
             let saved = self.progress.as_ref().and_then(ProgressFile::read);
@@ -66,23 +66,23 @@
         }
     }
 
-    /// The sources to follow.
+    /// The discovery servers to watch.
     pub fn sources(&self) -> Sources {
         self.serving.sources()
     }
 
-    /// Whether there is anything to publish.
+    /// Whether there are changes to publish.
     pub fn is_dirty(&self) -> bool {
         self.serving.is_dirty()
     }
 
-    /// Takes what a source told.
+    /// Handles an update from discovery.
     pub fn handle_update(&mut self, now: Duration, pool: &str, from: SocketAddr, update: Update) {
         self.serving
             .for_each_state(|fleet_state| fleet_state.handle_update(now, pool, from, update.clone()));
     }
 
-    /// Looks at the clock, the store and the roll-out; says whether the sources may have changed.
+    /// Checks timers, the store and the roll-out; returns whether the sources may have changed.
     pub fn tick(&mut self) -> bool {
         let now = self.shared.clock.now();
         self.serving.for_each_state(|fleet_state| fleet_state.tick(now));
@@ -92,8 +92,8 @@
         state_changed || rollout_ended
     }
 
-    /// First the disk, then the proxies: what a proxy was told, a restart knows. A disk that fails holds no
-    /// drain up.
+    /// Commits changes to disk, then publishes them, so that a restart knows all that proxies have got. Publishes also
+    /// if the disk fails: drains must not be delayed.
     pub fn publish(&mut self, whole: bool) {
         let (shared, journal) = (&self.shared, &mut self.journal);
         self.serving.publish(whole, |lists| {
@@ -109,7 +109,7 @@
         });
     }
 
-    /// Reads the desired state again where it comes from a store whose head has moved; says whether it has.
+    /// Reloads the desired fleet if the head of its store has changed; returns whether the fleet has changed.
     fn check_store(&mut self) -> bool {
         let served_serial =
             with_lock(&self.shared.version, |version| version.as_ref().map_or(0, |version| version.serial));
@@ -121,12 +121,12 @@
                 false
             }
             Some(Ok(serial)) if self.queued_serial == Some(serial) && self.serving.is_split() => false,
-            // A bad one is told by the reload, once.
+            // The reload reports an unreadable store once.
             Some(_) => self.reload(),
         }
     }
 
-    /// Takes the desired state as it is now, or goes on with the old one and says why. Says whether it has changed.
+    /// Reloads the desired fleet; on failure, keeps the old one and reports why. Returns whether it has changed.
     pub fn reload(&mut self) -> bool {
         let desired = match self.origin.read() {
             Ok(desired) => desired,
@@ -140,7 +140,7 @@
             with_lock(&self.shared.version, |version| version.as_ref().map(|version| version.serial));
         let staged = desired.version.as_ref().is_some_and(|version| !version.stages.is_empty());
         if self.serving.is_split() && serial == served_serial {
-            return false; // it is being handed out
+            return false; // its roll-out is in progress
         }
         if self.serving.is_split() && staged {
             self.queued_serial = serial;
@@ -154,7 +154,7 @@
             let progress = Progress::new(version.serial, &version.hash, from);
             self.start_rollout(desired, progress);
         } else {
-            // What is not staged goes to all at once, and ends a roll-out: so does going back in a hurry.
+            // A version without stages goes to all proxies at once and ends a roll-out, as for a quick rollback.
             self.serving.fleet_state(|fleet_state| fleet_state.replace(now, desired.fleet));
             with_lock(&self.shared.version, |version| *version = desired.version);
             self.publish(true);
@@ -167,9 +167,9 @@
         true
     }
 
-    // ---- a version in stages ----
+    // ---- staged roll-outs ----
 
-    /// Begins to hand a version out, or goes on with it.
+    /// Starts or resumes the roll-out of a version.
     fn start_rollout(&mut self, desired: Desired, progress: Progress) {
         let Desired { fleet, version: Some(version) } = desired else { return };
         let hub = self.shared.hub.clone();
@@ -186,7 +186,7 @@
         with_lock(&self.shared.rollout, |shown| *shown = Some(rollout));
     }
 
-    /// Looks at the roll-out, if there is one; says whether it has ended.
+    /// Advances or halts the current roll-out, if any; returns whether it has ended.
     fn advance_rollout(&mut self) -> bool {
         let Some(mut rollout) = with_lock(&self.shared.rollout, |rollout| rollout.clone()) else {
             return false;
@@ -196,7 +196,7 @@
         if next == Decision::Wait {
             return false;
         }
-        // On disk before any proxy is told: a restart gives no proxy less than it has.
+        // Persisted before any proxy gets the version, so that after a restart none falls back to the previous one.
         self.save_progress(&rollout);
         let serial = rollout.progress().serial;
         match &rollout.progress().halted {
@@ -213,7 +213,7 @@
         next == Decision::Done
     }
 
-    /// Goes on with a roll-out that has halted.
+    /// Resumes a halted roll-out.
     pub fn resume(&mut self) {
         let now = self.shared.hub.now();
         let resumed = with_lock(&self.shared.rollout, |rollout| {
@@ -223,7 +223,7 @@
             })
         });
         if let Some(rollout) = resumed {
-            // What failed before somebody said to go on no longer counts.
+            // Setting the share again discards the failures counted before the resumption.
             self.shared.hub.set_share(rollout.share());
             self.save_progress(&rollout);
             self.shared.set_trouble("rollout", None);
--- a/crates/control/src/source.rs
+++ b/crates/control/src/source.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's discovery for each pool, on a thread of its own.
+//! Watches discovery for each pool, on a separate thread.
 
 use runtrack_discovery::{Client, ClientCommand, Update, WatchMode};
 use runtrack_net::Tcp;
@@ -8,23 +8,23 @@
 use tokio::sync::mpsc;
 use tokio::task::{JoinSet, LocalSet};
 
-/// What a source told: the pool, where it asked, and the news.
+/// An update from a pool's discovery server.
 pub struct SourceUpdate {
     /// The pool.
     pub pool: String,
-    /// Where.
+    /// The address of the server.
     pub from: SocketAddr,
-    /// What.
+    /// The update.
     pub update: Update,
 }
 
-/// Sources: a pool may have two, while a version is rolled out that takes it from elsewhere.
+/// Pools with the addresses of their discovery servers. A pool has two during a roll-out that changes its address.
 pub type Sources = BTreeSet<(String, SocketAddr)>;
 
-/// Names the sources to follow; what is no longer named is let go.
+/// Sends the set of sources to follow; the others are dropped.
 pub type SourcesSender = mpsc::UnboundedSender<Sources>;
 
-/// Starts the thread. It ends with the sender that is returned.
+/// Starts the thread. It ends when the returned sender is dropped.
 pub fn spawn(seed: u64, updates: mpsc::UnboundedSender<SourceUpdate>) -> std::io::Result<SourcesSender> {
     let (sources, mut source_receiver) = mpsc::unbounded_channel::<Sources>();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -43,7 +43,7 @@
     Ok(sources)
 }
 
-/// Follows one source for as long as the set that is returned is held.
+/// Follows one source until the returned set is dropped.
 fn follow_source(
     pool: String,
     from: SocketAddr,
@@ -56,10 +56,10 @@
         WatchMode::Persistent,
         seed ^ u64::from(from.port()),
         move |update| {
-            let _ = updates.send(SourceUpdate { pool: pool.clone(), from, update }); // fails only while the process ends
+            let _ = updates.send(SourceUpdate { pool: pool.clone(), from, update }); // fails only at exit
         },
     );
-    // Versions of a server that may have been started anew don't compare with those held.
+    // The server may have restarted since the list was saved, and its versions then don't compare.
     client.request_full_list();
     let mut task = JoinSet::new();
     task.spawn_local(async move {
