--- a/crates/control/benches/fanout.rs
+++ b/crates/control/benches/fanout.rs
@@ -82,7 +82,7 @@
         times.push(last.duration_since(began));
     }
     times.sort();
-    let told: u64 = proxies.iter().map(|p| p.with(|s| s.bytes)).sum::<u64>() - bytes;
+    let bytes_sent: u64 = proxies.iter().map(|p| p.with(|s| s.bytes)).sum::<u64>() - bytes;
     let encoded = control.status().await["encodings"].as_u64().expect("a number") - encodings;
     println!(
         "{:>7} {:>9} {:>6} {:>11}  {:>8.1} {:>8.1}  {:>10}  {:>9.2}  {:>9.1}  {:>7.1}  {:>8.2}",
@@ -92,7 +92,7 @@
         if cell.incremental { "incremental" } else { "whole" },
         times[ROUNDS / 2].as_secs_f64() * 1e3,
         times[ROUNDS - 1].as_secs_f64() * 1e3,
-        told / (ROUNDS * cell.proxies) as u64,
+        bytes_sent / (ROUNDS * cell.proxies) as u64,
         (control.cpu_s() - cpu) * 1e3 / ROUNDS as f64,
         full.saturating_sub(empty) as f64 / cell.proxies as f64,
         empty as f64 / 1024.0,
@@ -102,15 +102,17 @@
 
 fn main() {
     let mut numbers = std::env::args().filter_map(|arg| arg.parse::<usize>().ok());
-    let (most, only) = (numbers.next().unwrap_or(1000), numbers.next());
+    let (max_proxies, only_pool) = (numbers.next().unwrap_or(1000), numbers.next());
     println!("one endpoint of the fleet drains; {ROUNDS} times; p99 is the worst of them");
     println!(
         "proxies endpoints   pool     variant    p50 ms   p99 ms  bytes each  CPU ms ea  KiB/proxy  MiB own  encodings"
     );
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    for pool in [100, 10_000].into_iter().filter(|pool| only.is_none_or(|only| only == *pool)) {
+    for pool in
+        [100, 10_000].into_iter().filter(|pool| only_pool.is_none_or(|only_pool| only_pool == *pool))
+    {
         for incremental in [true, false] {
-            for proxies in [10, 100, 1000].into_iter().filter(|n| *n <= most) {
+            for proxies in [10, 100, 1000].into_iter().filter(|n| *n <= max_proxies) {
                 for endpoints in [100, 1000, 10_000].into_iter().filter(|n| *n >= pool) {
                     runtime.block_on(measure(&Cell { proxies, endpoints, pool, incremental }));
                 }
--- a/crates/control/benches/stages.rs
+++ b/crates/control/benches/stages.rs
@@ -8,7 +8,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{BINARY, change, change_in_stages, platform_fleet, proxy};
+use common::{BINARY, apply_change, apply_staged_change, platform_fleet, proxy};
 use runtrack_testkit::{Control, Discovery, Folder, Proxy, ScriptedLoad, connect, target, url};
 use std::time::{Duration, Instant};
 
@@ -47,19 +47,19 @@
 async fn measure(count: usize) {
     let (folder, discovery) =
         (Folder::new(), Discovery::start(vec![target("e0", ([127, 0, 0, 1], 7000).into(), "")]).await);
-    change(folder.path(), &fleet(&discovery, 0));
+    apply_change(folder.path(), &fleet(&discovery, 0));
     let control = Control::start_on_store(BINARY, folder.path(), "").await;
     let proxies: Vec<Proxy> = (0..count).map(|n| proxy(&control, &format!("node-{n}"), true)).collect();
     until("the list", async || proxies.iter().all(|proxy| has(proxy, "p"))).await;
     let (mut at_once, mut staged) = (Vec::new(), Vec::new());
     for round in 0..ROUNDS {
         for (times, stages) in [(&mut at_once, &[][..]), (&mut staged, &[1000, 5000, 10_000][..])] {
-            change(folder.path(), &fleet(&discovery, 0));
+            apply_change(folder.path(), &fleet(&discovery, 0));
             until("the way back", async || proxies.iter().all(|proxy| !has(proxy, "q0"))).await;
             // Not in step with the service's looks.
             tokio::time::sleep(Duration::from_millis(700 + 61 * round as u64)).await;
             let began = Instant::now();
-            let serial = change_in_stages(folder.path(), &fleet(&discovery, 1), stages, 0);
+            let serial = apply_staged_change(folder.path(), &fleet(&discovery, 1), stages, 0);
             until("all have it", async || proxies.iter().all(|proxy| has(proxy, "q0"))).await;
             until("it is over", async || {
                 let status = control.status().await;
@@ -96,10 +96,10 @@
 }
 
 fn main() {
-    let most = std::env::args().filter_map(|arg| arg.parse().ok()).next().unwrap_or(1000);
+    let max_proxies = std::env::args().filter_map(|arg| arg.parse().ok()).next().unwrap_or(1000);
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
-        for count in [10, 100, 1000].into_iter().filter(|count| *count <= most) {
+        for count in [10, 100, 1000].into_iter().filter(|count| *count <= max_proxies) {
             measure(count).await;
         }
         reports().await;
--- a/crates/control/src/error_rate.rs
+++ b/crates/control/src/error_rate.rs
@@ -82,7 +82,7 @@
     }
 
     #[test]
-    fn a_rise_over_both_is_told_with_its_figures() {
+    fn an_increase_over_both_baselines_is_reported_with_figures() {
         let message = check(tally(500, 60), tally(5000, 10), tally(9000, 90)).expect("worse");
         assert_eq!(
             message,
@@ -91,7 +91,7 @@
     }
 
     #[test]
-    fn what_strikes_all_or_struck_before_halts_nothing() {
+    fn errors_in_both_groups_or_before_the_stage_do_not_halt() {
         assert_eq!(check(tally(500, 60), tally(5000, 600), tally(9000, 0)), None, "an incident everywhere");
         assert_eq!(
             check(tally(500, 60), tally(5000, 0), tally(9000, 1080)),
@@ -101,12 +101,12 @@
     }
 
     #[test]
-    fn the_last_stage_stands_against_the_time_before() {
+    fn the_last_stage_is_compared_with_the_time_before() {
         assert!(check(tally(500, 60), tally(0, 0), tally(9000, 9)).is_some());
     }
 
     #[test]
-    fn few_requests_small_rises_and_chance_halt_nothing() {
+    fn small_samples_and_insignificant_increases_do_not_halt() {
         assert_eq!(check(tally(99, 99), tally(5000, 0), tally(5000, 0)), None, "too few requests");
         assert_eq!(check(tally(5000, 9), tally(5000, 0), tally(5000, 0)), None, "too few failures");
         assert_eq!(
@@ -122,7 +122,7 @@
     }
 
     #[test]
-    fn a_new_pool_stands_against_all_others() {
+    fn a_new_pool_is_compared_with_all_pools() {
         let old = Compared { with: tally(50, 0), without: tally(4000, 20), before: tally(9000, 40) };
         let new = Compared { with: tally(300, 200), ..Compared::default() };
         let message =
@@ -136,7 +136,7 @@
     }
 
     #[test]
-    fn any_rise_is_tolerated_where_the_operator_says_so() {
+    fn a_tolerance_of_one_accepts_any_increase() {
         let pool = Compared { with: tally(500, 500), without: tally(5000, 0), before: tally(0, 0) };
         assert_eq!(failing([("p", pool)].into_iter(), Tolerance { rise: 1.0 }), None);
     }
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -1,4 +1,5 @@
-//! `runtrack-control`: the control plane. Learns of endpoints, their health and drains, and configures proxies through xDS.
+//! `runtrack-control`: the control plane. Learns of endpoints, their health and drains, and configures proxies through
+//! xDS.
 
 mod admin;
 mod cluster;
--- a/crates/control/src/persistence.rs
+++ b/crates/control/src/persistence.rs
@@ -210,7 +210,7 @@
     }
 
     #[test]
-    fn what_was_committed_is_read_back() {
+    fn committed_lists_are_read_back() {
         let folder = Folder::new();
         write_commits(&folder);
         let (_, lists) = ListJournal::open(folder.path()).expect("sound");
@@ -227,7 +227,7 @@
     }
 
     #[test]
-    fn a_cut_anywhere_leaves_the_state_before_or_after_a_commit_and_takes_more() {
+    fn a_journal_truncated_anywhere_reads_as_whole_commits_and_accepts_more() {
         let folder = Folder::new();
         let bytes = write_commits(&folder);
         let full = states(&bytes);
@@ -244,7 +244,7 @@
     }
 
     #[test]
-    fn a_flipped_byte_anywhere_is_never_served() {
+    fn a_corrupted_byte_ends_the_replay_before_it() {
         let folder = Folder::new();
         let bytes = write_commits(&folder);
         let full = states(&bytes);
@@ -258,7 +258,7 @@
     }
 
     #[test]
-    fn a_journal_written_anew_says_the_same_in_less() {
+    fn a_rewritten_journal_has_the_same_content_in_less_space() {
         let folder = Folder::new();
         let (mut journal, _) = ListJournal::open(folder.path()).expect("a new folder");
         let list = List {
@@ -284,7 +284,7 @@
     }
 
     #[test]
-    fn a_commit_that_failed_is_made_good_by_writing_anew() {
+    fn a_rewrite_recovers_a_failed_commit() {
         let folder = Folder::new();
         let (mut journal, _) = ListJournal::open(folder.path()).expect("a new folder");
         let list = |uid: &str| List { rev: 1, all: false, targets: vec![target(uid, at(1), "")] };
@@ -302,7 +302,7 @@
     }
 
     #[test]
-    fn epochs_rise_whatever_the_clock_says() {
+    fn epochs_increase_if_the_clock_is_set_back() {
         let folder = Folder::new();
         let first = next_epoch(folder.path()).expect("written");
         assert!(first >= 1_600_000_000_000_000, "not below the clock");
--- a/crates/control/src/pool.rs
+++ b/crates/control/src/pool.rs
@@ -384,7 +384,7 @@
     }
 
     #[test]
-    fn nothing_is_known_before_the_first_list_and_an_empty_one_is_knowledge() {
+    fn members_are_unknown_before_the_first_list_even_an_empty_one() {
         let mut members = pool();
         assert_eq!(members.members(NOW), None);
         members.handle_update(NOW, Update::Failed("refused".to_owned()));
@@ -394,7 +394,7 @@
     }
 
     #[test]
-    fn a_source_that_fails_leaves_the_list_and_marks_it() {
+    fn a_failing_source_keeps_the_list_and_marks_it_stale() {
         let mut members = with(vec![up("a"), draining("b")]);
         assert!(!members.handle_update(NOW, Update::Failed("silent".to_owned())));
         members.handle_update(NOW + Duration::from_secs(5), Update::Failed("refused".to_owned()));
@@ -408,7 +408,7 @@
     }
 
     #[test]
-    fn an_empty_list_after_a_full_one_is_doubted_until_it_has_stood() {
+    fn an_empty_list_is_accepted_only_after_the_hold_time() {
         let mut members = with(vec![up("a"), up("b")]);
         assert!(!members.handle_update(NOW, full_list(11, Vec::new())));
         assert_eq!(names(&mut members, NOW).1, 2);
@@ -424,7 +424,7 @@
     }
 
     #[test]
-    fn a_good_list_ends_the_doubt() {
+    fn a_plausible_list_discards_the_unconfirmed_one() {
         let mut members = with(vec![up("a"), up("b")]);
         members.handle_update(NOW, full_list(11, Vec::new()));
         assert!(!members.handle_update(NOW, full_list(12, vec![up("a"), up("b")])));
@@ -433,7 +433,7 @@
     }
 
     #[test]
-    fn changes_that_come_while_a_list_is_doubted_outlive_the_doubt() {
+    fn changes_are_merged_into_an_unconfirmed_list() {
         let mut members = with(vec![up("a"), up("b"), up("c")]);
         members.handle_update(NOW, full_list(11, vec![up("a")]));
         members.handle_update(
@@ -446,7 +446,7 @@
     }
 
     #[test]
-    fn a_list_from_the_past_takes_no_drain_back_but_its_drains_count() {
+    fn an_older_list_reverts_no_drain_but_its_drains_apply() {
         let mut members = with(vec![draining("a"), up("b"), up("c")]);
         members.handle_update(NOW, full_list(3, vec![up("a"), draining("b"), up("c")]));
         assert_eq!(names(&mut members, NOW), (vec!["c".to_owned()], 3));
@@ -457,7 +457,7 @@
     }
 
     #[test]
-    fn explicit_removals_are_never_doubted() {
+    fn explicit_removals_apply_at_once() {
         let mut members = with(vec![up("a"), up("b")]);
         let gone = ["a", "b"].map(|uid| Target { state: State::Removed, ..up(uid) });
         assert!(
@@ -467,7 +467,7 @@
     }
 
     #[test]
-    fn what_is_remembered_stands_and_is_no_change_for_the_journal() {
+    fn a_restored_list_is_no_change_for_the_journal() {
         let mut members = pool();
         members.restore(
             NOW,
@@ -482,7 +482,7 @@
     }
 
     #[test]
-    fn a_cold_endpoint_warms_in_steps_and_then_rests() {
+    fn a_cold_endpoint_warms_up_in_steps() {
         let cold = Target { boot_ms: NOW.as_millis() as f64, ..up("cold") };
         let mut members = with(vec![up("warm"), cold]);
         let part = |members: &mut PoolMembers, now| members.members(now).expect("known")[0].part;
@@ -500,7 +500,7 @@
     }
 
     #[test]
-    fn names_of_gone_endpoints_are_forgotten() {
+    fn ids_of_removed_endpoints_are_released() {
         let mut members = with(vec![up("stays")]);
         for n in 0..1000 {
             let uid = format!("e{n}");
--- a/crates/control/src/replicated.rs
+++ b/crates/control/src/replicated.rs
@@ -1,9 +1,10 @@
 //! State source of a cluster member: serves the state that the cluster has committed, and proposes what this instance
 //! learns from discovery.
 //!
-//! The desired fleet, the progress of a roll-out, the endpoints and the held-back endpoints come from the replicated log
-//! alone, so that a proxy that moves between instances never goes back to an older state. One exception only removes
-//! endpoints: a drain that this instance learns itself is published to its proxies at once, with or without a majority.
+//! The desired fleet, the progress of a roll-out, the endpoints and the held-back endpoints come from the replicated
+//! log alone, so that a proxy that moves between instances never goes back to an older state. One exception only
+//! removes endpoints: a drain that this instance learns itself is published to its proxies at once, with or without a
+//! majority.
 
 use crate::error_rate::Tolerance;
 use crate::fleet_state::FleetState;
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -158,7 +158,7 @@
     }
 
     #[test]
-    fn stages_follow_each_other_once_acknowledged_and_paused() {
+    fn a_stage_ends_after_acknowledgement_and_the_pause() {
         let mut rollout = rollout();
         assert_eq!(
             (rollout.share(), rollout.evaluate(at(109), &Cohort::default())),
@@ -206,7 +206,7 @@
     }
 
     #[test]
-    fn a_rise_of_errors_halts_in_the_last_stage_too() {
+    fn an_increased_error_rate_halts_in_the_last_stage_too() {
         let mut rollout = rollout();
         let failing = Cohort { failing: Some("pool p fails".to_owned()), ..Cohort::default() };
         assert_eq!(rollout.evaluate(at(111), &Cohort::default()), Decision::Stage);
@@ -223,7 +223,7 @@
     }
 
     #[test]
-    fn it_goes_on_where_it_was() {
+    fn a_rollout_resumes_from_its_progress() {
         let was = Progress { stage: 1, halted: Some("why".to_owned()), ..Progress::new(7, "h", 6) };
         let same = Rollout::new(was.clone(), &[1000, 5000, 10_000], at(10), at(0));
         assert_eq!((same.share(), same.progress()), (5000, &was));
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -79,7 +79,7 @@
     let mut agreed = shared.cluster.as_ref().map(Handle::watch);
     let listener = TcpListener::bind(settings.listen).await;
     let listener = listener.map_err(system(format!("listen: {}", settings.listen)))?;
-    // The socket is bound before the TCP listener: once the service answers there, its socket exists too.
+    // The Unix socket is bound before the service answers on TCP, so that clients find both.
     if let Some(at) = &settings.admin_socket {
         let socket = admin::bind_socket(at).map_err(system(format!("admin_socket: {}", at.display())))?;
         tokio::spawn(admin::serve(socket, shared.clone()));
--- a/crates/control/tests/common/round.rs
+++ b/crates/control/tests/common/drain_round.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 /// Nothing new later than this after the service learned of a drain.
-const GRACE: Duration = Duration::from_secs(2);
+const GRACE_PERIOD: Duration = Duration::from_secs(2);
 
 /// Hard case 3, one round: two proxies send without pause while an endpoint drains, the control service is
 /// killed and started again, and discovery is down. Gives the requests that came after the grace.
-pub async fn play(binary: &str, seed: u64) -> usize {
+pub async fn run_round(binary: &str, seed: u64) -> usize {
     let mut endpoints = Vec::new();
     for _ in 0..4 {
         endpoints.push(Endpoint::start().await);
@@ -28,7 +28,7 @@
     // The drain is told; then, at a moment that the seed gives, both the service and discovery go.
     let drained = &endpoints[(seed % 4) as usize];
     discovery.drain(names[(seed % 4) as usize]);
-    let told = loop {
+    let drained_at = loop {
         let status = control.status().await;
         if status["pools"]["p"]["draining"] == 1 {
             break Instant::now();
@@ -45,7 +45,7 @@
     until("a new proxy knows the rest", || late.with(|s| s.ready("p").len() == 3)).await;
     late.send_without_pause("p", 2);
     tokio::time::sleep(
-        (told + GRACE + Duration::from_millis(600)).saturating_duration_since(Instant::now()),
+        (drained_at + GRACE_PERIOD + Duration::from_millis(600)).saturating_duration_since(Instant::now()),
     )
     .await;
     for proxy in proxies.iter().chain([&late]) {
@@ -53,6 +53,6 @@
         assert!(proxy.with(|s| s.ready("p").len() == 3), "the others are lost");
     }
     let others = endpoints.iter().filter(|e| e.address != drained.address);
-    assert!(others.clone().all(|e| e.after(told + GRACE) > 0), "the others still serve");
-    drained.after(told + GRACE)
+    assert!(others.clone().all(|e| e.after(drained_at + GRACE_PERIOD) > 0), "the others still serve");
+    drained.after(drained_at + GRACE_PERIOD)
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -34,12 +34,12 @@
 }
 
 /// Applies what is wanted, with all risks accepted; gives the serial.
-pub fn change(folder: &Path, wanted: &str) -> u64 {
-    change_in_stages(folder, wanted, &[], 0)
+pub fn apply_change(folder: &Path, wanted: &str) -> u64 {
+    apply_staged_change(folder, wanted, &[], 0)
 }
 
 /// The same, handed out in stages.
-pub fn change_in_stages(folder: &Path, wanted: &str, stages: &[u32], pause_ms: u64) -> u64 {
+pub fn apply_staged_change(folder: &Path, wanted: &str, stages: &[u32], pause_ms: u64) -> u64 {
     let wanted = Fleet::read(wanted).unwrap_or_else(|problems| panic!("{problems}"));
     let mut store = Store::open_or_create(Files::new(folder).expect("a folder"), "l").expect("a store");
     let from = current(&store, store.serial()).expect("a fleet");
--- a/crates/control/tests/drains.rs
+++ b/crates/control/tests/drains.rs
@@ -1,8 +1,8 @@
 //! The drain promise: also while updates are half acknowledged, across restarts and outages of discovery.
 
 mod common;
-#[path = "common/round.rs"]
-mod round;
+#[path = "common/drain_round.rs"]
+mod drain_round;
 
 use common::*;
 use runtrack_discovery::State;
@@ -10,12 +10,12 @@
 use std::time::{Duration, Instant};
 
 /// Nothing new later than this after the service learned of a drain.
-const GRACE: Duration = Duration::from_secs(2);
+const GRACE_PERIOD: Duration = Duration::from_secs(2);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_request_reaches_a_draining_endpoint_after_the_grace_across_a_restart() {
+async fn no_request_reaches_a_draining_endpoint_after_the_grace_period_across_a_restart() {
     for seed in 0..3 {
-        assert_eq!(round::play(BINARY, seed).await, 0, "seed {seed}");
+        assert_eq!(drain_round::run_round(BINARY, seed).await, 0, "seed {seed}");
     }
 }
 
@@ -31,7 +31,7 @@
 
 /// Hard case 2, over loopback.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_drain_is_told_while_an_update_is_half_acknowledged() {
+async fn a_drain_is_published_while_an_update_is_partly_acknowledged() {
     let at = |port: u16| ([127, 0, 0, 1], port).into();
     let discovery = Discovery::start(vec![target("a", at(7001), ""), target("b", at(7002), "")]).await;
     let control = Control::start(BINARY, &platform_fleet(discovery.address, ""), "", false).await;
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_a_disk_and_with_discovery_down_proxies_keep_what_they_have() {
+async fn without_a_state_folder_and_discovery_proxies_keep_their_state() {
     let at = |port: u16| ([127, 0, 0, 1], port).into();
     let discovery = Discovery::start(vec![target("a", at(7001), "")]).await;
     let mut control = Control::start(BINARY, &platform_fleet(discovery.address, ""), "", false).await;
@@ -101,13 +101,13 @@
     // Something known is pushed after the reconnection; the pool, not known yet, is left alone.
     control.reload(&platform_fleet(discovery.address, "").replace("\"1s\"", "\"900ms\""));
     for proxy in &proxies {
-        until("the reload", || proxy.with(|s| s.last.is_some_and(|at| at.elapsed() < GRACE))).await;
+        until("the reload", || proxy.with(|s| s.last.is_some_and(|at| at.elapsed() < GRACE_PERIOD))).await;
         assert_eq!(proxy.with(|s| s.ready("p").len()), 1);
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_list_that_lacks_most_endpoints_is_doubted_first_but_its_drains_are_kept() {
+async fn a_list_without_most_endpoints_is_held_but_its_drains_apply() {
     let at = |port: u16| ([127, 0, 0, 1], port).into();
     let all: Vec<_> = (0..4u16).map(|n| target(&format!("e{n}"), at(7001 + n), "")).collect();
     let discovery = Discovery::start(all.clone()).await;
@@ -116,7 +116,7 @@
     let proxy = proxy(&control, "p", true);
     until("the list", || proxy.with(|s| s.ready("p").len() == 4)).await;
     let drains = runtrack_discovery::Target { state: State::Draining, ..all[0].clone() };
-    let lied = Instant::now();
+    let published_at = Instant::now();
     discovery.lie(Some(vec![drains]), None);
     discovery.go_down();
     discovery.come_back().await;
@@ -126,11 +126,11 @@
     assert!(stale.as_str().is_some_and(|why| why.contains("lacks 3 of 4")), "{stale}");
     // It still stands after the hold: it is believed.
     until("believed", || proxy.with(|s| s.endpoints["p"].len() == 1)).await;
-    assert!(lied.elapsed() >= Duration::from_millis(1500));
+    assert!(published_at.elapsed() >= Duration::from_millis(1500));
 }
 
 #[test]
-fn a_folder_ends_with_its_holder() {
+fn a_test_folder_is_removed_on_drop() {
     let folder = Folder::new();
     let path = folder.path().to_owned();
     drop(folder);
--- a/crates/control/tests/hostile.rs
+++ b/crates/control/tests/misbehaving_proxies.rs
@@ -55,30 +55,30 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn slow_and_rejecting_proxies_delay_nobody_and_fill_no_memory() {
+async fn slow_and_rejecting_proxies_delay_no_other_and_use_bounded_memory() {
     let (discovery, control) = start("").await;
-    let good = proxy(&control, "good", true);
-    until("the list", || good.with(|s| s.ready("p").len() == usize::from(ENDPOINTS))).await;
+    let healthy = proxy(&control, "good", true);
+    until("the list", || healthy.with(|s| s.ready("p").len() == usize::from(ENDPOINTS))).await;
 
     // Ten that never read, in both variants.
-    let mut mute = Vec::new();
+    let mut unresponsive = Vec::new();
     for n in 0..5 {
         let whole = Scripted::open(connect(control.xds).await).await;
         whole.send(request(&format!("mute{n}"), "eds", &["p"]));
         let delta = ScriptedDelta::open(connect(control.xds).await).await;
         delta.send(delta_request(&format!("mute{n}"), "eds", &["p"]));
-        mute.push((whole, delta));
+        unresponsive.push((whole, delta));
     }
     // One that reads a byte a second.
     let slow = connect(trickle(control.xds).await).await;
     let slow = Scripted::open(slow).await;
     slow.send(request("slow", "eds", &["p"]));
     // One that rejects everything.
-    let mut angry = ScriptedDelta::open(connect(control.xds).await).await;
-    angry.send(delta_request("angry", "eds", &["p"]));
-    let angry = tokio::spawn(async move {
-        while let Ok(response) = angry.next().await {
-            angry.answer(&response, Some("never"));
+    let mut rejecting = ScriptedDelta::open(connect(control.xds).await).await;
+    rejecting.send(delta_request("angry", "eds", &["p"]));
+    let rejecting = tokio::spawn(async move {
+        while let Ok(response) = rejecting.next().await {
+            rejecting.answer(&response, Some("never"));
         }
     });
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -88,7 +88,7 @@
         let changed = Instant::now();
         discovery.drain(&format!("e{n:04}"));
         let left = usize::from(ENDPOINTS) - n - 1;
-        until("the good one is told", || good.with(|s| s.ready("p").len() == left)).await;
+        until("the good one is told", || healthy.with(|s| s.ready("p").len() == left)).await;
         worst = worst.max(changed.elapsed());
     }
     assert!(worst < Duration::from_secs(2), "told after {worst:?}, past the grace");
@@ -105,7 +105,7 @@
     assert_eq!(of("angry")["types"][0]["rejected"]["detail"], "never");
     assert_eq!(of("mute0")["types"][0]["behind"], true);
     assert_eq!(of("good")["types"][0]["rejected"], serde_json::Value::Null);
-    angry.abort();
+    rejecting.abort();
 
     // The same over CSDS, for one node.
     use envoy_types::pb::envoy::service::status::v3 as csds;
@@ -128,44 +128,50 @@
     // It has taken the last change; its word that it has may still be on the way.
     let end = Instant::now() + runtrack_testkit::PATIENCE;
     loop {
-        let good = client.fetch_client_status(of("good")).await.expect("served").into_inner();
-        let types: Vec<i32> = good.config[0].generic_xds_configs.iter().map(|c| c.config_status).collect();
-        let synced = (good.config.len(), &types) == (1, &vec![csds::ConfigStatus::Synced as i32; 4]);
+        let healthy = client.fetch_client_status(of("good")).await.expect("served").into_inner();
+        let types: Vec<i32> =
+            healthy.config[0].generic_xds_configs.iter().map(|c| c.config_status).collect();
+        let synced = (healthy.config.len(), &types) == (1, &vec![csds::ConfigStatus::Synced as i32; 4]);
         assert!(synced || Instant::now() < end, "{types:?}");
         if synced {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let mute = client.fetch_client_status(of("mute0")).await.expect("served").into_inner();
+    let unresponsive = client.fetch_client_status(of("mute0")).await.expect("served").into_inner();
     assert!(
-        mute.config
+        unresponsive
+            .config
             .iter()
             .all(|c| c.generic_xds_configs[0].config_status == csds::ConfigStatus::Stale as i32)
     );
-    assert_eq!(mute.config.len(), 2);
+    assert_eq!(unresponsive.config.len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn each_that_asks_too_much_is_told_so_and_others_go_on() {
+async fn clients_over_a_limit_get_an_error_and_others_are_served() {
     let (discovery, control) = start("").await;
-    let good = proxy(&control, "good", false);
-    until("the list", || good.with(|s| s.ready("p").len() == usize::from(ENDPOINTS))).await;
+    let healthy = proxy(&control, "good", false);
+    until("the list", || healthy.with(|s| s.ready("p").len() == usize::from(ENDPOINTS))).await;
 
     // 100,000 names.
-    let mut greedy = ScriptedDelta::open(connect(control.xds).await).await;
+    let mut over_subscribed = ScriptedDelta::open(connect(control.xds).await).await;
     let names: Vec<String> = (0..100_000).map(|n| format!("name-{n}")).collect();
-    greedy.send(delta_request("greedy", "eds", &names.iter().map(String::as_str).collect::<Vec<_>>()));
-    let refused = greedy.next().await.expect_err("too many names");
+    over_subscribed.send(delta_request(
+        "greedy",
+        "eds",
+        &names.iter().map(String::as_str).collect::<Vec<_>>(),
+    ));
+    let refused = over_subscribed.next().await.expect_err("too many names");
     assert_eq!(refused.code(), Code::ResourceExhausted);
     assert!(refused.message().contains("20000 names"), "{refused}");
 
     // A type that nobody serves, and a node without a name.
-    let mut odd = Scripted::open(connect(control.xds).await).await;
+    let mut unknown_type = Scripted::open(connect(control.xds).await).await;
     let mut nothing = request("odd", "eds", &["p"]);
     nothing.type_url = "type.googleapis.com/nothing".to_owned();
-    odd.send(nothing);
-    let refused = odd.next().await.expect_err("no such type");
+    unknown_type.send(nothing);
+    let refused = unknown_type.next().await.expect_err("no such type");
     assert_eq!(
         (refused.code(), refused.message().contains("is not served")),
         (Code::InvalidArgument, true)
@@ -200,20 +206,21 @@
     assert_eq!((streams.len(), streams.len() - refused), (1008, 12));
 
     // One that asks without pause.
-    let mut hasty = Scripted::open(connect(control.xds).await).await;
+    let mut flooding = Scripted::open(connect(control.xds).await).await;
     for n in 0..20_000 {
-        hasty.send(request("hasty", "eds", &[if n % 2 == 0 { "p" } else { "q" }]));
+        flooding.send(request("hasty", "eds", &[if n % 2 == 0 { "p" } else { "q" }]));
     }
     let refused = loop {
-        if let Err(status) = hasty.next().await {
+        if let Err(status) = flooding.next().await {
             break status;
         }
     };
     assert!(refused.message().contains("requests a second"), "{refused}");
 
     discovery.drain("e0000");
-    until("the good one is told", || good.with(|s| s.ready("p").len() == usize::from(ENDPOINTS) - 1)).await;
-    assert_eq!(good.with(|s| s.streams), 1, "on the stream that it had");
+    until("the good one is told", || healthy.with(|s| s.ready("p").len() == usize::from(ENDPOINTS) - 1))
+        .await;
+    assert_eq!(healthy.with(|s| s.streams), 1, "on the stream that it had");
     let ended = control.status().await["ended"].to_string();
     assert!(ended.contains("20000 names") && ended.contains("hasty"), "{ended}");
 }
--- a/crates/control/tests/rollout.rs
+++ b/crates/control/tests/rollout.rs
@@ -15,13 +15,13 @@
 use std::time::{Duration, Instant};
 
 /// The first stage.
-const FIRST: u32 = 3000;
+const FIRST_STAGE: u32 = 3000;
 const HOUR_MS: u64 = 3_600_000;
-const GRACE: Duration = Duration::from_secs(2);
+const GRACE_PERIOD: Duration = Duration::from_secs(2);
 
 /// The n-th node id that is in the first stage, or that is not.
 fn id(first: bool, n: usize) -> String {
-    let mut ids = (0..).map(|n| format!("node-{n}")).filter(|id| (place(id) < FIRST) == first);
+    let mut ids = (0..).map(|n| format!("node-{n}")).filter(|id| (place(id) < FIRST_STAGE) == first);
     ids.nth(n).expect("there are enough")
 }
 
@@ -73,16 +73,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn only_the_stage_has_it_both_hear_of_drains_and_a_kill_changes_neither() {
+async fn only_the_stage_gets_the_version_and_all_get_drains_across_a_kill() {
     let (folder, discovery) = (Folder::new(), discovery().await);
-    change(folder.path(), &fleet(discovery.address, &[]));
+    apply_change(folder.path(), &fleet(discovery.address, &[]));
     let mut control = Control::start_on_store(BINARY, folder.path(), "").await;
     let (first, others) = proxies(&control);
     let all = || first.iter().chain(&others);
     for proxy in all() {
         until("the list", || ready(proxy) == 4).await;
     }
-    change_in_stages(folder.path(), &fleet(discovery.address, &["q"]), &[FIRST, 10_000], HOUR_MS);
+    apply_staged_change(folder.path(), &fleet(discovery.address, &["q"]), &[FIRST_STAGE, 10_000], HOUR_MS);
     for proxy in &first {
         until("the first stage has it", || has(proxy, "q")).await;
     }
@@ -93,16 +93,16 @@
         })
     })
     .await;
-    assert_eq!((&shown["rollout"]["stage"], &shown["rollout"]["share"]), (&1.into(), &FIRST.into()));
+    assert_eq!((&shown["rollout"]["stage"], &shown["rollout"]["share"]), (&1.into(), &FIRST_STAGE.into()));
     assert_eq!((serial_of(&shown, &id(true, 0)), serial_of(&shown, &id(false, 0))), (2.into(), 1.into()));
     assert!(others.iter().all(|proxy| !has(proxy, "q")));
 
-    let told = Instant::now();
+    let drained_at = Instant::now();
     discovery.drain("e0");
     for proxy in all() {
         until("the drain", || ready(proxy) == 3).await;
     }
-    assert!(told.elapsed() < GRACE, "{:?}", told.elapsed());
+    assert!(drained_at.elapsed() < GRACE_PERIOD, "{:?}", drained_at.elapsed());
 
     control.kill();
     control.launch().await;
@@ -113,12 +113,12 @@
     let shown =
         status(&control, "all are back", |s| s["proxies"].as_array().is_some_and(|all| all.len() == 4))
             .await;
-    assert_eq!((&shown["rollout"]["stage"], &shown["rollout"]["share"]), (&1.into(), &FIRST.into()));
+    assert_eq!((&shown["rollout"]["stage"], &shown["rollout"]["share"]), (&1.into(), &FIRST_STAGE.into()));
     assert_eq!((serial_of(&shown, &id(true, 1)), serial_of(&shown, &id(false, 1))), (2.into(), 1.into()));
     assert!(first.iter().all(|proxy| has(proxy, "q")) && others.iter().all(|proxy| !has(proxy, "q")));
 
     // Back in a hurry: not in stages, so at once, and the roll-out is over.
-    change(folder.path(), &fleet(discovery.address, &[]));
+    apply_change(folder.path(), &fleet(discovery.address, &[]));
     for proxy in &first {
         until("the first stage has lost it", || !has(proxy, "q")).await;
     }
@@ -132,15 +132,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_all_acknowledge_goes_through_its_stages_and_is_over_for_a_restart_too() {
+async fn an_acknowledged_version_completes_all_stages_across_a_restart() {
     let (folder, discovery) = (Folder::new(), discovery().await);
-    change(folder.path(), &fleet(discovery.address, &[]));
+    apply_change(folder.path(), &fleet(discovery.address, &[]));
     let mut control = Control::start_on_store(BINARY, folder.path(), "").await;
     let (first, others) = proxies(&control);
     for proxy in first.iter().chain(&others) {
         until("the list", || ready(proxy) == 4).await;
     }
-    change_in_stages(folder.path(), &fleet(discovery.address, &["q"]), &[FIRST, 6000, 10_000], 0);
+    apply_staged_change(folder.path(), &fleet(discovery.address, &["q"]), &[FIRST_STAGE, 6000, 10_000], 0);
     for proxy in first.iter().chain(&others) {
         until("all have it", || has(proxy, "q")).await;
     }
@@ -157,23 +157,26 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_rejection_halts_it_another_version_waits_and_resuming_finishes_both() {
+async fn a_rejection_halts_the_rollout_and_resuming_completes_it_and_the_queued_one() {
     let (folder, discovery) = (Folder::new(), discovery().await);
-    change(folder.path(), &fleet(discovery.address, &[]));
+    apply_change(folder.path(), &fleet(discovery.address, &[]));
     let mut control = Control::start_on_store(BINARY, folder.path(), "").await;
     let (first, others) = proxies(&control);
     for proxy in first.iter().chain(&others) {
         until("the list", || ready(proxy) == 4).await;
     }
     // Rejects whatever names q, until it is told to take it.
-    let angry = Arc::new(AtomicBool::new(true));
+    let rejects = Arc::new(AtomicBool::new(true));
     let mut stream = ScriptedDelta::open(connect(control.xds).await).await;
     stream.send(delta_request(&id(true, 7), "cds", &["*"]));
-    let still = angry.clone();
+    let rejects_in_task = rejects.clone();
     let rejecting = tokio::spawn(async move {
         while let Ok(response) = stream.next().await {
             let named = response.resources.iter().any(|resource| resource.name == "q");
-            stream.answer(&response, (named && still.load(Ordering::SeqCst)).then_some("no such pool"));
+            stream.answer(
+                &response,
+                (named && rejects_in_task.load(Ordering::SeqCst)).then_some("no such pool"),
+            );
         }
     });
     status(&control, "the angry one is known", |s| {
@@ -181,17 +184,17 @@
     })
     .await;
     assert_eq!(control.post("/rollout/resume").await, 409, "there is none");
-    change_in_stages(folder.path(), &fleet(discovery.address, &["q"]), &[FIRST, 10_000], 0);
+    apply_staged_change(folder.path(), &fleet(discovery.address, &["q"]), &[FIRST_STAGE, 10_000], 0);
     let shown = status(&control, "it halts", |s| s["rollout"]["halted"].is_string()).await;
-    let why = shown["rollout"]["halted"].as_str().unwrap_or_default();
-    assert!(why.contains(&id(true, 7)) && why.contains("no such pool"), "{why}");
+    let halt_reason = shown["rollout"]["halted"].as_str().unwrap_or_default();
+    assert!(halt_reason.contains(&id(true, 7)) && halt_reason.contains("no such pool"), "{halt_reason}");
     assert!(
         shown["troubles"]["rollout"].as_str().is_some_and(|t| t.contains("serial 2 goes no further")),
         "{shown:#}"
     );
     assert!(others.iter().all(|proxy| !has(proxy, "q")));
 
-    change_in_stages(folder.path(), &fleet(discovery.address, &["q", "r"]), &[FIRST, 10_000], 0);
+    apply_staged_change(folder.path(), &fleet(discovery.address, &["q", "r"]), &[FIRST_STAGE, 10_000], 0);
     status(&control, "serial 3 waits", |s| {
         s["troubles"]["reload"].as_str().is_some_and(|t| t.contains("serial 3: waits"))
     })
@@ -204,7 +207,7 @@
             until("a drain while it stands", || ready(proxy) == 3 - n).await;
         }
     }
-    angry.store(false, Ordering::SeqCst);
+    rejects.store(false, Ordering::SeqCst);
     rejecting.abort();
     assert_eq!(control.post("/rollout/resume").await, 202);
     for proxy in first.iter().chain(&others) {
@@ -216,15 +219,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_halted_one_is_still_halted_after_a_kill() {
+async fn a_halted_rollout_stays_halted_after_a_kill() {
     let (folder, discovery) = (Folder::new(), discovery().await);
-    change(folder.path(), &fleet(discovery.address, &[]));
+    apply_change(folder.path(), &fleet(discovery.address, &[]));
     let mut control = Control::start_on_store(BINARY, folder.path(), "").await;
     let mut stream = ScriptedDelta::open(connect(control.xds).await).await;
     stream.send(delta_request(&id(true, 0), "cds", &["*"]));
     let response = stream.next().await.expect("clusters");
     stream.answer(&response, None);
-    change_in_stages(folder.path(), &fleet(discovery.address, &["q"]), &[FIRST, 10_000], 0);
+    apply_staged_change(folder.path(), &fleet(discovery.address, &["q"]), &[FIRST_STAGE, 10_000], 0);
     let response = stream.next().await.expect("the new cluster");
     stream.answer(&response, Some("no such pool"));
     status(&control, "it halts", |s| s["rollout"]["halted"].is_string()).await;
@@ -232,7 +235,7 @@
     control.launch().await;
     let shown = control.status().await;
     assert!(
-        shown["rollout"]["halted"].as_str().is_some_and(|why| why.contains("no such pool")),
+        shown["rollout"]["halted"].as_str().is_some_and(|halt_reason| halt_reason.contains("no such pool")),
         "{shown:#}"
     );
     assert_eq!(control.post("/rollout/resume").await, 202);
@@ -240,7 +243,7 @@
 }
 
 /// Reports of good requests, until the service has taken them.
-async fn calm(control: &Control, reports: &[&ScriptedLoad], most: u64) {
+async fn send_baseline_reports(control: &Control, reports: &[&ScriptedLoad], most: u64) {
     for report in reports {
         report.report("p", 1000, 1, 100);
     }
@@ -248,62 +251,65 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn errors_where_the_new_version_is_halt_it_and_errors_everywhere_do_not() {
+async fn errors_with_the_new_version_halt_it_but_errors_everywhere_do_not() {
     let (folder, discovery) = (Folder::new(), discovery().await);
-    change(folder.path(), &fleet(discovery.address, &[]));
+    apply_change(folder.path(), &fleet(discovery.address, &[]));
     let control =
         Control::start_on_store(BINARY, folder.path(), "\n[rollouts]\nreports_every_ms = 200\n").await;
     let (first, others) = proxies(&control);
     for proxy in first.iter().chain(&others) {
         until("the list", || ready(proxy) == 4).await;
     }
-    let mut has_it = ScriptedLoad::open(connect(control.xds).await, &id(true, 0)).await;
-    let mut has_not = ScriptedLoad::open(connect(control.xds).await, &id(false, 0)).await;
-    for stream in [&mut has_it, &mut has_not] {
+    let mut with_version = ScriptedLoad::open(connect(control.xds).await, &id(true, 0)).await;
+    let mut without_version = ScriptedLoad::open(connect(control.xds).await, &id(false, 0)).await;
+    for stream in [&mut with_version, &mut without_version] {
         let asked = stream.next().await.expect("it asks for reports");
         let every = asked.load_reporting_interval.expect("and says how often");
         assert_eq!((asked.send_all_clusters, every.seconds, every.nanos), (true, 0, 200_000_000));
     }
-    calm(&control, &[&has_it, &has_not], 2).await;
-    change_in_stages(folder.path(), &fleet(discovery.address, &["q"]), &[FIRST, 10_000], HOUR_MS);
+    send_baseline_reports(&control, &[&with_version, &without_version], 2).await;
+    apply_staged_change(folder.path(), &fleet(discovery.address, &["q"]), &[FIRST_STAGE, 10_000], HOUR_MS);
     for proxy in &first {
         until("the first stage has it", || has(proxy, "q")).await;
     }
 
     // An incident strikes all alike: nobody's fault, and nothing halts.
     tokio::time::sleep(Duration::from_millis(2)).await; // what is reported is of the stage alone
-    has_not.report("p", 500, 500, 1);
-    has_it.report("p", 500, 500, 1);
+    without_version.report("p", 500, 500, 1);
+    with_version.report("p", 500, 500, 1);
     let both = |s: &Value, side: &str| s["loads"]["rollout"]["p"][side]["ended"] == 1000;
     status(&control, "both are counted", |s| both(s, "with") && both(s, "without")).await;
     tokio::time::sleep(Duration::from_millis(600)).await; // longer than a look
     assert!(control.status().await["rollout"]["halted"].is_null());
 
     // Where it is, they go on failing; elsewhere they do not.
-    has_it.report("p", 100, 9000, 1);
-    has_not.report("p", 90_000, 0, 1);
+    with_version.report("p", 100, 9000, 1);
+    without_version.report("p", 90_000, 0, 1);
     let shown = status(&control, "it halts", |s| s["rollout"]["halted"].is_string()).await;
-    let why = shown["rollout"]["halted"].as_str().unwrap_or_default();
-    assert!(why.contains("requests to pool p fail more often: 94.1% of 10100 with it"), "{why}");
+    let halt_reason = shown["rollout"]["halted"].as_str().unwrap_or_default();
+    assert!(
+        halt_reason.contains("requests to pool p fail more often: 94.1% of 10100 with it"),
+        "{halt_reason}"
+    );
     assert!(others.iter().all(|proxy| !has(proxy, "q")));
 
     // Somebody says to go on: what failed before no longer counts, what fails from then on does.
     assert_eq!(control.post("/rollout/resume").await, 202);
     status(&control, "it goes on", |s| s["rollout"]["halted"].is_null()).await;
     tokio::time::sleep(Duration::from_millis(2)).await;
-    has_not.report("p", 1000, 1, 1);
-    has_it.report("p", 1000, 900, 1);
+    without_version.report("p", 1000, 1, 1);
+    with_version.report("p", 1000, 900, 1);
     status(&control, "it halts again", |s| s["rollout"]["halted"].is_string()).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn reporters_are_bounded_and_impossible_reports_end_their_stream() {
+async fn load_report_streams_are_limited_and_end_on_invalid_reports() {
     let control = Control::start(BINARY, &static_fleet(&[(7001, "ready")]), "", false).await;
     let channel = connect(control.xds).await;
-    let mut liar = ScriptedLoad::open(channel.clone(), "liar").await;
-    liar.next().await.expect("it asks for reports");
-    liar.report("p", u64::MAX, 0, 100);
-    let ended = liar.next().await.expect_err("it ends");
+    let mut invalid_reporter = ScriptedLoad::open(channel.clone(), "liar").await;
+    invalid_reporter.next().await.expect("it asks for reports");
+    invalid_reporter.report("p", u64::MAX, 0, 100);
+    let ended = invalid_reporter.next().await.expect_err("it ends");
     assert_eq!(ended.code(), tonic::Code::InvalidArgument, "{ended}");
 
     let mut nameless = ScriptedLoad::open(channel.clone(), "").await;
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -19,7 +19,7 @@
 
 /// Hard case 5: a thousand changes a second.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_flapping_source_is_pushed_at_a_bounded_rate_and_its_last_state_arrives() {
+async fn a_flapping_source_is_pushed_at_a_limited_rate_and_its_last_state_arrives() {
     let at = |port: u16| ([127, 0, 0, 1], port).into();
     let discovery =
         Discovery::start((0..50u16).map(|n| target(&format!("e{n}"), at(7000 + n), "")).collect()).await;
@@ -51,7 +51,7 @@
 
 /// Hard case 6: a bad file leaves the old state serving, and says where it is wrong.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_bad_reload_changes_nothing_and_a_good_one_is_told() {
+async fn an_invalid_reload_changes_nothing_and_a_valid_one_is_published() {
     let good = static_fleet(&[(7001, "ready"), (7002, "ready")]);
     let control = Control::start(BINARY, &good, "", false).await;
     let proxies = [proxy(&control, "whole", false), proxy(&control, "incremental", true)];
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_pool_that_is_replaced_goes_only_after_its_routes() {
+async fn a_replaced_pool_is_removed_only_after_its_routes() {
     let fleet = static_fleet(&[(7001, "ready")]);
     let control = Control::start(BINARY, &fleet, "", false).await;
     let mut stream = Scripted::open(connect(control.xds).await).await;
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn resources_say_what_the_rules_want() {
+async fn resources_implement_the_rules() {
     let fleet = std::fs::read_to_string("../../examples/fleet.toml").expect("the example");
     let control = Control::start(BINARY, &fleet, "", false).await;
 
@@ -174,7 +174,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn cold_endpoints_have_a_part_of_their_weight_and_the_nearest_zone_comes_first() {
+async fn cold_endpoints_have_reduced_weight_and_the_nearest_zone_has_priority() {
     let now =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_millis();
     let at = |port: u16| ([127, 0, 0, 1], port).into();
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused_with_their_place() {
+fn invalid_settings_are_rejected_with_their_position() {
     let bad = [
         ("fleet = 1\nlisten = \"127.0.0.1:1\"", "control.toml:1:9"),
         ("listen = \"127.0.0.1:1\"", "one of the three"),
--- a/crates/control/tests/store.rs
+++ b/crates/control/tests/store.rs
@@ -13,7 +13,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_applied_plan_reaches_all_proxies_without_a_signal_and_again_after_a_kill() {
     let folder = Folder::new();
-    change(folder.path(), &static_fleet(&[(7001, "ready"), (7002, "ready")]));
+    apply_change(folder.path(), &static_fleet(&[(7001, "ready"), (7002, "ready")]));
     let mut control = Control::start_on_store(BINARY, folder.path(), "").await;
     let proxies = [proxy(&control, "whole", false), proxy(&control, "incremental", true)];
     for proxy in &proxies {
@@ -21,7 +21,7 @@
     }
     assert_eq!(serial(&control).await, 1);
     assert_eq!(
-        change(folder.path(), &static_fleet(&[(7001, "draining"), (7002, "ready"), (7003, "ready")])),
+        apply_change(folder.path(), &static_fleet(&[(7001, "draining"), (7002, "ready"), (7003, "ready")])),
         2
     );
     let wanted = |proxy: &runtrack_testkit::Proxy, ports: &[u16]| {
@@ -36,7 +36,7 @@
     }
     // Applied while the service is down: served from the start.
     control.kill();
-    change(folder.path(), &static_fleet(&[(7003, "ready")]));
+    apply_change(folder.path(), &static_fleet(&[(7003, "ready")]));
     control.launch().await;
     assert_eq!(serial(&control).await, 3);
     for proxy in &proxies {
@@ -45,14 +45,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_damaged_store_changes_nothing_and_says_so_until_it_is_whole_again() {
+async fn a_damaged_store_changes_nothing_and_is_reported_until_it_is_repaired() {
     let folder = Folder::new();
-    change(folder.path(), &static_fleet(&[(7001, "ready"), (7002, "ready")]));
+    apply_change(folder.path(), &static_fleet(&[(7001, "ready"), (7002, "ready")]));
     let control = Control::start_on_store(BINARY, folder.path(), "").await;
     let proxy = proxy(&control, "whole", false);
     until("the list", || proxy.with(|s| s.ready("p").len() == 2)).await;
 
-    change(folder.path(), &static_fleet(&[(7001, "ready"), (7002, "ready"), (7003, "ready")]));
+    apply_change(folder.path(), &static_fleet(&[(7001, "ready"), (7002, "ready"), (7003, "ready")]));
     until("the change", || proxy.with(|s| s.ready("p").len() == 3)).await;
     let head = folder.path().join("head");
     let good = std::fs::read(&head).expect("a head");
@@ -83,11 +83,11 @@
 
 /// The same status at the Unix socket, which is this user's alone, also where an earlier one was left behind.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_admin_socket_is_the_users_own_and_takes_the_place_of_an_old_one() {
+async fn the_admin_socket_is_private_and_replaces_an_old_one() {
     use std::os::unix::fs::PermissionsExt;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let (folder, sockets) = (Folder::new(), Folder::new());
-    change(folder.path(), &static_fleet(&[(7001, "ready")]));
+    apply_change(folder.path(), &static_fleet(&[(7001, "ready")]));
     let at = sockets.path().join("control.sock");
     let setting = format!("admin_socket = {:?}\n", at.display().to_string());
     let mut control = Control::start_on_store(BINARY, folder.path(), &setting).await;
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn settings_name_a_file_or_a_store_and_not_both() {
+fn settings_name_exactly_one_origin() {
     let folder = Folder::new();
     let check = |text: &str| {
         let path = folder.write("control.toml", text);
@@ -120,6 +120,6 @@
     }
     let (good, said) = check("store = \"nowhere\"\nlisten = \"127.0.0.1:1\"\n");
     assert!(!good && said.contains("runtrackctl --state") && said.contains("nowhere init"), "{said}");
-    change(&folder.path().join("s"), &static_fleet(&[(7001, "ready")]));
+    apply_change(&folder.path().join("s"), &static_fleet(&[(7001, "ready")]));
     assert!(check("store = \"s\"\nlisten = \"127.0.0.1:1\"\n").0);
 }
--- a/crates/control/tests/tls.rs
+++ b/crates/control/tests/tls.rs
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn only_proxies_with_a_certificate_of_the_authority_are_served() {
+async fn only_proxies_with_a_certificate_of_the_ca_are_served() {
     let (authority, stranger) = (Authority::new(), Authority::new());
     let folder = Folder::new();
     let (certificate, key) = authority.sign("localhost");
