--- a/crates/control/benches/drain.rs
+++ b/crates/control/benches/drain.rs
@@ -1,4 +1,4 @@
-//! The drain promise many times over: `cargo bench -p runtrack-control --bench drain [-- ROUNDS]`.
+//! Repeats the test of drains across a kill and an outage: `cargo bench -p runtrack-control --bench drain [-- ROUNDS]`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/crates/control/benches/fanout.rs
+++ b/crates/control/benches/fanout.rs
@@ -1,8 +1,8 @@
-//! What one change costs: `cargo bench -p runtrack-control --bench fanout [-- MOST_PROXIES [POOL]]`.
+//! Cost of one change: `cargo bench -p runtrack-control --bench fanout [-- MAX_PROXIES [POOL]]`.
 //!
-//! The control service is a process of its own; the stand-in proxies share one with this program, on the same
-//! cores, so that times hold their decoding too. A change is an endpoint that drains; its time runs until the
-//! last proxy has taken and acknowledged it.
+//! The control service runs in its own process; the simulated proxies run in this one, on the same cores, so that times
+//! include their decoding. A change is the drain of an endpoint; its time ends when the last proxy has applied and
+//! acknowledged it.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/crates/control/benches/stages.rs
+++ b/crates/control/benches/stages.rs
@@ -1,8 +1,8 @@
-//! How long a version in stages takes: `cargo bench -p runtrack-control --bench stages [-- MOST_PROXIES]`.
+//! Duration of a staged roll-out: `cargo bench -p runtrack-control --bench stages [-- MAX_PROXIES]`.
 //!
-//! From the commit of a plan in three stages (10%, 50%, all, no pause) to the end of the roll-out, against the same
-//! change handed out at once, in one run; and the cost of the proxies' load reports, by a burst of them. Stand-in
-//! proxies share the cores with the service. The service looks at its store and at the roll-out twice a second, so
+//! Measures the time from the commit of a plan with three stages (10%, 50%, all, no pause) to the end of the roll-out,
+//! compared with the same change without stages, in one run; and the cost of load reports, with a burst of them. The
+//! simulated proxies share the cores with the service. The service checks its store and the roll-out twice a second, so
 //! that a stage takes at least half a second.
 
 #[path = "../tests/common/mod.rs"]
@@ -56,7 +56,7 @@
         for (times, stages) in [(&mut at_once, &[][..]), (&mut staged, &[1000, 5000, 10_000][..])] {
             apply_change(folder.path(), &fleet(&discovery, 0));
             until("the way back", async || proxies.iter().all(|proxy| !has(proxy, "q0"))).await;
-            // Not in step with the service's looks.
+            // Varies the phase relative to the service's checks.
             tokio::time::sleep(Duration::from_millis(700 + 61 * round as u64)).await;
             let began = Instant::now();
             let serial = apply_staged_change(folder.path(), &fleet(&discovery, 1), stages, 0);
--- a/crates/control/src/desired.rs
+++ b/crates/control/src/desired.rs
@@ -21,7 +21,7 @@
     #[error("{}: {}", .0.display(), .1)]
     Store(PathBuf, StoreError),
     /// The store's current version is not a valid fleet.
-    #[error("{}: serial {} is no fleet: {}", .0.display(), .1, .2)]
+    #[error("{}: serial {} is not a valid fleet: {}", .0.display(), .1, .2)]
     InvalidFleet(PathBuf, u64, String),
 }
 
--- a/crates/control/src/error_rate.rs
+++ b/crates/control/src/error_rate.rs
@@ -93,11 +93,7 @@
     #[test]
     fn errors_in_both_groups_or_before_the_stage_do_not_halt() {
         assert_eq!(check(tally(500, 60), tally(5000, 600), tally(9000, 0)), None, "an incident everywhere");
-        assert_eq!(
-            check(tally(500, 60), tally(5000, 0), tally(9000, 1080)),
-            None,
-            "it was like that before"
-        );
+        assert_eq!(check(tally(500, 60), tally(5000, 0), tally(9000, 1080)), None, "no worse than before");
     }
 
     #[test]
--- a/crates/control/src/fleet_state.rs
+++ b/crates/control/src/fleet_state.rs
@@ -100,12 +100,12 @@
     }
 
     /// Replaces a pool's list by the one that the cluster has committed.
-    pub fn set_agreed(&mut self, now: Duration, pool: &str, list: List) {
+    pub fn set_committed_list(&mut self, now: Duration, pool: &str, list: List) {
         let followed = |pool: &Pool| matches!(pool.source, Source::Platform(_));
         if !self.fleet.pools.get(pool).is_some_and(followed) {
             return;
         }
-        if self.pools.get_mut(pool).is_some_and(|members| members.set_agreed(now, list)) {
+        if self.pools.get_mut(pool).is_some_and(|members| members.set_committed_list(now, list)) {
             self.dirty.insert(pool.to_owned());
         }
     }
--- a/crates/control/src/persistence.rs
+++ b/crates/control/src/persistence.rs
@@ -42,7 +42,7 @@
     let path = folder.join(EPOCH_FILE);
     let last = match std::fs::read_to_string(&path) {
         Ok(text) => {
-            let problem = || format!("{}: `{}` is no number", path.display(), text.trim());
+            let problem = || format!("{}: `{}` is not a number", path.display(), text.trim());
             text.trim().parse::<u64>().map_err(|_| io::Error::new(io::ErrorKind::InvalidData, problem()))?
         }
         Err(e) if e.kind() == io::ErrorKind::NotFound => 0,
@@ -312,6 +312,6 @@
         assert_eq!(next_epoch(folder.path()).expect("written"), far + 2);
         std::fs::write(folder.path().join(EPOCH_FILE), "12x").expect("written");
         let problem = next_epoch(folder.path()).expect_err("no number").to_string();
-        assert!(problem.contains("epoch: `12x` is no number"), "{problem}");
+        assert!(problem.contains("epoch: `12x` is not a number"), "{problem}");
     }
 }
--- a/crates/control/src/pool.rs
+++ b/crates/control/src/pool.rs
@@ -109,7 +109,7 @@
     }
 
     /// Replaces the list by the one that the cluster has committed; returns whether endpoints may have changed.
-    pub fn set_agreed(&mut self, now: Duration, list: List) -> bool {
+    pub fn set_committed_list(&mut self, now: Duration, list: List) -> bool {
         (self.stale, self.unconfirmed) = (None, None);
         self.apply(now, List { all: true, ..list })
     }
@@ -176,14 +176,17 @@
         }
         if list.rev < self.rev {
             return Some(format!(
-                "the source's list {} is older than list {}: believed later",
+                "the source's list {} is older than list {}: accepted after the hold time",
                 list.rev, self.rev
             ));
         }
         let listed: BTreeSet<&str> = list.targets.iter().map(|t| t.uid.as_str()).collect();
         let lost = self.targets.keys().filter(|uid| !listed.contains(uid.as_str())).count();
         (lost as f64 > self.panic_threshold * self.targets.len() as f64).then(|| {
-            format!("the source's list lacks {lost} of {} endpoints: believed later", self.targets.len())
+            format!(
+                "the source's list lacks {lost} of {} endpoints: accepted after the hold time",
+                self.targets.len()
+            )
         })
     }
 
@@ -415,7 +418,7 @@
         let later = NOW + Duration::from_secs(6);
         assert!(
             !members.handle_update(later, full_list(12, Vec::new())),
-            "said again, it has stood since the first time"
+            "the hold time counts from the first such list"
         );
         assert!(!members.tick(NOW + Duration::from_millis(9999)));
         assert!(members.tick(NOW + Duration::from_secs(10)));
@@ -451,7 +454,7 @@
         members.handle_update(NOW, full_list(3, vec![up("a"), draining("b"), up("c")]));
         assert_eq!(names(&mut members, NOW), (vec!["c".to_owned()], 3));
         assert!(members.stale().is_some_and(|stale| stale.why.contains("older than list 10")));
-        // A server that was set back for good is believed in the end.
+        // A server that was reset permanently is accepted after the hold time.
         members.tick(NOW + Duration::from_secs(10));
         assert_eq!(names(&mut members, NOW).0, ["a", "c"]);
     }
--- a/crates/control/src/replicated.rs
+++ b/crates/control/src/replicated.rs
@@ -104,7 +104,7 @@
     target.boot_ms.max(0.0) as u64
 }
 
-fn to_agreed_endpoint(target: &Target) -> command::Endpoint {
+fn to_committed_endpoint(target: &Target) -> command::Endpoint {
     // The drain is a separate field, since it may be committed without a new list.
     let up = Target { state: State::Up, ..target.clone() };
     command::Endpoint {
@@ -129,30 +129,30 @@
     name: &str,
     local: &List,
     numbering_restarted: bool,
-    agreed: Option<&state::Pool>,
+    committed: Option<&state::Pool>,
 ) -> Option<command::PoolUpdate> {
     let nothing = state::Pool::default();
-    let known = agreed.unwrap_or(&nothing);
-    if local.rev < known.rev && !numbering_restarted {
+    let committed_pool = committed.unwrap_or(&nothing);
+    if local.rev < committed_pool.rev && !numbering_restarted {
         return None; // the committed list is newer
     }
     let mut endpoints: BTreeMap<String, Option<command::Endpoint>> = BTreeMap::new();
     let uids: BTreeSet<&str> = local.targets.iter().map(|target| target.uid.as_str()).collect();
     for target in local.targets.iter().filter(|target| target.state != State::Removed) {
-        let endpoint = to_agreed_endpoint(target);
-        let old = known.endpoints.get(&target.uid);
+        let endpoint = to_committed_endpoint(target);
+        let old = committed_pool.endpoints.get(&target.uid);
         let reverts_drain =
             old.is_some_and(|old| old.draining && old.boot_ms >= endpoint.boot_ms) && !endpoint.draining;
-        let drained_at_rev = known.drained_at.get(&target.uid).copied().unwrap_or_default();
+        let drained_at_rev = committed_pool.drained_at.get(&target.uid).copied().unwrap_or_default();
         if old != Some(&endpoint) && !(reverts_drain && local.rev <= drained_at_rev && !numbering_restarted)
         {
             endpoints.insert(target.uid.clone(), Some(endpoint));
         }
     }
-    for uid in known.endpoints.keys().filter(|uid| !uids.contains(uid.as_str())) {
+    for uid in committed_pool.endpoints.keys().filter(|uid| !uids.contains(uid.as_str())) {
         endpoints.insert(uid.clone(), None);
     }
-    (agreed.is_none() || !endpoints.is_empty()).then(|| command::PoolUpdate {
+    (committed.is_none() || !endpoints.is_empty()).then(|| command::PoolUpdate {
         pool: name.to_owned(),
         rev: local.rev,
         whole: false,
@@ -220,10 +220,11 @@
     fn propose_list(&mut self, pool: &str) {
         let Some((local, numbering_restarted)) = self.local.source_list(pool) else { return };
         let view = self.handle.view();
-        let agreed = view.state.as_ref().and_then(|state| state.pools.get(pool)).map(Arc::as_ref);
+        let committed = view.state.as_ref().and_then(|state| state.pools.get(pool)).map(Arc::as_ref);
         for target in local.targets.iter().filter(|target| target.state == State::Draining) {
-            let known = agreed.and_then(|agreed| agreed.endpoints.get(&target.uid));
-            if known.is_some_and(|known| known.draining || known.boot_ms > boot_ms_of(target)) {
+            let committed_endpoint = committed.and_then(|committed| committed.endpoints.get(&target.uid));
+            if committed_endpoint.is_some_and(|known| known.draining || known.boot_ms > boot_ms_of(target))
+            {
                 continue;
             }
             let (pool, uid) = (pool.to_owned(), target.uid.clone());
@@ -237,7 +238,7 @@
             self.drains.entry((pool, uid)).or_insert(drain);
         }
         let now = Instant::now();
-        let Some(listed) = list_update(pool, &local, numbering_restarted, agreed) else {
+        let Some(listed) = list_update(pool, &local, numbering_restarted, committed) else {
             self.divergences.remove(pool);
             return self.propose_drains(&view);
         };
@@ -251,10 +252,10 @@
     }
 
     fn propose_drains(&mut self, view: &View) {
-        let (now, known) = (Instant::now(), view.state.as_ref());
+        let (now, committed_state) = (Instant::now(), view.state.as_ref());
         for ((pool, uid), drain) in &mut self.drains {
             // An endpoint that is not committed yet is proposed with its pool's list.
-            let is_known = known
+            let is_known = committed_state
                 .and_then(|state| state.pools.get(pool))
                 .is_some_and(|p| p.endpoints.contains_key(uid));
             if is_known && drain.proposed.is_none_or(|at| now >= at + RETRY_INTERVAL) {
@@ -271,16 +272,16 @@
         let Some(state) = &self.served else { return };
         let local = &self.local;
         self.drains.retain(|(pool, uid), drain| {
-            let Some(agreed) = state.pools.get(pool) else { return true };
+            let Some(committed) = state.pools.get(pool) else { return true };
             let up_here = || {
                 let (list, _) = local.source_list(pool)?;
                 let target = list.targets.iter().find(|target| target.uid == *uid)?;
                 Some(target.state == State::Up)
             };
-            match agreed.endpoints.get(uid) {
+            match committed.endpoints.get(uid) {
                 Some(endpoint) if endpoint.draining || endpoint.boot_ms > drain.boot_ms => false,
-                Some(_) => agreed.rev <= drain.rev || up_here() != Some(true),
-                None => agreed.rev <= drain.rev,
+                Some(_) => committed.rev <= drain.rev || up_here() != Some(true),
+                None => committed.rev <= drain.rev,
             }
         });
     }
@@ -294,16 +295,16 @@
         let drains: Vec<&PendingDrain> = self.drains.values().collect();
         let text = serde_json::to_string(&drains).unwrap_or_default(); // fails only for maps with non-string keys
         let done = replace_file(&self.folder, DRAINS_FILE, &seal::seal(DRAINS_MAGIC, DRAINS_FORMAT, &text));
-        let what = |e| format!("{e}: a restart now would not know of the last drains");
-        self.shared.set_trouble("drains", done.err().map(what));
+        let error_message = |e| format!("{e}: the last drains would be lost on a restart");
+        self.shared.set_trouble("drains", done.err().map(error_message));
         self.saved_drains = names;
     }
 
     fn update_held_back(&mut self) {
         self.save_drains();
         let mut held: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
-        let agreed = self.served.iter().flat_map(|state| state.held.iter().cloned());
-        for (pool, uid) in agreed.chain(self.drains.keys().cloned()) {
+        let committed = self.served.iter().flat_map(|state| state.held.iter().cloned());
+        for (pool, uid) in committed.chain(self.drains.keys().cloned()) {
             held.entry(pool).or_default().insert(uid);
         }
         self.serving.for_each_state(|fleet_state| fleet_state.set_held_back(&held));
@@ -400,7 +401,7 @@
         }
         let version = state.current().cloned();
         with_lock(&self.shared.version, |shown| *shown = version);
-        eprintln!("agreed: serial {}, index {}", state.serial(), state.served);
+        eprintln!("committed: serial {}, index {}", state.serial(), state.served);
     }
 
     fn apply_lists(&mut self, state: &Agreed, before: Option<&Agreed>, all: bool) {
@@ -411,13 +412,14 @@
                 continue;
             }
             let list = to_list(pool);
-            self.serving.for_each_state(|fleet_state| fleet_state.set_agreed(now, name, list.clone()));
+            self.serving
+                .for_each_state(|fleet_state| fleet_state.set_committed_list(now, name, list.clone()));
         }
     }
 
     /// Serves the new version to the committed share of proxies.
     fn apply_stage(&mut self, state: &Agreed) {
-        let Some((agreed, version)) = state.rollout.as_ref().zip(state.current()) else {
+        let Some((committed, version)) = state.rollout.as_ref().zip(state.current()) else {
             self.shared.set_trouble("rollout", None);
             if self.serving.is_split() {
                 self.serving.finish_rollout();
@@ -426,11 +428,11 @@
             return;
         };
         let progress = Progress {
-            serial: agreed.serial,
+            serial: committed.serial,
             hash: version.hash.clone(),
-            from: agreed.from,
-            stage: agreed.stage,
-            halted: agreed.halted.clone(),
+            from: committed.from,
+            stage: committed.stage,
+            halted: committed.halted.clone(),
         };
         let previous =
             with_lock(&self.shared.rollout, |shown| shown.as_ref().map(|shown| shown.progress().clone()));
@@ -438,12 +440,12 @@
             return;
         }
         self.stage_since = self.shared.hub.now();
-        let what = progress.halted.as_ref().map(|why| halt_message(progress.serial, why));
-        self.shared.set_trouble("rollout", what);
+        let error_message = progress.halted.as_ref().map(|why| halt_message(progress.serial, why));
+        self.shared.set_trouble("rollout", error_message);
         let pause = Duration::from_millis(version.pause_ms);
         let rollout = Rollout::new(progress, &version.stages, pause, self.stage_since);
         self.shared.hub.set_share(rollout.share());
-        eprintln!("serial {}: {} of 10000 nodes", agreed.serial, rollout.share());
+        eprintln!("serial {}: {} of 10000 nodes", committed.serial, rollout.share());
         with_lock(&self.shared.rollout, |shown| *shown = Some(rollout));
     }
 
@@ -489,8 +491,7 @@
 
     fn collect_cohorts(&self, view: &View, progress: &Progress, mut all: Cohort) -> Cohort {
         let notes = self.handle.notes(COHORT_NOTE, COHORT_MAX_AGE);
-        let connected =
-            view.status.iter().flat_map(|standing| &standing.peers).filter(|(_, peer)| peer.heard);
+        let connected = view.status.iter().flat_map(|status| &status.peers).filter(|(_, peer)| peer.heard);
         for (member, _) in connected {
             let note = notes.get(member).and_then(|text| serde_json::from_str::<CohortNote>(text).ok());
             let note = note.filter(|note| {
@@ -512,13 +513,13 @@
     /// Promotes a learner that has caught up to a voter.
     fn promote_learner(&mut self, view: &View) {
         let Some(state) = view.state.as_ref().filter(|_| view.is_leader()) else { return };
-        let (now, standing) = (Instant::now(), view.status.as_ref());
+        let (now, status) = (Instant::now(), view.status.as_ref());
         if self.last_promotion.is_some_and(|at| now < at + RETRY_INTERVAL) {
             return;
         }
         let ready = state.members.iter().find(|(id, member)| {
-            let caught_up = standing
-                .and_then(|standing| standing.peers.get(id))
+            let caught_up = status
+                .and_then(|status| status.peers.get(id))
                 .is_some_and(|peer| peer.heard && !peer.snapshot);
             !member.voter && member.folder.is_some() && caught_up
         });
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -224,9 +224,9 @@
 
     #[test]
     fn a_rollout_resumes_from_its_progress() {
-        let was = Progress { stage: 1, halted: Some("why".to_owned()), ..Progress::new(7, "h", 6) };
-        let same = Rollout::new(was.clone(), &[1000, 5000, 10_000], at(10), at(0));
-        assert_eq!((same.share(), same.progress()), (5000, &was));
-        assert!(was.matches(7, "h") && !was.matches(7, "g") && !was.matches(8, "h"));
+        let saved = Progress { stage: 1, halted: Some("why".to_owned()), ..Progress::new(7, "h", 6) };
+        let resumed = Rollout::new(saved.clone(), &[1000, 5000, 10_000], at(10), at(0));
+        assert_eq!((resumed.share(), resumed.progress()), (5000, &saved));
+        assert!(saved.matches(7, "h") && !saved.matches(7, "g") && !saved.matches(8, "h"));
     }
 }
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -76,7 +76,7 @@
         None => single_instance(&settings)?,
     };
     let (hub, clock) = (shared.hub.clone(), shared.clock);
-    let mut agreed = shared.cluster.as_ref().map(Handle::watch);
+    let mut state_changes = shared.cluster.as_ref().map(Handle::watch);
     let listener = TcpListener::bind(settings.listen).await;
     let listener = listener.map_err(system(format!("listen: {}", settings.listen)))?;
     // The Unix socket is bound before the service answers on TCP, so that clients find both.
@@ -138,7 +138,7 @@
                     let _ = source_sender.send(state_source.sources());
                 }
             }
-            () = agreed_change(&mut agreed) => {} // applied with the next push
+            () = state_change(&mut state_changes) => {} // applied with the next push
             () = shared.resume.notified() => state_source.resume(),
             _ = sighup.recv() => {
                 state_source.reload();
@@ -160,12 +160,12 @@
 }
 
 /// Waits until the committed state changes; never returns for a single instance.
-async fn agreed_change(agreed: &mut Option<watch::Receiver<Arc<View>>>) {
-    let heard = match agreed {
-        Some(agreed) => agreed.changed().await.is_ok(),
+async fn state_change(state_changes: &mut Option<watch::Receiver<Arc<View>>>) {
+    let changed = match state_changes {
+        Some(state_changes) => state_changes.changed().await.is_ok(),
         None => false,
     };
-    if !heard {
+    if !changed {
         std::future::pending().await
     }
 }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -197,7 +197,9 @@
                 )));
             }
             if settings.tls.as_ref().is_some_and(|tls| tls.client_ca.is_none()) {
-                return Err(invalid(" tls: members know each other by `client_ca`: add it".to_owned()));
+                return Err(invalid(
+                    " tls: members authenticate each other by `client_ca`: add it".to_owned(),
+                ));
             }
         }
         settings.admin_socket = settings.admin_socket.map(|socket| folder.join(socket));
@@ -214,7 +216,7 @@
             )));
         }
         if let Some(admin) = settings.admin.filter(|admin| !admin.ip().is_loopback()) {
-            return Err(invalid(format!(" admin: {admin} is not loopback; it asks nobody who they are")));
+            return Err(invalid(format!(" admin: {admin} is not loopback; it has no authentication")));
         }
         let limits_valid = settings.limits.requests_per_s >= 1.0 && settings.limits.push_every_ms <= 1000;
         if !limits_valid {
--- a/crates/control/src/single_instance.rs
+++ b/crates/control/src/single_instance.rs
@@ -94,9 +94,9 @@
 
     /// Commits changes to disk, then publishes them, so that a restart knows all that proxies have got. Publishes also
     /// if the disk fails: drains must not be delayed.
-    pub fn publish(&mut self, whole: bool) {
+    pub fn publish(&mut self, full: bool) {
         let (shared, journal) = (&self.shared, &mut self.journal);
-        self.serving.publish(whole, |lists| {
+        self.serving.publish(full, |lists| {
             let Some(journal) = journal.as_mut().filter(|_| !lists.is_empty()) else { return };
             let mut done = journal.commit(lists);
             if journal.needs_rewrite() {
@@ -104,7 +104,7 @@
                     fleet_state.lists()
                 }));
             }
-            let describe = |e| format!("{e}: a restart now would not know of the last changes");
+            let describe = |e| format!("{e}: the last changes would be lost on a restart");
             shared.set_trouble("state", done.err().map(describe));
         });
     }
@@ -131,7 +131,7 @@
         let desired = match self.origin.read() {
             Ok(desired) => desired,
             Err(problem) => {
-                self.shared.set_trouble("reload", Some(format!("{problem}\nthe old state goes on")));
+                self.shared.set_trouble("reload", Some(format!("{problem}\nkeeping the old state")));
                 return false;
             }
         };
@@ -144,7 +144,7 @@
         }
         if self.serving.is_split() && staged {
             self.queued_serial = serial;
-            let reason = "waits for the roll-out under way: resume that, or abort it";
+            let reason = "waits for the current roll-out: resume or abort it";
             self.shared
                 .set_trouble("reload", Some(format!("serial {}: {reason}", serial.unwrap_or_default())));
             return false;
@@ -238,7 +238,7 @@
     fn save_progress(&self, rollout: &Rollout) {
         if let Some(file) = &self.progress {
             let done = file.write(rollout.progress());
-            let describe = |e| format!("{e}: a restart now would begin the roll-out anew");
+            let describe = |e| format!("{e}: a restart would begin the roll-out again");
             self.shared.set_trouble("rollout state", done.err().map(describe));
         }
     }
--- a/crates/control/tests/common/drain_round.rs
+++ b/crates/control/tests/common/drain_round.rs
@@ -1,14 +1,15 @@
-//! One round of the drain promise across a kill and an outage.
+//! One round of a drain across a kill of the service and an outage of discovery.
 
 use crate::common::{platform_fleet, proxy};
 use runtrack_testkit::{Control, Discovery, Endpoint, target, until};
 use std::time::{Duration, Instant};
 
-/// Nothing new later than this after the service learned of a drain.
+/// Time after the service has learned of a drain in which proxies must stop sending new requests.
 const GRACE_PERIOD: Duration = Duration::from_secs(2);
 
-/// Hard case 3, one round: two proxies send without pause while an endpoint drains, the control service is
-/// killed and started again, and discovery is down. Gives the requests that came after the grace.
+/// Plays one round: two proxies send without pause while an endpoint drains, the control service is
+/// killed and restarted, and discovery is down. Returns the number of requests to the draining endpoint after the grace
+/// period.
 pub async fn run_round(binary: &str, seed: u64) -> usize {
     let mut endpoints = Vec::new();
     for _ in 0..4 {
@@ -25,7 +26,7 @@
     }
     until("requests reach all", || endpoints.iter().all(|e| !e.arrivals().is_empty())).await;
 
-    // The drain is told; then, at a moment that the seed gives, both the service and discovery go.
+    // The endpoint drains; then, after delays derived from the seed, discovery and the service go down.
     let drained = &endpoints[(seed % 4) as usize];
     discovery.drain(names[(seed % 4) as usize]);
     let drained_at = loop {
@@ -40,7 +41,7 @@
     control.kill();
     tokio::time::sleep(Duration::from_millis(seed * 53 % 200)).await;
     control.launch().await;
-    // New proxies learn of it from the restarted service alone.
+    // A new proxy can learn of the drain only from the restarted service.
     let mut late = proxy(&control, "late", seed.is_multiple_of(2));
     until("a new proxy knows the rest", || late.with(|s| s.ready("p").len() == 3)).await;
     late.send_without_pause("p", 2);
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the control service's tests share.
+//! Helpers for the tests and benches of the control service.
 #![allow(dead_code)]
 
 use runtrack_model::Fleet;
@@ -12,7 +12,7 @@
 
 pub const BINARY: &str = env!("CARGO_BIN_EXE_runtrack-control");
 
-/// A fleet with static endpoints in pool `p`, each on a port and with a state.
+/// A fleet with static endpoints in pool `p`, given by port and state.
 pub fn static_fleet(endpoints: &[(u16, &str)]) -> String {
     let mut text = platform_fleet(([127, 0, 0, 1], 1).into(), "");
     let list: String = endpoints
@@ -33,12 +33,12 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
 
-/// Applies what is wanted, with all risks accepted; gives the serial.
+/// Applies a plan for the wanted fleet with all risks accepted; returns the new serial.
 pub fn apply_change(folder: &Path, wanted: &str) -> u64 {
     apply_staged_change(folder, wanted, &[], 0)
 }
 
-/// The same, handed out in stages.
+/// Like [`apply_change`], with a staged roll-out.
 pub fn apply_staged_change(folder: &Path, wanted: &str, stages: &[u32], pause_ms: u64) -> u64 {
     let wanted = Fleet::read(wanted).unwrap_or_else(|problems| panic!("{problems}"));
     let mut store = Store::open_or_create(Files::new(folder).expect("a folder"), "l").expect("a store");
--- a/crates/control/tests/drains.rs
+++ b/crates/control/tests/drains.rs
@@ -1,4 +1,5 @@
-//! The drain promise: also while updates are half acknowledged, across restarts and outages of discovery.
+//! No request reaches a draining endpoint after the grace period: while updates are partly acknowledged, across
+//! restarts, and during outages of discovery.
 
 mod common;
 #[path = "common/drain_round.rs"]
@@ -9,7 +10,7 @@
 use runtrack_testkit::{Control, Discovery, Folder, Scripted, connect, request, target, until, url};
 use std::time::{Duration, Instant};
 
-/// Nothing new later than this after the service learned of a drain.
+/// Time after the service has learned of a drain in which proxies must stop sending new requests.
 const GRACE_PERIOD: Duration = Duration::from_secs(2);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -19,7 +20,7 @@
     }
 }
 
-/// The endpoints that a response on EDS says may be sent to.
+/// The number of healthy endpoints in an EDS response.
 fn healthy(response: &envoy_types::pb::envoy::service::discovery::v3::DiscoveryResponse) -> usize {
     use envoy_types::pb::envoy::config::core::v3::HealthStatus;
     use envoy_types::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
@@ -29,7 +30,7 @@
     all.filter(|e| e.health_status == HealthStatus::Healthy as i32).count()
 }
 
-/// Hard case 2, over loopback.
+/// A drain must not wait for the acknowledgement of earlier updates.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_drain_is_published_while_an_update_is_partly_acknowledged() {
     let at = |port: u16| ([127, 0, 0, 1], port).into();
@@ -42,11 +43,11 @@
     let endpoints = stream.next().await.expect("endpoints");
     assert_eq!((endpoints.type_url.as_str(), healthy(&endpoints)), (url("eds"), 2));
     stream.ack(&clusters, &[]);
-    // CDS is acknowledged, EDS is not.
+    // CDS is acknowledged, EDS is not yet.
     discovery.drain("a");
     let drained = stream.next().await.expect("the drain");
     assert_eq!((drained.type_url.as_str(), healthy(&drained)), (url("eds"), 1));
-    // The first is rejected, the second one drains.
+    // The first EDS response is rejected, then the second endpoint drains.
     stream.nack(&endpoints, "", &["p"], "cannot");
     discovery.drain("b");
     loop {
@@ -75,7 +76,7 @@
     assert!(status["pools"]["p"]["stale"].is_object(), "{status}");
     let after = proxy(&control, "after", false);
     until("the last list stands", || after.with(|s| s.ready("p").len() == 1)).await;
-    // What changed meanwhile is there once discovery is back.
+    // Changes during the outage arrive once discovery is back.
     discovery.drain("b");
     discovery.come_back().await;
     until("no gap", || after.with(|s| s.endpoints["p"].len() == 2 && s.ready("p").is_empty())).await;
@@ -98,7 +99,7 @@
         let streams = proxy.with(|s| s.streams);
         until("a new stream", || proxy.with(|s| s.streams > streams || s.streams > 1)).await;
     }
-    // Something known is pushed after the reconnection; the pool, not known yet, is left alone.
+    // The reload pushes known resources after the reconnection; the unknown pool must not be pushed as empty.
     control.reload(&platform_fleet(discovery.address, "").replace("\"1s\"", "\"900ms\""));
     for proxy in &proxies {
         until("the reload", || proxy.with(|s| s.last.is_some_and(|at| at.elapsed() < GRACE_PERIOD))).await;
@@ -124,7 +125,7 @@
     assert_eq!(proxy.with(|s| s.endpoints["p"].len()), 4, "the others stand");
     let stale = control.status().await["pools"]["p"]["stale"]["why"].clone();
     assert!(stale.as_str().is_some_and(|why| why.contains("lacks 3 of 4")), "{stale}");
-    // It still stands after the hold: it is believed.
+    // The list persists for the hold time: it is accepted.
     until("believed", || proxy.with(|s| s.endpoints["p"].len() == 1)).await;
     assert!(published_at.elapsed() >= Duration::from_millis(1500));
 }
--- a/crates/control/tests/misbehaving_proxies.rs
+++ b/crates/control/tests/misbehaving_proxies.rs
@@ -1,5 +1,5 @@
-//! Hard case 4: proxies that are slow, broken or hostile. Others see no delay, memory stays bounded, and each is
-//! told clearly what is wrong.
+//! Slow, broken and malicious proxies. Other proxies see no delay, memory stays bounded, and each
+//! misbehaving one gets a clear error.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tonic::Code;
 
-/// Endpoints of the pool: each push is some 60 KB.
+/// Number of endpoints in the pool; a push of them is about 60 KB.
 const ENDPOINTS: u16 = 1000;
 
 fn address(n: u16) -> std::net::SocketAddr {
@@ -26,7 +26,7 @@
     (discovery, control)
 }
 
-/// A relay to the service that passes a byte a second back.
+/// A relay to the service that passes responses at one byte per second.
 async fn trickle(to: std::net::SocketAddr) -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("bound");
@@ -38,7 +38,7 @@
             tokio::spawn(async move { tokio::io::copy(&mut near_read, &mut far_write).await });
             tokio::spawn(async move {
                 let mut byte = [0; 1];
-                // The handshake passes at once; what comes then, slowly.
+                // The handshake passes at full speed.
                 let mut passed = 0;
                 while far_read.read_exact(&mut byte).await.is_ok()
                     && near_write.write_all(&byte).await.is_ok()
@@ -60,7 +60,7 @@
     let healthy = proxy(&control, "good", true);
     until("the list", || healthy.with(|s| s.ready("p").len() == usize::from(ENDPOINTS))).await;
 
-    // Ten that never read, in both variants.
+    // Ten streams that never read, five of each xDS variant.
     let mut unresponsive = Vec::new();
     for n in 0..5 {
         let whole = Scripted::open(connect(control.xds).await).await;
@@ -69,11 +69,11 @@
         delta.send(delta_request(&format!("mute{n}"), "eds", &["p"]));
         unresponsive.push((whole, delta));
     }
-    // One that reads a byte a second.
+    // One stream that reads a byte per second.
     let slow = connect(trickle(control.xds).await).await;
     let slow = Scripted::open(slow).await;
     slow.send(request("slow", "eds", &["p"]));
-    // One that rejects everything.
+    // One stream that rejects every response.
     let mut rejecting = ScriptedDelta::open(connect(control.xds).await).await;
     rejecting.send(delta_request("angry", "eds", &["p"]));
     let rejecting = tokio::spawn(async move {
@@ -107,7 +107,7 @@
     assert_eq!(of("good")["types"][0]["rejected"], serde_json::Value::Null);
     rejecting.abort();
 
-    // The same over CSDS, for one node.
+    // The same status over CSDS, for one node.
     use envoy_types::pb::envoy::service::status::v3 as csds;
     use envoy_types::pb::envoy::r#type::matcher::v3::{
         NodeMatcher, StringMatcher, string_matcher::MatchPattern,
@@ -125,7 +125,7 @@
     let channel = connect(control.xds).await;
     let mut client =
         csds::client_status_discovery_service_client::ClientStatusDiscoveryServiceClient::new(channel);
-    // It has taken the last change; its word that it has may still be on the way.
+    // The proxy has applied the last change, but its acknowledgement may still be in flight.
     let end = Instant::now() + runtrack_testkit::PATIENCE;
     loop {
         let healthy = client.fetch_client_status(of("good")).await.expect("served").into_inner();
@@ -154,7 +154,7 @@
     let healthy = proxy(&control, "good", false);
     until("the list", || healthy.with(|s| s.ready("p").len() == usize::from(ENDPOINTS))).await;
 
-    // 100,000 names.
+    // A subscription to 100,000 names.
     let mut over_subscribed = ScriptedDelta::open(connect(control.xds).await).await;
     let names: Vec<String> = (0..100_000).map(|n| format!("name-{n}")).collect();
     over_subscribed.send(delta_request(
@@ -166,7 +166,7 @@
     assert_eq!(refused.code(), Code::ResourceExhausted);
     assert!(refused.message().contains("20000 names"), "{refused}");
 
-    // A type that nobody serves, and a node without a name.
+    // An unknown resource type, and a node without an id.
     let mut unknown_type = Scripted::open(connect(control.xds).await).await;
     let mut nothing = request("odd", "eds", &["p"]);
     nothing.type_url = "type.googleapis.com/nothing".to_owned();
@@ -180,14 +180,14 @@
     nameless.send(request("", "eds", &["p"]));
     assert!(nameless.next().await.expect_err("nameless").message().contains("node.id"));
 
-    // Garbage on the socket.
+    // Bytes that are not HTTP/2.
     let mut garbage = TcpStream::connect(control.xds).await.expect("up");
     garbage.write_all(&[0x5a; 4096]).await.expect("taken");
     let mut rest = Vec::new();
     let ended = tokio::time::timeout(runtrack_testkit::PATIENCE, garbage.read_to_end(&mut rest)).await;
     assert!(ended.is_ok(), "it is closed");
 
-    // A thousand streams of one node.
+    // 1008 streams of one node.
     let (mut streams, mut refused) = (Vec::new(), 0);
     for _ in 0..63 {
         let channel = connect(control.xds).await;
@@ -205,7 +205,7 @@
     }
     assert_eq!((streams.len(), streams.len() - refused), (1008, 12));
 
-    // One that asks without pause.
+    // A client that sends requests without pause.
     let mut flooding = Scripted::open(connect(control.xds).await).await;
     for n in 0..20_000 {
         flooding.send(request("hasty", "eds", &[if n % 2 == 0 { "p" } else { "q" }]));
@@ -233,12 +233,12 @@
     let mut first = Scripted::open(connect(control.xds).await).await;
     first.send(request("first", "cds", &[]));
     first.next().await.expect("clusters");
-    // Strangers that say nothing: four places are taken, by the first proxy and three of them.
+    // Clients that connect and send nothing: with the first proxy, three of them fill the four connections allowed.
     let mut strangers = Vec::new();
     let mut closed = 0;
     for _ in 0..20 {
         let mut stranger = TcpStream::connect(control.xds).await.expect("the system accepts");
-        // The service's side of HTTP/2 begins with its settings; one that is turned away reads the end, or a reset.
+        // An accepted connection receives HTTP/2 SETTINGS; a rejected one is closed or reset.
         stranger.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0").await.expect("sent");
         let mut byte = [0; 1];
         match tokio::time::timeout(runtrack_testkit::PATIENCE, stranger.read(&mut byte))
@@ -256,7 +256,7 @@
             .replace("[[pool]]", "[[pool]]\nmax_pending = 9"),
     );
     assert_eq!(first.next().await.expect("a change").resources.len(), 1);
-    // One goes: its place is free, once the service has noticed.
+    // One closes: its slot becomes free once the service has detected that.
     strangers.pop();
     let end = tokio::time::Instant::now() + runtrack_testkit::PATIENCE;
     let mut late = loop {
--- a/crates/control/tests/rollout.rs
+++ b/crates/control/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! A version handed out in stages: who gets it when, what halts it, and what a kill leaves.
+//! Staged roll-outs: which proxies get a version when, what halts it, and what a restart after a kill restores.
 
 mod common;
 
@@ -14,24 +14,24 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The first stage.
+/// Share of the proxies in the first stage, in 1/10,000.
 const FIRST_STAGE: u32 = 3000;
 const HOUR_MS: u64 = 3_600_000;
 const GRACE_PERIOD: Duration = Duration::from_secs(2);
 
-/// The n-th node id that is in the first stage, or that is not.
+/// The n-th node id inside the first stage if `first`, else outside of it.
 fn id(first: bool, n: usize) -> String {
     let mut ids = (0..).map(|n| format!("node-{n}")).filter(|id| (place(id) < FIRST_STAGE) == first);
     ids.nth(n).expect("there are enough")
 }
 
-/// Two proxies in the first stage and two that are not, of either variant.
+/// Two proxies in the first stage and two outside of it, one of each xDS variant.
 fn proxies(control: &Control) -> (Vec<Proxy>, Vec<Proxy>) {
     let both = |first| (0..2).map(|n| proxy(control, &id(first, n), n == 1)).collect();
     (both(true), both(false))
 }
 
-/// A fleet that follows discovery, with as many pools more as are named.
+/// A fleet with a pool that follows discovery, and the named static pools.
 fn fleet(discovery: SocketAddr, more: &[&str]) -> String {
     let pool = |name: &&str| {
         format!(
@@ -54,7 +54,7 @@
     Discovery::start((0..4u16).map(|n| target(&format!("e{n}"), at(7000 + n), "")).collect()).await
 }
 
-/// The status, once this holds of it.
+/// Polls the status until the condition holds.
 async fn status(control: &Control, what: &str, holds: impl Fn(&Value) -> bool) -> Value {
     let end = Instant::now() + Duration::from_secs(20);
     loop {
@@ -117,7 +117,7 @@
     assert_eq!((serial_of(&shown, &id(true, 1)), serial_of(&shown, &id(false, 1))), (2.into(), 1.into()));
     assert!(first.iter().all(|proxy| has(proxy, "q")) && others.iter().all(|proxy| !has(proxy, "q")));
 
-    // Back in a hurry: not in stages, so at once, and the roll-out is over.
+    // A rollback without stages applies at once and ends the roll-out.
     apply_change(folder.path(), &fleet(discovery.address, &[]));
     for proxy in &first {
         until("the first stage has lost it", || !has(proxy, "q")).await;
@@ -165,7 +165,7 @@
     for proxy in first.iter().chain(&others) {
         until("the list", || ready(proxy) == 4).await;
     }
-    // Rejects whatever names q, until it is told to take it.
+    // Rejects responses that contain pool q until the flag is cleared.
     let rejects = Arc::new(AtomicBool::new(true));
     let mut stream = ScriptedDelta::open(connect(control.xds).await).await;
     stream.send(delta_request(&id(true, 7), "cds", &["*"]));
@@ -200,7 +200,8 @@
     })
     .await;
 
-    // Both lines go on while it stands: who goes over later has seen more of the old one than there was at the fork.
+    // Both versions get drains during the halt, so that proxies that switch later have seen updates of the old version
+    // from after the fork.
     for (n, id) in ["e0", "e1", "e2"].into_iter().enumerate() {
         discovery.drain(id);
         for proxy in first.iter().chain(&others) {
@@ -242,7 +243,7 @@
     status(&control, "nobody objects", |s| s["rollout"].is_null() && s["serial"] == 2).await;
 }
 
-/// Reports of good requests, until the service has taken them.
+/// Sends load reports of successful requests, and waits until the service has counted them.
 async fn send_baseline_reports(control: &Control, reports: &[&ScriptedLoad], most: u64) {
     for report in reports {
         report.report("p", 1000, 1, 100);
@@ -273,16 +274,16 @@
         until("the first stage has it", || has(proxy, "q")).await;
     }
 
-    // An incident strikes all alike: nobody's fault, and nothing halts.
-    tokio::time::sleep(Duration::from_millis(2)).await; // what is reported is of the stage alone
+    // An incident that affects all proxies alike must not halt the roll-out.
+    tokio::time::sleep(Duration::from_millis(2)).await; // so that the reported interval lies within the stage
     without_version.report("p", 500, 500, 1);
     with_version.report("p", 500, 500, 1);
     let both = |s: &Value, side: &str| s["loads"]["rollout"]["p"][side]["ended"] == 1000;
     status(&control, "both are counted", |s| both(s, "with") && both(s, "without")).await;
-    tokio::time::sleep(Duration::from_millis(600)).await; // longer than a look
+    tokio::time::sleep(Duration::from_millis(600)).await; // longer than the interval of evaluations
     assert!(control.status().await["rollout"]["halted"].is_null());
 
-    // Where it is, they go on failing; elsewhere they do not.
+    // Requests keep failing with the new version, and succeed without it.
     with_version.report("p", 100, 9000, 1);
     without_version.report("p", 90_000, 0, 1);
     let shown = status(&control, "it halts", |s| s["rollout"]["halted"].is_string()).await;
@@ -293,7 +294,7 @@
     );
     assert!(others.iter().all(|proxy| !has(proxy, "q")));
 
-    // Somebody says to go on: what failed before no longer counts, what fails from then on does.
+    // After a resumption earlier failures no longer count, but new ones do.
     assert_eq!(control.post("/rollout/resume").await, 202);
     status(&control, "it goes on", |s| s["rollout"]["halted"].is_null()).await;
     tokio::time::sleep(Duration::from_millis(2)).await;
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -1,4 +1,4 @@
-//! The service as a whole: flapping sources, reloads, what gRPC clients and proxies find, its files.
+//! End-to-end tests of the service: flapping sources, reloads, resources for gRPC clients and proxies, settings files.
 
 mod common;
 
@@ -17,7 +17,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// Hard case 5: a thousand changes a second.
+/// A thousand changes per second.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_flapping_source_is_pushed_at_a_limited_rate_and_its_last_state_arrives() {
     let at = |port: u16| ([127, 0, 0, 1], port).into();
@@ -40,7 +40,7 @@
     discovery.drain("e7");
     let took = began.elapsed();
     for (proxy, before) in proxies.iter().zip(before) {
-        // All came up last, then e7 drained.
+        // The last change of each endpoint was to up; then e7 drained.
         until("the last state", || proxy.with(|s| s.ready("p").len() == 49)).await;
         let pushes = proxy.with(|s| s.responses) - before;
         let most = took.as_millis() as u64 / 50 + 10;
@@ -49,7 +49,7 @@
     }
 }
 
-/// Hard case 6: a bad file leaves the old state serving, and says where it is wrong.
+/// An invalid file leaves the old state in service, and the error names the position.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_invalid_reload_changes_nothing_and_a_valid_one_is_published() {
     let good = static_fleet(&[(7001, "ready"), (7002, "ready")]);
@@ -120,7 +120,7 @@
     let fleet = std::fs::read_to_string("../../examples/fleet.toml").expect("the example");
     let control = Control::start(BINARY, &fleet, "", false).await;
 
-    // SQ(2), and no panic: a proxy in panic would send to draining endpoints.
+    // SQ(2), and no panic mode: a proxy in panic mode would send to draining endpoints.
     let cds = Cluster::decode(&fetch(&control, "cds", "bookings").await[..]).expect("CDS");
     assert_eq!(cds.lb_policy, cluster::LbPolicy::LeastRequest as i32);
     let Some(cluster::LbConfig::LeastRequestLbConfig(least)) = cds.lb_config else {
@@ -141,7 +141,7 @@
         "gRPC wants it"
     );
 
-    // An unsafe class goes again only on proof that it never ran; a safe one on more.
+    // Requests of an unsafe class are retried only if they provably were not executed; those of a safe one more often.
     let rds = RouteConfiguration::decode(&fetch(&control, "rds", "kiosk").await[..]).expect("RDS");
     let policy = |name: &str| {
         let found = rds.virtual_hosts[0].routes.iter().find(|r| r.name == name).expect("the route");
@@ -157,7 +157,7 @@
     assert!(quotes.retry_on.contains("reset,") && quotes.num_retries.map(|n| n.value) == Some(2));
     assert_eq!(quotes.per_try_timeout.map(|d| d.seconds), Some(1));
 
-    // A listener for proxies on a socket, and one for gRPC clients by name, with the same routes.
+    // A socket listener for proxies, and an API listener for gRPC clients, with the same routes.
     let api = Listener::decode(&fetch(&control, "lds", "kiosk").await[..]).expect("LDS");
     let manager = api.api_listener.and_then(|l| l.api_listener).expect("an API listener");
     let manager = HttpConnectionManager::decode(&manager.value[..]).expect("its manager");
@@ -212,7 +212,10 @@
         ("listen = \"127.0.0.1:1\"", "one of the three"),
         ("fleet = \"fleet.toml\"\nlisten = \"0.0.0.0:1\"", "not loopback"),
         ("fleet = \"fleet.toml\"\nlisten = \"nowhere\"", "control.toml:2:10"),
-        ("fleet = \"fleet.toml\"\nlisten = \"127.0.0.1:1\"\nadmin = \"0.0.0.0:2\"", "asks nobody"),
+        (
+            "fleet = \"fleet.toml\"\nlisten = \"127.0.0.1:1\"\nadmin = \"0.0.0.0:2\"",
+            "has no authentication",
+        ),
         ("fleet = \"fleet.toml\"\nlisten = \"127.0.0.1:1\"\nspeed = 1", "unknown field `speed`"),
         (
             "fleet = \"fleet.toml\"\nlisten = \"127.0.0.1:1\"\n[limits]\npush_every_ms = 5000",
--- a/crates/control/tests/store.rs
+++ b/crates/control/tests/store.rs
@@ -1,4 +1,4 @@
-//! The service on a store: plans that are applied reach proxies, across kills, and damage reaches nobody.
+//! The service with a store: applied plans reach proxies, also across kills, and a damaged store changes nothing.
 
 mod common;
 
@@ -34,7 +34,7 @@
     for proxy in &proxies {
         until("the change", || wanted(proxy, &[7002, 7003])).await;
     }
-    // Applied while the service is down: served from the start.
+    // A plan applied while the service is down is served from the start.
     control.kill();
     apply_change(folder.path(), &static_fleet(&[(7003, "ready")]));
     control.launch().await;
@@ -61,7 +61,7 @@
     bad[middle] ^= 1;
     std::fs::write(&head, &bad).expect("a damaged head");
     let trouble = trouble(&control, true).await;
-    assert!(trouble.contains("damaged") && trouble.contains("the old state goes on"), "{trouble}");
+    assert!(trouble.contains("damaged") && trouble.contains("keeping the old state"), "{trouble}");
     assert_eq!(proxy.with(|s| s.ready("p").len()), 3);
     assert_eq!(serial(&control).await, 2);
     std::fs::write(&head, &good).expect("the head as it was");
@@ -69,7 +69,7 @@
     assert_eq!(control.log().matches("damaged").count(), 1, "said once:\n{}", control.log());
 }
 
-/// The trouble with the desired state, once there is one or none.
+/// Polls the `reload` problem until there is one (`wanted`) or none.
 async fn trouble(control: &Control, wanted: bool) -> String {
     let end = tokio::time::Instant::now() + Duration::from_secs(20);
     loop {
@@ -81,7 +81,7 @@
     }
 }
 
-/// The same status at the Unix socket, which is this user's alone, also where an earlier one was left behind.
+/// The status is served on the Unix socket, which only this user may access, also if an old socket was left behind.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_admin_socket_is_private_and_replaces_an_old_one() {
     use std::os::unix::fs::PermissionsExt;
--- a/crates/control/tests/tls.rs
+++ b/crates/control/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS with certificates on both sides.
+//! Mutual TLS between proxies and the service.
 
 mod common;
 
@@ -22,7 +22,7 @@
         self.0.pem()
     }
 
-    /// A certificate and its key.
+    /// Issues a certificate; returns it with its key, both as PEM.
     fn sign(&self, name: &str) -> (String, String) {
         let key = KeyPair::generate().expect("a key");
         let params = CertificateParams::new(vec![name.to_owned()]).expect("a name");
@@ -61,7 +61,7 @@
     assert_eq!(stream.next().await.expect("clusters").resources.len(), 1);
 
     for identity in [None, Some(stranger.sign("kiosk"))] {
-        // In TLS 1.3 a client learns that it is refused with the first thing that it reads.
+        // In TLS 1.3 a client learns of the rejection only with its first read.
         if let Ok(channel) = endpoint(identity).connect().await {
             let mut client = envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient::new(channel);
             let opened =
@@ -70,7 +70,7 @@
         }
     }
 
-    // Plain text gets nothing.
+    // Plain text is rejected.
     let plain = connect(control.xds).await;
     let mut client = envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient::new(plain);
     let opened = client.stream_aggregated_resources(tokio_stream::iter([request("x", "cds", &[])])).await;
--- a/crates/discovery/src/client.rs
+++ b/crates/discovery/src/client.rs
@@ -249,13 +249,13 @@
     }
 
     async fn fetch(&self) -> Result<List, String> {
-        let whole = async {
+        let body = async {
             let (response, _connection) = self.send_request("/api/targets").await?;
             Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await.map_err(|e| e.to_string())
         };
         // The body gets no extra time: a response that stalls midway is retried as soon as one that never starts.
         let (connect, answer) = self.timeouts();
-        let body = timeout(connect + answer, whole)
+        let body = timeout(connect + answer, body)
             .await
             .map_err(|_| "the list did not arrive in time".to_owned())??;
         serde_json::from_slice(&body.to_bytes()).map_err(|e| format!("invalid list: {e}"))
