--- a/crates/control/src/pool.rs
+++ b/crates/control/src/pool.rs
@@ -33,7 +33,7 @@
 /// The endpoints of a pool.
 pub struct PoolMembers {
     balancer: Balancer,
-    ids: wire::Names,
+    ids: wire::EndpointNames,
     /// By uid.
     targets: BTreeMap<String, Target>,
     /// Uids of endpoints that are warming up, with the step last published.
@@ -60,7 +60,7 @@
                 cold_share: fleet.rules.cold_share,
                 warm_within: fleet.rules.warm_within,
                 drain_grace: fleet.rules.drain_grace,
-                fall_multiple: fleet.rules.fall_multiple,
+                cold_overload_factor: fleet.rules.fall_multiple,
                 ..Settings::default().rules
             },
             ..Settings::default()
@@ -69,7 +69,7 @@
         let mut members = PoolMembers {
             // The model has validated these settings; the balancer's defaults are valid.
             balancer: balancer.unwrap_or_else(|_| default_balancer(seed, now)),
-            ids: wire::Names::default(),
+            ids: wire::EndpointNames::default(),
             targets: BTreeMap::new(),
             cold: BTreeMap::new(),
             rev: 0,
@@ -269,10 +269,11 @@
             state: match target.state {
                 State::Up => EndpointState::Ready,
                 State::Draining => EndpointState::Draining,
-                State::Removed => EndpointState::Gone,
+                State::Removed => EndpointState::Removed,
             },
             weight: target.capacity_hint,
-            started: (target.boot_ms > 0.0).then(|| Duration::from_micros((target.boot_ms * 1e3) as u64)),
+            started_at: (target.boot_ms > 0.0)
+                .then(|| Duration::from_micros((target.boot_ms * 1e3) as u64)),
             ..EndpointInfo::ready(0)
         }
     }
@@ -280,7 +281,7 @@
     /// The share of an endpoint's capacity that is warmed up, in whole steps.
     fn warmup_step(&mut self, now: Duration, uid: &str) -> u32 {
         let id = self.ids.id(uid);
-        let part = self.balancer.standing(now, id).map_or(1.0, |standing| standing.part);
+        let part = self.balancer.endpoint_status(now, id).map_or(1.0, |status| status.capacity_fraction);
         (part * WARMUP_STEPS).floor() as u32
     }
 
@@ -292,15 +293,15 @@
         let mut members = Vec::with_capacity(self.targets.len());
         for (uid, target) in &self.targets {
             let id = self.ids.id(uid);
-            let Some(standing) = self.balancer.standing(now, id) else { continue };
+            let Some(status) = self.balancer.endpoint_status(now, id) else { continue };
             members.push(Member {
                 name: uid.clone(),
                 address: target.endpoint,
                 zone: target.az.clone(),
                 weight: target.capacity_hint,
-                draining: standing.info.state != EndpointState::Ready || self.held_back.contains(uid),
-                part: (standing.part * WARMUP_STEPS).floor().max(1.0) / WARMUP_STEPS,
-                heat: standing.heat,
+                draining: status.info.state != EndpointState::Ready || self.held_back.contains(uid),
+                part: (status.capacity_fraction * WARMUP_STEPS).floor().max(1.0) / WARMUP_STEPS,
+                heat: status.failure_penalty,
             });
         }
         Some(members)
--- a/crates/runtrack/src/sidecar.rs
+++ b/crates/runtrack/src/sidecar.rs
@@ -50,7 +50,7 @@
     let listing = Rc::new(Listing::new(names));
     let watch = match settings.discovery {
         runtrack_balancer::Discovery::Push => WatchMode::LocalAgent, // the module never asks for one
-        runtrack_balancer::Discovery::Ask => WatchMode::OnRequest,
+        runtrack_balancer::Discovery::Subscribe => WatchMode::OnRequest,
     };
     let (translate, news) = (listing.clone(), inbox.clone());
     let first = Rc::new(Notify::new());
