--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,143 +1,143 @@
-//! A version that proxies get in stages: how far it has come, and when it goes on or halts. No I/O.
+//! Staged roll-out of a version to proxies: its progress, and when it advances or halts. No I/O.
 //!
-//! Which proxies are in a stage follows from a hash of their node ids ([`runtrack_xds::place`]), so they are the same
-//! ones after a reconnect or a restart, and those of one stage are in all later ones.
+//! The proxies of a stage are determined by a hash of their node ids ([`runtrack_xds::place`]), so that they stay the
+//! same after a reconnect or a restart, and are in all later stages too.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A proxy of the stage that has not acknowledged after so long halts the roll-out.
-const ACKNOWLEDGE_MOST: Duration = Duration::from_secs(60);
+/// Time after which a proxy of the stage that has not acknowledged the version halts the roll-out.
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How far a version has come; kept beside the service's other state.
+/// The persistent progress of a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Progress {
-    /// The version.
+    /// The serial of the version.
     pub serial: u64,
-    /// Its hash: another state may have a version of the same number.
+    /// Its hash: another store may have a version of the same serial.
     pub hash: String,
-    /// The version that proxies have until they get it.
+    /// The serial of the version before it.
     pub from: u64,
-    /// The stage that it is in, from 0; as many as there are: it is done.
+    /// The current stage, from 0; equal to the number of stages once it is done.
     pub stage: usize,
-    /// Why it goes no further, until somebody says so.
+    /// Why it has halted, until it is resumed.
     pub halted: Option<String>,
 }
 
 impl Progress {
-    /// Of a version that nobody has yet.
+    /// The progress of a version at its first stage.
     pub fn new(serial: u64, hash: &str, from: u64) -> Progress {
         Progress { serial, hash: hash.to_owned(), from, stage: 0, halted: None }
     }
 
-    /// Whether it speaks of this version.
-    pub fn is_of(&self, serial: u64, hash: &str) -> bool {
+    /// Whether this is the progress of the given version.
+    pub fn matches(&self, serial: u64, hash: &str) -> bool {
         self.serial == serial && self.hash == hash
     }
 }
 
-/// A roll-out under way.
+/// A roll-out in progress.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     progress: Progress,
-    /// Parts of the proxies, in 10,000, rising.
+    /// Share of the proxies per stage, in 1/10,000, increasing.
     stages: Vec<u32>,
     pause: Duration,
-    /// When the stage began.
-    since: Duration,
+    /// When the stage began, or was resumed.
+    counting_since: Duration,
 }
 
-/// How the proxies of the stage stand.
+/// The status of the proxies of the current stage.
 #[derive(Clone, Debug, Default)]
 pub struct Cohort {
-    /// Nodes that have not acknowledged all of it.
+    /// Nodes that have not acknowledged all resources.
     pub behind: Vec<String>,
-    /// Nodes that have rejected a part of it, and their words.
+    /// Nodes that have rejected a resource, with their error details.
     pub rejected: Vec<(String, String)>,
-    /// What shows that requests fail more often where it is; see [`crate::errors`].
+    /// A description of an increased error rate; see [`crate::error_rate`].
     pub failing: Option<String>,
 }
 
-/// What follows from a look.
+/// The result of an evaluation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// Nothing.
+pub enum Decision {
+    /// No change.
     Wait,
-    /// The stage has changed.
+    /// The next stage begins.
     Stage,
-    /// It halts.
+    /// The roll-out halts.
     Halt,
-    /// All proxies have it.
+    /// The last stage is complete.
     Done,
 }
 
 impl Rollout {
-    /// A roll-out of a version in stages, from where it is.
+    /// Creates a roll-out that continues from `progress`.
     pub fn new(progress: Progress, stages: &[u32], pause: Duration, now: Duration) -> Rollout {
-        Rollout { progress, stages: stages.to_vec(), pause, since: now }
+        Rollout { progress, stages: stages.to_vec(), pause, counting_since: now }
     }
 
-    /// How far it has come.
+    /// The progress.
     pub fn progress(&self) -> &Progress {
         &self.progress
     }
 
-    /// Its stages, parts in 10,000.
+    /// The share of the proxies per stage, in 1/10,000.
     pub fn stages(&self) -> &[u32] {
         &self.stages
     }
 
-    /// The part of the proxies that get the version now, in 10,000.
+    /// The share of the proxies in the current stage, in 1/10,000.
     pub fn share(&self) -> u32 {
         self.stages.get(self.progress.stage).copied().unwrap_or(10_000)
     }
 
-    /// Looks at the proxies of the stage: a rejection, a silence or a rise of errors halts, and what all have
-    /// acknowledged for as long as the pause goes on.
-    pub fn look(&mut self, now: Duration, cohort: &Cohort) -> Next {
+    /// Evaluates the proxies of the stage: a rejection, a missing acknowledgement or an increased error rate halts the
+    /// roll-out; it advances once all have acknowledged and the pause is over.
+    pub fn evaluate(&mut self, now: Duration, cohort: &Cohort) -> Decision {
         if self.progress.halted.is_some() {
-            return Next::Wait;
+            return Decision::Wait;
         }
-        let stood = now.saturating_sub(self.since);
-        if let Some((node, words)) = cohort.rejected.first() {
-            return self.halt(format!("{node} rejects a part of it: {words}"));
+        let elapsed = now.saturating_sub(self.counting_since);
+        if let Some((node, detail)) = cohort.rejected.first() {
+            return self.halt(format!("{node} rejects a part of it: {detail}"));
         }
-        if let Some(words) = &cohort.failing {
-            return self.halt(words.clone());
+        if let Some(detail) = &cohort.failing {
+            return self.halt(detail.clone());
         }
         if !cohort.behind.is_empty() {
-            if stood < ACKNOWLEDGE_MOST {
-                return Next::Wait;
+            if elapsed < ACKNOWLEDGE_TIMEOUT {
+                return Decision::Wait;
             }
             let others = cohort.behind.len() - 1;
             return self.halt(format!("{} and {others} more have not acknowledged it", cohort.behind[0]));
         }
-        // The last stage stands as long as the others: errors show only once requests have been sent.
-        if stood < self.pause {
-            return Next::Wait;
+        // The pause applies to the last stage too: errors appear only once requests have been sent.
+        if elapsed < self.pause {
+            return Decision::Wait;
         }
         let last = self.progress.stage + 1 >= self.stages.len();
         self.progress.stage += 1;
-        self.since = now;
-        if last { Next::Done } else { Next::Stage }
+        self.counting_since = now;
+        if last { Decision::Done } else { Decision::Stage }
     }
 
-    fn halt(&mut self, why: String) -> Next {
+    fn halt(&mut self, why: String) -> Decision {
         self.progress.halted = Some(why);
-        Next::Halt
+        Decision::Halt
     }
 
-    /// Goes on after a halt: rejections from before no longer count, which the caller sees to. Says whether it had
-    /// halted.
+    /// Resumes after a halt; returns whether it was halted. The caller must ignore rejections from before
+    /// [`counting_since`](Self::counting_since).
     pub fn resume(&mut self, now: Duration) -> bool {
-        self.since = now;
+        self.counting_since = now;
         self.progress.halted.take().is_some()
     }
 
-    /// Since when rejections count: the stage's beginning, or the last resumption.
-    pub fn since(&self) -> Duration {
-        self.since
+    /// Since when rejections count: the beginning of the stage, or the last resumption.
+    pub fn counting_since(&self) -> Duration {
+        self.counting_since
     }
 }
 
@@ -158,20 +158,37 @@
     }
 
     #[test]
-    fn stages_follow_each_other_once_acknowledged_and_paused() {
+    fn a_stage_ends_after_acknowledgement_and_the_pause() {
         let mut rollout = rollout();
-        assert_eq!((rollout.share(), rollout.look(at(109), &Cohort::default())), (1000, Next::Wait));
-        assert_eq!(rollout.look(at(111), &behind()), Next::Wait, "the pause is over, the proxies are not");
-        assert_eq!((rollout.look(at(112), &Cohort::default()), rollout.share()), (Next::Stage, 5000));
         assert_eq!(
-            rollout.look(at(121), &Cohort::default()),
-            Next::Wait,
+            (rollout.share(), rollout.evaluate(at(109), &Cohort::default())),
+            (1000, Decision::Wait)
+        );
+        assert_eq!(
+            rollout.evaluate(at(111), &behind()),
+            Decision::Wait,
+            "the pause is over, the proxies are not"
+        );
+        assert_eq!(
+            (rollout.evaluate(at(112), &Cohort::default()), rollout.share()),
+            (Decision::Stage, 5000)
+        );
+        assert_eq!(
+            rollout.evaluate(at(121), &Cohort::default()),
+            Decision::Wait,
             "the pause counts from the stage"
         );
-        assert_eq!((rollout.look(at(122), &Cohort::default()), rollout.share()), (Next::Stage, 10_000));
-        assert_eq!(rollout.look(at(123), &behind()), Next::Wait);
-        assert_eq!(rollout.look(at(131), &Cohort::default()), Next::Wait, "so does the last stage's");
-        assert_eq!(rollout.look(at(132), &Cohort::default()), Next::Done);
+        assert_eq!(
+            (rollout.evaluate(at(122), &Cohort::default()), rollout.share()),
+            (Decision::Stage, 10_000)
+        );
+        assert_eq!(rollout.evaluate(at(123), &behind()), Decision::Wait);
+        assert_eq!(
+            rollout.evaluate(at(131), &Cohort::default()),
+            Decision::Wait,
+            "so does the last stage's"
+        );
+        assert_eq!(rollout.evaluate(at(132), &Cohort::default()), Decision::Done);
         assert_eq!(rollout.progress(), &Progress { stage: 3, ..Progress::new(7, "h", 6) });
     }
 
@@ -180,36 +197,36 @@
         let mut rollout = rollout();
         let rejected =
             Cohort { rejected: vec![("p7".to_owned(), "no such".to_owned())], ..Cohort::default() };
-        assert_eq!(rollout.look(at(101), &rejected), Next::Halt);
+        assert_eq!(rollout.evaluate(at(101), &rejected), Decision::Halt);
         assert!(rollout.progress().halted.as_ref().is_some_and(|why| why.contains("p7 rejects")));
-        assert_eq!(rollout.look(at(1000), &Cohort::default()), Next::Wait);
+        assert_eq!(rollout.evaluate(at(1000), &Cohort::default()), Decision::Wait);
         assert!(rollout.resume(at(1000)));
-        assert_eq!(rollout.look(at(1009), &Cohort::default()), Next::Wait, "the pause begins anew");
-        assert_eq!(rollout.look(at(1010), &Cohort::default()), Next::Stage);
+        assert_eq!(rollout.evaluate(at(1009), &Cohort::default()), Decision::Wait, "the pause begins anew");
+        assert_eq!(rollout.evaluate(at(1010), &Cohort::default()), Decision::Stage);
     }
 
     #[test]
-    fn a_rise_of_errors_halts_in_the_last_stage_too() {
+    fn an_increased_error_rate_halts_in_the_last_stage_too() {
         let mut rollout = rollout();
         let failing = Cohort { failing: Some("pool p fails".to_owned()), ..Cohort::default() };
-        assert_eq!(rollout.look(at(111), &Cohort::default()), Next::Stage);
-        assert_eq!(rollout.look(at(121), &Cohort::default()), Next::Stage);
-        assert_eq!(rollout.look(at(122), &failing), Next::Halt);
+        assert_eq!(rollout.evaluate(at(111), &Cohort::default()), Decision::Stage);
+        assert_eq!(rollout.evaluate(at(121), &Cohort::default()), Decision::Stage);
+        assert_eq!(rollout.evaluate(at(122), &failing), Decision::Halt);
         assert_eq!(rollout.progress().halted.as_deref(), Some("pool p fails"));
     }
 
     #[test]
     fn a_proxy_that_never_acknowledges_halts() {
         let mut rollout = rollout();
-        assert_eq!(rollout.look(at(159), &behind()), Next::Wait);
-        assert_eq!(rollout.look(at(160), &behind()), Next::Halt);
+        assert_eq!(rollout.evaluate(at(159), &behind()), Decision::Wait);
+        assert_eq!(rollout.evaluate(at(160), &behind()), Decision::Halt);
     }
 
     #[test]
-    fn it_goes_on_where_it_was() {
-        let was = Progress { stage: 1, halted: Some("why".to_owned()), ..Progress::new(7, "h", 6) };
-        let same = Rollout::new(was.clone(), &[1000, 5000, 10_000], at(10), at(0));
-        assert_eq!((same.share(), same.progress()), (5000, &was));
-        assert!(was.is_of(7, "h") && !was.is_of(7, "g") && !was.is_of(8, "h"));
+    fn a_rollout_resumes_from_its_progress() {
+        let saved = Progress { stage: 1, halted: Some("why".to_owned()), ..Progress::new(7, "h", 6) };
+        let resumed = Rollout::new(saved.clone(), &[1000, 5000, 10_000], at(10), at(0));
+        assert_eq!((resumed.share(), resumed.progress()), (5000, &saved));
+        assert!(saved.matches(7, "h") && !saved.matches(7, "g") && !saved.matches(8, "h"));
     }
 }
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -1,4 +1,4 @@
-//! The service as a whole: flapping sources, reloads, what gRPC clients and proxies find, its files.
+//! End-to-end tests of the service: flapping sources, reloads, resources for gRPC clients and proxies, settings files.
 
 mod common;
 
@@ -17,9 +17,9 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// Hard case 5: a thousand changes a second.
+/// A thousand changes per second.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_flapping_source_is_pushed_at_a_bounded_rate_and_its_last_state_arrives() {
+async fn a_flapping_source_is_pushed_at_a_limited_rate_and_its_last_state_arrives() {
     let at = |port: u16| ([127, 0, 0, 1], port).into();
     let discovery =
         Discovery::start((0..50u16).map(|n| target(&format!("e{n}"), at(7000 + n), "")).collect()).await;
@@ -40,7 +40,7 @@
     discovery.drain("e7");
     let took = began.elapsed();
     for (proxy, before) in proxies.iter().zip(before) {
-        // All came up last, then e7 drained.
+        // The last change of each endpoint was to up; then e7 drained.
         until("the last state", || proxy.with(|s| s.ready("p").len() == 49)).await;
         let pushes = proxy.with(|s| s.responses) - before;
         let most = took.as_millis() as u64 / 50 + 10;
@@ -49,9 +49,9 @@
     }
 }
 
-/// Hard case 6: a bad file leaves the old state serving, and says where it is wrong.
+/// An invalid file leaves the old state in service, and the error names the position.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_bad_reload_changes_nothing_and_a_good_one_is_told() {
+async fn an_invalid_reload_changes_nothing_and_a_valid_one_is_published() {
     let good = static_fleet(&[(7001, "ready"), (7002, "ready")]);
     let control = Control::start(BINARY, &good, "", false).await;
     let proxies = [proxy(&control, "whole", false), proxy(&control, "incremental", true)];
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_pool_that_is_replaced_goes_only_after_its_routes() {
+async fn a_replaced_pool_is_removed_only_after_its_routes() {
     let fleet = static_fleet(&[(7001, "ready")]);
     let control = Control::start(BINARY, &fleet, "", false).await;
     let mut stream = Scripted::open(connect(control.xds).await).await;
@@ -116,11 +116,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn resources_say_what_the_rules_want() {
+async fn resources_implement_the_rules() {
     let fleet = std::fs::read_to_string("../../examples/fleet.toml").expect("the example");
     let control = Control::start(BINARY, &fleet, "", false).await;
 
-    // SQ(2), and no panic: a proxy in panic would send to draining endpoints.
+    // SQ(2), and no panic mode: a proxy in panic mode would send to draining endpoints.
     let cds = Cluster::decode(&fetch(&control, "cds", "bookings").await[..]).expect("CDS");
     assert_eq!(cds.lb_policy, cluster::LbPolicy::LeastRequest as i32);
     let Some(cluster::LbConfig::LeastRequestLbConfig(least)) = cds.lb_config else {
@@ -141,7 +141,7 @@
         "gRPC wants it"
     );
 
-    // An unsafe class goes again only on proof that it never ran; a safe one on more.
+    // Requests of an unsafe class are retried only if they provably were not executed; those of a safe one more often.
     let rds = RouteConfiguration::decode(&fetch(&control, "rds", "kiosk").await[..]).expect("RDS");
     let policy = |name: &str| {
         let found = rds.virtual_hosts[0].routes.iter().find(|r| r.name == name).expect("the route");
@@ -157,7 +157,7 @@
     assert!(quotes.retry_on.contains("reset,") && quotes.num_retries.map(|n| n.value) == Some(2));
     assert_eq!(quotes.per_try_timeout.map(|d| d.seconds), Some(1));
 
-    // A listener for proxies on a socket, and one for gRPC clients by name, with the same routes.
+    // A socket listener for proxies, and an API listener for gRPC clients, with the same routes.
     let api = Listener::decode(&fetch(&control, "lds", "kiosk").await[..]).expect("LDS");
     let manager = api.api_listener.and_then(|l| l.api_listener).expect("an API listener");
     let manager = HttpConnectionManager::decode(&manager.value[..]).expect("its manager");
@@ -174,7 +174,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn cold_endpoints_have_a_part_of_their_weight_and_the_nearest_zone_comes_first() {
+async fn cold_endpoints_have_reduced_weight_and_the_nearest_zone_has_priority() {
     let now =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_millis();
     let at = |port: u16| ([127, 0, 0, 1], port).into();
@@ -206,13 +206,16 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused_with_their_place() {
+fn invalid_settings_are_rejected_with_their_position() {
     let bad = [
         ("fleet = 1\nlisten = \"127.0.0.1:1\"", "control.toml:1:9"),
         ("listen = \"127.0.0.1:1\"", "one of the three"),
         ("fleet = \"fleet.toml\"\nlisten = \"0.0.0.0:1\"", "not loopback"),
         ("fleet = \"fleet.toml\"\nlisten = \"nowhere\"", "control.toml:2:10"),
-        ("fleet = \"fleet.toml\"\nlisten = \"127.0.0.1:1\"\nadmin = \"0.0.0.0:2\"", "asks nobody"),
+        (
+            "fleet = \"fleet.toml\"\nlisten = \"127.0.0.1:1\"\nadmin = \"0.0.0.0:2\"",
+            "has no authentication",
+        ),
         ("fleet = \"fleet.toml\"\nlisten = \"127.0.0.1:1\"\nspeed = 1", "unknown field `speed`"),
         (
             "fleet = \"fleet.toml\"\nlisten = \"127.0.0.1:1\"\n[limits]\npush_every_ms = 5000",
