--- a/crates/balancer/src/balance/endpoint.rs
+++ b/crates/balancer/src/balance/endpoint.rs
@@ -1,123 +1,124 @@
-//! What is learned of endpoints: of each one alone, and how many own attempts may be out in all.
+//! State of each endpoint as learned from outcomes, and the windows on all own attempts in flight.
 
 use super::*;
 
 pub(super) struct Endpoint {
     pub(super) info: EndpointInfo,
     pub(super) in_flight: u32,
-    /// Recent failures as calls in flight.
-    pub(super) heat: Fading,
-    /// It is there and fails: the last that came from it was an error.
-    pub(super) ill: bool,
-    /// Its latency as a multiple of the class's unhurried mean, beyond one: what calls of
-    /// others, unseen here, do to it. Own counts say little where a caller has one call out or none.
-    pub(super) drag: Fading,
-    /// Own calls it may hold: the paper's C, learned from late and timely answers.
+    /// Recent failures, in units of calls in flight.
+    pub(super) penalty: Decaying,
+    /// Reachable, but its last answer was an error.
+    pub(super) failing: bool,
+    /// Latency over the class's baseline, minus one. Shows the load of other balancers, which own counts do
+    /// not show where a caller has at most one call in flight.
+    pub(super) excess_latency: Decaying,
+    /// Concurrency limit for own calls, adapted by late and timely answers (AIMD).
     pub(super) limit: f64,
-    opening: bool,
+    slow_start: bool,
     limit_cut_at: Duration,
-    /// When it last answered, and left a connection idle.
-    pub(super) heard: Option<Duration>,
-    /// Sends the cold budget still allows, as of `cold_at`.
+    /// When it last answered, which left a connection idle.
+    pub(super) last_answer: Option<Duration>,
+    /// Sends left in the cold budget, as of `cold_tokens_at`.
     pub(super) cold_tokens: f64,
-    pub(super) cold_at: Duration,
+    pub(super) cold_tokens_at: Duration,
 }
 
 impl Endpoint {
-    /// An endpoint that has just been listed; its first cold budget is drawn, so that callers don't agree.
+    /// Creates a newly listed endpoint. The caller draws `cold_tokens` at random, so that callers differ.
     pub(super) fn new(now: Duration, info: EndpointInfo, cold_tokens: f64) -> Self {
-        let opening = info.started_at.is_none();
+        let slow_start = info.started_at.is_none();
         Endpoint {
             info,
             in_flight: 0,
-            heat: Fading::default(),
-            ill: false,
-            drag: Fading::default(),
-            limit: LIMIT_START,
-            opening,
+            penalty: Decaying::default(),
+            failing: false,
+            excess_latency: Decaying::default(),
+            limit: INITIAL_LIMIT,
+            slow_start,
             limit_cut_at: now,
-            heard: None,
+            last_answer: None,
             cold_tokens,
-            cold_at: now,
+            cold_tokens_at: now,
         }
     }
 
-    /// Takes what discovery says of it now.
     pub(super) fn update(&mut self, now: Duration, info: EndpointInfo) {
         if info.started_at != self.info.started_at {
-            self.drag.value = 0.0;
-            self.heat.value = 0.0; // another process: its forerunner's failures say nothing
-            (self.cold_tokens, self.cold_at) = (0.0, now);
+            self.excess_latency.value = 0.0;
+            self.penalty.value = 0.0; // a new process: old failures do not apply
+            (self.cold_tokens, self.cold_tokens_at) = (0.0, now);
         }
         self.info = info;
     }
 
-    /// Learns from an outcome how many own calls it may hold. Answers of its class usually take `usual`;
-    /// while it opens, a timely one adds the part `share` of a step.
-    pub(super) fn learn_limit(&mut self, now: Duration, judged: &Judged, usual: Duration, share: f64) {
-        self.opening &= !judged.late;
-        if judged.late && now >= self.limit_cut_at + usual {
-            (self.limit, self.limit_cut_at) = ((self.limit * (1.0 - LIMIT_CUT)).max(1.0), now);
-        } else if judged.answered && !judged.late && f64::from(self.in_flight) * 2.0 > self.limit {
-            let step = match self.opening {
-                true if self.limit < LIMIT_OPEN => 1.0,
-                true if judged.elapsed * 2.0 < judged.late_after => LIMIT_ROUND,
+    /// Adapts the limit to an outcome, with one decrease per `typical` latency at most. In slow start a
+    /// timely answer adds `gain` of a step.
+    pub(super) fn update_limit(&mut self, now: Duration, outcome: &Assessed, typical: Duration, gain: f64) {
+        self.slow_start &= !outcome.late;
+        if outcome.late && now >= self.limit_cut_at + typical {
+            (self.limit, self.limit_cut_at) = ((self.limit * (1.0 - LIMIT_DECREASE)).max(1.0), now);
+        } else if outcome.answered && !outcome.late && f64::from(self.in_flight) * 2.0 > self.limit {
+            let step = match self.slow_start {
+                true if self.limit < SLOW_START_LIMIT => 1.0,
+                true if outcome.elapsed * 2.0 < outcome.late_after => SLOW_START_GAIN,
                 _ => 0.0,
             };
-            self.limit += (step * share).max(1.0 / self.limit);
+            self.limit += (step * gain).max(1.0 / self.limit);
         }
     }
 
-    /// Learns from an answer whose time is this multiple of its class's unhurried mean.
-    pub(super) fn learn_drag(&mut self, now: Duration, multiple: f64, memory: f64) {
-        let drag = self.drag.read(now, memory);
-        // The longer ago the last answer, the more this one says.
-        let weight = (1.0 - self.drag.left(now, DRAG_SECONDS)).clamp(DRAG_WEIGHT, 0.5);
-        self.drag.set(now, drag + weight * (multiple - 1.0 - drag));
+    /// Records an answer whose latency is this multiple of its class's baseline.
+    pub(super) fn update_excess_latency(&mut self, now: Duration, multiple: f64, decay_s: f64) {
+        let excess = self.excess_latency.read(now, decay_s);
+        // The older the last answer, the more this one weighs.
+        let weight = (1.0 - self.excess_latency.retained(now, MIN_DECAY_SECONDS)).clamp(ANSWER_WEIGHT, 0.5);
+        self.excess_latency.set(now, excess + weight * (multiple - 1.0 - excess));
     }
 
     pub(super) fn is_ready(&self) -> bool {
         self.info.state == EndpointState::Ready
     }
 
-    pub(super) fn add_heat(&mut self, now: Duration, memory: f64) {
-        self.heat.set(now, (self.heat(now, memory) + FAILURE_HEAT).min(MAX_HEAT));
+    pub(super) fn add_penalty(&mut self, now: Duration, decay_s: f64) {
+        self.penalty.set(now, (self.penalty(now, decay_s) + FAILURE_PENALTY).min(MAX_PENALTY));
     }
 
-    pub(super) fn heat(&self, now: Duration, memory: f64) -> f64 {
-        let heat = self.heat.read(now, if self.ill { memory.max(HEAT_SECONDS) } else { HEAT_SECONDS });
-        if heat < MIN_HEAT { 0.0 } else { heat }
+    pub(super) fn penalty(&self, now: Duration, decay_s: f64) -> f64 {
+        let p = self
+            .penalty
+            .read(now, if self.failing { decay_s.max(PENALTY_SECONDS) } else { PENALTY_SECONDS });
+        if p < MIN_PENALTY { 0.0 } else { p }
     }
 }
 
-/// Own attempts out, and how many may be: keeps many balancers from adding up to a jam.
+/// Congestion window on own attempts in flight, so that many balancers do not overload the fleet together.
 #[derive(Clone, Copy)]
 pub(super) struct Window {
     pub(super) size: f64,
-    pub(super) out: u32,
-    pub(super) opening: bool,
-    /// The most that was out of late.
-    pub(super) used: Fading,
+    pub(super) in_flight: u32,
+    pub(super) slow_start: bool,
+    /// Recent maximum of `in_flight`.
+    pub(super) peak: Decaying,
 }
 
 impl Window {
     pub(super) fn sent(&mut self, now: Duration) {
-        self.out += 1;
-        self.used.set(now, f64::from(self.out).max(self.used.read(now, USED_SECONDS)));
+        self.in_flight += 1;
+        self.peak.set(now, f64::from(self.in_flight).max(self.peak.read(now, PEAK_SECONDS)));
     }
 
-    /// An attempt has ended. `part` is one call an endpoint, parted among all balancers. It is the least a
-    /// window falls to, and the larger a window the less it gains: else what starts first measures idle
-    /// servers, yields to what starts last and measured crowded ones, and is starved for good.
-    pub(super) fn ended(&mut self, now: Duration, judged: &Judged, part: f64) {
-        if judged.late {
-            self.size = (self.size - WINDOW_CUT).max(part.max(1.0));
-            self.opening = false;
-        } else if judged.answered && f64::from(self.out) * WINDOW_SPARE > self.size {
-            self.size += if self.opening { part.min(1.0) } else { WINDOW_GAIN * part / self.size };
+    /// Adapts the window to an ended attempt. `share`, one call per endpoint divided among all balancers, is
+    /// its floor, and a larger window grows less: otherwise a balancer that measured idle servers would yield
+    /// for good to those that started later and measured loaded ones.
+    pub(super) fn ended(&mut self, now: Duration, outcome: &Assessed, share: f64) {
+        if outcome.late {
+            self.size = (self.size - WINDOW_DECREASE).max(share.max(1.0));
+            self.slow_start = false;
+        } else if outcome.answered && f64::from(self.in_flight) * HEADROOM > self.size {
+            self.size += if self.slow_start { share.min(1.0) } else { WINDOW_INCREASE * share / self.size };
         }
-        let spare = (self.used.read(now, USED_SECONDS) * WINDOW_SPARE).max(WINDOW_START * part).max(1.0);
-        self.size = self.size.min(spare);
-        self.out = self.out.saturating_sub(1);
+        let cap = (self.peak.read(now, PEAK_SECONDS) * HEADROOM).max(INITIAL_WINDOW * share).max(1.0);
+        self.size = self.size.min(cap);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 }
--- a/crates/balancer/src/balance/mod.rs
+++ b/crates/balancer/src/balance/mod.rs
@@ -1,27 +1,27 @@
-//! Every decision of the balancer. Its interface (settings, events, actions) is in `types`.
+//! The balancer's decision logic. Its interface (settings, events, actions) is in `types`.
 //!
-//! The ordinary path is SQ(d): sample `CHOICES` ready endpoints at random, send to the one with
-//! the fewest of this balancer's own calls in flight, break ties at random. Each exception either
-//! narrows the eligible set or adds to an endpoint's occupancy; none is a second chooser.
+//! Endpoints are chosen by SQ(d), the power of d choices: draw `CHOICES` ready endpoints at random, send to
+//! the one with the fewest of this balancer's own calls in flight, break ties at random. Every refinement
+//! either narrows the eligible set or adds to an endpoint's occupancy; there is no second algorithm.
 
 mod admission;
 mod choice;
 mod dispatch;
 mod endpoint;
+mod loss;
 mod membership;
 mod outcome;
 mod request;
-mod silence;
 mod tuning;
 
-use crate::ring::{Pools, Ring};
-use crate::stats::{Draws, Fading, Latency};
+use crate::ring::{Ring, SlotSets};
+use crate::stats::{Decaying, Latency, Rng};
 use crate::timers::TimerQueue;
 use crate::types::*;
 use endpoint::{Endpoint, Window};
-use outcome::Judged;
-use request::{Alike, Attempt, Fate, Pending, Place};
-use silence::Silence;
+use loss::LossDetector;
+use outcome::Assessed;
+use request::{Attempt, Exec, Pending, QueueEntry, ValueClass};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 use tuning::*;
@@ -32,94 +32,93 @@
 enum Timer {
     Deadline(RequestId),
     Overdue(RequestId, AttemptNo),
-    Ask,
-    Recheck,
+    Subscribe,
+    RecheckQueue,
 }
 
-/// The decisions of one balancer.
+/// A load balancer as a state machine: events in, actions out, no I/O and no clock.
 pub struct Balancer {
     settings: Settings,
-    born: Duration,
-    draws: Draws,
+    created_at: Duration,
+    rng: Rng,
     endpoints: Vec<Endpoint>,
     index: HashMap<EndpointId, usize>,
-    /// Ready endpoints: of the own zone, of others, each first those of this balancer's part, then all.
-    pools: Pools,
-    /// Ready endpoints of each zone, and this balancer's part of them.
+    /// Ready endpoints. Sets 0 and 1: the subset in the own zone and in other zones; 2 and 3: all of them.
+    sets: SlotSets,
+    /// Ready endpoints of each zone, from which this balancer's subset is taken.
     rings: BTreeMap<ZoneId, Ring>,
-    /// When cold endpoints will be warm.
+    /// Cold endpoints by the time at which they are warm.
     warming: BTreeSet<(Duration, EndpointId)>,
-    /// Endpoints that left with calls still out.
-    leaving: Vec<EndpointId>,
+    /// Removed endpoints, kept until their last call has ended.
+    departing: Vec<EndpointId>,
     requests: HashMap<RequestId, Pending>,
-    /// Held requests by class and the bits of their part, which their value follows from; of each the last
-    /// to have come is the last.
-    held: BTreeMap<Alike, BTreeSet<Place>>,
-    /// Heat that three quarters of the endpoints share: it comes from below and is nobody's fault here.
-    /// Not the median's, or a zone lost would pass for it.
-    common_heat: f64,
-    /// Seconds for which what was learned of an endpoint is remembered, as of the last choice.
-    memory: f64,
-    /// Of the own zone and of all others together: a crowded zone must not shut the others.
+    /// Queued requests by value class, each ordered by arrival.
+    queue: BTreeMap<ValueClass, BTreeSet<QueueEntry>>,
+    /// Penalty exceeded by three quarters of the endpoints: failures of a lower tier, which say nothing about
+    /// single endpoints. A median would hide the loss of a whole zone.
+    shared_penalty: f64,
+    /// Time constant of per-endpoint observations, as of the last choice.
+    decay_s: f64,
+    /// For the own zone and for all others, so that an overloaded zone does not block the others.
     windows: [Window; 2],
     recheck_set: bool,
-    /// The highest value of a request refused of late without having been sent.
-    missed: Fading,
-    /// What comes due when. What is over is taken out: deadlines of answered requests must not pile up.
+    /// Highest value of a recently refused request that was never sent.
+    refused_value: Decaying,
+    /// Pending timers; those of finished requests are removed so that they do not accumulate.
     timers: TimerQueue<Timer>,
     latency: Vec<Latency>,
     retry_tokens: f64,
-    /// Requests by tenant.
-    tenants: Vec<Fading>,
-    arrivals: Fading,
-    /// Requests served by warm endpoints.
-    served: Fading,
-    /// The most a warm endpoint has lately been seen to serve for this balancer, a second.
-    proven: Fading,
-    silence: Silence,
-    ask_failures: u32,
+    /// Request rate of each tenant.
+    tenant_rps: Vec<Decaying>,
+    arrivals: Decaying,
+    /// Rate of answers from warm endpoints.
+    served: Decaying,
+    /// Highest recent rate of answers per ready endpoint, a second.
+    proven: Decaying,
+    loss: LossDetector,
+    discovery_failures: u32,
     has_list: bool,
 }
 
 impl Balancer {
-    /// A balancer that knows no endpoints yet. Equal settings, seeds and events give equal actions.
+    /// Creates a balancer without endpoints. Equal settings, seeds and events give equal actions.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Result<Self, SettingsError> {
         settings.validate()?;
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
         Ok(Balancer {
             settings,
-            born: now,
-            draws: Draws::new(seed),
+            created_at: now,
+            rng: Rng::new(seed),
             endpoints: Vec::new(),
             index: HashMap::new(),
-            pools: Pools::default(),
+            sets: SlotSets::default(),
             rings: BTreeMap::new(),
             warming: BTreeSet::new(),
-            leaving: Vec::new(),
+            departing: Vec::new(),
             requests: HashMap::new(),
-            held: BTreeMap::new(),
-            common_heat: 0.0,
-            memory: DRAG_SECONDS,
-            windows: [Window { size: 1.0, out: 0, opening: true, used: Fading::default() }; 2],
+            queue: BTreeMap::new(),
+            shared_penalty: 0.0,
+            decay_s: MIN_DECAY_SECONDS,
+            windows: [Window { size: 1.0, in_flight: 0, slow_start: true, peak: Decaying::default() }; 2],
             recheck_set: false,
-            missed: Fading::default(),
+            refused_value: Decaying::default(),
             timers: TimerQueue::default(),
             latency: vec![Latency::default(); classes],
-            retry_tokens: RETRY_SAVED,
-            tenants: vec![Fading::default(); tenants],
-            arrivals: Fading::default(),
-            served: Fading::default(),
-            proven: Fading::default(),
-            silence: Silence::default(),
-            ask_failures: 0,
+            retry_tokens: MAX_RETRY_TOKENS,
+            tenant_rps: vec![Decaying::default(); tenants],
+            arrivals: Decaying::default(),
+            served: Decaying::default(),
+            proven: Decaying::default(),
+            loss: LossDetector::default(),
+            discovery_failures: 0,
             has_list: false,
         })
     }
 
-    /// Takes one event at `now` and appends what is to be done.
+    /// Handles one event at time `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Membership(news) => self.on_membership(now, news, out),
+            Event::Membership(update) => self.on_membership(now, update, out),
             Event::Request(request) => self.on_request(now, request, out),
             Event::StreamStarted { request, .. } => {
                 if let Some(pending) = self.requests.get_mut(&request) {
@@ -131,7 +130,7 @@
             Event::GiveUp(id) => self.give_up(id, out),
             Event::Timer(token) => {
                 self.timers.on_fired(token);
-                self.on_due(now, out);
+                self.on_timers_due(now, out);
             }
             Event::ProbeEnded { .. } | Event::PeerMessage { .. } => {}
         }
@@ -140,50 +139,50 @@
         }
     }
 
-    /// Own calls in flight at all endpoints that are listed.
+    /// Number of this balancer's calls in flight at all known endpoints.
     pub fn calls_in_flight(&self) -> u32 {
         self.endpoints.iter().map(|endpoint| endpoint.in_flight).sum()
     }
 
-    /// Things remembered: endpoints, requests, timers. Stays in proportion to what is going on.
+    /// Number of stored endpoints, requests and timers; bounded by the current load.
     pub fn state_size(&self) -> usize {
-        self.endpoints.len() + self.requests.len() + self.timers.len() + self.held_count()
+        self.endpoints.len() + self.requests.len() + self.timers.len() + self.queue_len()
     }
 
-    /// How an endpoint that is on the list stands.
+    /// Status of a known endpoint.
     pub fn endpoint_status(&self, now: Duration, id: EndpointId) -> Option<EndpointStatus<'_>> {
         let i = *self.index.get(&id)?;
         let e = &self.endpoints[i];
-        let (capacity_fraction, failure_penalty) = (self.warmth(now, i), e.heat(now, self.memory));
+        let (capacity_fraction, failure_penalty) = (self.capacity(now, i), e.penalty(now, self.decay_s));
         Some(EndpointStatus { info: &e.info, capacity_fraction, failure_penalty, in_flight: e.in_flight })
     }
 
-    fn on_due(&mut self, now: Duration, out: &mut Actions) {
-        while let Some((due, timer)) = self.timers.pop_due(now) {
+    fn on_timers_due(&mut self, now: Duration, out: &mut Actions) {
+        while let Some((key, timer)) = self.timers.pop_due(now) {
             if let Timer::Deadline(id) | Timer::Overdue(id, _) = timer
                 && let Some(pending) = self.requests.get_mut(&id)
             {
-                pending.due.retain(|other| *other != due);
+                pending.timers.retain(|other| *other != key);
             }
             match timer {
                 Timer::Deadline(id) => self.give_up(id, out),
-                Timer::Overdue(id, attempt) => self.on_silent(now, id, attempt, out),
-                Timer::Ask => out.push(Action::Watch(true)),
-                Timer::Recheck => {
+                Timer::Overdue(id, attempt) => self.hedge(now, id, attempt, out),
+                Timer::Subscribe => out.push(Action::Watch(true)),
+                Timer::RecheckQueue => {
                     self.recheck_set = false;
-                    self.drop_late(now, out);
-                    self.release_held(now, out);
+                    self.refuse_late(now, out);
+                    self.dispatch_queued(now, out);
                 }
             }
         }
     }
 
     fn set_timer(&mut self, at: Duration, timer: Timer) {
-        let due = self.timers.insert(at, timer);
+        let key = self.timers.insert(at, timer);
         if let Timer::Deadline(id) | Timer::Overdue(id, _) = timer
             && let Some(pending) = self.requests.get_mut(&id)
         {
-            pending.due.push(due);
+            pending.timers.push(key);
         }
     }
 }
--- a/crates/balancer/src/balance/request.rs
+++ b/crates/balancer/src/balance/request.rs
@@ -1,15 +1,15 @@
-//! A request under way and its attempts.
+//! The state of a pending request and of its attempts.
 
 use super::*;
-use crate::stats::Turn;
-use crate::timers::Due;
+use crate::stats::CallSeq;
+use crate::timers::TimerKey;
 
-/// What an attempt is known to have done.
+/// What is known of an attempt's execution at its endpoint.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Fate {
-    Out,
-    NeverRan,
-    MayHaveRun,
+pub(super) enum Exec {
+    InFlight,
+    NotExecuted,
+    MaybeExecuted,
 }
 
 #[derive(Clone, Copy)]
@@ -18,48 +18,47 @@
     pub(super) cell: CellId,
     pub(super) zone: ZoneId,
     pub(super) sent: Duration,
-    /// How long the connection it went out on had lain idle; none for a new one.
+    /// How long its connection had been idle before; zero for a new connection.
     pub(super) idle: Duration,
-    pub(super) turn: Turn,
-    pub(super) fate: Fate,
+    pub(super) seq: CallSeq,
+    pub(super) state: Exec,
 }
 
-/// A request until it is finished and all its attempts have ended.
+/// A request, kept until it is finished and all its attempts have ended.
 pub(super) struct Pending {
     pub(super) class: usize,
     pub(super) arrived: Duration,
     pub(super) deadline: Duration,
-    /// Part of its class's value: little above its tenant's share, and for a repeat.
-    pub(super) part: f64,
+    /// Fraction of its class's value; reduced above the tenant's share and for client retries.
+    pub(super) value_share: f64,
     pub(super) attempts: Vec<Attempt>,
-    /// Its timers, to be dropped with it.
-    pub(super) due: Vec<Due>,
+    pub(super) timers: Vec<TimerKey>,
     pub(super) finished: bool,
     pub(super) streaming: bool,
 }
 
-/// Requests of equal value: their class and the bits of their part.
-pub(super) type Alike = (usize, u64);
-/// A held request among its like: when it came.
-pub(super) type Place = (Duration, RequestId);
+/// Key of requests of equal value: the class and the bits of `value_share`.
+pub(super) type ValueClass = (usize, u64);
+/// A queued request, ordered by arrival time.
+pub(super) type QueueEntry = (Duration, RequestId);
 
 impl Pending {
-    /// Whether nothing is to be decided for it any more.
-    pub(super) fn settled(&self) -> bool {
+    /// Whether no decision is left: it is finished, or the client reads its stream.
+    pub(super) fn is_settled(&self) -> bool {
         self.finished || self.streaming
     }
 
-    /// Where it is held.
-    pub(super) fn group(&self) -> Alike {
-        (self.class, self.part.to_bits())
+    /// Key of the queue that it waits in.
+    pub(super) fn value_class(&self) -> ValueClass {
+        (self.class, self.value_share.to_bits())
     }
 
-    pub(super) fn none_out(&self) -> bool {
-        self.attempts.iter().all(|a| a.fate != Fate::Out)
+    pub(super) fn none_in_flight(&self) -> bool {
+        self.attempts.iter().all(|a| a.state != Exec::InFlight)
     }
 
-    /// The attempts that are not known never to have run.
-    pub(super) fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|a| a.fate != Fate::NeverRan)
+    /// Attempts that may have been executed.
+    pub(super) fn maybe_executed(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|a| a.state != Exec::NotExecuted)
     }
 }
--- a/crates/balancer/src/fleet/load.rs
+++ b/crates/balancer/src/fleet/load.rs
@@ -1,6 +1,6 @@
 //! What one proxy knows of an endpoint's load and failures.
 
-use crate::stats::Fading;
+use crate::stats::Decaying;
 use std::time::Duration;
 
 /// What others have sent counts for this long after it was reported.
@@ -30,7 +30,7 @@
     /// Tokens of prefixes that others have placed there since their pending prefill was reported.
     placed: u32,
     last_placed: Duration,
-    penalty: Fading,
+    penalty: Decaying,
     ejected_until: Duration,
     ejected_for: Duration,
 }
--- a/crates/balancer/src/fleet/mod.rs
+++ b/crates/balancer/src/fleet/mod.rs
@@ -25,7 +25,7 @@
 pub use prompt::{Prompt, PromptPrefix};
 pub use retry_budget::RetryBudget;
 
-use crate::stats::Draws;
+use crate::stats::Rng;
 use crate::types::{EndpointId, Outcome};
 use hashing::rendezvous;
 use load::{Load, REPORT_TTL};
@@ -70,7 +70,7 @@
 
 /// The decisions of one proxy.
 pub struct Router {
-    draws: Draws,
+    rng: Rng,
     loads: HashMap<EndpointId, Load>,
     retries: RetryBudgets,
     proxies: u32,
@@ -85,7 +85,7 @@
     /// A router that has sent nothing yet. Until it is told, it takes the fleet for `proxies` large.
     pub fn new(seed: u64, retry_budget: RetryBudget, proxies: u32) -> Self {
         Router {
-            draws: Draws::new(seed),
+            rng: Rng::new(seed),
             loads: HashMap::new(),
             retries: RetryBudgets::new(retry_budget),
             proxies,
@@ -107,7 +107,7 @@
 
     /// An even draw from 0 to below 1.
     pub fn random_fraction(&mut self) -> f64 {
-        self.draws.uniform()
+        self.rng.uniform()
     }
 
     /// Counts a request of a service.
@@ -122,7 +122,7 @@
 
     /// When a client that is refused is to come back.
     pub fn retry_after(&mut self) -> Duration {
-        RETRY_AFTER.mul_f64(1.0 + self.draws.uniform())
+        RETRY_AFTER.mul_f64(1.0 + self.rng.uniform())
     }
 
     /// Own calls in flight at an endpoint.
@@ -167,7 +167,7 @@
     /// Draws without replacement.
     fn draw_into(&mut self, sample: &mut Vec<EndpointId>, from: &[EndpointId], count: usize) {
         while sample.len() < count.min(from.len()) {
-            let drawn = from[self.draws.below(from.len())];
+            let drawn = from[self.rng.below(from.len())];
             if !sample.contains(&drawn) {
                 sample.push(drawn);
             }
@@ -216,7 +216,7 @@
                 Some((least, _)) if occupancy > least => {}
                 Some((least, _)) if occupancy == least => {
                     ties += 1;
-                    if self.draws.below(ties + 1) == 0 {
+                    if self.rng.below(ties + 1) == 0 {
                         best = Some((occupancy, id));
                     }
                 }
--- a/crates/balancer/src/ring.rs
+++ b/crates/balancer/src/ring.rs
@@ -6,23 +6,23 @@
 /// A bucket that grows beyond this is split: between the cost of a sum over all buckets and of a move within one.
 const MAX_BUCKET: usize = 128;
 /// Boundaries of an arc that moved by so many places at most are followed; else the whole ring is looked at.
-const FOLLOWED: usize = 64;
+const MAX_TRACKED_SHIFT: usize = 64;
 
 /// In the list of places: in none.
-const NOWHERE: u32 = u32::MAX;
+const NOT_IN_SET: u32 = u32::MAX;
 
 /// Sets of slots, each in any order; a slot is the number of an endpoint.
 #[derive(Default)]
-pub(crate) struct Pools {
+pub(crate) struct SlotSets {
     sets: [Vec<usize>; 4],
     /// Of each slot its place in each set.
-    places: Vec<[u32; 4]>,
+    positions: Vec<[u32; 4]>,
 }
 
-impl Pools {
+impl SlotSets {
     /// One more slot, in no set.
     pub(crate) fn push_slot(&mut self) {
-        self.places.push([NOWHERE; 4]);
+        self.positions.push([NOT_IN_SET; 4]);
     }
 
     /// Takes a slot out of all sets; the last slot gets its number.
@@ -30,25 +30,27 @@
         for set in 0..4 {
             self.set(set, slot, false);
         }
-        self.places.swap_remove(slot);
-        if let Some(places) = self.places.get(slot) {
-            for (set, &place) in places.iter().enumerate().filter(|&(_, &place)| place != NOWHERE) {
-                self.sets[set][place as usize] = slot;
+        self.positions.swap_remove(slot);
+        if let Some(positions) = self.positions.get(slot) {
+            for (set, &position) in
+                positions.iter().enumerate().filter(|&(_, &position)| position != NOT_IN_SET)
+            {
+                self.sets[set][position as usize] = slot;
             }
         }
     }
 
     /// Puts a slot into a set, or takes it out.
-    pub(crate) fn set(&mut self, set: usize, slot: usize, within: bool) {
-        let place = self.places[slot][set];
-        if within && place == NOWHERE {
-            self.places[slot][set] = self.sets[set].len() as u32;
+    pub(crate) fn set(&mut self, set: usize, slot: usize, inside: bool) {
+        let position = self.positions[slot][set];
+        if inside && position == NOT_IN_SET {
+            self.positions[slot][set] = self.sets[set].len() as u32;
             self.sets[set].push(slot);
-        } else if !within && place != NOWHERE {
-            self.sets[set].swap_remove(place as usize);
-            self.places[slot][set] = NOWHERE;
-            if let Some(&moved) = self.sets[set].get(place as usize) {
-                self.places[moved][set] = place;
+        } else if !inside && position != NOT_IN_SET {
+            self.sets[set].swap_remove(position as usize);
+            self.positions[slot][set] = NOT_IN_SET;
+            if let Some(&moved) = self.sets[set].get(position as usize) {
+                self.positions[moved][set] = position;
             }
         }
     }
@@ -62,7 +64,7 @@
     pub(crate) fn swap(&mut self, set: usize, a: usize, b: usize) -> usize {
         self.sets[set].swap(a, b);
         let (at_a, at_b) = (self.sets[set][a], self.sets[set][b]);
-        (self.places[at_a][set], self.places[at_b][set]) = (a as u32, b as u32);
+        (self.positions[at_a][set], self.positions[at_b][set]) = (a as u32, b as u32);
         at_a
     }
 }
@@ -74,12 +76,12 @@
     /// Warm endpoints of each bucket.
     warm: Vec<usize>,
     size: usize,
-    arc: Arc,
+    arc: LastArc,
 }
 
 /// The arc as it was last told.
 #[derive(Clone, Copy, Default)]
-enum Arc {
+enum LastArc {
     #[default]
     None,
     All,
@@ -96,10 +98,11 @@
         self.buckets.partition_point(|bucket| bucket[0].0 <= id).saturating_sub(1)
     }
 
-    fn place(&self, id: EndpointId) -> (usize, Result<usize, usize>) {
+    fn position(&self, id: EndpointId) -> (usize, Result<usize, usize>) {
         let b = self.bucket(id);
-        let place = self.buckets.get(b).map_or(Err(0), |bucket| bucket.binary_search_by_key(&id, |e| e.0));
-        (b, place)
+        let position =
+            self.buckets.get(b).map_or(Err(0), |bucket| bucket.binary_search_by_key(&id, |e| e.0));
+        (b, position)
     }
 
     /// Adds an endpoint, or changes whether it is warm.
@@ -108,11 +111,11 @@
             self.buckets.push(Vec::new());
             self.warm.push(0);
         }
-        let (b, place) = match self.buckets[0].is_empty() {
+        let (b, position) = match self.buckets[0].is_empty() {
             true => (0, Err(0)),
-            false => self.place(id),
+            false => self.position(id),
         };
-        match place {
+        match position {
             Ok(at) => {
                 let old = std::mem::replace(&mut self.buckets[b][at].1, warm);
                 self.warm[b] = self.warm[b] + usize::from(warm) - usize::from(old);
@@ -134,7 +137,7 @@
 
     /// Takes an endpoint off, if it is there.
     pub(crate) fn remove(&mut self, id: EndpointId) {
-        let (b, Ok(at)) = self.place(id) else { return };
+        let (b, Ok(at)) = self.position(id) else { return };
         let (_, warm) = self.buckets[b].remove(at);
         self.warm[b] -= usize::from(warm);
         self.size -= 1;
@@ -146,14 +149,14 @@
 
     /// Whether it is there.
     pub(crate) fn contains(&self, id: EndpointId) -> bool {
-        self.place(id).1.is_ok()
+        self.position(id).1.is_ok()
     }
 
     /// Endpoints with lower ids, and whether it is there.
     fn rank(&self, id: EndpointId) -> (usize, bool) {
-        let (b, place) = self.place(id);
+        let (b, position) = self.position(id);
         let before: usize = self.buckets[..b].iter().map(Vec::len).sum();
-        (before + place.unwrap_or_else(|at| at), place.is_ok())
+        (before + position.unwrap_or_else(|at| at), position.is_ok())
     }
 
     fn at(&self, mut rank: usize) -> EndpointId {
@@ -193,16 +196,16 @@
 
     /// The arc from a rank on that holds so many warm endpoints, cold ones on top, up to the whole ring. Tells each
     /// endpoint of which that may have changed, and those that are named, whether it lies on it.
-    pub(crate) fn arc(
+    pub(crate) fn set_arc(
         &mut self,
         start: usize,
         warm: usize,
-        touched: &[EndpointId],
-        mut tell: impl FnMut(EndpointId, bool),
+        updated: &[EndpointId],
+        mut report: impl FnMut(EndpointId, bool),
     ) {
         let size = self.size;
         if size == 0 {
-            self.arc = Arc::None;
+            self.arc = LastArc::None;
             return;
         }
         let all_warm: usize = self.warm.iter().sum();
@@ -218,38 +221,38 @@
                 end + 1 - start
             }
         };
-        let old = self.old_arc();
+        let old = self.previous_arc();
         self.arc = match length == size {
-            true => Arc::All,
-            false => Arc::Between(self.at(start), self.at((start + length - 1) % size)),
+            true => LastArc::All,
+            false => LastArc::Between(self.at(start), self.at((start + length - 1) % size)),
         };
-        let within = |rank: usize| (rank + size - start) % size < length;
-        for &id in touched {
+        let inside = |rank: usize| (rank + size - start) % size < length;
+        for &id in updated {
             if let (rank, true) = self.rank(id) {
-                tell(id, within(rank));
+                report(id, inside(rank));
             }
         }
-        let spans = old.and_then(|old| changed(old, (start, length), size));
+        let spans = old.and_then(|old| changed_spans(old, (start, length), size));
         let Some(spans) = spans else {
             let all = self.buckets.iter().flatten().enumerate();
-            return all.for_each(|(rank, &(id, _))| tell(id, within(rank)));
+            return all.for_each(|(rank, &(id, _))| report(id, inside(rank)));
         };
         for (from, count) in spans {
             for rank in (from..from + count).map(|rank| rank % size) {
-                tell(self.at(rank), within(rank));
+                report(self.at(rank), inside(rank));
             }
         }
     }
 
     /// The arc as it was last told: start and length in the ring as it is now; none where that can't be said.
-    fn old_arc(&self) -> Option<(usize, usize)> {
+    fn previous_arc(&self) -> Option<(usize, usize)> {
         match self.arc {
-            Arc::None => Some((0, 0)),
-            Arc::All => Some((0, self.size)),
-            Arc::Between(first, last) => {
+            LastArc::None => Some((0, 0)),
+            LastArc::All => Some((0, self.size)),
+            LastArc::Between(first, last) => {
                 let start = self.rank(first).0 % self.size;
-                let (rank, there) = self.rank(last);
-                let end = (rank + usize::from(there)) % self.size;
+                let (rank, is_present) = self.rank(last);
+                let end = (rank + usize::from(is_present)) % self.size;
                 // All of it may be gone, or all that was not of it.
                 (start != end).then(|| (start, (end + self.size - start) % self.size))
             }
@@ -258,21 +261,21 @@
 }
 
 /// Spans, as start and length, that hold all ranks which lie on one of two arcs only; none: too many.
-fn changed(old: (usize, usize), new: (usize, usize), size: usize) -> Option<[(usize, usize); 2]> {
+fn changed_spans(old: (usize, usize), new: (usize, usize), size: usize) -> Option<[(usize, usize); 2]> {
     let gap = |(start, length): (usize, usize)| ((start + length) % size, size - length);
-    if old.1.max(new.1) <= FOLLOWED {
+    if old.1.max(new.1) <= MAX_TRACKED_SHIFT {
         return Some([old, new]);
     }
     let (old_gap, new_gap) = (gap(old), gap(new));
-    if old_gap.1.max(new_gap.1) <= FOLLOWED {
+    if old_gap.1.max(new_gap.1) <= MAX_TRACKED_SHIFT {
         return Some([old_gap, new_gap]);
     }
     // Each boundary moves the shorter way; neither passes the other one.
-    let way = |from: usize, to: usize| {
+    let shorter_span = |from: usize, to: usize| {
         let ahead = (to + size - from) % size;
         if ahead <= size - ahead { (from, ahead) } else { (to, size - ahead) }
     };
-    let (starts, ends) = (way(old.0, new.0), way(old_gap.0, new_gap.0));
+    let (starts, ends) = (shorter_span(old.0, new.0), shorter_span(old_gap.0, new_gap.0));
     let short = old.1.min(new.1).min(old_gap.1).min(new_gap.1);
-    (starts.1.max(ends.1) * 2 < short.min(2 * FOLLOWED)).then_some([starts, ends])
+    (starts.1.max(ends.1) * 2 < short.min(2 * MAX_TRACKED_SHIFT)).then_some([starts, ends])
 }
--- a/crates/balancer/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 /// A timer by its time; the number tells equal times apart.
-pub(crate) type Due = (Duration, u64);
+pub(crate) type TimerKey = (Duration, u64);
 
 /// What comes due when.
 pub(crate) struct TimerQueue<T> {
-    timers: BTreeMap<Due, T>,
+    timers: BTreeMap<TimerKey, T>,
     /// The timers asked of the host: each one earlier than those before it, so there are never many.
     armed: Vec<(Duration, TimerToken)>,
     next_number: u64,
@@ -23,20 +23,20 @@
 
 impl<T> TimerQueue<T> {
     /// Adds a timer.
-    pub(crate) fn insert(&mut self, at: Duration, timer: T) -> Due {
+    pub(crate) fn insert(&mut self, at: Duration, timer: T) -> TimerKey {
         self.next_number += 1;
-        let due = (at, self.next_number);
-        self.timers.insert(due, timer);
-        due
+        let key = (at, self.next_number);
+        self.timers.insert(key, timer);
+        key
     }
 
     /// Takes a timer out before its time.
-    pub(crate) fn remove(&mut self, due: &Due) {
-        self.timers.remove(due);
+    pub(crate) fn remove(&mut self, key: &TimerKey) {
+        self.timers.remove(key);
     }
 
     /// The next timer that has come due.
-    pub(crate) fn pop_due(&mut self, now: Duration) -> Option<(Due, T)> {
+    pub(crate) fn pop_due(&mut self, now: Duration) -> Option<(TimerKey, T)> {
         let entry = self.timers.first_entry().filter(|entry| entry.key().0 <= now)?;
         Some(entry.remove_entry())
     }
--- a/crates/balancer/tests/stats.rs
+++ b/crates/balancer/tests/stats.rs
@@ -4,12 +4,12 @@
 #[allow(dead_code)]
 mod stats;
 
-use stats::{Draws, Fading, Latency, Turn};
+use stats::{CallSeq, Decaying, Latency, Rng};
 use std::time::Duration;
 
 #[test]
 fn a_steady_count_reads_as_its_rate() {
-    let mut count = Fading::default();
+    let mut count = Decaying::default();
     for n in 0..4000 {
         count.count(Duration::from_millis(n * 10), 5.0);
     }
@@ -20,36 +20,36 @@
 
 #[test]
 fn the_unhurried_mean_goes_by_the_order_of_sending() {
-    let (longest, ms) = (Duration::from_secs(2), Duration::from_millis);
+    let (max_wait, ms) = (Duration::from_secs(2), Duration::from_millis);
     let mut latency = Latency::default();
-    let turns: Vec<Turn> = (0..10).map(|n| latency.sent(ms(n))).collect();
+    let seqs: Vec<CallSeq> = (0..10).map(|n| latency.sent(ms(n))).collect();
     // Sent at once, they end shortest first: 100, 200, ... 1,000 ms, the first sent last of all.
-    for (n, turn) in turns.iter().rev().enumerate() {
+    for (n, seq) in seqs.iter().rev().enumerate() {
         let took = 0.1 * (n + 1) as f64;
-        assert_eq!(latency.unhurried(), None, "nothing is settled while the first one is out");
-        latency.ended(ms(100 * (n as u64 + 1)), *turn, Some(took), longest);
+        assert_eq!(latency.baseline(), None, "nothing is settled while the first one is out");
+        latency.ended(ms(100 * (n as u64 + 1)), *seq, Some(took), max_wait);
     }
-    let unhurried = latency.unhurried().expect("all have ended");
-    assert!((0.5..=1.0).contains(&unhurried), "{unhurried}: no less than the mean of any run of them");
+    let baseline = latency.baseline().expect("all have ended");
+    assert!((0.5..=1.0).contains(&baseline), "{baseline}: no less than the mean of any run of them");
     assert!(latency.calls.is_empty());
 }
 
 #[test]
 fn a_call_that_never_ends_holds_up_the_others_only_so_long() {
-    let (longest, ms) = (Duration::from_secs(2), Duration::from_millis);
+    let (max_wait, ms) = (Duration::from_secs(2), Duration::from_millis);
     let mut latency = Latency::default();
     latency.sent(ms(0));
     for n in 1..100 {
-        let turn = latency.sent(ms(50 * n));
-        latency.ended(ms(50 * n + 10), turn, Some(0.01), longest);
+        let seq = latency.sent(ms(50 * n));
+        latency.ended(ms(50 * n + 10), seq, Some(0.01), max_wait);
     }
-    assert!(latency.unhurried().is_some_and(|mean| mean < 2.0), "{:?}", latency.unhurried());
+    assert!(latency.baseline().is_some_and(|mean| mean < 2.0), "{:?}", latency.baseline());
     assert!(latency.calls.len() < 2, "{} calls kept", latency.calls.len());
 }
 
 #[test]
 fn draws_are_even_and_repeat_with_the_seed() {
-    let (mut a, mut b, mut counts) = (Draws::new(3), Draws::new(3), [0; 7]);
+    let (mut a, mut b, mut counts) = (Rng::new(3), Rng::new(3), [0; 7]);
     for _ in 0..7000 {
         let draw = a.below(7);
         assert_eq!(draw, b.below(7));
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -84,9 +84,7 @@
                 self.now = Some(*now);
                 return Ok(());
             }
-            (Line::BatchStart(_), Some(_)) => {
-                return Err(error("message", "batch already open".to_owned()));
-            }
+            (Line::BatchStart(_), Some(_)) => return Err(error("message", "nested batch".to_owned())),
             (_, None) => return Err(error("message", "no batch is open".to_owned())),
             (_, Some(now)) => now,
         };
