--- a/crates/balancer/benches/membership.rs
+++ b/crates/balancer/benches/membership.rs
@@ -13,7 +13,7 @@
             ..EndpointInfo::ready(n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         };
         let settings = Settings { balancers: 20, zones: 3, ..Settings::default() };
-        let mut balancer = Balancer::new(settings, 7, Duration::ZERO).expect("sound settings");
+        let mut balancer = Balancer::new(settings, 7, Duration::ZERO).expect("valid settings");
         let mut out = Vec::new();
         let all = (0..size).map(|n| info(n, EndpointState::Ready)).collect();
         balancer.handle(Duration::ZERO, Event::Membership(Membership::Full(all)), &mut out);
--- a/crates/balancer/tests/choice.rs
+++ b/crates/balancer/tests/choice.rs
@@ -1,17 +1,17 @@
-//! The choice itself: unbiased samples, the lower own count wins, ties spread evenly.
+//! Endpoint choice: unbiased samples, the lower own count wins, ties are spread evenly.
 
 mod support;
 use runtrack_balancer::*;
 use std::collections::HashMap;
 use support::*;
 
-/// Where `count` requests go when each ends well before the next begins.
+/// Counts requests per endpoint when each succeeds before the next begins.
 fn spread(d: &mut Driver, count: usize) -> HashMap<EndpointId, usize> {
-    rounds(d, count, |_| (Outcome::Ok, 10))
+    run_requests(d, count, |_| (Outcome::Ok, 10))
 }
 
 #[test]
-fn ties_spread_evenly() {
+fn ties_are_spread_evenly() {
     let mut d = Driver::new(Settings::default(), endpoints(5));
     let counts = spread(&mut d, 5000);
     for id in 1..=5 {
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn the_lower_own_count_wins() {
-    // With two endpoints both are always sampled, so calls that stay out must alternate.
+fn endpoint_with_fewer_own_calls_wins() {
+    // With two endpoints both are always sampled, so calls that stay in flight must alternate.
     let mut d = Driver::new(Settings::default(), endpoints(2));
     for _ in 0..3 {
         let (_, a) = d.request(ms(900));
@@ -32,9 +32,9 @@
 }
 
 #[test]
-fn two_samples_of_many_avoid_a_busy_endpoint_but_not_always() {
-    // One endpoint holds a call. It is taken only if both samples would be it, that is never;
-    // the others share the rest evenly.
+fn busy_endpoint_is_avoided_and_rest_stays_even() {
+    // One endpoint holds a call. Samples are drawn without replacement, so it is never chosen;
+    // the others share the requests evenly.
     let mut d = Driver::new(Settings::default(), endpoints(4));
     let (_, first) = d.request(ms(60_000));
     let busy = sends(&first)[0];
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_numbering_of_endpoints_means_nothing() {
+fn choice_does_not_depend_on_endpoint_ids() {
     let run = |offset: u64| {
         let list: Vec<EndpointInfo> = (0..6).map(|i| endpoint((i * 7919 + offset) % 97)).collect();
         let order: Vec<EndpointId> = list.iter().map(|info| info.id).collect();
@@ -63,19 +63,19 @@
 }
 
 #[test]
-fn own_zone_goes_first() {
+fn own_zone_is_preferred() {
     let mut d = Driver::new(Settings::default(), three_zones());
     let counts = spread(&mut d, 200);
     assert!(counts.keys().all(|id| id.0 % 3 == 0), "{counts:?}");
 }
 
 #[test]
-fn a_busy_zone_spills_over() {
+fn busy_zone_spills_over_to_others() {
     let mut d = Driver::new(Settings::default(), three_zones());
     let mut away = 0;
     for _ in 0..8 {
         let (_, actions) = d.request(ms(60_000));
         away += sends(&actions).iter().filter(|id| id.0 % 3 != 0).count();
     }
-    assert!(away > 0, "nothing left a zone whose two endpoints hold all the calls");
+    assert!(away > 0, "no call left the zone although its two endpoints hold all calls");
 }
--- a/crates/balancer/tests/contract.rs
+++ b/crates/balancer/tests/contract.rs
@@ -1,4 +1,4 @@
-//! What an embedder may rely on when its events are odd: each case has a stated behaviour.
+//! Behavior that hosts may rely on for unusual events.
 
 mod support;
 use runtrack_balancer::*;
@@ -6,7 +6,7 @@
 use support::*;
 
 #[test]
-fn a_clock_that_goes_backwards_is_taken_as_standing_still() {
+fn backward_clock_is_treated_as_stopped() {
     let mut d = Driver::new(Settings::default(), endpoints(3));
     let (id, _) = d.request(ms(500));
     d.now -= ms(50);
@@ -15,15 +15,15 @@
     d.end(second, Outcome::Ok, ms(1));
     d.now += ms(50);
     d.end(id, Outcome::Ok, ms(10));
-    assert_eq!(d.balancer.state_size(), 3 + 2, "the list, and the timers asked of the host");
+    assert_eq!(d.balancer.state_size(), 3 + 2, "the endpoints, and the timers requested from the host");
 }
 
 #[test]
-fn timers_of_answered_requests_do_not_pile_up() {
+fn timers_of_answered_requests_do_not_accumulate() {
     let mut d = Driver::new(Settings::default(), endpoints(4));
     let (mut asked, mut most) = (0, 0);
     for n in 0..20_000 {
-        // Eight at a time, answered within a millisecond, each with half a minute to go.
+        // Eight at a time, answered within a millisecond, each with 30 s left.
         let open: Vec<RequestId> = (0..8).map(|_| d.request(ms(30_000)).0).collect();
         d.now += Duration::from_micros(500);
         for id in open {
@@ -35,11 +35,11 @@
         }
     }
     assert!(asked <= 4, "{asked} timers with the host for 160,000 requests");
-    assert!(most <= 4 + 4 * 8, "{most} things remembered");
+    assert!(most <= 4 + 4 * 8, "state size {most}");
 }
 
 #[test]
-fn an_outcome_told_twice_counts_once() {
+fn duplicate_outcome_counts_once() {
     let mut d = Driver::new(Settings::default(), endpoints(2));
     let (id, _) = d.request(ms(500));
     let (_, attempt, endpoint, _) = d.out[0];
@@ -52,12 +52,12 @@
         finished: false,
         report: None,
     };
-    assert_eq!(sends(&d.feed(Event::AttemptEnded(ended.clone()))).len(), 1, "sent again");
-    assert!(d.feed(Event::AttemptEnded(ended)).is_empty(), "the repeat of the outcome says nothing");
+    assert_eq!(sends(&d.feed(Event::AttemptEnded(ended.clone()))).len(), 1, "retried");
+    assert!(d.feed(Event::AttemptEnded(ended)).is_empty(), "the duplicate is ignored");
 }
 
 #[test]
-fn events_about_unknown_things_are_ignored() {
+fn events_with_unknown_ids_are_ignored() {
     let mut d = Driver::new(Settings::default(), endpoints(2));
     let ended = AttemptEnded {
         request: RequestId(999),
@@ -86,31 +86,31 @@
 }
 
 #[test]
-fn an_event_for_a_finished_request_sends_nothing() {
+fn events_for_finished_request_cause_no_action() {
     let mut d = Driver::new(Settings::default(), endpoints(2));
     let (id, _) = d.request(ms(500));
     d.end(id, Outcome::Ok, ms(5));
     assert!(d.feed(Event::RequestGone(id)).is_empty());
     assert!(d.feed(Event::StreamStarted { request: id, attempt: AttemptNo(0) }).is_empty());
-    assert!(d.advance(ms(600)).is_empty(), "its deadline passes in silence");
+    assert!(d.advance(ms(600)).is_empty(), "nothing happens at its deadline");
 }
 
 #[test]
-fn a_request_reported_twice_is_one_request() {
+fn duplicate_request_event_is_ignored() {
     let mut d = Driver::new(Settings::default(), endpoints(2));
     let (id, _) = d.request(ms(500));
     assert!(d.feed(Event::request(id, ms(500))).is_empty());
 }
 
 #[test]
-fn no_time_left_is_answered_at_once() {
+fn request_without_time_left_is_refused_at_once() {
     let mut d = Driver::new(Settings::default(), endpoints(2));
     let (id, actions) = d.request(Duration::ZERO);
     assert!(refused(&actions, id) && sends(&actions).is_empty());
 }
 
 #[test]
-fn a_started_stream_is_left_to_the_client() {
+fn started_stream_is_not_cancelled_at_deadline() {
     let classes = vec![Class { streamed: true, ..Class::default() }];
     let mut d = Driver::new(Settings { classes, ..Settings::default() }, endpoints(2));
     let (id, _) = d.request(ms(300));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_come_back_as_errors() {
+fn invalid_settings_are_rejected() {
     let new = |settings| Balancer::new(settings, 1, Duration::ZERO).err();
     assert_eq!(new(Settings { classes: vec![], ..Settings::default() }), Some(SettingsError::NoClasses));
     let mut settings = Settings::default();
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -1,14 +1,14 @@
-//! Decisions of the fleet's proxy: SQ(d) on the ordinary path, and each thing that is added to it.
+//! Routing decisions of the fleet's proxy: SQ(d), and each refinement of it.
 
 use runtrack_balancer::fleet::{Placement, Prompt, RetryBudget, Router, SelectionRequest};
 use runtrack_balancer::{EndpointId, Outcome};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const SECOND: RetryBudget = RetryBudget { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
+const RETRY_BUDGET: RetryBudget = RetryBudget { ratio: 0.2, slack: 56.0, window: Duration::from_secs(10) };
 
 fn router(seed: u64) -> Router {
-    Router::new(seed, SECOND, 8)
+    Router::new(seed, RETRY_BUDGET, 8)
 }
 
 fn endpoints(count: u64) -> Vec<EndpointId> {
@@ -28,7 +28,7 @@
     router.choose(SelectionRequest { now, ready, tried, prompt: None })
 }
 
-/// How often each endpoint is chosen in so many calls of which none ends.
+/// Counts how often each endpoint is chosen in `calls` calls, none of which ends.
 fn shares(
     router: &mut Router,
     ready: &[EndpointId],
@@ -46,7 +46,7 @@
     shares
 }
 
-/// A router that knows all that other proxies have placed.
+/// A router with complete knowledge of other proxies' placements.
 fn informed(seed: u64) -> Router {
     let mut router = router(seed);
     router.set_all_placements_known();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_lower_count_of_a_sample_wins() {
+fn lower_count_of_a_sample_wins() {
     let ready = endpoints(2);
     let mut router = router(2);
     router.on_sent(at(0), ready[0], None);
@@ -85,8 +85,8 @@
 
 #[test]
 fn two_choices_keep_the_fullest_endpoint_near_the_mean() {
-    // Mitzenmacher 2001: with two choices the largest load exceeds the mean by log log n / log 2, about 2 here; with one
-    // it would be 20 above.
+    // Mitzenmacher 2001: with two choices the largest load exceeds the mean by log log n / log 2, about 2 here; with
+    // one it would be 20 above.
     let shares = shares(&mut router(3), &endpoints(100), 10_000, None);
     let most = shares.values().max().expect("a share");
     assert!(*most <= 104, "{most} of 10,000 calls at the fullest of 100 endpoints");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn what_was_tried_is_not_chosen_again() {
+fn tried_endpoints_are_not_chosen_again() {
     let ready = endpoints(3);
     let mut router = router(5);
     for _ in 0..50 {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn counts_fall_when_calls_end_whatever_way() {
+fn counts_fall_when_calls_end_with_any_outcome() {
     let ready = endpoints(2);
     let mut router = router(6);
     for outcome in [Outcome::Ok, Outcome::Cancelled, Outcome::NotSent] {
@@ -122,11 +122,11 @@
         assert_eq!(router.in_flight(ready[0]), 0);
     }
     let first = (0..1000).filter(|_| choose(&mut router, at(0), &ready, &[]) == Some(ready[0])).count();
-    assert!((400..600).contains(&first), "none of these says anything against an endpoint: {first}");
+    assert!((400..600).contains(&first), "none of these outcomes counts against an endpoint: {first}");
 }
 
 #[test]
-fn an_endpoint_whose_quick_errors_keep_its_count_low_does_not_win() {
+fn endpoint_with_fast_errors_does_not_win() {
     let ready = endpoints(2);
     let mut router = router(7);
     router.on_sent(at(0), ready[0], None);
@@ -141,11 +141,11 @@
     }
     router.on_ended(at(10), ready[1], Outcome::Ok);
     let later = (0..100).filter(|_| choose(&mut router, at(60_000), &ready, &[]) == Some(ready[0])).count();
-    assert!(later > 20, "an error is forgotten");
+    assert!(later > 20, "the penalty of an error decays");
 }
 
 #[test]
-fn an_endpoint_that_can_not_be_reached_is_left_out_for_longer_each_time() {
+fn unreachable_endpoint_is_ejected_for_longer_each_time() {
     let ready = endpoints(2);
     let mut router = router(8);
     let chosen = |router: &mut Router, now: u64| {
@@ -157,7 +157,7 @@
         router.on_sent(at(0), ready[0], None);
         router.on_ended(at(now), ready[0], Outcome::ConnectFailed);
         let failed = now;
-        // Calls at the other one, so that the weight of failures alone does not keep the first one out.
+        // Load the other endpoint, so that the failure penalty alone does not exclude the first one.
         for _ in 0..30 {
             router.on_sent(at(0), ready[1], None);
         }
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn where_all_are_left_out_none_is() {
+fn if_all_endpoints_are_ejected_none_is() {
     let ready = endpoints(3);
     let mut router = router(9);
     for id in &ready {
@@ -188,10 +188,10 @@
 }
 
 #[test]
-fn a_long_shared_prompt_goes_home_and_all_proxies_know_the_same_home() {
+fn all_proxies_agree_on_the_endpoint_of_a_long_prefix() {
     let ready = endpoints(9);
     for key in 0..50 {
-        let home = |seed| {
+        let agreed = |seed| {
             router(seed).choose(SelectionRequest {
                 now: at(0),
                 ready: &ready,
@@ -199,15 +199,15 @@
                 prompt: prompt(key, 13_000),
             })
         };
-        let first = home(1);
-        assert!((2..10).all(|seed| home(seed) == first));
+        let first = agreed(1);
+        assert!((2..10).all(|seed| agreed(seed) == first));
     }
 }
 
 #[test]
-fn homes_are_spread_evenly_and_stay_when_others_come_and_go() {
+fn agreed_endpoints_are_even_and_stable() {
     let ready = endpoints(9);
-    let home = |ready: &[EndpointId], key| {
+    let agreed = |ready: &[EndpointId], key| {
         router(1)
             .choose(SelectionRequest { now: at(0), ready, tried: &[], prompt: prompt(key, 13_000) })
             .expect("a home")
@@ -215,18 +215,18 @@
     let mut shares: BTreeMap<EndpointId, u32> = BTreeMap::new();
     let (mut moved, without) = (0, &ready[1..]);
     for key in 0..3000 {
-        let before = home(&ready, key);
+        let before = agreed(&ready, key);
         *shares.entry(before).or_default() += 1;
-        if before != ready[0] && home(without, key) != before {
+        if before != ready[0] && agreed(without, key) != before {
             moved += 1;
         }
     }
     assert!(shares.values().all(|share| (250..420).contains(share)), "{shares:?}");
-    assert_eq!(moved, 0, "only what was at home where one left may move");
+    assert_eq!(moved, 0, "only prefixes of the removed endpoint may move");
 }
 
 #[test]
-fn a_burst_of_one_prompt_is_spread_over_endpoints_that_then_hold_it() {
+fn burst_of_one_prompt_is_spread_over_several_holders() {
     let ready = endpoints(9);
     let mut router = informed(10);
     let mut counts: BTreeMap<EndpointId, u32> = BTreeMap::new();
@@ -236,14 +236,14 @@
         router.on_sent(at(0), id, Some(prompt));
         *counts.entry(id).or_default() += 1;
     }
-    assert!(counts.len() > 4, "a burst of one prompt does not stay at a few endpoints: {counts:?}");
+    assert!(counts.len() > 4, "a burst of one prompt must not stay at a few endpoints: {counts:?}");
     let prefilled: u32 = router.pending_prefill().iter().map(|(_, tokens)| tokens).sum();
     let least = 200 * 4000 + 13_000 * counts.len() as u32;
     assert_eq!(prefilled, least, "each of them prefills the prefix once");
 }
 
 #[test]
-fn short_shared_parts_weigh_less_than_a_call() {
+fn short_prefixes_weigh_less_than_a_call() {
     let ready = endpoints(2);
     let mut router = informed(11);
     let prompt = Prompt::new([(5, 350)], 0);
@@ -253,8 +253,8 @@
 }
 
 #[test]
-fn second_sends_of_all_proxies_together_stay_within_the_budget() {
-    // Eight proxies, one sees most of the requests; every request wants a second endpoint.
+fn retries_of_all_proxies_stay_within_budget() {
+    // Eight proxies, one of which gets most of the requests; every request asks for a retry.
     let mut routers: Vec<Router> = (0..8).map(router).collect();
     let (mut requests, mut seconds) = (0.0, 0.0);
     for step in 0..2000u64 {
@@ -266,35 +266,35 @@
             seconds += 1.0;
         }
     }
-    assert!(seconds <= requests * SECOND.ratio + SECOND.slack, "{seconds} of {requests}");
+    assert!(seconds <= requests * RETRY_BUDGET.ratio + RETRY_BUDGET.slack, "{seconds} of {requests}");
     assert!(
-        seconds >= requests * SECOND.ratio / 4.0,
-        "{seconds} of {requests}: the budget is there to be used"
+        seconds >= requests * RETRY_BUDGET.ratio / 4.0,
+        "{seconds} of {requests}: the budget must be usable"
     );
 }
 
 #[test]
-fn budgets_of_services_are_apart_and_windows_slide() {
-    let mut router = Router::new(1, RetryBudget { slack: 2.0, ..SECOND }, 1);
+fn budgets_are_per_service_and_windows_slide() {
+    let mut router = Router::new(1, RetryBudget { slack: 2.0, ..RETRY_BUDGET }, 1);
     router.on_request(at(0), 1);
     assert!(router.try_acquire_retry(at(0), 1));
     assert!(!router.try_acquire_retry(at(1), 1));
     router.on_request(at(2), 2);
-    assert!(router.try_acquire_retry(at(2), 2), "another service has its own");
-    assert!(router.try_acquire_retry(at(10_001), 1), "the window has gone by");
+    assert!(router.try_acquire_retry(at(2), 2), "another service has its own budget");
+    assert!(router.try_acquire_retry(at(10_001), 1), "the window has passed");
 }
 
 #[test]
-fn more_proxies_share_the_same_slack() {
+fn proxies_share_the_slack() {
     let count = |proxies| {
-        let mut router = Router::new(1, SECOND, proxies);
+        let mut router = Router::new(1, RETRY_BUDGET, proxies);
         (0..100).filter(|_| router.try_acquire_retry(at(0), 1)).count()
     };
     assert_eq!((count(1), count(4), count(28)), (28, 7, 1));
 }
 
 #[test]
-fn times_to_come_back_are_spread() {
+fn retry_delays_are_spread() {
     let mut router = router(12);
     let waits: Vec<Duration> = (0..100).map(|_| router.retry_after()).collect();
     let (least, most) = (waits.iter().min().expect("one"), waits.iter().max().expect("one"));
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn what_an_endpoint_has_to_read_counts_until_it_answers() {
+fn pending_prefill_counts_until_the_answer_begins() {
     let ready = endpoints(2);
     let mut router = router(13);
     let own = Prompt::new([], 20_000);
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn what_others_have_sent_counts_for_a_moment_and_own_requests_not_twice() {
+fn reported_prefill_expires_and_excludes_own_requests() {
     let ready = endpoints(2);
     let mut router = router(14);
     let own = Prompt::new([], 4000);
@@ -341,7 +341,7 @@
         assert_eq!(
             choose(&mut router, at(1000), &ready, &[]),
             Some(ready[0]),
-            "what was told is too old to count"
+            "the report is too old to count"
         );
     }
     router.set_fleet_pending_prefill(at(1000), &[], &told);
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_prefix_that_another_proxy_has_just_placed_is_still_to_be_prefilled() {
+fn prefix_just_placed_by_another_proxy_counts_as_pending() {
     let ready = endpoints(2);
     let [placed] = reported_placements(ready[0], Prompt::new([(3, 13_000)], 0))[..] else { panic!("one") };
     let mut router = informed(23);
@@ -357,14 +357,14 @@
         (0..100).filter(|_| choose(router, at(ms), &ready, &[]) == Some(ready[0])).count()
     };
     router.learn_placement(at(0), placed);
-    assert_eq!(first(&mut router, 100), 0, "the endpoint prefills it");
-    assert!((25..75).contains(&first(&mut router, 1000)), "it has had the time to");
+    assert_eq!(first(&mut router, 100), 0, "the endpoint is prefilling it");
+    assert!((25..75).contains(&first(&mut router, 1000)), "it has had time to prefill it");
     router.learn_placement(at(1000), placed);
     assert!((25..75).contains(&first(&mut router, 1000)), "a prefix that it holds is not prefilled again");
 }
 
 #[test]
-fn a_report_of_pending_prefill_takes_the_place_of_what_was_placed_before_it() {
+fn report_of_pending_prefill_replaces_earlier_placements() {
     let ready = endpoints(2);
     let [placed] = reported_placements(ready[0], Prompt::new([(3, 13_000)], 0))[..] else { panic!("one") };
     let mut router = informed(24);
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn placements_that_a_proxy_learns_at_its_start_were_made_before() {
+fn placements_learned_at_start_do_not_count_as_pending() {
     let ready = endpoints(2);
     let mut router = router(25);
     for placed in reported_placements(ready[0], Prompt::new([(3, 13_000)], 0)) {
@@ -384,7 +384,7 @@
     assert!((25..75).contains(&first), "{first}");
 }
 
-/// What another proxy reports that sends a prompt to an endpoint.
+/// The placements that another proxy reports after sending a prompt to an endpoint.
 fn reported_placements(endpoint: EndpointId, prompt: Prompt) -> Vec<Placement> {
     let mut other = informed(99);
     other.on_sent(at(0), endpoint, Some(prompt));
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn a_prefix_that_an_endpoint_holds_is_not_expected_to_be_prefilled_again() {
+fn held_prefix_is_not_prefilled_again() {
     let ready = endpoints(3);
     let mut router = router(15);
     let prompt = Prompt::new([(9, 13_000)], 100);
@@ -403,12 +403,12 @@
     assert_eq!(
         router.on_sent(at(0), ready[0], Some(prompt)),
         13_100,
-        "the call that brought it there has failed"
+        "the call that placed it there failed"
     );
 }
 
 #[test]
-fn the_part_of_a_prefix_that_an_endpoint_holds_is_not_prefilled_again_either() {
+fn held_part_of_a_prefix_is_not_prefilled_again() {
     let ready = endpoints(3);
     let mut router = router(15);
     router.on_sent(at(0), ready[0], Some(Prompt::new([(1, 2500), (2, 4000)], 100)));
@@ -416,12 +416,12 @@
     assert_eq!(
         router.on_sent(at(0), ready[0], Some(Prompt::new([(3, 4000)], 100))),
         4100,
-        "the same part behind nothing is another prefix"
+        "the same part at the start is another prefix"
     );
 }
 
 #[test]
-fn a_prompt_goes_where_another_proxy_has_placed_its_prefix() {
+fn prompt_goes_where_another_proxy_placed_its_prefix() {
     let ready = endpoints(100);
     let prompt = Prompt::new([(3, 13_000)], 100);
     for holder in &ready[..20] {
@@ -433,18 +433,18 @@
         assert_eq!(choose_for(&mut other, &ready, prompt), *holder);
         assert!(one.take_unreported_placements(10).is_empty(), "it is reported once");
         one.on_sent(at(1000), *holder, Some(prompt));
-        assert!(one.take_unreported_placements(10).is_empty(), "and not at each use");
+        assert!(one.take_unreported_placements(10).is_empty(), "but not at each use");
         one.on_sent(at(30_000), *holder, Some(prompt));
-        assert_eq!(one.take_unreported_placements(10).len(), 1, "but now and then while it is in use");
+        assert_eq!(one.take_unreported_placements(10).len(), 1, "and again at intervals while in use");
     }
 }
 
 #[test]
-fn a_prefix_that_weighs_less_than_a_call_is_not_reported() {
+fn short_prefix_is_not_reported() {
     let ready = endpoints(320);
     let mut router = informed(20);
     for (call, holder) in ready.iter().enumerate() {
-        // A first part that many prompts begin with, and one that few share.
+        // A first part that is common to all prompts, and a second one that is not shared.
         let prompt = Prompt::new([(1, 210), (call as u64 + 2, 140)], 1100);
         router.on_sent(at(call as u64), *holder, Some(prompt));
     }
@@ -452,11 +452,11 @@
     router.on_sent(at(1000), ready[0], Some(Prompt::new([(1, 210), (1000, 4000)], 1100)));
     let reported = router.take_unreported_placements(1000);
     let tokens: Vec<u32> = reported.iter().map(|placement| placement.part_tokens).collect();
-    assert_eq!(tokens, [4000], "the long prefix that begins with the short one is");
+    assert_eq!(tokens, [4000], "the long prefix that begins with the short one is reported");
 }
 
 #[test]
-fn a_new_prefix_goes_to_the_agreed_endpoint_unless_that_one_has_much_to_prefill() {
+fn new_prefix_goes_to_agreed_endpoint_unless_it_is_loaded() {
     let ready = endpoints(9);
     let prompt = Prompt::new([(3, 13_000)], 100);
     let mut router = informed(16);
@@ -464,14 +464,14 @@
     assert!((0..20).all(|seed| choose_for(&mut informed(seed), &ready, prompt) == agreed));
     router.set_fleet_pending_prefill(at(0), &[(agreed, 30_000)], &[]);
     assert!((0..20).all(|_| choose_for(&mut router, &ready, prompt) != agreed));
-    // One that knows nothing of what others have placed takes it that the agreed endpoint holds it.
+    // A router without knowledge of placements assumes that the agreed endpoint holds the prefix.
     let mut uninformed = self::router(16);
     uninformed.set_fleet_pending_prefill(at(0), &[(agreed, 30_000)], &[]);
     assert_eq!(choose_for(&mut uninformed, &ready, prompt), agreed);
 }
 
 #[test]
-fn after_reports_have_stopped_the_agreed_endpoint_is_taken_for_a_holder() {
+fn agreed_endpoint_is_assumed_to_hold_prefixes_without_reports() {
     let ready = endpoints(9);
     let prompt = Prompt::new([(3, 13_000)], 100);
     let mut router = informed(17);
@@ -479,28 +479,28 @@
     for _ in 0..12 {
         router.on_sent(at(0), agreed, None);
     }
-    assert_ne!(choose_for(&mut router, &ready, prompt), agreed, "twelve calls are more than it gains");
+    assert_ne!(choose_for(&mut router, &ready, prompt), agreed, "twelve calls outweigh its advantage");
     let request = SelectionRequest { now: at(5000), ready: &ready, tried: &[], prompt: Some(prompt) };
     assert_eq!(router.choose(request), Some(agreed));
 }
 
 #[test]
-fn a_cache_drops_the_prefixes_that_were_not_used_for_the_longest() {
+fn least_recently_used_prefixes_are_evicted() {
     let endpoint = endpoints(1)[0];
     let mut router = informed(18);
-    router.set_cache_tokens(endpoint, 40_000); // 30,000 for prefixes
+    router.set_cache_tokens(endpoint, 40_000); // 75 % of it, 30,000, for prefixes
     let prompts: Vec<Prompt> = (1..=3).map(|key| Prompt::new([(key, 10_000)], 0)).collect();
     for (step, prompt) in prompts.iter().enumerate() {
         assert_eq!(router.on_sent(at(step as u64), endpoint, Some(*prompt)), 10_000);
     }
-    assert_eq!(router.on_sent(at(10), endpoint, Some(prompts[0])), 0, "all three have room");
+    assert_eq!(router.on_sent(at(10), endpoint, Some(prompts[0])), 0, "all three fit");
     assert_eq!(router.on_sent(at(11), endpoint, Some(Prompt::new([(4, 10_000)], 0))), 10_000);
-    assert_eq!(router.on_sent(at(12), endpoint, Some(prompts[0])), 0, "it was used");
-    assert_eq!(router.on_sent(at(13), endpoint, Some(prompts[1])), 10_000, "it was not");
+    assert_eq!(router.on_sent(at(12), endpoint, Some(prompts[0])), 0, "recently used");
+    assert_eq!(router.on_sent(at(13), endpoint, Some(prompts[1])), 10_000, "evicted");
 }
 
 #[test]
-fn an_endpoint_that_has_ended_holds_nothing() {
+fn terminated_endpoint_holds_nothing() {
     let ready = endpoints(9);
     let prompt = Prompt::new([(3, 13_000)], 100);
     let mut router = informed(19);
@@ -512,7 +512,7 @@
 }
 
 #[test]
-fn parts_beyond_the_prefixes_that_are_told_apart_count_with_the_last_one() {
+fn parts_beyond_the_maximum_are_merged_into_the_last() {
     let prompt = Prompt::new((1..=7).map(|key| (key, 100)), 50);
     assert_eq!((prompt.prefixes().len(), prompt.shared_tokens(), prompt.own_tokens()), (4, 700, 50));
     let other = Prompt::new((1..=6).chain([9]).map(|key| (key, 100)), 50);
@@ -521,7 +521,7 @@
 }
 
 #[test]
-fn a_holder_with_much_to_prefill_is_passed_over() {
+fn loaded_holder_is_passed_over() {
     let ready = endpoints(9);
     let prompt = Prompt::new([(3, 13_000)], 0);
     let mut router = informed(16);
@@ -531,7 +531,7 @@
     assert_eq!(
         choose_for(&mut router, &ready, prompt),
         holder,
-        "what is prefilled again also evicts others"
+        "prefilling it again would also evict other prefixes"
     );
     router.set_fleet_pending_prefill(at(0), &[(holder, 80_000)], &[]);
     assert_ne!(choose_for(&mut router, &ready, prompt), holder);
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Random legal event sequences; the checker of `support` asserts the four rules throughout.
+//! Random valid event sequences; the checker in `support` asserts the four rules throughout.
 
 mod support;
 use proptest::prelude::*;
@@ -51,7 +51,7 @@
     EndpointInfo { zone: ZoneId((id % 2) as u32), cell: CellId(id % 3), ..endpoint(id) }
 }
 
-fn settings(copies: bool, cancellation: bool, discovery: Discovery) -> Settings {
+fn settings(hedging: bool, cancellation: bool, discovery: Discovery) -> Settings {
     let class = |semantics| Class { semantics, ..Class::default() };
     let window = ms(300);
     let mut settings = Settings {
@@ -66,7 +66,7 @@
         discovery,
         ..Settings::default()
     };
-    settings.limits.hedging = copies;
+    settings.limits.hedging = hedging;
     settings.limits.cancellation = cancellation;
     settings
 }
@@ -135,16 +135,16 @@
 }
 
 #[test]
-fn rules_hold_without_copies_where_the_list_is_pushed() {
+fn rules_hold_without_hedging_with_pushed_lists() {
     check(settings(false, true, Discovery::Push));
 }
 
 #[test]
-fn rules_hold_with_copies_where_the_list_is_asked_for() {
+fn rules_hold_with_hedging_and_subscribed_lists() {
     check(settings(true, true, Discovery::Subscribe));
 }
 
 #[test]
-fn rules_hold_where_nothing_can_be_cancelled() {
+fn rules_hold_without_cancellation() {
     check(settings(true, false, Discovery::Push));
 }
--- a/crates/balancer/tests/ring.rs
+++ b/crates/balancer/tests/ring.rs
@@ -1,10 +1,10 @@
-//! A zone's ring and the sets to draw from, which the module keeps to itself: their source is part of this test.
+//! Tests of the private module `ring`, whose source is included here.
 
 #[path = "../src/ring.rs"]
 #[allow(dead_code)]
 mod ring;
 
-/// What that source takes from its own crate.
+/// Stands in for the crate module that the included source uses.
 mod types {
     pub use runtrack_balancer::EndpointId;
 }
@@ -14,7 +14,7 @@
 use runtrack_balancer::EndpointId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The arc by its meaning: from `start` on, until so many warm endpoints are on it.
+/// The expected arc: endpoints from rank `start` on, until it holds `warm` warm ones.
 fn expected_arc(ring: &BTreeMap<u64, bool>, start: usize, warm: usize) -> BTreeSet<u64> {
     let all: Vec<(u64, bool)> = ring.iter().map(|(&id, &warm)| (id, warm)).collect();
     let mut wanted = warm;
@@ -33,9 +33,9 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Whatever comes and goes, what was told adds up to the arc by its meaning.
+    /// After any changes, the reported memberships add up to the expected arc.
     #[test]
-    fn the_arc_follows_single_changes(
+    fn arc_follows_single_changes(
         first in 0..700u64,
         fraction in 0.005f64..1.2,
         turn in 0.0f64..1.0,
@@ -63,7 +63,7 @@
             prop_assert_eq!(ring.len(), model.len());
             prop_assert_eq!(ring.contains(EndpointId(id)), model.contains_key(&id));
             if action == 3 {
-                continue; // several changes before the arc is looked at
+                continue; // several changes before the arc is updated
             }
             let size = model.len();
             let start = (size as f64 * turn) as usize;
@@ -77,7 +77,7 @@
     }
 
     #[test]
-    fn sets_hold_what_was_put_there(steps in proptest::collection::vec((0..4usize, 0..30usize, 0..5u8), 1..300)) {
+    fn slot_sets_match_model(steps in proptest::collection::vec((0..4usize, 0..30usize, 0..5u8), 1..300)) {
         let (mut slot_sets, mut names): (SlotSets, Vec<usize>) = Default::default();
         let mut model: [BTreeSet<usize>; 4] = Default::default();
         let mut next = 0;
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, each by itself, driving the module alone.
+//! The four rules, each tested separately.
 
 mod support;
 use runtrack_balancer::*;
@@ -9,7 +9,7 @@
     Semantics::Keyed { scope: DedupScope::Cell, window: Duration::from_millis(400) };
 
 #[test]
-fn rule_1_a_request_nobody_can_take_is_answered_in_time() {
+fn rule_1_request_without_endpoints_is_answered_in_time() {
     let mut d = Driver::new(Settings::default(), vec![]);
     let (id, actions) = d.request(ms(300));
     assert!(sends(&actions).is_empty());
@@ -18,15 +18,15 @@
 }
 
 #[test]
-fn rule_1_the_deadline_answers_a_request_whose_attempt_is_still_out() {
+fn rule_1_deadline_answers_request_with_attempt_in_flight() {
     let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(2));
     let (id, actions) = d.request(ms(300));
     assert_eq!(sends(&actions).len(), 1);
-    assert!(failed(&d.advance(ms(301)), id), "unsafe and perhaps run: a failure, never a refusal");
+    assert!(failed(&d.advance(ms(301)), id), "unsafe and maybe executed: a failure, never a refusal");
 }
 
 #[test]
-fn rule_1_nothing_is_sent_for_a_finished_request() {
+fn rule_1_nothing_is_sent_for_finished_request() {
     let mut d = Driver::new(Settings::default(), endpoints(3));
     let (id, _) = d.request(ms(300));
     d.feed(Event::RequestGone(id));
@@ -35,22 +35,26 @@
 }
 
 #[test]
-fn rule_2_unsafe_is_sent_again_only_if_it_never_ran() {
+fn rule_2_unsafe_is_retried_only_if_not_executed() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(3));
         let (id, _) = d.request(ms(900));
-        assert_eq!(sends(&d.end(id, outcome, ms(1))).len(), 1, "{outcome:?} proves that it never ran");
+        assert_eq!(
+            sends(&d.end(id, outcome, ms(1))).len(),
+            1,
+            "{outcome:?} proves that it was not executed"
+        );
     }
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
         let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(3));
         let (id, _) = d.request(ms(900));
         let actions = d.end(id, outcome, ms(1));
-        assert!(sends(&actions).is_empty() && failed(&actions, id), "{outcome:?} may have run");
+        assert!(sends(&actions).is_empty() && failed(&actions, id), "{outcome:?}: may have been executed");
     }
 }
 
 #[test]
-fn rule_2_keyed_stays_in_its_cell_and_its_window() {
+fn rule_2_keyed_is_retried_within_its_cell_and_window() {
     let list: Vec<EndpointInfo> =
         (1..=6).map(|id| EndpointInfo { cell: CellId(id % 2), ..endpoint(id) }).collect();
     for seed in 0..20 {
@@ -60,12 +64,12 @@
         assert_eq!(sends(&first)[0].0 % 2, sends(&again)[0].0 % 2, "the same cell");
         d.advance(ms(450));
         let last = d.end(id, Outcome::Error, ms(445));
-        assert!(sends(&last).is_empty() && failed(&last, id), "the window is over");
+        assert!(sends(&last).is_empty() && failed(&last, id), "the window has ended");
     }
 }
 
 #[test]
-fn rule_2_keyed_by_zone_stays_in_its_zone() {
+fn rule_2_zone_scoped_key_is_retried_within_its_zone() {
     let list: Vec<EndpointInfo> =
         (1..=6).map(|id| EndpointInfo { zone: ZoneId((id % 2) as u32), ..endpoint(id) }).collect();
     for seed in 0..20 {
@@ -78,7 +82,7 @@
 }
 
 #[test]
-fn rule_3_nothing_new_goes_to_a_draining_endpoint() {
+fn rule_3_draining_endpoint_gets_no_new_requests() {
     let mut d = Driver::new(Settings::default(), endpoints(3));
     let draining = EndpointInfo { state: EndpointState::Draining, ..endpoint(2) };
     d.list(Membership::Delta(vec![draining]));
@@ -90,7 +94,7 @@
 }
 
 #[test]
-fn rule_3_what_a_complete_list_leaves_out_is_gone() {
+fn rule_3_endpoint_missing_from_full_list_is_removed() {
     let mut d = Driver::new(Settings::default(), endpoints(4));
     d.list(Membership::Full(endpoints(2)));
     for _ in 0..30 {
@@ -101,7 +105,7 @@
 }
 
 #[test]
-fn rule_3_a_fleet_that_drains_whole_gets_nothing() {
+fn rule_3_fully_draining_fleet_gets_nothing() {
     let mut d = Driver::new(Settings::default(), endpoints(3));
     let draining = |id| EndpointInfo { state: EndpointState::Draining, ..endpoint(id) };
     d.list(Membership::Full((1..=3).map(draining).collect()));
@@ -110,7 +114,7 @@
     assert!(refused(&d.advance(ms(210)), id));
 }
 
-/// Serves 60 requests a second for a while and gives the sends to the cold endpoint in its first second.
+/// Serves 60 requests per second; returns the number of sends to a cold endpoint in its first second.
 fn cold_sends_in_first_second(balancers: u32) -> usize {
     let settings = Settings { balancers, ..Settings::default() };
     let window = settings.rules.cold_overload_window;
@@ -133,10 +137,10 @@
 }
 
 #[test]
-fn rule_4_a_cold_endpoint_gets_less_than_would_fell_it() {
-    // Three warm endpoints serve about 22 a second each; a quarter of that, doubled, fells the cold one.
+fn rule_4_cold_endpoint_is_not_overloaded() {
+    // Three warm endpoints serve about 22 requests per second each; twice a quarter of that overloads the cold one.
     let sent = cold_sends_in_first_second(1);
-    assert!(sent >= 1, "a cold endpoint must get something, or it never counts");
+    assert!(sent >= 1, "a cold endpoint must get some requests to be useful");
     assert!(sent < 11, "{sent} sends in the first second");
 }
 
@@ -156,14 +160,14 @@
             served += 1;
         }
     }
-    assert!(served > 10, "the fleet is never left without work: {served}");
+    assert!(served > 10, "a cold fleet still serves requests: {served}");
     for sends in d.checker.cold_sends.values() {
-        assert!(sends.len() < 50, "no endpoint takes half of what came");
+        assert!(sends.len() < 50, "no endpoint gets half of the requests");
     }
 }
 
 #[test]
-fn discovery_is_asked_with_jitter_and_again_after_failures() {
+fn subscription_is_jittered_and_retried_after_failures() {
     let settings = Settings { discovery: Discovery::Subscribe, ..Settings::default() };
     let resubscribe_within = settings.rules.resubscribe_within;
     let mut waits = Vec::new();
@@ -174,24 +178,21 @@
         waits.push(first);
         assert!(d.advance(resubscribe_within).contains(&Action::Watch(true)));
         d.list(Membership::Failed);
-        assert!(
-            d.advance(resubscribe_within).contains(&Action::Watch(true)),
-            "a failed call is made again"
-        );
+        assert!(d.advance(resubscribe_within).contains(&Action::Watch(true)), "a failed call is retried");
         d.list(Membership::Delta(vec![]));
         assert!(
             !d.advance(resubscribe_within * 3).contains(&Action::Watch(true)),
-            "a standing watch is not renewed"
+            "an active subscription is not renewed"
         );
     }
     waits.dedup();
-    assert!(waits.len() > 1, "instances that start together do not ask together");
+    assert!(waits.len() > 1, "instances that start together do not subscribe together");
 }
 
-/// What discovery has to tell counts as told after 6 s, whatever failed before (PROTOCOL, "Figures"): nobody waits for
-/// longer. Nor does anybody come again soon who has failed often, or many callers would keep each other out.
+/// Discovery data counts as delivered after 6 s, whatever failed before (PROTOCOL, "Figures"), so no retry delay is
+/// longer. After many failures it is not short either, or many callers would keep each other out.
 #[test]
-fn however_often_discovery_has_failed_it_is_asked_again_in_time_and_not_at_once() {
+fn subscription_retry_delay_is_bounded_on_both_sides() {
     for resubscribe_within in [ms(10_000), ms(300)] {
         let mut settings = Settings { discovery: Discovery::Subscribe, ..Settings::default() };
         settings.rules.resubscribe_within = resubscribe_within;
--- a/crates/balancer/tests/stats.rs
+++ b/crates/balancer/tests/stats.rs
@@ -1,4 +1,4 @@
-//! Rates, means and draws, which the module keeps to itself: their source is part of this test.
+//! Tests of the private module `stats`, whose source is included here.
 
 #[path = "../src/stats.rs"]
 #[allow(dead_code)]
@@ -8,34 +8,34 @@
 use std::time::Duration;
 
 #[test]
-fn a_steady_count_reads_as_its_rate() {
+fn steady_count_reads_as_its_rate() {
     let mut count = Decaying::default();
     for n in 0..4000 {
         count.count(Duration::from_millis(n * 10), 5.0);
     }
     let rate = count.read(Duration::from_secs(40), 5.0);
-    assert!((95.0..105.0).contains(&rate), "{rate} a second, not a hundred");
-    assert!(count.read(Duration::from_secs(45), 5.0) < rate / 2.5, "it fades");
+    assert!((95.0..105.0).contains(&rate), "{rate} per second, expected 100");
+    assert!(count.read(Duration::from_secs(45), 5.0) < rate / 2.5, "it decays");
 }
 
 #[test]
-fn the_unhurried_mean_goes_by_the_order_of_sending() {
+fn baseline_follows_send_order() {
     let (max_wait, ms) = (Duration::from_secs(2), Duration::from_millis);
     let mut latency = Latency::default();
     let seqs: Vec<CallSeq> = (0..10).map(|n| latency.sent(ms(n))).collect();
-    // Sent at once, they end shortest first: 100, 200, ... 1,000 ms, the first sent last of all.
+    // Sent at the same time, they end shortest first: 100, 200, ... 1,000 ms, the one sent first ending last.
     for (n, seq) in seqs.iter().rev().enumerate() {
         let took = 0.1 * (n + 1) as f64;
-        assert_eq!(latency.baseline(), None, "nothing is settled while the first one is out");
+        assert_eq!(latency.baseline(), None, "no baseline while the first call is in flight");
         latency.ended(ms(100 * (n as u64 + 1)), *seq, Some(took), max_wait);
     }
     let baseline = latency.baseline().expect("all have ended");
-    assert!((0.5..=1.0).contains(&baseline), "{baseline}: no less than the mean of any run of them");
+    assert!((0.5..=1.0).contains(&baseline), "{baseline}: at least the mean of any run of them");
     assert!(latency.calls.is_empty());
 }
 
 #[test]
-fn a_call_that_never_ends_holds_up_the_others_only_so_long() {
+fn call_without_end_delays_baseline_for_bounded_time() {
     let (max_wait, ms) = (Duration::from_secs(2), Duration::from_millis);
     let mut latency = Latency::default();
     latency.sent(ms(0));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn draws_are_even_and_repeat_with_the_seed() {
+fn draws_are_uniform_and_reproducible() {
     let (mut a, mut b, mut counts) = (Rng::new(3), Rng::new(3), [0; 7]);
     for _ in 0..7000 {
         let draw = a.below(7);
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small driver for the module, and a rule checker that knows nothing of how the module decides.
+//! A driver for the balancer on a simulated clock, and a checker of the four rules that is independent of its decisions.
 #![allow(dead_code)]
 
 use runtrack_balancer::*;
@@ -17,7 +17,7 @@
     (1..=n).map(endpoint).collect()
 }
 
-/// Endpoints 1 to 6 over three zones; 3 and 6 are in the default settings' own.
+/// Endpoints 1 to 6 over three zones; 3 and 6 are in the own zone of the default settings.
 pub fn three_zones() -> Vec<EndpointInfo> {
     (1..=6).map(|id| EndpointInfo { zone: ZoneId((id % 3) as u32), ..endpoint(id) }).collect()
 }
@@ -26,7 +26,7 @@
     Settings { classes: vec![Class { semantics, ..Class::default() }], ..Settings::default() }
 }
 
-/// What the checker remembers of one attempt.
+/// An attempt as seen by the checker.
 #[derive(Clone)]
 struct Sent {
     endpoint: EndpointId,
@@ -36,19 +36,19 @@
     outcome: Option<Outcome>,
 }
 
-struct Owed {
+struct TrackedRequest {
     class: usize,
     deadline: Duration,
     answered: bool,
     sent: Vec<Sent>,
 }
 
-/// Asserts the four rules over what goes in and what comes out.
+/// Asserts the four rules over events and actions.
 pub struct Checker {
     settings: Settings,
     listed: HashMap<EndpointId, EndpointInfo>,
-    told: HashMap<EndpointId, Duration>,
-    owed: HashMap<RequestId, Owed>,
+    unavailable_since: HashMap<EndpointId, Duration>,
+    tracked: HashMap<RequestId, TrackedRequest>,
     /// Sends to each cold endpoint, for rule 4.
     pub cold_sends: HashMap<EndpointId, Vec<Duration>>,
 }
@@ -58,25 +58,25 @@
         Checker {
             settings: settings.clone(),
             listed: HashMap::new(),
-            told: HashMap::new(),
-            owed: HashMap::new(),
+            unavailable_since: HashMap::new(),
+            tracked: HashMap::new(),
             cold_sends: HashMap::new(),
         }
     }
 
-    pub fn before(&mut self, now: Duration, event: &Event) {
+    pub fn on_event(&mut self, now: Duration, event: &Event) {
         match event {
             Event::Membership(Membership::Full(list) | Membership::Cached(list)) => {
                 for id in self.listed.keys().copied().collect::<Vec<_>>() {
                     if !list.iter().any(|info| info.id == id) {
-                        self.told.entry(id).or_insert(now);
+                        self.unavailable_since.entry(id).or_insert(now);
                     }
                 }
-                self.note(now, list);
+                self.record_states(now, list);
             }
-            Event::Membership(Membership::Delta(list)) => self.note(now, list),
+            Event::Membership(Membership::Delta(list)) => self.record_states(now, list),
             Event::Request(request) => {
-                self.owed.entry(request.id).or_insert(Owed {
+                self.tracked.entry(request.id).or_insert(TrackedRequest {
                     class: request.class.0,
                     deadline: now + request.time_left,
                     answered: false,
@@ -84,59 +84,65 @@
                 });
             }
             Event::AttemptEnded(ended) => {
-                if let Some(owed) = self.owed.get_mut(&ended.request) {
-                    owed.answered |= ended.finished;
-                    if let Some(sent) = owed.sent.get_mut(ended.attempt.0 as usize) {
+                if let Some(tracked) = self.tracked.get_mut(&ended.request) {
+                    tracked.answered |= ended.finished;
+                    if let Some(sent) = tracked.sent.get_mut(ended.attempt.0 as usize) {
                         sent.outcome.get_or_insert(ended.outcome);
                     }
                 }
             }
             Event::RequestGone(id) => {
-                if let Some(owed) = self.owed.get_mut(id) {
-                    owed.answered = true;
+                if let Some(tracked) = self.tracked.get_mut(id) {
+                    tracked.answered = true;
                 }
             }
             _ => {}
         }
     }
 
-    fn note(&mut self, now: Duration, list: &[EndpointInfo]) {
+    fn record_states(&mut self, now: Duration, list: &[EndpointInfo]) {
         for info in list {
             if info.state == EndpointState::Ready {
-                self.told.remove(&info.id);
+                self.unavailable_since.remove(&info.id);
             } else {
-                self.told.entry(info.id).or_insert(now);
+                self.unavailable_since.entry(info.id).or_insert(now);
             }
             self.listed.insert(info.id, info.clone());
         }
     }
 
-    pub fn after(&mut self, now: Duration, actions: &[Action]) {
+    pub fn on_actions(&mut self, now: Duration, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send { request, endpoint, .. } => self.sent(now, *request, *endpoint),
                 Action::Refuse { request, .. } => {
-                    let owed = self.owed.get_mut(request).expect("a refusal is of a request that came");
-                    assert!(!owed.answered, "rule 1: a second final answer");
-                    let ran = owed.sent.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
-                    match self.settings.classes[owed.class].semantics {
+                    let tracked = self.tracked.get_mut(request).expect("refused request is known");
+                    assert!(!tracked.answered, "rule 1: a second final answer");
+                    let ran = tracked.sent.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
+                    match self.settings.classes[tracked.class].semantics {
                         Semantics::Safe | Semantics::Keyed { scope: DedupScope::All, .. } => {}
-                        _ => assert!(!ran, "rule 2: refused though it may have run"),
+                        _ => assert!(!ran, "rule 2: refused although it may have been executed"),
                     }
-                    owed.answered = true;
+                    tracked.answered = true;
                 }
                 Action::Fail { request } => {
-                    let owed = self.owed.get_mut(request).expect("a failure is of a request that came");
-                    assert!(!owed.answered, "rule 1: a second final answer");
-                    owed.answered = true;
+                    let tracked = self.tracked.get_mut(request).expect("failed request is known");
+                    assert!(!tracked.answered, "rule 1: a second final answer");
+                    tracked.answered = true;
                 }
                 Action::Cancel { request, attempt } => {
-                    assert!(self.settings.limits.cancellation, "cancelled where that is not allowed");
-                    let owed = &self.owed[request];
-                    assert!((attempt.0 as usize) < owed.sent.len(), "cancelled what was never sent");
+                    assert!(
+                        self.settings.limits.cancellation,
+                        "cancelled although cancellation is not allowed"
+                    );
+                    let tracked = &self.tracked[request];
+                    assert!(
+                        (attempt.0 as usize) < tracked.sent.len(),
+                        "cancelled an attempt that was never sent"
+                    );
                 }
                 Action::Probe { .. } => {
-                    assert!(self.settings.limits.probes, "probed where that is not allowed")
+                    assert!(self.settings.limits.probes, "probed although probes are not allowed")
                 }
                 _ => {}
             }
@@ -144,52 +150,55 @@
     }
 
     fn sent(&mut self, now: Duration, request: RequestId, endpoint: EndpointId) {
-        let info = self.listed.get(&endpoint).expect("sent to an endpoint that was listed").clone();
-        if let Some(told) = self.told.get(&endpoint) {
-            assert!(now <= *told + self.settings.rules.drain_grace, "rule 3: sent to a drained endpoint");
+        let info = self.listed.get(&endpoint).expect("endpoint is listed").clone();
+        if let Some(unavailable_since) = self.unavailable_since.get(&endpoint) {
+            assert!(
+                now <= *unavailable_since + self.settings.rules.drain_grace,
+                "rule 3: sent to a drained endpoint"
+            );
         }
-        let owed = self.owed.get_mut(&request).expect("sent a request that came");
-        assert!(!owed.answered, "rule 1: sent after the final answer");
-        assert!((owed.sent.len() as u32) < self.settings.limits.max_attempts, "too many attempts");
+        let tracked = self.tracked.get_mut(&request).expect("sent request is known");
+        assert!(!tracked.answered, "rule 1: sent after the final answer");
+        assert!((tracked.sent.len() as u32) < self.settings.limits.max_attempts, "too many attempts");
         if !self.settings.limits.hedging {
-            assert!(owed.sent.iter().all(|s| s.outcome.is_some()), "rule 2: two attempts at once");
+            assert!(tracked.sent.iter().all(|s| s.outcome.is_some()), "rule 2: two attempts at once");
         }
-        for earlier in owed.sent.iter().filter(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
-            match self.settings.classes[owed.class].semantics {
+        for previous in tracked.sent.iter().filter(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
+            match self.settings.classes[tracked.class].semantics {
                 Semantics::Safe => {}
-                Semantics::Unsafe => panic!("rule 2: an unsafe request that may have run was sent again"),
+                Semantics::Unsafe => panic!("rule 2: retried a maybe executed unsafe request"),
                 Semantics::Keyed { scope, window } => {
-                    assert!(now <= earlier.at + window, "rule 2: sent again after the window");
+                    assert!(now <= previous.at + window, "rule 2: retried after the deduplication window");
                     match scope {
                         DedupScope::All => {}
-                        DedupScope::Zone => assert_eq!(earlier.zone, info.zone, "rule 2: left the zone"),
-                        DedupScope::Cell => assert_eq!(earlier.cell, info.cell, "rule 2: left the cell"),
+                        DedupScope::Zone => assert_eq!(previous.zone, info.zone, "rule 2: other zone"),
+                        DedupScope::Cell => assert_eq!(previous.cell, info.cell, "rule 2: other cell"),
                     }
                 }
             }
         }
-        owed.sent.push(Sent { endpoint, zone: info.zone, cell: info.cell, at: now, outcome: None });
+        tracked.sent.push(Sent { endpoint, zone: info.zone, cell: info.cell, at: now, outcome: None });
         if info.started_at.is_some_and(|at| now < at + self.settings.rules.warm_within) {
             self.cold_sends.entry(endpoint).or_default().push(now);
         }
     }
 
-    /// Rule 1: nothing may be overdue.
-    pub fn none_overdue(&self, now: Duration) {
-        for (id, owed) in &self.owed {
-            let overdue = now > owed.deadline + self.settings.rules.answer_grace;
-            assert!(owed.answered || !overdue, "rule 1: {id:?} is overdue");
+    /// Rule 1: asserts that no request is past its deadline and grace without an answer.
+    pub fn assert_none_overdue(&self, now: Duration) {
+        for (id, tracked) in &self.tracked {
+            let overdue = now > tracked.deadline + self.settings.rules.answer_grace;
+            assert!(tracked.answered || !overdue, "rule 1: {id:?} is overdue");
         }
     }
 }
 
-/// Runs a balancer on a hand-driven clock, fires its timers and checks the rules throughout.
+/// Runs a balancer on a simulated clock, fires its timers and checks the rules throughout.
 pub struct Driver {
     pub balancer: Balancer,
     pub checker: Checker,
     pub now: Duration,
     pub timers: Vec<(Duration, TimerToken)>,
-    /// Attempts out: request, number, endpoint, time-out.
+    /// Attempts in flight: request, number, endpoint, timeout.
     pub out: Vec<(RequestId, AttemptNo, EndpointId, Duration)>,
     attempts: HashMap<RequestId, u32>,
     next: u64,
@@ -203,7 +212,7 @@
     pub fn seeded(settings: Settings, list: Vec<EndpointInfo>, seed: u64) -> Self {
         let checker = Checker::new(&settings);
         let now = Duration::from_secs(100);
-        let balancer = Balancer::new(settings, seed, now).expect("the settings make sense");
+        let balancer = Balancer::new(settings, seed, now).expect("valid settings");
         let (timers, out, attempts) = Default::default();
         let mut driver = Driver { balancer, checker, now, timers, out, attempts, next: 0 };
         driver.feed(Event::Membership(Membership::Cached(list)));
@@ -214,10 +223,10 @@
         if let Event::AttemptEnded(ended) = &event {
             self.out.retain(|o| (o.0, o.1) != (ended.request, ended.attempt));
         }
-        self.checker.before(self.now, &event);
+        self.checker.on_event(self.now, &event);
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        self.checker.after(self.now, &actions);
+        self.checker.on_actions(self.now, &actions);
         for action in &actions {
             match action {
                 Action::SetTimer { token, after } => self.timers.push((self.now + *after, *token)),
@@ -252,12 +261,12 @@
         (id, self.feed(Event::Request(request)))
     }
 
-    /// Sends requests until one is held.
+    /// Sends requests until one is queued.
     pub fn fill(&mut self) {
         while !sends(&self.request(ms(60_000)).1).is_empty() {}
     }
 
-    /// Ends the attempt that is out for a request.
+    /// Ends the attempt in flight for a request.
     pub fn end(&mut self, id: RequestId, outcome: Outcome, elapsed: Duration) -> Vec<Action> {
         self.end_reporting(id, outcome, elapsed, None)
     }
@@ -270,7 +279,7 @@
         report: Option<Vec<f64>>,
     ) -> Vec<Action> {
         let &(request, attempt, endpoint, _) =
-            self.out.iter().find(|o| o.0 == id).expect("an attempt is out");
+            self.out.iter().find(|o| o.0 == id).expect("an attempt is in flight");
         let finished = outcome == Outcome::Ok;
         self.feed(Event::AttemptEnded(AttemptEnded {
             request,
@@ -283,7 +292,7 @@
         }))
     }
 
-    /// Moves the clock on, firing timers as they come due.
+    /// Advances the clock, firing timers as they expire.
     pub fn advance(&mut self, by: Duration) -> Vec<Action> {
         let until = self.now + by;
         let mut all = Vec::new();
@@ -294,13 +303,13 @@
             all.extend(self.feed(Event::Timer(token)));
         }
         self.now = until;
-        self.checker.none_overdue(self.now);
+        self.checker.assert_none_overdue(self.now);
         all
     }
 }
 
-/// Plays `count` single requests, ending each attempt as `outcome` says, and counts where they went.
-pub fn rounds(
+/// Runs `count` requests one at a time, ending each attempt with `outcome`; counts attempts per endpoint.
+pub fn run_requests(
     d: &mut Driver,
     count: usize,
     outcome: impl Fn(EndpointId) -> (Outcome, u64),
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire: what is parsed, what is printed, and what malformed lines get.
+//! Tests of the wire protocol: parsing, formatting, and errors for malformed lines.
 
 use runtrack_balancer::wire::{DiscoveryUpdate, EndpointNames, Line, format_action, parse_line};
 use runtrack_balancer::*;
@@ -19,7 +19,7 @@
     }
 }
 
-/// Runs the adapter on an input and gives what it printed.
+/// Runs the adapter on an input; returns its exit status and output.
 fn host(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_weirwharf-benchlink"))
         .stdin(Stdio::piped())
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn settings_are_read_and_unknown_keys_skipped() {
+fn settings_are_parsed_and_unknown_keys_ignored() {
     let Ok(Line::StartInstance { instance: 3, seed: 9, settings }) = read(&format!("spawn 3 9 {CONF}"))
     else {
         panic!("no spawn");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn every_setting_that_a_decision_can_use_is_carried() {
+fn every_setting_is_converted() {
     let conf = r#"{"areas":["a","b"],"balancers":4,"blend":{"ninesPart":0.4,"ninesWanted":2.0,"whole":0.2,"worstClass":0.15,"worstTenant":0.05,"worstWindow":0.2},"classes":[{"aimStretch":1.5,"deadlineMs":1000,"objectiveMs":300,"semantics":"unsafe"}],"clients":{"marksRetry":true},"costs":{"connection":0.1,"discovery":0.2,"handshake":0.3,"waste":0.4},"countedBy":"work","discovery":"automatic","familyInfo":{"passesDeadline":false,"warmKeys":true},"limits":{"cpuUsPerRequest":10.0,"cpuUsPerS":248580,"idleCloseMs":10000.0,"maxAttempts":3,"openCap":331440},"me":3,"myZone":1,"rules":{"coldShare":0.14,"drainGraceMs":500,"fallMs":1500,"fallMultiple":4,"graceToAnswerMs":20,"warmWithinMs":22000},"stage":1,"tiers":["x","y","z"]}"#;
     let Ok(Line::StartInstance { settings, .. }) = read(&format!("spawn 0 1 {conf}")) else {
         panic!("no spawn")
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn absent_optional_settings_have_plain_defaults() {
+fn missing_optional_settings_have_defaults() {
     let Ok(Line::StartInstance { settings, .. }) = read(&format!("spawn 3 9 {CONF}")) else {
         panic!("no spawn")
     };
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_outcome_after_the_client_left_is_taken_quietly() {
+fn outcome_after_client_left_is_accepted() {
     let spawn = format!("spawn 0 1 {CONF}");
     let input = format!(
         "turn 2\n{spawn}\ntable 0 1\nm e:1 1 0 0 Ready 1 -\ntargets 0 C 1 0\norder 0 t/x - - 0 500 0 0\nflush\n\
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn broken_settings_name_the_key() {
+fn invalid_settings_name_the_key() {
     for (old, new, key) in [
         (r#""balancers":2,"#, "", "balancers"),
         (r#""coldShare":0.4,"#, "", "coldShare"),
@@ -119,12 +119,12 @@
         assert_ne!(conf, CONF);
         let error = read(&format!("spawn 0 1 {conf}")).expect_err(key).to_string();
         assert!(error.starts_with("line 7: field `conf"), "{error}");
-        assert!(error.contains(key), "{error} does not name {key}");
+        assert!(error.contains(key), "{error} must name {key}");
     }
 }
 
 #[test]
-fn events_are_read_field_by_field() {
+fn events_are_parsed() {
     let Event::Request(request) = event("order 3 t/x 12.0 91f03b7c55d20a64 7 240.5 2 1") else { panic!() };
     assert_eq!(request.work_hint, Some(Duration::from_millis(12)));
     assert_eq!(request.key, Some(0x91f0_3b7c_55d2_0a64));
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn malformed_lines_say_line_field_and_problem() {
+fn malformed_lines_report_line_field_and_problem() {
     for (text, field) in [
         ("", "message"),
         ("hello 3", "message"),
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn actions_are_printed_in_the_order_of_the_page() {
+fn actions_are_formatted() {
     let mut names = EndpointNames::default();
     let endpoint = names.id("10.0.0.1:80");
     let request = RequestId(1);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn the_host_answers_batches_and_ends_with_the_input() {
+fn adapter_answers_batches_and_ends_with_input() {
     let spawn = format!("spawn 0 1 {CONF}");
     let input = format!(
         "turn 1\nflush\nturn 2\n{spawn}\ntable 0 1\nm e:1 1 0 0 Ready 1 -\ntargets 0 C 1 0\nflush\n\
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_table_number_means_the_list_sent_last() {
+fn list_number_refers_to_latest_list() {
     let spawn = format!("spawn 0 1 {CONF}");
     let input = format!(
         "turn 2\n{spawn}\ntable 0 1\nm e:1 1 0 0 Ready 1 -\ntargets 0 C 1 0\ntable 0 1\n\
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn an_instance_can_stop_and_start_within_one_batch() {
+fn instance_can_stop_and_start_within_one_batch() {
     let start = format!("spawn 0 1 {CONF}\ntable 0 1\nm e:1 1 0 0 Ready 1 -\ntargets 0 C 1 0\n");
     let input = format!(
         "turn 2\n{start}order 0 t/x - - 0 500 0 0\ndetach 0\n{start}order 0 t/y - - 0 500 0 0\nflush\n\
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn what_the_host_cannot_follow_ends_it_with_one_line() {
+fn invalid_input_ends_the_adapter_with_one_error_line() {
     for (input, says) in [
         ("turn 1\nnonsense\nflush\n".to_owned(), "line 2: field `message`"),
         ("flush\n".to_owned(), "line 1: field `message`"),
@@ -256,12 +256,12 @@
         let stderr = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(1), "{input}");
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
-        assert!(stderr.contains(says), "{stderr} does not say {says}");
+        assert!(stderr.contains(says), "{stderr} must contain {says}");
     }
 }
 
 #[test]
-fn an_endpoint_has_the_same_id_at_every_host() {
+fn endpoint_has_the_same_id_at_every_host() {
     let (mut one, mut two) = (EndpointNames::default(), EndpointNames::default());
     let (a, b) = (one.id("10.18.74.7:11203"), one.id("10.18.74.7:11204"));
     two.id("10.144.17.242:11244");
