--- a/crates/balancer/src/balance/admission.rs
+++ b/crates/balancer/src/balance/admission.rs
@@ -21,7 +21,7 @@
 
 impl Balancer {
     /// Whether the window has room for a request of this value. While requests of higher value are refused,
-    /// part of the window is reserved for them. Inner tiers always admit: waiting callers hold slots above.
+    /// part of the window is reserved for them. Inner tiers always admit: a waiting caller holds a slot.
     pub(super) fn has_room(&self, now: Duration, value: f64, side: usize) -> bool {
         let fraction = (value / self.refused_value.read(now, REFUSED_SECONDS).max(1e-9)).sqrt().min(1.0);
         let (window, total) = (self.windows[side], self.windows[0].in_flight + self.windows[1].in_flight);
--- a/crates/balancer/src/balance/outcome.rs
+++ b/crates/balancer/src/balance/outcome.rs
@@ -5,7 +5,7 @@
 /// An outcome, assessed against the usual latency of its class.
 pub(super) struct Assessed {
     pub(super) answered: bool,
-    /// Seconds that it took, and seconds after which it is slow.
+    /// Seconds until it came, and seconds after which it is slow.
     pub(super) elapsed: f64,
     pub(super) late_after: f64,
     slow: bool,
--- a/crates/balancer/src/balance/tuning.rs
+++ b/crates/balancer/src/balance/tuning.rs
@@ -55,9 +55,9 @@
 pub(super) const MAX_LATE_FRACTION: f64 = 0.3;
 /// Concurrency limit of an endpoint before any answer.
 pub(super) const INITIAL_LIMIT: f64 = 3.0;
-/// In slow start, until the first late answer, timely ones add a call each up to this limit: few endpoints
-/// would delay a first surge for seconds. Not for newly started ones, which a rollout would overload; less
-/// with many balancers, which add up. It could hurt where answers stay timely until a queue overflows.
+/// In slow start, until the first late answer, timely ones add a call each up to this limit; otherwise a few
+/// endpoints would delay a first surge for seconds. Not for new processes, which a rollout would overload;
+/// less with many balancers, which add up. Could hurt where answers stay timely until a queue overflows.
 pub(super) const SLOW_START_LIMIT: f64 = 8.0;
 /// Beyond that, gain of an answer that takes less than half of the late threshold: a quarter per round trip,
 /// as finding the limit of endpoints that hold hundreds would take too long at one call per round trip.
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -556,12 +556,12 @@
     assert!(first_out(4) >= 16, "{} initial calls of each of 4 balancers", first_out(4));
 }
 
-/// Serves requests normally, then leaves the last `silent` attempts unanswered for 400 ms.
-fn lose_attempts(settings: Settings, silent: usize) -> (Driver, Vec<Action>) {
+/// Serves requests normally, then leaves the last `unanswered` attempts unanswered for 400 ms.
+fn lose_attempts(settings: Settings, unanswered: usize) -> (Driver, Vec<Action>) {
     let mut d = Driver::new(settings, endpoints(8));
     run_requests(&mut d, 200, |_| (Outcome::Ok, 20));
     let mut actions = Vec::new();
-    for _ in 0..silent {
+    for _ in 0..unanswered {
         d.request(ms(5000));
         actions.extend(d.advance(ms(30)));
     }
@@ -633,11 +633,11 @@
 #[test]
 fn timeouts_of_lost_attempts_do_not_shrink_the_window() {
     // icb4826: timeouts counted as late answers, windows shrank to one and requests were refused unsent.
-    let window_after = |silent: bool| {
+    let window_after = |lost: bool| {
         let mut d = Driver::new(Settings { balancers: 4, ..hedging() }, endpoints(40));
         calls_out_after(&mut d, 100, 20);
         let ids: Vec<RequestId> = d.out.iter().map(|o| o.0).take(80).collect();
-        d.advance(ms(if silent { 1000 } else { 0 }));
+        d.advance(ms(if lost { 1000 } else { 0 }));
         for id in ids {
             while d.out.iter().any(|o| o.0 == id) {
                 d.end(id, Outcome::TimedOut, ms(1000));
@@ -646,10 +646,10 @@
         d.fill();
         d.out.len()
     };
-    let (silent, timed_out) = (window_after(true), window_after(false));
+    let (lost, timed_out) = (window_after(true), window_after(false));
     assert!(
-        silent > timed_out,
-        "{silent} calls in flight after lost attempts, {timed_out} after plain timeouts"
+        lost > timed_out,
+        "{lost} calls in flight after lost attempts, {timed_out} after plain timeouts"
     );
 }
 
--- a/crates/balancer/tests/fleet.rs
+++ b/crates/balancer/tests/fleet.rs
@@ -328,8 +328,8 @@
     let mut router = router(14);
     let own = Prompt::new([], 4000);
     router.on_sent(at(0), ready[1], Some(own));
-    let told = router.pending_prefill();
-    router.set_fleet_pending_prefill(at(0), &[(ready[0], 30_000), (ready[1], 4000)], &told);
+    let reported = router.pending_prefill();
+    router.set_fleet_pending_prefill(at(0), &[(ready[0], 30_000), (ready[1], 4000)], &reported);
     for _ in 0..20 {
         assert_eq!(
             choose(&mut router, at(100), &ready, &[]),
@@ -344,7 +344,7 @@
             "the report is too old to count"
         );
     }
-    router.set_fleet_pending_prefill(at(1000), &[], &told);
+    router.set_fleet_pending_prefill(at(1000), &[], &reported);
     assert_eq!(choose(&mut router, at(1000), &ready, &[]), Some(ready[0]));
 }
 
