--- a/crates/cli/src/cluster.rs
+++ b/crates/cli/src/cluster.rs
@@ -7,7 +7,7 @@
 use hyper::{Method, StatusCode};
 use runtrack_agree::command::{Attribution, Commit};
 use runtrack_agree::{Command, Identity, Invitation, Node, Outcome, State};
-use runtrack_plan::{Applied, ApplyError, Versions};
+use runtrack_plan::{Applied, ApplyError, VersionStore};
 use runtrack_store::{CommitInfo, Folder, Store, StoreError, Version};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -195,7 +195,7 @@
     }
 }
 
-impl Versions for Remote {
+impl VersionStore for Remote {
     fn lineage(&self) -> &str {
         &self.words.lineage
     }
@@ -208,7 +208,7 @@
         let text = self.cluster.ask(Method::GET, &format!("/text/{serial}"), None, ANSWER_MOST);
         let text = text.map_err(|problem| refusal(&self.cluster, &problem))?;
         String::from_utf8(text)
-            .map_err(|_| ApplyError::NoFleet { serial, problem: "it is no text".to_owned() })
+            .map_err(|_| ApplyError::InvalidFleet { serial, problem: "it is no text".to_owned() })
     }
 
     fn commit(&mut self, on: u64, text: &str, entry: CommitInfo) -> Result<Applied, ApplyError> {
@@ -230,8 +230,8 @@
             pause_ms: entry.pause_ms,
         });
         match self.cluster.write(&id, &commit).map_err(|problem| refusal(&self.cluster, &problem))? {
-            Outcome::Committed(serial) => Ok(Applied::Now(serial)),
-            Outcome::Before(serial) => Ok(Applied::Before(serial)),
+            Outcome::Committed(serial) => Ok(Applied::Committed(serial)),
+            Outcome::Before(serial) => Ok(Applied::AlreadyApplied(serial)),
             Outcome::Moved { expected, found, by } => {
                 Err(StoreError::Moved { expected, found, by: Some(by) }.into())
             }
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -66,13 +66,15 @@
             Failure::File { .. } | Failure::Fleet(_) | Failure::Usage(_) | Failure::NoState(_) => 1,
             Failure::Service { .. } | Failure::Apply(ApplyError::Service { .. }) => 3,
             Failure::Plan { .. } => 10,
-            Failure::Apply(ApplyError::Moved { .. } | ApplyError::Store(StoreError::Moved { .. })) => 11,
-            Failure::Apply(ApplyError::OtherLineage { .. }) => 12,
-            Failure::Apply(ApplyError::Expired(_) | ApplyError::FromTheFuture(_)) => 13,
-            Failure::Apply(ApplyError::NotAccepted(_) | ApplyError::UnknownRisk(_)) => 14,
+            Failure::Apply(
+                ApplyError::StateChanged { .. } | ApplyError::Store(StoreError::Moved { .. }),
+            ) => 11,
+            Failure::Apply(ApplyError::LineageMismatch { .. }) => 12,
+            Failure::Apply(ApplyError::Expired(_) | ApplyError::ClockSkew(_)) => 13,
+            Failure::Apply(ApplyError::UnacceptedRisks(_) | ApplyError::UnknownRisk(_)) => 14,
             Failure::Apply(ApplyError::Store(StoreError::Locked(_))) => 15,
-            Failure::Apply(ApplyError::Step(_) | ApplyError::LeadsElsewhere) => 10,
-            Failure::Apply(ApplyError::NoFleet { .. } | ApplyError::Store(_)) => 16,
+            Failure::Apply(ApplyError::Step(_) | ApplyError::WrongResult) => 10,
+            Failure::Apply(ApplyError::InvalidFleet { .. } | ApplyError::Store(_)) => 16,
         }
     }
 }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -5,7 +5,7 @@
 use crate::failure::Failure;
 use crate::{service, show};
 use runtrack_model::Fleet;
-use runtrack_plan::{Applied, Load, Plan, Request, Versions, apply, current};
+use runtrack_plan::{Applied, Load, Plan, PlanRequest, VersionStore, apply, fleet_at};
 use runtrack_store::{CommitInfo, Folder, Lock, Store};
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -36,7 +36,7 @@
 
 fn read_plan(file: &Path) -> Result<Plan, Failure> {
     let bytes = std::fs::read(file).map_err(Failure::file(file))?;
-    Plan::read(&bytes).map_err(|problem| Failure::Plan { file: file.to_owned(), problem })
+    Plan::from_bytes(&bytes).map_err(|problem| Failure::Plan { file: file.to_owned(), problem })
 }
 
 /// `validate`.
@@ -63,7 +63,7 @@
         Folder::new(&self.folder).map_err(Failure::file(&self.folder))
     }
 
-    fn open(&self) -> Result<Box<dyn Versions>, Failure> {
+    fn open(&self) -> Result<Box<dyn VersionStore>, Failure> {
         if !self.cluster.is_empty() {
             return Ok(Box::new(Cluster::new(&self.cluster).versions(false)?));
         }
@@ -72,7 +72,7 @@
     }
 
     /// The right to write, and the state as it is once nobody else writes. In a cluster the log decides who comes first.
-    fn open_locked(&self) -> Result<(Option<Lock>, Box<dyn Versions>), Failure> {
+    fn open_locked(&self) -> Result<(Option<Lock>, Box<dyn VersionStore>), Failure> {
         if !self.cluster.is_empty() {
             return Ok((None, Box::new(Cluster::new(&self.cluster).versions(true)?)));
         }
@@ -91,8 +91,14 @@
         Ok(0)
     }
 
-    fn make(&self, store: &dyn Versions, to: &Fleet, reason: &str, made: &Made) -> Result<Plan, Failure> {
-        let from = current(store, store.serial())?;
+    fn make(
+        &self,
+        store: &dyn VersionStore,
+        to: &Fleet,
+        reason: &str,
+        made: &Made,
+    ) -> Result<Plan, Failure> {
+        let from = fleet_at(store, store.serial())?;
         let load = load(made.load.as_deref())?;
         // All proxies are the last stage, said or not.
         let mut stages = made.stages.clone();
@@ -102,11 +108,11 @@
         if stages.windows(2).any(|pair| pair[0] >= pair[1]) {
             return Err(Failure::Usage("--stages: each must be larger than the one before".to_owned()));
         }
-        let request = Request {
+        let request = PlanRequest {
             author: &self.author,
             reason,
             now_ms: now_ms(),
-            life_ms: u64::try_from(made.life.as_millis()).unwrap_or(u64::MAX),
+            lifetime_ms: u64::try_from(made.life.as_millis()).unwrap_or(u64::MAX),
             lineage: store.lineage(),
             base: store.current(),
             load: &load,
@@ -117,9 +123,9 @@
                 u64::try_from(made.pause.as_millis()).unwrap_or(u64::MAX)
             },
         };
-        let plan = Plan::make(request, &from, to);
+        let plan = Plan::new(request, &from, to);
         if let Some(out) = &made.out {
-            std::fs::write(out, plan.write()).map_err(Failure::file(out))?;
+            std::fs::write(out, plan.to_bytes()).map_err(Failure::file(out))?;
         }
         match made.json {
             true => print_json(&plan),
@@ -138,7 +144,7 @@
     /// `rollback`.
     pub fn rollback(&self, serial: u64, made: &Made) -> Done {
         let store = self.open()?;
-        let to = current(&*store, serial)?;
+        let to = fleet_at(&*store, serial)?;
         let reason = match made.reason.is_empty() {
             true => format!("back to serial {serial}"),
             false => made.reason.clone(),
@@ -156,8 +162,8 @@
             apply(&mut *store, &plan, &accepted, &self.author, now_ms())?
         };
         match done {
-            Applied::Now(serial) => println!("applied as serial {serial}: {}", plan.summary()),
-            Applied::Before(serial) => {
+            Applied::Committed(serial) => println!("applied as serial {serial}: {}", plan.summary()),
+            Applied::AlreadyApplied(serial) => {
                 println!("this plan was applied before, as serial {serial}: nothing done")
             }
         }
@@ -174,11 +180,11 @@
             let what = "the current version is not handed out in stages: plan a rollback instead";
             return Err(Failure::Usage(what.to_owned()));
         };
-        let before = current(&*store, version.serial - 1)?;
+        let before = fleet_at(&*store, version.serial - 1)?;
         let reason = format!("abort of serial {}", version.serial);
         let entry =
             CommitInfo { author: &self.author, reason: &reason, at_ms: now_ms(), ..CommitInfo::default() };
-        let (Applied::Now(serial) | Applied::Before(serial)) =
+        let (Applied::Committed(serial) | Applied::AlreadyApplied(serial)) =
             store.commit(version.serial, &before.canonical(), entry)?;
         println!("serial {serial}: as serial {} was, for all proxies at once", version.serial - 1);
         Ok(0)
@@ -186,7 +192,7 @@
 
     /// `history`.
     pub fn history(&self, json: bool, consistent: bool) -> Done {
-        let store: Box<dyn Versions> = match self.cluster.is_empty() {
+        let store: Box<dyn VersionStore> = match self.cluster.is_empty() {
             true => self.open()?,
             false => {
                 let versions = Cluster::new(&self.cluster).versions(consistent)?;
@@ -206,7 +212,7 @@
     pub fn state(&self, serial: Option<u64>) -> Done {
         let store = self.open()?;
         let serial = serial.unwrap_or(store.serial());
-        let fleet = current(&*store, serial)?;
+        let fleet = fleet_at(&*store, serial)?;
         println!("lineage {}", store.lineage());
         let version = store.history().iter().filter(|version| version.serial == serial);
         anstream::print!("{}", show::history(&version.cloned().collect::<Vec<_>>()));
@@ -223,7 +229,7 @@
     /// `state export`.
     pub fn export(&self, serial: Option<u64>, out: Option<&Path>) -> Done {
         let store = self.open()?;
-        let text = current(&*store, serial.unwrap_or(store.serial()))?.canonical();
+        let text = fleet_at(&*store, serial.unwrap_or(store.serial()))?.canonical();
         match out {
             Some(out) => std::fs::write(out, text).map_err(Failure::file(out))?,
             None => println!("{text}"),
@@ -244,7 +250,7 @@
         let reason = format!("imported from {}", file.display());
         let entry =
             CommitInfo { author: &self.author, reason: &reason, at_ms: now_ms(), ..CommitInfo::default() };
-        let (Applied::Now(serial) | Applied::Before(serial)) =
+        let (Applied::Committed(serial) | Applied::AlreadyApplied(serial)) =
             store.commit(0, &fleet.canonical(), entry)?;
         println!("serial {serial}: {}", fleet.hash());
         Ok(0)
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -2,7 +2,7 @@
 
 use anstyle::{AnsiColor, Style};
 use runtrack_model::Severity;
-use runtrack_plan::{Edit, Object, Plan, Step};
+use runtrack_plan::{Edit, Fields, Plan, Step};
 use runtrack_store::Version;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
     parts.join(", ")
 }
 
-fn whole(out: &mut String, fields: &Object) {
+fn whole(out: &mut String, fields: &Fields) {
     for (name, held) in fields {
         let _ = writeln!(out, "      {name} = {}", value(name, held));
     }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use runtrack_model::Fleet;
-use runtrack_plan::{Load, Plan, Request, current};
+use runtrack_plan::{Load, Plan, PlanRequest, fleet_at};
 use runtrack_store::{Folder, Store};
 use std::path::Path;
 use std::process::{Command, Output, Stdio};
@@ -71,19 +71,19 @@
     let fleets = [fleet(pools, 100), fleet(pools, 200)].map(|text| Fleet::read(&text).expect("a fleet"));
     let plan = |which: usize| {
         let store = open(folder);
-        let request = Request {
+        let request = PlanRequest {
             author: "nok",
             reason: "",
             now_ms: now_ms(),
-            life_ms: 3_600_000,
+            lifetime_ms: 3_600_000,
             lineage: store.lineage(),
             base: store.current(),
             load: &Load::default(),
             stages: &[],
             pause_ms: 0,
         };
-        let plan = Plan::make(request, &current(&store, store.serial()).expect("a fleet"), &fleets[which]);
-        std::fs::write(folder.join("plan"), plan.write()).expect("a plan");
+        let plan = Plan::new(request, &fleet_at(&store, store.serial()).expect("a fleet"), &fleets[which]);
+        std::fs::write(folder.join("plan"), plan.to_bytes()).expect("a plan");
     };
     plan(0);
     let began = Instant::now();
@@ -104,7 +104,7 @@
         let _ = child.kill();
         let _ = child.wait();
         let store = open(folder);
-        let found = current(&store, store.serial());
+        let found = fleet_at(&store, store.serial());
         match store.serial() - before {
             0 if found.as_ref().is_ok_and(|found| *found == fleets[is]) => {}
             1 if found.as_ref().is_ok_and(|found| *found == fleets[1 - is]) => {
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use runtrack_model::Fleet;
-use runtrack_plan::{Applied, Load, Plan, Request, apply, current};
+use runtrack_plan::{Applied, Load, Plan, PlanRequest, apply, fleet_at};
 use runtrack_store::{Folder as Files, Store};
 pub use runtrack_testkit::platform_fleet;
 use runtrack_testkit::{Control, Proxy, ProxyTo};
@@ -42,23 +42,23 @@
 pub fn apply_staged_change(folder: &Path, wanted: &str, stages: &[u32], pause_ms: u64) -> u64 {
     let wanted = Fleet::read(wanted).unwrap_or_else(|problems| panic!("{problems}"));
     let mut store = Store::open_or_create(Files::new(folder).expect("a folder"), "l").expect("a store");
-    let from = current(&store, store.serial()).expect("a fleet");
-    let request = Request {
+    let from = fleet_at(&store, store.serial()).expect("a fleet");
+    let request = PlanRequest {
         author: "nok",
         reason: "a test",
         now_ms: now_ms(),
-        life_ms: 60_000,
+        lifetime_ms: 60_000,
         lineage: "l",
         base: store.current(),
         load: &Load::default(),
         stages,
         pause_ms,
     };
-    let plan = Plan::make(request, &from, &wanted);
+    let plan = Plan::new(request, &from, &wanted);
     let high = plan.risks.iter().filter(|risk| risk.severity == runtrack_model::Severity::High);
     let accepted: BTreeSet<String> = high.map(|risk| risk.id.clone()).collect();
     match apply(&mut store, &plan, &accepted, "nok", now_ms()).expect("it applies") {
-        Applied::Now(serial) => serial,
-        Applied::Before(serial) => panic!("applied before as {serial}"),
+        Applied::Committed(serial) => serial,
+        Applied::AlreadyApplied(serial) => panic!("applied before as {serial}"),
     }
 }
--- a/crates/plan/src/apply.rs
+++ b/crates/plan/src/apply.rs
@@ -1,6 +1,6 @@
 //! A plan becomes one commit of the store, or nothing happens.
 
-use crate::diff::{StepError, diff, replay};
+use crate::diff::{StepError, apply_steps, diff};
 use crate::file::Plan;
 use crate::risk::Risk;
 use runtrack_model::{Fleet, Severity};
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
     /// It is now this serial.
-    Now(u64),
+    Committed(u64),
     /// It had been applied as this serial; nothing was done.
-    Before(u64),
+    AlreadyApplied(u64),
 }
 
 /// Why a plan was not applied. Nothing was changed, but for a store that failed in the last step of a commit.
@@ -30,7 +30,7 @@
     #[error(
         "the plan is for the state {plan}, and this is {found}: apply it to the state that it was made for"
     )]
-    OtherLineage {
+    LineageMismatch {
         /// The plan's lineage.
         plan: String,
         /// The state's.
@@ -41,7 +41,7 @@
         "the state has moved: the plan was made on serial {planned}, and this is serial {found}, made by {by}{changed}. \
          Make the plan anew"
     )]
-    Moved {
+    StateChanged {
         /// The plan's serial.
         planned: u64,
         /// The state's.
@@ -56,10 +56,10 @@
     Expired(Duration),
     /// Made by a clock that is wrong, or this one is.
     #[error("the plan was made {0:?} from now: one of the two clocks is wrong")]
-    FromTheFuture(Duration),
+    ClockSkew(Duration),
     /// High risks that nobody has taken.
     #[error("{}", not_accepted(.0))]
-    NotAccepted(Vec<Risk>),
+    UnacceptedRisks(Vec<Risk>),
     /// Risks were accepted that the plan does not have.
     #[error("the plan has no risk `{0}`: a slip of the pen, or it was looked at in another plan")]
     UnknownRisk(String),
@@ -68,10 +68,10 @@
     Step(#[from] StepError),
     /// The steps lead elsewhere.
     #[error("the plan's steps don't lead to the state that it names: make it anew")]
-    LeadsElsewhere,
+    WrongResult,
     /// What is in the store is no fleet.
     #[error("serial {serial} is no fleet: {problem}")]
-    NoFleet {
+    InvalidFleet {
         /// The version.
         serial: u64,
         /// What is wrong.
@@ -91,7 +91,7 @@
 }
 
 /// The versions of a state, wherever they are kept.
-pub trait Versions {
+pub trait VersionStore {
     /// The lineage.
     fn lineage(&self) -> &str;
     /// The versions that are kept, the newest last.
@@ -112,7 +112,7 @@
     }
 }
 
-impl<F: Files> Versions for Store<F> {
+impl<F: Files> VersionStore for Store<F> {
     fn lineage(&self) -> &str {
         Store::lineage(self)
     }
@@ -126,7 +126,7 @@
     }
 
     fn commit(&mut self, on: u64, text: &str, entry: CommitInfo) -> Result<Applied, ApplyError> {
-        Ok(Applied::Now(Store::commit(self, on, text, entry)?.serial))
+        Ok(Applied::Committed(Store::commit(self, on, text, entry)?.serial))
     }
 }
 
@@ -137,16 +137,17 @@
 }
 
 /// The fleet of a version; an empty one before the first.
-pub fn current(store: &(impl Versions + ?Sized), serial: u64) -> Result<Fleet, ApplyError> {
+pub fn fleet_at(store: &(impl VersionStore + ?Sized), serial: u64) -> Result<Fleet, ApplyError> {
     if serial == 0 {
         return Ok(Fleet::default());
     }
-    Fleet::from_canonical(&store.text(serial)?).map_err(|problem| ApplyError::NoFleet { serial, problem })
+    Fleet::from_canonical(&store.text(serial)?)
+        .map_err(|problem| ApplyError::InvalidFleet { serial, problem })
 }
 
 /// Carries a plan out as one commit. The caller holds the lock of a store in a folder.
 pub fn apply(
-    store: &mut (impl Versions + ?Sized),
+    store: &mut (impl VersionStore + ?Sized),
     plan: &Plan,
     accepted: &BTreeSet<String>,
     author: &str,
@@ -154,13 +155,13 @@
 ) -> Result<Applied, ApplyError> {
     if store.lineage() != plan.lineage {
         let (plan, found) = (plan.lineage.clone(), store.lineage().to_owned());
-        return Err(ApplyError::OtherLineage { plan, found });
+        return Err(ApplyError::LineageMismatch { plan, found });
     }
     if let Some(version) = store.history().iter().find(|version| version.plan == plan.id) {
-        return Ok(Applied::Before(version.serial));
+        return Ok(Applied::AlreadyApplied(version.serial));
     }
     if plan.made_ms > now_ms.saturating_add(SKEW_MOST_MS) {
-        return Err(ApplyError::FromTheFuture(Duration::from_millis(plan.made_ms - now_ms)));
+        return Err(ApplyError::ClockSkew(Duration::from_millis(plan.made_ms - now_ms)));
     }
     if now_ms > plan.expires_ms {
         return Err(ApplyError::Expired(Duration::from_millis(now_ms - plan.expires_ms)));
@@ -175,11 +176,11 @@
     let open = |risk: &&Risk| risk.severity == Severity::High && !accepted.contains(&risk.id);
     let open: Vec<Risk> = plan.risks.iter().filter(open).cloned().collect();
     if !open.is_empty() {
-        return Err(ApplyError::NotAccepted(open));
+        return Err(ApplyError::UnacceptedRisks(open));
     }
-    let fleet = replay(&current(store, plan.serial)?, &plan.steps)?;
+    let fleet = apply_steps(&fleet_at(store, plan.serial)?, &plan.steps)?;
     if fleet.hash() != plan.desired_hash {
-        return Err(ApplyError::LeadsElsewhere);
+        return Err(ApplyError::WrongResult);
     }
     let (stages, pause_ms) = (plan.stages.as_slice(), plan.pause_ms);
     let entry =
@@ -188,12 +189,12 @@
 }
 
 /// Who has moved the state, and what has changed.
-fn moved(store: &(impl Versions + ?Sized), plan: &Plan) -> ApplyError {
+fn moved(store: &(impl VersionStore + ?Sized), plan: &Plan) -> ApplyError {
     let by = store.current().map_or("nobody".to_owned(), |version| {
         let reason = if version.reason.is_empty() { "no reason given" } else { &version.reason };
         format!("{} ({reason})", version.author)
     });
-    let fleets = || Some((current(store, plan.serial).ok()?, current(store, store.serial()).ok()?));
+    let fleets = || Some((fleet_at(store, plan.serial).ok()?, fleet_at(store, store.serial()).ok()?));
     let changed = fleets().map(|(was, is)| {
         let steps = diff(&was, &is);
         let named: Vec<String> =
@@ -204,7 +205,7 @@
             (false, more) => format!("; changed: {} and {more} more", named.join(", ")),
         }
     });
-    ApplyError::Moved {
+    ApplyError::StateChanged {
         planned: plan.serial,
         found: store.serial(),
         by,
--- a/crates/plan/src/diff.rs
+++ b/crates/plan/src/diff.rs
@@ -1,6 +1,6 @@
 //! The difference of two fleets by meaning, as steps that can be carried out and that check what they find.
 
-use crate::objects::{Address, Object, Objects};
+use crate::objects::{Address, Fields, Objects};
 use runtrack_model::Fleet;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -26,7 +26,7 @@
         /// Which.
         what: Address,
         /// All of it.
-        fields: Object,
+        fields: Fields,
         /// For a route: the one before it; none: it is the first.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         after: Option<String>,
@@ -58,7 +58,7 @@
         /// Which.
         what: Address,
         /// All of it, as it must be found.
-        fields: Object,
+        fields: Fields,
     },
 }
 
@@ -87,7 +87,7 @@
 
 /// How many things a plan touches, by kind of step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Counts {
+pub struct StepCounts {
     /// Created.
     pub add: usize,
     /// Changed, replaced or moved.
@@ -97,13 +97,13 @@
 }
 
 /// Counts things, each once.
-pub fn counts(steps: &[Step]) -> Counts {
+pub fn count_steps(steps: &[Step]) -> StepCounts {
     let changed: BTreeSet<&Address> = steps
         .iter()
         .filter(|step| !matches!(step, Step::Create { .. } | Step::Delete { .. }))
         .map(Step::what)
         .collect();
-    Counts {
+    StepCounts {
         add: steps.iter().filter(|step| matches!(step, Step::Create { .. })).count(),
         change: changed.len(),
         destroy: steps.iter().filter(|step| matches!(step, Step::Delete { .. })).count(),
@@ -140,12 +140,12 @@
     steps
 }
 
-fn one(what: &Address, before: Option<&Object>, after: &Object, place: Option<String>) -> Option<Step> {
+fn one(what: &Address, before: Option<&Fields>, after: &Fields, place: Option<String>) -> Option<Step> {
     let Some(before) = before else {
         return Some(Step::Create { what: what.clone(), fields: after.clone(), after: place });
     };
     let names: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
-    let value = |object: &Object, name: &str| object.get(name).cloned().unwrap_or(Value::Null);
+    let value = |object: &Fields, name: &str| object.get(name).cloned().unwrap_or(Value::Null);
     let edits = names.into_iter().filter(|name| before.get(*name) != after.get(*name));
     let fields: BTreeMap<String, Edit> = edits
         .map(|name| (name.clone(), Edit { before: value(before, name), after: value(after, name) }))
@@ -184,7 +184,7 @@
 }
 
 /// Carries steps out. Each checks that it finds what it was made for; the whole is checked at the end.
-pub fn replay(fleet: &Fleet, steps: &[Step]) -> Result<Fleet, StepError> {
+pub fn apply_steps(fleet: &Fleet, steps: &[Step]) -> Result<Fleet, StepError> {
     let mut all = Objects::of(fleet);
     // Where each placed route comes to stand; the others keep their order.
     let mut placed: BTreeMap<&String, Vec<(&String, Option<&String>)>> = BTreeMap::new();
--- a/crates/plan/src/file.rs
+++ b/crates/plan/src/file.rs
@@ -1,7 +1,7 @@
 //! The plan file: a line that says what it is and its hash, then JSON with all that apply needs.
 
-use crate::diff::{Counts, Step, counts, diff};
-use crate::risk::{Load, Risk, Seen, risks};
+use crate::diff::{Step, StepCounts, count_steps, diff};
+use crate::risk::{Load, Risk, RiskContext, assess_risks};
 use runtrack_model::{Fleet, Severity};
 use runtrack_store::{Version, seal};
 use serde::{Deserialize, Serialize};
@@ -18,21 +18,21 @@
 pub enum PlanError {
     /// Something else, or its first line is damaged.
     #[error("it is no plan: a plan begins with a line `{MAGIC} {FORMAT} HASH`")]
-    NoPlan,
+    NotAPlan,
     /// A newer version wrote it.
     #[error(
         "it has format {found}, and this version reads up to {FORMAT}: apply it with the version that made it"
     )]
-    Newer {
+    NewerFormat {
         /// Its format.
         found: u32,
     },
     /// It is not what was written.
     #[error("it was changed or cut short after it was made: its hash does not fit. Make the plan anew")]
-    Changed,
+    HashMismatch,
     /// The hash fits and the content does not.
     #[error("it makes no sense: {0}. Make the plan anew")]
-    Senseless(String),
+    Invalid(String),
     /// Too long to be read.
     #[error("it has {0} bytes, and {BYTES_MOST} is the most")]
     TooLong(usize),
@@ -40,7 +40,7 @@
 
 /// What is planned, for whom, on what and until when.
 #[derive(Clone, Copy, Debug)]
-pub struct Request<'a> {
+pub struct PlanRequest<'a> {
     /// Who plans.
     pub author: &'a str,
     /// Why.
@@ -48,7 +48,7 @@
     /// Now, Unix time in milliseconds.
     pub now_ms: u64,
     /// For how long it may be applied, in milliseconds.
-    pub life_ms: u64,
+    pub lifetime_ms: u64,
     /// The state's lineage.
     pub lineage: &'a str,
     /// The version it is made against; none: the state is empty.
@@ -96,20 +96,20 @@
 
 impl Plan {
     /// Plans the way from one fleet to another.
-    pub fn make(request: Request, from: &Fleet, to: &Fleet) -> Plan {
-        let seen = Seen {
+    pub fn new(request: PlanRequest, from: &Fleet, to: &Fleet) -> Plan {
+        let seen = RiskContext {
             load: request.load,
-            since_ms: request.base.map_or(0, |version| version.at_ms),
+            applied_at_ms: request.base.map_or(0, |version| version.at_ms),
             now_ms: request.now_ms,
         };
         let steps = diff(from, to);
-        let risks = if steps.is_empty() { Vec::new() } else { risks(from, to, seen) };
+        let risks = if steps.is_empty() { Vec::new() } else { assess_risks(from, to, seen) };
         let plan = Plan {
             id: String::new(),
             author: request.author.to_owned(),
             reason: request.reason.to_owned(),
             made_ms: request.now_ms,
-            expires_ms: request.now_ms.saturating_add(request.life_ms),
+            expires_ms: request.now_ms.saturating_add(request.lifetime_ms),
             lineage: request.lineage.to_owned(),
             serial: request.base.map_or(0, |version| version.serial),
             base_hash: request.base.map(|version| version.hash.clone()).unwrap_or_default(),
@@ -127,53 +127,53 @@
     }
 
     /// The file's bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         seal::seal(MAGIC, FORMAT, &self.text())
     }
 
     /// Reads a file's bytes.
-    pub fn read(bytes: &[u8]) -> Result<Plan, PlanError> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Plan, PlanError> {
         if bytes.len() > BYTES_MOST {
             return Err(PlanError::TooLong(bytes.len()));
         }
         let (_, text) = seal::open(MAGIC, FORMAT, bytes).map_err(|broken| match broken {
-            seal::SealError::Newer { found, .. } => PlanError::Newer { found },
-            seal::SealError::HashMismatch => PlanError::Changed,
+            seal::SealError::Newer { found, .. } => PlanError::NewerFormat { found },
+            seal::SealError::HashMismatch => PlanError::HashMismatch,
             seal::SealError::BadHeader | seal::SealError::UnknownFormat(_) | seal::SealError::NotUtf8 => {
-                PlanError::NoPlan
+                PlanError::NotAPlan
             }
         })?;
-        let plan: Plan = serde_json::from_str(text).map_err(|e| PlanError::Senseless(e.to_string()))?;
+        let plan: Plan = serde_json::from_str(text).map_err(|e| PlanError::Invalid(e.to_string()))?;
         if plan.expires_ms < plan.made_ms {
-            return Err(PlanError::Senseless("it expires before it is made".to_owned()));
+            return Err(PlanError::Invalid("it expires before it is made".to_owned()));
         }
         if (plan.serial == 0) != plan.base_hash.is_empty() {
-            return Err(PlanError::Senseless("its serial and its base's hash are at odds".to_owned()));
+            return Err(PlanError::Invalid("its serial and its base's hash are at odds".to_owned()));
         }
         let rising = plan.stages.windows(2).all(|pair| pair[0] < pair[1]);
         let ends = plan.stages.first().is_none_or(|&first| first > 0)
             && plan.stages.last().is_none_or(|&last| last == 10_000);
         if !(rising && ends) {
-            return Err(PlanError::Senseless("its stages don't rise to all proxies".to_owned()));
+            return Err(PlanError::Invalid("its stages don't rise to all proxies".to_owned()));
         }
         Ok(Plan { id: seal::hash(text), ..plan })
     }
 
     /// How many things it touches.
-    pub fn counts(&self) -> Counts {
-        counts(&self.steps)
+    pub fn counts(&self) -> StepCounts {
+        count_steps(&self.steps)
     }
 
     /// How many risks have a severity.
-    pub fn risks_of(&self, severity: Severity) -> usize {
+    pub fn count_risks(&self, severity: Severity) -> usize {
         self.risks.iter().filter(|risk| risk.severity == severity).count()
     }
 
     /// `2 to add, 1 to change, 0 to destroy; 1 high risk`.
     pub fn summary(&self) -> String {
-        let Counts { add, change, destroy } = self.counts();
+        let StepCounts { add, change, destroy } = self.counts();
         let severities =
-            [Severity::High, Severity::Medium, Severity::Low].map(|s| (self.risks_of(s), s.name()));
+            [Severity::High, Severity::Medium, Severity::Low].map(|s| (self.count_risks(s), s.name()));
         let risks: Vec<String> = severities
             .iter()
             .filter(|(count, _)| *count > 0)
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -10,8 +10,8 @@
 mod risk;
 mod shadow;
 
-pub use apply::{Applied, ApplyError, Versions, apply, current};
-pub use diff::{Counts, Edit, Step, StepError, counts, diff, replay};
-pub use file::{FORMAT, Plan, PlanError, Request};
-pub use objects::{Address, Object};
-pub use risk::{Load, PoolLoad, Risk, Seen, risks};
+pub use apply::{Applied, ApplyError, VersionStore, apply, fleet_at};
+pub use diff::{Edit, Step, StepCounts, StepError, apply_steps, count_steps, diff};
+pub use file::{FORMAT, Plan, PlanError, PlanRequest};
+pub use objects::{Address, Fields};
+pub use risk::{Load, PoolLoad, Risk, RiskContext, assess_risks};
--- a/crates/plan/src/objects.rs
+++ b/crates/plan/src/objects.rs
@@ -44,20 +44,20 @@
 }
 
 /// A thing's fields, in their canonical form.
-pub type Object = BTreeMap<String, Value>;
+pub type Fields = BTreeMap<String, Value>;
 
 /// A fleet in parts. The order of routes is kept beside them: only it has a meaning.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Objects {
-    pub(crate) things: BTreeMap<Address, Object>,
+    pub(crate) things: BTreeMap<Address, Fields>,
     pub(crate) order: BTreeMap<String, Vec<String>>,
 }
 
 /// The fields of what serialises to a map.
-fn fields(thing: &impl Serialize) -> Object {
+fn fields(thing: &impl Serialize) -> Fields {
     match serde_json::to_value(thing) {
         Ok(Value::Object(map)) => map.into_iter().collect(),
-        _ => Object::new(), // every thing of a fleet is a struct or a map with text for keys
+        _ => Fields::new(), // every thing of a fleet is a struct or a map with text for keys
     }
 }
 
@@ -102,7 +102,7 @@
         let mut root = Map::new();
         let mut maps: BTreeMap<&str, Map<String, Value>> = BTreeMap::new();
         let mut endpoints: BTreeMap<String, Map<String, Value>> = BTreeMap::new();
-        let mut routes: BTreeMap<(String, String), Object> = BTreeMap::new();
+        let mut routes: BTreeMap<(String, String), Fields> = BTreeMap::new();
         for (address, thing) in std::mem::take(&mut self.things) {
             let whole: Map<String, Value> = thing.clone().into_iter().collect();
             let (of, name) = match address {
--- a/crates/plan/src/risk.rs
+++ b/crates/plan/src/risk.rs
@@ -59,18 +59,18 @@
 
 /// What is known beside the two fleets.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen<'a> {
+pub struct RiskContext<'a> {
     /// The load.
     pub load: &'a Load,
     /// When the fleet before was applied, Unix time in milliseconds: its drains are no older.
-    pub since_ms: u64,
+    pub applied_at_ms: u64,
     /// Now, likewise.
     pub now_ms: u64,
 }
 
 /// The risks of going from one fleet to the other, the heaviest first. Severities that the new fleet raises are
 /// raised; none is lowered.
-pub fn risks(from: &Fleet, to: &Fleet, seen: Seen) -> Vec<Risk> {
+pub fn assess_risks(from: &Fleet, to: &Fleet, seen: RiskContext) -> Vec<Risk> {
     let mut found = Found { risks: Vec::new(), raised: &to.risks };
     for (name, pool) in &to.pools {
         if let Some(before) = from.pools.get(name) {
@@ -137,7 +137,7 @@
     name: &str,
     (before, from): (&Pool, &Fleet),
     (after, to): (&Pool, &Fleet),
-    seen: Seen,
+    seen: RiskContext,
 ) {
     let of = format!("pool.{name}");
     limit_risks(found, name, &of, before, after, seen.load);
@@ -242,10 +242,10 @@
     pool: &str,
     (old, from): (&BTreeMap<String, Endpoint>, &Fleet),
     new: &BTreeMap<String, Endpoint>,
-    seen: Seen,
+    seen: RiskContext,
 ) {
     let grace = from.rules.drain_grace;
-    let drained = Duration::from_millis(seen.now_ms.saturating_sub(seen.since_ms));
+    let drained = Duration::from_millis(seen.now_ms.saturating_sub(seen.applied_at_ms));
     for (id, endpoint) in old {
         let goes = new.get(id).is_none_or(|new| new.address != endpoint.address);
         if !goes {
--- a/crates/plan/tests/common/mod.rs
+++ b/crates/plan/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg32;
 use runtrack_balancer::DedupScope;
 use runtrack_model::*;
-use runtrack_plan::{Load, Plan, Request};
+use runtrack_plan::{Load, Plan, PlanRequest};
 use runtrack_store::{CommitInfo, Store};
 use runtrack_testkit::Disk;
 use std::collections::BTreeMap;
@@ -136,18 +136,18 @@
 }
 
 pub fn plan_on(store: &Store<Disk>, from: &Fleet, to: &Fleet, reason: &str) -> Plan {
-    let request = Request {
+    let request = PlanRequest {
         author: "somchai",
         reason,
         now_ms: NOW,
-        life_ms: HOUR,
+        lifetime_ms: HOUR,
         lineage: store.lineage(),
         base: store.current(),
         load: &Load::default(),
         stages: &[],
         pause_ms: 0,
     };
-    Plan::make(request, from, to)
+    Plan::new(request, from, to)
 }
 
 /// A state with one version of this fleet, applied long before `NOW`.
--- a/crates/plan/tests/refusals.rs
+++ b/crates/plan/tests/refusals.rs
@@ -27,7 +27,7 @@
 
 /// The plan's text as JSON, changed and sealed again: what somebody would get who knows how.
 fn forged(plan: &Plan, change: impl FnOnce(&mut Value)) -> Vec<u8> {
-    let bytes = plan.write();
+    let bytes = plan.to_bytes();
     let text = std::str::from_utf8(&bytes).expect("text").split_once('\n').expect("two parts").1;
     let mut value: Value = serde_json::from_str(text).expect("JSON");
     change(&mut value);
@@ -37,16 +37,16 @@
 #[test]
 fn files_that_are_cut_short_or_changed_anywhere_are_refused() {
     let (from, to) = pair();
-    let bytes = plan_on(&state_of(&from), &from, &to, "why").write();
-    assert!(Plan::read(&bytes).is_ok());
+    let bytes = plan_on(&state_of(&from), &from, &to, "why").to_bytes();
+    assert!(Plan::from_bytes(&bytes).is_ok());
     for length in 0..bytes.len() {
-        assert!(Plan::read(&bytes[..length]).is_err(), "cut to {length} of {} bytes", bytes.len());
+        assert!(Plan::from_bytes(&bytes[..length]).is_err(), "cut to {length} of {} bytes", bytes.len());
     }
     for at in 0..bytes.len() {
         for bit in [1, 32] {
             let mut other = bytes.clone();
             other[at] ^= bit;
-            assert!(Plan::read(&other).is_err(), "bit {bit} of byte {at}");
+            assert!(Plan::from_bytes(&other).is_err(), "bit {bit} of byte {at}");
         }
     }
 }
@@ -158,7 +158,7 @@
     cases.extend(forgeries);
     assert!(cases.len() >= 40, "{} cases", cases.len());
     for (name, bytes, wanted) in cases {
-        let problem = Plan::read(&bytes).map(|_| ()).expect_err(name).to_string();
+        let problem = Plan::from_bytes(&bytes).map(|_| ()).expect_err(name).to_string();
         assert!(problem.contains(wanted), "{name}: {problem}");
         assert!(!problem.contains('\n'), "{name}: one message, not {problem}");
     }
@@ -203,15 +203,15 @@
     ];
     for (name, step) in steps {
         let bytes = forged(&plan, |plan| plan["steps"].as_array_mut().expect("steps").insert(0, step));
-        let plan = Plan::read(&bytes).expect("its form is right");
+        let plan = Plan::from_bytes(&bytes).expect("its form is right");
         let problem = apply(&mut store, &plan, &accept(&plan), "nok", NOW).expect_err(name);
         assert!(matches!(problem, ApplyError::Step(_)), "{name}: {problem}");
     }
     let bytes = forged(&plan, |plan| drop(plan["steps"].as_array_mut().expect("steps").pop()));
-    let plan = Plan::read(&bytes).expect("its form is right");
+    let plan = Plan::from_bytes(&bytes).expect("its form is right");
     let problem = apply(&mut store, &plan, &accept(&plan), "nok", NOW).expect_err("a step is missing");
-    assert!(matches!(problem, ApplyError::LeadsElsewhere | ApplyError::Step(_)), "{problem}");
-    assert_eq!((store.serial(), current(&store, 1).expect("a fleet")), (1, from));
+    assert!(matches!(problem, ApplyError::WrongResult | ApplyError::Step(_)), "{problem}");
+    assert_eq!((store.serial(), fleet_at(&store, 1).expect("a fleet")), (1, from));
 }
 
 fn accept(plan: &Plan) -> BTreeSet<String> {
@@ -230,13 +230,16 @@
     apply(&mut store, &other, &none(), "nok", NOW).expect("nothing moved yet");
     let problem = apply(&mut store, &plan, &accept(&plan), "somchai", NOW).expect_err("it has moved");
     let text = problem.to_string();
-    assert!(matches!(problem, ApplyError::Moved { planned: 1, found: 2, .. }), "{text}");
+    assert!(matches!(problem, ApplyError::StateChanged { planned: 1, found: 2, .. }), "{text}");
     for wanted in ["nok (a quick fix)", "class.added", "serial 1", "serial 2", "anew"] {
         assert!(text.contains(wanted), "{wanted} in {text}");
     }
     // The same serial of another history is another state as well.
     let mut other = state_of(&between);
-    assert!(matches!(apply(&mut other, &plan, &accept(&plan), "nok", NOW), Err(ApplyError::Moved { .. })));
+    assert!(matches!(
+        apply(&mut other, &plan, &accept(&plan), "nok", NOW),
+        Err(ApplyError::StateChanged { .. })
+    ));
     assert_eq!((store.serial(), other.serial()), (2, 1));
 }
 
@@ -245,13 +248,19 @@
     let (from, to) = pair();
     let mut store = state_of(&from);
     let plan = plan_on(&store, &from, &to, "there");
-    assert_eq!(apply(&mut store, &plan, &accept(&plan), "nok", NOW).expect("applied"), Applied::Now(2));
-    assert_eq!(apply(&mut store, &plan, &accept(&plan), "nok", NOW).expect("known"), Applied::Before(2));
+    assert_eq!(
+        apply(&mut store, &plan, &accept(&plan), "nok", NOW).expect("applied"),
+        Applied::Committed(2)
+    );
+    assert_eq!(
+        apply(&mut store, &plan, &accept(&plan), "nok", NOW).expect("known"),
+        Applied::AlreadyApplied(2)
+    );
     let back = plan_on(&store, &to, &from, "back");
     apply(&mut store, &back, &accept(&back), "nok", NOW).expect("applied");
     assert_eq!(
         apply(&mut store, &plan, &none(), "nok", NOW + 2 * HOUR).expect("known"),
-        Applied::Before(2)
+        Applied::AlreadyApplied(2)
     );
     assert_eq!(store.serial(), 3);
 }
@@ -263,13 +272,13 @@
     let plan = plan_on(&store, &from, &to, "why");
     let elsewhere = Plan { lineage: "another".to_owned(), ..plan.clone() };
     let problem = apply(&mut store, &elsewhere, &accept(&plan), "nok", NOW).expect_err("another's");
-    assert!(matches!(problem, ApplyError::OtherLineage { .. }), "{problem}");
+    assert!(matches!(problem, ApplyError::LineageMismatch { .. }), "{problem}");
     let late = apply(&mut store, &plan, &accept(&plan), "nok", NOW + HOUR + 1).expect_err("too old");
     assert!(matches!(late, ApplyError::Expired(_)), "{late}");
     // Hard case 2: a clock that was set back by a day.
     let early =
         apply(&mut store, &plan, &accept(&plan), "nok", NOW - 24 * HOUR).expect_err("a wrong clock");
-    assert!(matches!(early, ApplyError::FromTheFuture(_)), "{early}");
+    assert!(matches!(early, ApplyError::ClockSkew(_)), "{early}");
     assert_eq!(store.serial(), 1);
 }
 
@@ -286,7 +295,7 @@
         let problem = apply(&mut store, &plan, &rest, "nok", NOW).expect_err("one is not accepted");
         let text = problem.to_string();
         assert!(text.contains(&format!("--accept-risk {missing}")), "{text}");
-        assert!(matches!(problem, ApplyError::NotAccepted(risks) if risks.len() == 1), "{text}");
+        assert!(matches!(problem, ApplyError::UnacceptedRisks(risks) if risks.len() == 1), "{text}");
     }
     let mut more = high.clone();
     more.insert("capacity-lost/pool.ghost".to_owned());
@@ -303,5 +312,5 @@
     store.commit(1, "{\"rules\":{}}", entry).expect("the store takes any text");
     let plan = plan_on(&store, &from, &to, "why");
     let problem = apply(&mut store, &plan, &accept(&plan), "nok", NOW).expect_err("no fleet");
-    assert!(matches!(problem, ApplyError::NoFleet { serial: 2, .. }), "{problem}");
+    assert!(matches!(problem, ApplyError::InvalidFleet { serial: 2, .. }), "{problem}");
 }
--- a/crates/plan/tests/risks.rs
+++ b/crates/plan/tests/risks.rs
@@ -1,7 +1,7 @@
 //! Each risk with its figures and weight, and no risk where there is none.
 
 use runtrack_model::{Fleet, Severity};
-use runtrack_plan::{Load, PoolLoad, Risk, Seen, risks};
+use runtrack_plan::{Load, PoolLoad, Risk, RiskContext, assess_risks};
 
 const NOW: u64 = 1_796_000_000_000;
 
@@ -69,14 +69,18 @@
 "#;
 
 /// The risks of replacing texts in the fleet's file, with this load, so many milliseconds after it was applied.
-fn found(edits: &[(&str, &str)], load: &Load, since_ms: u64) -> Vec<Risk> {
+fn found(edits: &[(&str, &str)], load: &Load, applied_at_ms: u64) -> Vec<Risk> {
     let mut text = FLEET.to_owned();
     for (old, new) in edits {
         assert!(text.contains(old), "{old}");
         text = text.replacen(old, new, 1);
     }
     let read = |text: &str| Fleet::read(text).unwrap_or_else(|problems| panic!("{problems}"));
-    risks(&read(FLEET), &read(&text), Seen { load, since_ms: NOW - since_ms, now_ms: NOW })
+    assess_risks(
+        &read(FLEET),
+        &read(&text),
+        RiskContext { load, applied_at_ms: NOW - applied_at_ms, now_ms: NOW },
+    )
 }
 
 fn of(edits: &[(&str, &str)]) -> Vec<Risk> {
@@ -157,8 +161,8 @@
     let (old, new) =
         ("127.0.0.1:1\", zone = \"a\" }", "127.0.0.1:1\", zone = \"a\", state = \"draining\" }");
     let read = |text: &str| Fleet::read(text).unwrap_or_else(|problems| panic!("{problems}"));
-    let seen = Seen { load: &Load::default(), since_ms: 0, now_ms: NOW };
-    let risks = risks(&read(&zoned), &read(&zoned.replace(old, new)), seen);
+    let seen = RiskContext { load: &Load::default(), applied_at_ms: 0, now_ms: NOW };
+    let risks = assess_risks(&read(&zoned), &read(&zoned.replace(old, new)), seen);
     assert_eq!(one(&risks, "pool-thin/pool.q").severity, Severity::Medium);
 }
 
--- a/crates/plan/tests/ways.rs
+++ b/crates/plan/tests/ways.rs
@@ -19,14 +19,15 @@
     for seed in 0..SEEDS {
         let (from, to) = (fleet(2 * seed), fleet(2 * seed + 1));
         let mut store = state_of(&from);
-        let plan = Plan::read(&plan_on(&store, &from, &to, "there").write()).expect("a plan reads back");
+        let plan =
+            Plan::from_bytes(&plan_on(&store, &from, &to, "there").to_bytes()).expect("a plan reads back");
         moves += plan.steps.iter().filter(|step| matches!(step, Step::Move { .. })).count();
-        assert_eq!(replay(&from, &plan.steps).as_ref(), Ok(&to), "seed {seed}");
+        assert_eq!(apply_steps(&from, &plan.steps).as_ref(), Ok(&to), "seed {seed}");
         let applied = apply(&mut store, &plan, &accept_all(&plan), "nok", NOW).expect("it applies");
-        assert_eq!(applied, Applied::Now(2), "seed {seed}");
-        assert_eq!(current(&store, 2).expect("a fleet"), to, "seed {seed}");
+        assert_eq!(applied, Applied::Committed(2), "seed {seed}");
+        assert_eq!(fleet_at(&store, 2).expect("a fleet"), to, "seed {seed}");
 
-        let back = plan_on(&store, &to, &current(&store, 1).expect("a fleet"), "back");
+        let back = plan_on(&store, &to, &fleet_at(&store, 1).expect("a fleet"), "back");
         apply(&mut store, &back, &accept_all(&back), "nok", NOW).expect("it applies");
         let hashes: Vec<&str> = store.history().iter().map(|version| version.hash.as_str()).collect();
         assert_eq!(hashes[0], hashes[2], "seed {seed}: the way back restores the hash");
@@ -53,7 +54,7 @@
         let (from, to, other) = (fleet(3 * seed), fleet(3 * seed + 1), fleet(3 * seed + 2));
         let steps = diff(&from, &to);
         // Where the steps happen to fit the other fleet as well, they may not lead to something broken.
-        match replay(&other, &steps) {
+        match apply_steps(&other, &steps) {
             Err(_) => refused += 1,
             Ok(fleet) => assert_eq!(fleet.faults(), [], "seed {seed}"),
         }
@@ -87,6 +88,6 @@
     routes.insert(1, last);
     let steps = diff(&from, &to);
     assert_eq!(steps.len(), 3, "{:?}", steps.iter().map(Step::what).collect::<Vec<_>>());
-    assert_eq!(counts(&steps), Counts { add: 1, change: 2, destroy: 0 });
-    assert_eq!(replay(&from, &steps), Ok(to));
+    assert_eq!(count_steps(&steps), StepCounts { add: 1, change: 2, destroy: 0 });
+    assert_eq!(apply_steps(&from, &steps), Ok(to));
 }
--- a/crates/rig/src/world/people.rs
+++ b/crates/rig/src/world/people.rs
@@ -160,7 +160,7 @@
             }
             // The pool is named after the serial that the version is to have. The first instance may be behind the one that
             // planned: the version would bear an older name, and proxies seem to go back.
-            let Some(plan_made) = std::fs::read(&plan).ok().and_then(|bytes| Plan::read(&bytes).ok())
+            let Some(plan_made) = std::fs::read(&plan).ok().and_then(|bytes| Plan::from_bytes(&bytes).ok())
             else {
                 continue;
             };
