--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -59,7 +59,7 @@
 pub fn plan(plan: &Plan) -> String {
     let mut out = String::new();
     for step in &plan.steps {
-        let what = step.what();
+        let what = step.address();
         let (sign, style, more) = match step {
             Step::Create { .. } => ("+", ADD, String::new()),
             Step::Change { .. } => ("~", CHANGE, String::new()),
@@ -89,7 +89,7 @@
             "{style}{:>8}{style:#} {}\n         {}",
             risk.severity.name(),
             risk.id,
-            risk.what
+            risk.description
         );
     }
     let serial = match plan.serial {
--- a/crates/cli/tests/ctl.rs
+++ b/crates/cli/tests/ctl.rs
@@ -133,7 +133,7 @@
     refused(&["plan", "missing.toml"], 1, "missing.toml");
     refused(&["--state", "nowhere", "history"], 1, "runtrackctl init");
     refused(&["rollback", "7"], 16, "serial 7 is not kept");
-    refused(&["apply", "fleet.toml"], 10, "it is no plan");
+    refused(&["apply", "fleet.toml"], 10, "not a plan file");
 
     folder.write("more.toml", &SMALL.replace("deadline = \"3s\"", "deadline = \"4s\""));
     for plan in ["p", "q"] {
@@ -141,19 +141,19 @@
     }
     let bytes = std::fs::read(at.join("p")).expect("a plan");
     std::fs::write(at.join("short"), &bytes[..bytes.len() - 1]).expect("a shorter plan");
-    refused(&["apply", "short"], 10, "changed or cut short");
+    refused(&["apply", "short"], 10, "modified or truncated");
     assert_eq!(code(&ctl(at, &["--state", "other", "init"])), 0);
     refused(&["--state", "other", "apply", "p"], 12, "the plan is for the state");
     refused(&["apply", "p", "--accept-risk", "pool-thin/pool.ghost"], 14, "the plan has no risk");
     assert_eq!(code(&ctl(at, &["plan", "more.toml", "-o", "old", "--life", "0s"])), 0);
     std::thread::sleep(std::time::Duration::from_millis(5));
-    refused(&["apply", "old"], 13, "make it anew");
+    refused(&["apply", "old"], 13, "create a new plan");
     {
         let _lock = Lock::acquire(&at.join("state"), "nok, process 1").expect("free");
         refused(&["apply", "p"], 15, "locked by nok, process 1");
     }
     assert_eq!(code(&ctl(at, &["apply", "q"])), 0);
-    refused(&["apply", "p"], 11, "made by somchai (q); changed: class.post");
+    refused(&["apply", "p"], 11, "committed by somchai (q); changed: class.post");
     std::fs::write(at.join("state/head"), "runtrack-state 9 00\n").expect("a newer head");
     refused(&["history"], 16, "format 9");
     refused(&["status", "--admin", "127.0.0.1:1"], 3, "127.0.0.1:1");
--- a/crates/plan/src/apply.rs
+++ b/crates/plan/src/apply.rs
@@ -1,4 +1,4 @@
-//! A plan becomes one commit of the store, or nothing happens.
+//! Application of a plan to a version store: one commit, or no change at all.
 
 use crate::diff::{StepError, apply_steps, diff};
 use crate::file::Plan;
@@ -9,104 +9,105 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Clocks of two machines differ by no more than this; a plan from later than that was made by a clock that is wrong.
-const SKEW_MOST_MS: u64 = 5 * 60 * 1000;
-/// Things named where a state has moved.
-const NAMED_MOST: usize = 5;
+/// Maximum clock skew between two machines, in milliseconds. A plan from further in the future was created with a wrong
+/// clock.
+const MAX_CLOCK_SKEW_MS: u64 = 5 * 60 * 1000;
+/// Maximum number of changed objects named in the error about a state that has changed.
+const MAX_NAMED_OBJECTS: usize = 5;
 
-/// What has come of a plan.
+/// Result of applying a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It is now this serial.
+    /// The plan was committed as this serial.
     Committed(u64),
-    /// It had been applied as this serial; nothing was done.
+    /// The plan had been applied before as this serial; nothing was changed.
     AlreadyApplied(u64),
 }
 
-/// Why a plan was not applied. Nothing was changed, but for a store that failed in the last step of a commit.
+/// Why a plan was not applied. The state is unchanged, except if the store failed in the last step of a commit.
 #[derive(Debug, Error)]
 pub enum ApplyError {
-    /// Another state's plan.
+    /// The plan was created for another state.
     #[error(
-        "the plan is for the state {plan}, and this is {found}: apply it to the state that it was made for"
+        "the plan is for the state {plan}, and this is {found}: apply it to the state that it was created for"
     )]
     LineageMismatch {
-        /// The plan's lineage.
+        /// Lineage in the plan.
         plan: String,
-        /// The state's.
+        /// Lineage of the state.
         found: String,
     },
-    /// The state has changed since.
+    /// The state has changed since the plan was created.
     #[error(
-        "the state has moved: the plan was made on serial {planned}, and this is serial {found}, made by {by}{changed}. \
-         Make the plan anew"
+        "the state has moved: the plan is based on serial {planned}, and this is serial {found}, committed by {by}{changed}. \
+         Create a new plan"
     )]
     StateChanged {
-        /// The plan's serial.
+        /// Serial that the plan is based on.
         planned: u64,
-        /// The state's.
+        /// Current serial of the state.
         found: u64,
-        /// Who moved it, and why.
+        /// Author and reason of the current version.
         by: String,
-        /// What has changed, where the old version is still kept.
+        /// Changed objects, if the version that the plan is based on is still kept; otherwise empty.
         changed: String,
     },
-    /// Too old.
-    #[error("the plan could be applied until {0:?} ago: make it anew")]
+    /// The plan expired this long ago.
+    #[error("the plan expired {0:?} ago: create a new plan")]
     Expired(Duration),
-    /// Made by a clock that is wrong, or this one is.
-    #[error("the plan was made {0:?} from now: one of the two clocks is wrong")]
+    /// The plan was created this far in the future: its clock or the local one is wrong.
+    #[error("the plan was created {0:?} in the future: one of the two clocks is wrong")]
     ClockSkew(Duration),
-    /// High risks that nobody has taken.
-    #[error("{}", not_accepted(.0))]
+    /// High risks that were not accepted.
+    #[error("{}", unaccepted_message(.0))]
     UnacceptedRisks(Vec<Risk>),
-    /// Risks were accepted that the plan does not have.
-    #[error("the plan has no risk `{0}`: a slip of the pen, or it was looked at in another plan")]
+    /// A risk was accepted that the plan does not have.
+    #[error("the plan has no risk `{0}`: the id is misspelled or comes from another plan")]
     UnknownRisk(String),
-    /// The steps don't lead to what they say.
-    #[error("the plan's steps don't fit the state that it names: {0}. Make it anew")]
+    /// A step does not match the state.
+    #[error("the plan's steps don't match the state that it is based on: {0}. Create a new plan")]
     Step(#[from] StepError),
-    /// The steps lead elsewhere.
-    #[error("the plan's steps don't lead to the state that it names: make it anew")]
+    /// The hash of the resulting fleet differs from the one in the plan.
+    #[error("the plan's steps don't result in the fleet that it states: create a new plan")]
     WrongResult,
-    /// What is in the store is no fleet.
-    #[error("serial {serial} is no fleet: {problem}")]
+    /// A version in the store does not contain a valid fleet.
+    #[error("serial {serial} is not a valid fleet: {problem}")]
     InvalidFleet {
-        /// The version.
+        /// Serial of the version.
         serial: u64,
-        /// What is wrong.
+        /// Description of the problem.
         problem: String,
     },
-    /// The store refuses.
+    /// The store failed or refused the commit.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A service that keeps the state refuses, or does not answer.
+    /// The service that holds the state refused the request or did not respond.
     #[error("{at}: {problem}")]
     Service {
-        /// Which.
+        /// Address of the service.
         at: String,
-        /// What is wrong.
+        /// Description of the problem.
         problem: String,
     },
 }
 
-/// The versions of a state, wherever they are kept.
+/// Access to the versions of a state, in a local folder or in a cluster.
 pub trait VersionStore {
-    /// The lineage.
+    /// Lineage of the state.
     fn lineage(&self) -> &str;
-    /// The versions that are kept, the newest last.
+    /// Versions that are kept, oldest first.
     fn history(&self) -> &[Version];
-    /// A version's text.
+    /// Text of a version.
     fn text(&self, serial: u64) -> Result<String, ApplyError>;
-    /// Makes a text the version after this serial and no other.
-    fn commit(&mut self, on: u64, text: &str, entry: CommitInfo) -> Result<Applied, ApplyError>;
+    /// Commits a text as the version after `base_serial`; fails if that is not the current one.
+    fn commit(&mut self, base_serial: u64, text: &str, entry: CommitInfo) -> Result<Applied, ApplyError>;
 
-    /// The current version.
+    /// Current version; `None` before the first.
     fn current(&self) -> Option<&Version> {
         self.history().last()
     }
 
-    /// The serial of the current version; 0 before the first.
+    /// Serial of the current version; 0 before the first.
     fn serial(&self) -> u64 {
         self.current().map_or(0, |version| version.serial)
     }
@@ -125,18 +126,18 @@
         Ok(Store::text(self, serial)?)
     }
 
-    fn commit(&mut self, on: u64, text: &str, entry: CommitInfo) -> Result<Applied, ApplyError> {
-        Ok(Applied::Committed(Store::commit(self, on, text, entry)?.serial))
+    fn commit(&mut self, base_serial: u64, text: &str, entry: CommitInfo) -> Result<Applied, ApplyError> {
+        Ok(Applied::Committed(Store::commit(self, base_serial, text, entry)?.serial))
     }
 }
 
-fn not_accepted(risks: &[Risk]) -> String {
+fn unaccepted_message(risks: &[Risk]) -> String {
     let lines: Vec<String> =
-        risks.iter().map(|risk| format!("  --accept-risk {}   {}", risk.id, risk.what)).collect();
+        risks.iter().map(|risk| format!("  --accept-risk {}   {}", risk.id, risk.description)).collect();
     format!("high risks must be accepted one by one:\n{}", lines.join("\n"))
 }
 
-/// The fleet of a version; an empty one before the first.
+/// Fleet of a version; an empty fleet for serial 0.
 pub fn fleet_at(store: &(impl VersionStore + ?Sized), serial: u64) -> Result<Fleet, ApplyError> {
     if serial == 0 {
         return Ok(Fleet::default());
@@ -145,7 +146,8 @@
         .map_err(|problem| ApplyError::InvalidFleet { serial, problem })
 }
 
-/// Carries a plan out as one commit. The caller holds the lock of a store in a folder.
+/// Applies a plan as one commit. For a store in a folder, the caller must hold its lock. Every high risk of the plan
+/// must be among the `accepted` ids. Returns the existing serial if the plan was applied before.
 pub fn apply(
     store: &mut (impl VersionStore + ?Sized),
     plan: &Plan,
@@ -160,7 +162,7 @@
     if let Some(version) = store.history().iter().find(|version| version.plan == plan.id) {
         return Ok(Applied::AlreadyApplied(version.serial));
     }
-    if plan.made_ms > now_ms.saturating_add(SKEW_MOST_MS) {
+    if plan.made_ms > now_ms.saturating_add(MAX_CLOCK_SKEW_MS) {
         return Err(ApplyError::ClockSkew(Duration::from_millis(plan.made_ms - now_ms)));
     }
     if now_ms > plan.expires_ms {
@@ -168,15 +170,15 @@
     }
     let hash = store.current().map(|version| version.hash.as_str()).unwrap_or_default();
     if (store.serial(), hash) != (plan.serial, plan.base_hash.as_str()) {
-        return Err(moved(store, plan));
+        return Err(state_changed(store, plan));
     }
     if let Some(unknown) = accepted.iter().find(|id| plan.risks.iter().all(|risk| risk.id != **id)) {
         return Err(ApplyError::UnknownRisk(unknown.clone()));
     }
-    let open = |risk: &&Risk| risk.severity == Severity::High && !accepted.contains(&risk.id);
-    let open: Vec<Risk> = plan.risks.iter().filter(open).cloned().collect();
-    if !open.is_empty() {
-        return Err(ApplyError::UnacceptedRisks(open));
+    let unaccepted = |risk: &&Risk| risk.severity == Severity::High && !accepted.contains(&risk.id);
+    let unaccepted: Vec<Risk> = plan.risks.iter().filter(unaccepted).cloned().collect();
+    if !unaccepted.is_empty() {
+        return Err(ApplyError::UnacceptedRisks(unaccepted));
     }
     let fleet = apply_steps(&fleet_at(store, plan.serial)?, &plan.steps)?;
     if fleet.hash() != plan.desired_hash {
@@ -188,8 +190,8 @@
     store.commit(plan.serial, &fleet.canonical(), entry)
 }
 
-/// Who has moved the state, and what has changed.
-fn moved(store: &(impl VersionStore + ?Sized), plan: &Plan) -> ApplyError {
+/// Error for a state that has changed, with the author of the current version and the changed objects.
+fn state_changed(store: &(impl VersionStore + ?Sized), plan: &Plan) -> ApplyError {
     let by = store.current().map_or("nobody".to_owned(), |version| {
         let reason = if version.reason.is_empty() { "no reason given" } else { &version.reason };
         format!("{} ({reason})", version.author)
@@ -198,9 +200,9 @@
     let changed = fleets().map(|(was, is)| {
         let steps = diff(&was, &is);
         let named: Vec<String> =
-            steps.iter().take(NAMED_MOST).map(|step| step.what().to_string()).collect();
+            steps.iter().take(MAX_NAMED_OBJECTS).map(|step| step.address().to_string()).collect();
         match (named.is_empty(), steps.len() - named.len()) {
-            (true, _) => "; it says the same".to_owned(),
+            (true, _) => "; the fleet is the same".to_owned(),
             (false, 0) => format!("; changed: {}", named.join(", ")),
             (false, more) => format!("; changed: {} and {more} more", named.join(", ")),
         }
--- a/crates/plan/src/diff.rs
+++ b/crates/plan/src/diff.rs
@@ -1,4 +1,4 @@
-//! The difference of two fleets by meaning, as steps that can be carried out and that check what they find.
+//! Semantic difference of two fleets, as steps that check the state they are applied to.
 
 use crate::objects::{Address, Fields, Objects};
 use runtrack_model::Fleet;
@@ -7,101 +7,106 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// A field before and after; null where the thing has no such field.
+/// Values of a field before and after a step; null where the object has no such field.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edit {
-    /// As it must be found.
+    /// Value that the field must have before the step.
     pub before: Value,
-    /// As it is left.
+    /// Value of the field after the step.
     pub after: Value,
 }
 
-/// One thing's change.
+/// A change of one object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Step {
-    /// A new thing.
+    /// Creates an object.
     Create {
-        /// Which.
-        what: Address,
-        /// All of it.
+        /// The object.
+        #[serde(rename = "what")]
+        address: Address,
+        /// All of its fields.
         fields: Fields,
-        /// For a route: the one before it; none: it is the first.
+        /// For a route: the route that precedes it; `None` if it is the first.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         after: Option<String>,
     },
-    /// Fields change; the thing stays.
+    /// Changes fields of an object in place.
     Change {
-        /// Which.
-        what: Address,
-        /// The fields.
+        /// The object.
+        #[serde(rename = "what")]
+        address: Address,
+        /// The fields that differ.
         fields: BTreeMap<String, Edit>,
     },
-    /// Another thing takes the name: an endpoint at another address, a pool from another source.
+    /// Replaces an object by another one of the same name: an endpoint at another address, a pool from another source.
     Replace {
-        /// Which.
-        what: Address,
+        /// The object.
+        #[serde(rename = "what")]
+        address: Address,
         /// The fields that differ.
         fields: BTreeMap<String, Edit>,
     },
-    /// A route takes another place; the first that matches counts.
+    /// Moves a route within its listener: of the routes that match a request, the first one takes it.
     Move {
-        /// Which.
-        what: Address,
-        /// The one before it; none: it is the first.
+        /// The object.
+        #[serde(rename = "what")]
+        address: Address,
+        /// The route that precedes it; `None` if it becomes the first.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         after: Option<String>,
     },
-    /// A thing goes.
+    /// Deletes an object.
     Delete {
-        /// Which.
-        what: Address,
-        /// All of it, as it must be found.
+        /// The object.
+        #[serde(rename = "what")]
+        address: Address,
+        /// All fields, which must have these values before the step.
         fields: Fields,
     },
 }
 
 impl Step {
-    /// The thing.
-    pub fn what(&self) -> &Address {
+    /// Address of the object that the step changes.
+    pub fn address(&self) -> &Address {
         match self {
-            Step::Create { what, .. }
-            | Step::Change { what, .. }
-            | Step::Replace { what, .. }
-            | Step::Move { what, .. }
-            | Step::Delete { what, .. } => what,
+            Step::Create { address, .. }
+            | Step::Change { address, .. }
+            | Step::Replace { address, .. }
+            | Step::Move { address, .. }
+            | Step::Delete { address, .. } => address,
         }
     }
 }
 
-/// Why a step can't be carried out on a state.
+/// Why steps can't be applied to a fleet.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("{what}: {problem}")]
+#[error("{subject}: {problem}")]
 pub struct StepError {
-    /// The thing, or what the steps make as a whole.
-    pub what: String,
-    /// What does not fit.
+    /// Address of the object, or `the whole` if the resulting fleet is invalid.
+    pub subject: String,
+    /// Description of the mismatch.
     pub problem: String,
 }
 
-/// How many things a plan touches, by kind of step.
+/// Number of objects that a plan changes, by kind of step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct StepCounts {
-    /// Created.
+    /// Objects created.
     pub add: usize,
-    /// Changed, replaced or moved.
+    /// Objects changed, replaced or moved.
     pub change: usize,
-    /// Deleted.
+    /// Objects deleted.
     pub destroy: usize,
 }
 
-/// Counts things, each once.
+/// Counts the objects that the steps change, each once.
 pub fn count_steps(steps: &[Step]) -> StepCounts {
     let changed: BTreeSet<&Address> = steps
         .iter()
         .filter(|step| !matches!(step, Step::Create { .. } | Step::Delete { .. }))
-        .map(Step::what)
+        .map(Step::address)
         .collect();
     StepCounts {
         add: steps.iter().filter(|step| matches!(step, Step::Create { .. })).count(),
@@ -110,39 +115,52 @@
     }
 }
 
-/// What leads from one fleet to the other: deletions, then things in their order, then routes in the order in
-/// which they come to stand. None for equal fleets, however they were written.
+/// Steps that turn one fleet into another: deletions, then objects in the order of their addresses, then routes in
+/// their final order. Empty for fleets that are equal, however they were written.
 pub fn diff(from: &Fleet, to: &Fleet) -> Vec<Step> {
     let (from, to) = (Objects::of(from), Objects::of(to));
-    let gone = from.things.iter().filter(|(what, _)| !to.things.contains_key(what));
-    let mut steps: Vec<Step> =
-        gone.map(|(what, fields)| Step::Delete { what: what.clone(), fields: fields.clone() }).collect();
-    for (what, after) in to.things.iter().filter(|(what, _)| !matches!(what, Address::Route(..))) {
-        steps.extend(one(what, from.things.get(what), after, None));
+    let deleted = from.objects.iter().filter(|(address, _)| !to.objects.contains_key(address));
+    let mut steps: Vec<Step> = deleted
+        .map(|(address, fields)| Step::Delete { address: address.clone(), fields: fields.clone() })
+        .collect();
+    for (address, after) in to.objects.iter().filter(|(address, _)| !matches!(address, Address::Route(..)))
+    {
+        steps.extend(object_step(address, from.objects.get(address), after, None));
     }
-    for (listener, order) in &to.order {
-        let before: BTreeMap<&String, usize> =
-            from.order.get(listener).into_iter().flatten().enumerate().map(|(n, name)| (name, n)).collect();
+    for (listener, order) in &to.route_order {
+        let before: BTreeMap<&String, usize> = from
+            .route_order
+            .get(listener)
+            .into_iter()
+            .flatten()
+            .enumerate()
+            .map(|(n, name)| (name, n))
+            .collect();
         let kept: Vec<(usize, &String)> =
-            order.iter().filter_map(|name| before.get(name).map(|&place| (place, name))).collect();
-        let still = longest_rising(&kept);
+            order.iter().filter_map(|name| before.get(name).map(|&position| (position, name))).collect();
+        let unmoved = longest_increasing(&kept);
         let mut previous: Option<&String> = None;
         for name in order {
-            let what = Address::Route(listener.clone(), name.clone());
-            let (old, after) = (from.things.get(&what), previous.cloned());
-            if old.is_some() && !still.contains(name) {
-                steps.push(Step::Move { what: what.clone(), after: after.clone() });
+            let address = Address::Route(listener.clone(), name.clone());
+            let (old, after) = (from.objects.get(&address), previous.cloned());
+            if old.is_some() && !unmoved.contains(name) {
+                steps.push(Step::Move { address: address.clone(), after: after.clone() });
             }
-            steps.extend(one(&what, old, &to.things[&what], after));
+            steps.extend(object_step(&address, old, &to.objects[&address], after));
             previous = Some(name);
         }
     }
     steps
 }
 
-fn one(what: &Address, before: Option<&Fields>, after: &Fields, place: Option<String>) -> Option<Step> {
+fn object_step(
+    address: &Address,
+    before: Option<&Fields>,
+    after: &Fields,
+    after_route: Option<String>,
+) -> Option<Step> {
     let Some(before) = before else {
-        return Some(Step::Create { what: what.clone(), fields: after.clone(), after: place });
+        return Some(Step::Create { address: address.clone(), fields: after.clone(), after: after_route });
     };
     let names: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
     let value = |object: &Fields, name: &str| object.get(name).cloned().unwrap_or(Value::Null);
@@ -150,145 +168,153 @@
     let fields: BTreeMap<String, Edit> = edits
         .map(|name| (name.clone(), Edit { before: value(before, name), after: value(after, name) }))
         .collect();
-    let another = match what {
+    let replaced = match address {
         Address::Endpoint(..) => fields.contains_key("address"),
         Address::Pool(_) => fields.contains_key("source"),
         _ => false,
     };
-    match (fields.is_empty(), another) {
+    match (fields.is_empty(), replaced) {
         (true, _) => None,
-        (false, true) => Some(Step::Replace { what: what.clone(), fields }),
-        (false, false) => Some(Step::Change { what: what.clone(), fields }),
+        (false, true) => Some(Step::Replace { address: address.clone(), fields }),
+        (false, false) => Some(Step::Change { address: address.clone(), fields }),
     }
 }
 
-/// The most names that already stand in this order: all others have to move.
-fn longest_rising<'n>(places: &[(usize, &'n String)]) -> BTreeSet<&'n String> {
-    // Patience sorting: the ends of the best runs by length, and for each its forerunner.
-    let (mut ends, mut before): (Vec<usize>, Vec<Option<usize>>) = (Vec::new(), Vec::new());
-    for (n, &(place, _)) in places.iter().enumerate() {
-        let length = ends.partition_point(|&end| places[end].0 < place);
-        before.push(length.checked_sub(1).map(|shorter| ends[shorter]));
-        match ends.get_mut(length) {
-            Some(end) => *end = n,
-            None => ends.push(n),
+/// The longest subsequence of names that are already in this order: only the others have to move.
+fn longest_increasing<'n>(positions: &[(usize, &'n String)]) -> BTreeSet<&'n String> {
+    // Patience sorting: the last elements of the best subsequences by length, and the predecessor of each element.
+    let (mut tails, mut before): (Vec<usize>, Vec<Option<usize>>) = (Vec::new(), Vec::new());
+    for (n, &(position, _)) in positions.iter().enumerate() {
+        let length = tails.partition_point(|&tail| positions[tail].0 < position);
+        before.push(length.checked_sub(1).map(|shorter| tails[shorter]));
+        match tails.get_mut(length) {
+            Some(tail) => *tail = n,
+            None => tails.push(n),
         }
     }
-    let mut run = BTreeSet::new();
-    let mut at = ends.last().copied();
+    let mut subsequence = BTreeSet::new();
+    let mut at = tails.last().copied();
     while let Some(n) = at {
-        run.insert(places[n].1);
+        subsequence.insert(positions[n].1);
         at = before[n];
     }
-    run
+    subsequence
 }
 
-/// Carries steps out. Each checks that it finds what it was made for; the whole is checked at the end.
+/// Applies steps to a fleet. Each step checks the previous values that it states; the resulting fleet is validated as a
+/// whole.
 pub fn apply_steps(fleet: &Fleet, steps: &[Step]) -> Result<Fleet, StepError> {
-    let mut all = Objects::of(fleet);
-    // Where each placed route comes to stand; the others keep their order.
-    let mut placed: BTreeMap<&String, Vec<(&String, Option<&String>)>> = BTreeMap::new();
+    let mut target = Objects::of(fleet);
+    // Routes to be placed, each with its predecessor, by listener; other routes keep their order.
+    let mut placements: BTreeMap<&String, Vec<(&String, Option<&String>)>> = BTreeMap::new();
     for step in steps {
-        let what = step.what();
-        let wrong = |problem: &str| StepError { what: what.to_string(), problem: problem.to_owned() };
+        let address = step.address();
+        let wrong = |problem: &str| StepError { subject: address.to_string(), problem: problem.to_owned() };
         match step {
-            Step::Create { what, fields, after } => {
-                if all.things.insert(what.clone(), fields.clone()).is_some() {
-                    return Err(wrong("is to be created and is there already"));
+            Step::Create { address, fields, after } => {
+                if target.objects.insert(address.clone(), fields.clone()).is_some() {
+                    return Err(wrong("to be created, but it exists already"));
                 }
-                match what {
+                match address {
                     Address::Route(listener, name) => {
-                        placed.entry(listener).or_default().push((name, after.as_ref()));
+                        placements.entry(listener).or_default().push((name, after.as_ref()));
                     }
-                    Address::Listener(name) => drop(all.order.entry(name.clone()).or_default()),
+                    Address::Listener(name) => drop(target.route_order.entry(name.clone()).or_default()),
                     _ => {}
                 }
             }
             Step::Change { fields, .. } | Step::Replace { fields, .. } => {
-                let thing =
-                    all.things.get_mut(what).ok_or_else(|| wrong("is to be changed and is not there"))?;
+                let object = target
+                    .objects
+                    .get_mut(address)
+                    .ok_or_else(|| wrong("to be changed, but it does not exist"))?;
                 for (name, edit) in fields {
-                    let found = thing.get(name).cloned().unwrap_or(Value::Null);
+                    let found = object.get(name).cloned().unwrap_or(Value::Null);
                     if found != edit.before {
-                        let problem = format!("{name} is {found}, and not {} as planned for", edit.before);
+                        let problem = format!("{name} is {found}, but the plan expects {}", edit.before);
                         return Err(wrong(&problem));
                     }
                     match edit.after.is_null() {
-                        true => drop(thing.remove(name)),
-                        false => drop(thing.insert(name.clone(), edit.after.clone())),
+                        true => drop(object.remove(name)),
+                        false => drop(object.insert(name.clone(), edit.after.clone())),
                     }
                 }
             }
-            Step::Move { what: Address::Route(listener, name), after } => {
-                if !all.things.contains_key(what) {
-                    return Err(wrong("is to be moved and is not there"));
+            Step::Move { address: Address::Route(listener, name), after } => {
+                if !target.objects.contains_key(address) {
+                    return Err(wrong("to be moved, but it does not exist"));
                 }
-                placed.entry(listener).or_default().push((name, after.as_ref()));
+                placements.entry(listener).or_default().push((name, after.as_ref()));
             }
-            Step::Move { .. } => return Err(wrong("has no place to be moved to: only routes do")),
+            Step::Move { .. } => return Err(wrong("to be moved, but only routes have an order")),
             Step::Delete { fields, .. } => {
-                let found = all.things.remove(what).ok_or_else(|| wrong("is to go and is not there"))?;
+                let found = target
+                    .objects
+                    .remove(address)
+                    .ok_or_else(|| wrong("to be deleted, but it does not exist"))?;
                 if found != *fields {
-                    return Err(wrong("is to go and is not what was planned for"));
+                    return Err(wrong("to be deleted, but its fields differ from the plan"));
                 }
-                match what {
-                    // Its place goes with the others', below: a listener may lose thousands.
-                    Address::Route(listener, _) => drop(placed.entry(listener).or_default()),
-                    Address::Listener(name) => drop(all.order.remove(name)),
+                match address {
+                    // Removed from the order below in one pass, as a listener may lose thousands of routes.
+                    Address::Route(listener, _) => drop(placements.entry(listener).or_default()),
+                    Address::Listener(name) => drop(target.route_order.remove(name)),
                     _ => {}
                 }
             }
         }
     }
-    for (listener, routes) in placed {
-        let things = &all.things;
-        let Some(order) = all.order.get_mut(listener) else { continue };
+    for (listener, routes) in placements {
+        let objects = &target.objects;
+        let Some(order) = target.route_order.get_mut(listener) else { continue };
         let moved: BTreeSet<&String> = routes.iter().map(|(name, _)| *name).collect();
         order.retain(|name| {
-            !moved.contains(name) && things.contains_key(&Address::Route(listener.clone(), name.clone()))
+            !moved.contains(name) && objects.contains_key(&Address::Route(listener.clone(), name.clone()))
         });
-        *order = place(std::mem::take(order), &routes)
-            .map_err(|problem| StepError { what: format!("listener.{listener}"), problem })?;
+        *order = insert_routes(std::mem::take(order), &routes)
+            .map_err(|problem| StepError { subject: format!("listener.{listener}"), problem })?;
     }
-    let whole = |problem| StepError { what: "the whole".to_owned(), problem };
-    let fleet = all.into_fleet().map_err(whole)?;
+    let invalid = |problem| StepError { subject: "the whole".to_owned(), problem };
+    let fleet = target.into_fleet().map_err(invalid)?;
     match fleet.faults().first() {
-        Some(fault) => Err(whole(fault.to_string())),
+        Some(fault) => Err(invalid(fault.to_string())),
         None => Ok(fleet),
     }
 }
 
-/// Puts routes behind those that they name, in one pass: chains of new ones hang on one that stands.
-fn place(standing: Vec<String>, routes: &[(&String, Option<&String>)]) -> Result<Vec<String>, String> {
-    let (mut first, mut behind): (Vec<&String>, BTreeMap<&str, Vec<&String>>) = Default::default();
+/// Inserts routes after their predecessors, in one pass. A predecessor may be an inserted route itself, so chains of
+/// inserted routes follow one that keeps its place.
+fn insert_routes(kept: Vec<String>, routes: &[(&String, Option<&String>)]) -> Result<Vec<String>, String> {
+    let (mut first, mut successors): (Vec<&String>, BTreeMap<&str, Vec<&String>>) = Default::default();
     for &(name, after) in routes {
         match after {
-            Some(after) => behind.entry(after).or_default().push(name),
+            Some(after) => successors.entry(after).or_default().push(name),
             None => first.push(name),
         }
     }
-    let total = standing.len() + routes.len();
+    let total = kept.len() + routes.len();
     let mut order: Vec<String> = Vec::with_capacity(total);
-    chains(first, &mut behind, &mut order);
-    for name in standing {
-        let open = behind.remove(name.as_str()).unwrap_or_default();
+    append_chains(first, &mut successors, &mut order);
+    for name in kept {
+        let pending = successors.remove(name.as_str()).unwrap_or_default();
         order.push(name);
-        chains(open, &mut behind, &mut order);
+        append_chains(pending, &mut successors, &mut order);
     }
     match order.len() == total {
         true => Ok(order),
-        false => Err("a route is to stand behind one that is not there".to_owned()),
+        false => Err("the predecessor of a route does not exist".to_owned()),
     }
 }
 
-/// Puts routes next, each with all that hang on it; what is named last stands nearest.
-fn chains<'n>(
-    mut open: Vec<&'n String>,
-    behind: &mut BTreeMap<&'n str, Vec<&'n String>>,
+/// Appends routes, each followed by the chain of its successors. Of several successors of one route, the one named
+/// last comes first.
+fn append_chains<'n>(
+    mut pending: Vec<&'n String>,
+    successors: &mut BTreeMap<&'n str, Vec<&'n String>>,
     order: &mut Vec<String>,
 ) {
-    while let Some(name) = open.pop() {
+    while let Some(name) = pending.pop() {
         order.push(name.clone());
-        open.extend(behind.remove(name.as_str()).unwrap_or_default());
+        pending.extend(successors.remove(name.as_str()).unwrap_or_default());
     }
 }
--- a/crates/plan/src/file.rs
+++ b/crates/plan/src/file.rs
@@ -1,4 +1,4 @@
-//! The plan file: a line that says what it is and its hash, then JSON with all that apply needs.
+//! The plan file: a header line with format and hash, followed by JSON with everything that `apply` needs.
 
 use crate::diff::{Step, StepCounts, count_steps, diff};
 use crate::risk::{Load, Risk, RiskContext, assess_risks};
@@ -7,103 +7,107 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The format that this version writes, and the newest that it reads.
+/// Format that this version writes, and the newest one that it reads.
 pub const FORMAT: u32 = 1;
 const MAGIC: &str = "runtrack-plan";
-/// Longest file that is read, in bytes: ten times a plan of 10,000 routes and pools that are all new.
-const BYTES_MOST: usize = 64 << 20;
+/// Maximum size of a plan file, in bytes: ten times that of a plan that creates 10,000 routes and pools.
+const MAX_PLAN_BYTES: usize = 64 << 20;
 
 /// Why a plan file can't be used.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum PlanError {
-    /// Something else, or its first line is damaged.
-    #[error("it is no plan: a plan begins with a line `{MAGIC} {FORMAT} HASH`")]
+    /// The file is not a plan, or its header line is damaged.
+    #[error("not a plan file: a plan file begins with a line `{MAGIC} {FORMAT} HASH`")]
     NotAPlan,
-    /// A newer version wrote it.
+    /// The file was written by a newer version.
     #[error(
-        "it has format {found}, and this version reads up to {FORMAT}: apply it with the version that made it"
+        "the plan has format {found}, and this version reads up to {FORMAT}: apply it with the version that created it"
     )]
     NewerFormat {
-        /// Its format.
+        /// Format of the file.
         found: u32,
     },
-    /// It is not what was written.
-    #[error("it was changed or cut short after it was made: its hash does not fit. Make the plan anew")]
+    /// The content does not match the hash in the header.
+    #[error(
+        "the plan was modified or truncated after its creation: its hash does not match. Create a new plan"
+    )]
     HashMismatch,
-    /// The hash fits and the content does not.
-    #[error("it makes no sense: {0}. Make the plan anew")]
+    /// The hash matches, but the content is invalid.
+    #[error("invalid plan: {0}. Create a new plan")]
     Invalid(String),
-    /// Too long to be read.
-    #[error("it has {0} bytes, and {BYTES_MOST} is the most")]
+    /// The file exceeds the maximum size; its size in bytes.
+    #[error("the plan file has {0} bytes, more than the maximum of {MAX_PLAN_BYTES}")]
     TooLong(usize),
 }
 
-/// What is planned, for whom, on what and until when.
+/// Parameters of a new plan.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanRequest<'a> {
-    /// Who plans.
+    /// Author of the plan.
     pub author: &'a str,
-    /// Why.
+    /// Reason for the change, for the history.
     pub reason: &'a str,
-    /// Now, Unix time in milliseconds.
+    /// Current Unix time in milliseconds.
     pub now_ms: u64,
-    /// For how long it may be applied, in milliseconds.
+    /// How long the plan can be applied, in milliseconds.
     pub lifetime_ms: u64,
-    /// The state's lineage.
+    /// Lineage of the state.
     pub lineage: &'a str,
-    /// The version it is made against; none: the state is empty.
+    /// Version that the plan is based on; `None` for an empty state.
     pub base: Option<&'a Version>,
-    /// What the fleet carries.
+    /// Current load of the fleet.
     pub load: &'a Load,
-    /// Parts of the proxies that get it one after the other, in 10,000, rising to all; empty: all at once.
+    /// Cumulative share of the proxies that receive the change in each stage, in units of 0.01%, increasing to 10,000. If
+    /// empty, all proxies receive it at once.
     pub stages: &'a [u32],
-    /// Least time between two stages, in milliseconds.
+    /// Minimum time between two stages, in milliseconds.
     pub pause_ms: u64,
 }
 
-/// A plan: what will be done, on which state and no other, and what that risks.
+/// A planned change: its steps, the state that it applies to, and its risks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The hash of the file's text. Not in the text.
+    /// Hash of the file's text; not part of the text itself.
     #[serde(skip)]
     pub id: String,
-    /// Who made it.
+    /// Author of the plan.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub reason: String,
-    /// When, Unix time in milliseconds.
+    /// Time of creation, Unix time in milliseconds.
     pub made_ms: u64,
-    /// From when on it is no longer applied, likewise.
+    /// Time after which the plan can no longer be applied, Unix time in milliseconds.
     pub expires_ms: u64,
-    /// The state's lineage.
+    /// Lineage of the state.
     pub lineage: String,
-    /// The serial that it was made against; 0: an empty state.
+    /// Serial of the version that the plan is based on; 0 for an empty state.
     pub serial: u64,
-    /// That version's hash; empty for an empty state.
+    /// Hash of that version; empty for an empty state.
     pub base_hash: String,
-    /// The hash of the state that it leads to.
+    /// Hash of the resulting fleet.
     pub desired_hash: String,
-    /// Parts of the proxies that get it one after the other, in 10,000, rising to all; empty: all at once.
+    /// Cumulative share of the proxies that receive the change in each stage, in units of 0.01%, increasing to 10,000. If
+    /// empty, all proxies receive it at once.
     pub stages: Vec<u32>,
-    /// Least time between two stages, in milliseconds.
+    /// Minimum time between two stages, in milliseconds.
     pub pause_ms: u64,
-    /// What is done, in this order.
+    /// Steps, in the order in which they are applied.
     pub steps: Vec<Step>,
-    /// What it risks, the heaviest first.
+    /// Risks, highest severity first.
     pub risks: Vec<Risk>,
 }
 
 impl Plan {
-    /// Plans the way from one fleet to another.
+    /// Plans the change from one fleet to another.
     pub fn new(request: PlanRequest, from: &Fleet, to: &Fleet) -> Plan {
-        let seen = RiskContext {
+        let context = RiskContext {
             load: request.load,
             applied_at_ms: request.base.map_or(0, |version| version.at_ms),
             now_ms: request.now_ms,
         };
         let steps = diff(from, to);
-        let risks = if steps.is_empty() { Vec::new() } else { assess_risks(from, to, seen) };
+        let risks = if steps.is_empty() { Vec::new() } else { assess_risks(from, to, context) };
         let plan = Plan {
             id: String::new(),
             author: request.author.to_owned(),
@@ -123,20 +127,20 @@
     }
 
     fn text(&self) -> String {
-        serde_json::to_string_pretty(self).unwrap_or_default() // fails only for maps with keys that are no text
+        serde_json::to_string_pretty(self).unwrap_or_default() // fails only for maps with non-string keys, which a plan does not have
     }
 
-    /// The file's bytes.
+    /// Encodes the plan as the content of a plan file.
     pub fn to_bytes(&self) -> Vec<u8> {
         seal::seal(MAGIC, FORMAT, &self.text())
     }
 
-    /// Reads a file's bytes.
+    /// Decodes the content of a plan file and validates it.
     pub fn from_bytes(bytes: &[u8]) -> Result<Plan, PlanError> {
-        if bytes.len() > BYTES_MOST {
+        if bytes.len() > MAX_PLAN_BYTES {
             return Err(PlanError::TooLong(bytes.len()));
         }
-        let (_, text) = seal::open(MAGIC, FORMAT, bytes).map_err(|broken| match broken {
+        let (_, text) = seal::open(MAGIC, FORMAT, bytes).map_err(|error| match error {
             seal::SealError::Newer { found, .. } => PlanError::NewerFormat { found },
             seal::SealError::HashMismatch => PlanError::HashMismatch,
             seal::SealError::BadHeader | seal::SealError::UnknownFormat(_) | seal::SealError::NotUtf8 => {
@@ -145,31 +149,31 @@
         })?;
         let plan: Plan = serde_json::from_str(text).map_err(|e| PlanError::Invalid(e.to_string()))?;
         if plan.expires_ms < plan.made_ms {
-            return Err(PlanError::Invalid("it expires before it is made".to_owned()));
+            return Err(PlanError::Invalid("it expires before it was created".to_owned()));
         }
         if (plan.serial == 0) != plan.base_hash.is_empty() {
-            return Err(PlanError::Invalid("its serial and its base's hash are at odds".to_owned()));
+            return Err(PlanError::Invalid("its serial and its base hash are inconsistent".to_owned()));
         }
-        let rising = plan.stages.windows(2).all(|pair| pair[0] < pair[1]);
-        let ends = plan.stages.first().is_none_or(|&first| first > 0)
+        let increasing = plan.stages.windows(2).all(|pair| pair[0] < pair[1]);
+        let valid_ends = plan.stages.first().is_none_or(|&first| first > 0)
             && plan.stages.last().is_none_or(|&last| last == 10_000);
-        if !(rising && ends) {
-            return Err(PlanError::Invalid("its stages don't rise to all proxies".to_owned()));
+        if !(increasing && valid_ends) {
+            return Err(PlanError::Invalid("its stages don't increase to 10,000".to_owned()));
         }
         Ok(Plan { id: seal::hash(text), ..plan })
     }
 
-    /// How many things it touches.
+    /// Number of objects that the plan changes.
     pub fn counts(&self) -> StepCounts {
         count_steps(&self.steps)
     }
 
-    /// How many risks have a severity.
+    /// Number of risks of a severity.
     pub fn count_risks(&self, severity: Severity) -> usize {
         self.risks.iter().filter(|risk| risk.severity == severity).count()
     }
 
-    /// `2 to add, 1 to change, 0 to destroy; 1 high risk`.
+    /// One-line summary, such as `2 to add, 1 to change, 0 to destroy; 1 high risk`.
     pub fn summary(&self) -> String {
         let StepCounts { add, change, destroy } = self.counts();
         let severities =
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,7 +1,7 @@
-//! Plan before apply: the difference of two fleets by meaning ([`diff`]), what it risks ([`risks`]), the plan file
-//! that holds both ([`Plan`]), and its application to a store as one commit ([`apply`]).
+//! Planned changes of a fleet: the semantic difference of two fleets ([`diff`]), its risks ([`assess_risks`]), the plan
+//! file that holds both ([`Plan`]), and the application of a plan to a store as one commit ([`apply`]).
 //!
-//! Nothing here reads a clock or does I/O of its own; [`apply`] commits through the store that it is given.
+//! The crate reads no clock and performs no I/O; [`apply`] commits through the store passed to it.
 
 mod apply;
 mod diff;
--- a/crates/plan/src/shadow.rs
+++ b/crates/plan/src/shadow.rs
@@ -1,32 +1,34 @@
-//! Routes that can never match, because routes before them take all that they would.
+//! Detection of shadowed routes: routes that can never match, because earlier routes match all of their requests.
 
 use runtrack_model::Route;
 use std::collections::{BTreeMap, HashMap};
 
-/// For each route that can't match: its name, and the routes that are in its way.
+/// Names of the routes that can never match, each with the names of the routes that shadow it.
 pub(crate) fn shadowed(routes: &[Route]) -> BTreeMap<&str, Vec<&str>> {
-    // By host pattern and prefix, the first route that has them; so a route costs what it says, and not what
-    // stands before it.
-    let mut first: HashMap<(Pattern, &str), usize> = HashMap::new();
-    let mut found = BTreeMap::new();
+    // First route by host pattern and prefix, so that the cost of a route depends on its own hosts and prefix, and not
+    // on the number of routes before it.
+    let mut first_by_pattern: HashMap<(Pattern, &str), usize> = HashMap::new();
+    let mut shadowed_routes = BTreeMap::new();
     for (n, route) in routes.iter().enumerate() {
-        let covers = |host: &str| {
-            let ends = || route.prefix.char_indices().map(|(at, c)| at + c.len_utf8());
-            let within = |pattern| ends().filter_map(move |end| Some((pattern, route.prefix.get(..end)?)));
-            let before = Pattern::of(host).covering().into_iter().flat_map(within);
-            before.filter_map(|key| first.get(&key).copied()).min()
+        let first_covering = |host: &str| {
+            let prefix_ends = || route.prefix.char_indices().map(|(at, c)| at + c.len_utf8());
+            let shorter_prefixes =
+                |pattern| prefix_ends().filter_map(move |end| Some((pattern, route.prefix.get(..end)?)));
+            let before = Pattern::of(host).covering().into_iter().flat_map(shorter_prefixes);
+            before.filter_map(|key| first_by_pattern.get(&key).copied()).min()
         };
-        let by: Option<Vec<usize>> = route.hosts.iter().map(|host| covers(host)).collect();
-        if let Some(mut by) = by.filter(|by| !by.is_empty()) {
-            by.sort_unstable();
-            by.dedup();
-            found.insert(route.name.as_str(), by.iter().map(|&i| routes[i].name.as_str()).collect());
+        let shadowing: Option<Vec<usize>> = route.hosts.iter().map(|host| first_covering(host)).collect();
+        if let Some(mut shadowing) = shadowing.filter(|shadowing| !shadowing.is_empty()) {
+            shadowing.sort_unstable();
+            shadowing.dedup();
+            shadowed_routes
+                .insert(route.name.as_str(), shadowing.iter().map(|&i| routes[i].name.as_str()).collect());
         }
         for host in &route.hosts {
-            first.entry((Pattern::of(host), &route.prefix)).or_insert(n);
+            first_by_pattern.entry((Pattern::of(host), &route.prefix)).or_insert(n);
         }
     }
-    found
+    shadowed_routes
 }
 
 /// A host pattern.
@@ -34,9 +36,9 @@
 enum Pattern<'h> {
     Any,
     Exact(&'h str),
-    /// What ends so: from a dot on.
+    /// Hosts that end with this suffix, which begins with a dot.
     Suffix(&'h str),
-    /// What begins so: up to a dot.
+    /// Hosts that begin with this prefix, which ends with a dot.
     Prefix(&'h str),
 }
 
@@ -50,13 +52,13 @@
         }
     }
 
-    /// Every pattern that takes all hosts that this one takes, itself included.
+    /// All patterns that match every host that this one matches, itself included.
     fn covering(self) -> Vec<Pattern<'h>> {
         let dots = |text: &'h str| text.match_indices('.').map(|(at, _)| at).collect::<Vec<_>>();
         let mut all = vec![Pattern::Any, self];
         if let Pattern::Exact(text) | Pattern::Suffix(text) = self {
-            let ends = dots(text).into_iter().filter(|&at| at + 1 < text.len());
-            all.extend(ends.map(|at| Pattern::Suffix(&text[at..])));
+            let suffix_starts = dots(text).into_iter().filter(|&at| at + 1 < text.len());
+            all.extend(suffix_starts.map(|at| Pattern::Suffix(&text[at..])));
         }
         if let Pattern::Exact(text) | Pattern::Prefix(text) = self {
             let begins = dots(text).into_iter().filter(|&at| at > 0);
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Whether `before` alone shadows a route of these hosts and prefix.
+    /// Whether a route with the hosts and prefix of `before` shadows a later one with those of `then`.
     fn shadows(before: (&[&str], &str), then: (&[&str], &str)) -> bool {
         !shadowed(&[route("a", before.0, before.1), route("b", then.0, then.1)]).is_empty()
     }
@@ -92,10 +94,13 @@
         assert!(shadows((&["*.bank"], "/"), (&["*.quotes.bank"], "/")));
         assert!(shadows((&["quotes.*"], "/r"), (&["quotes.bank"], "/rate")));
         assert!(shadows((&["quotes.*"], "/"), (&["quotes.bank.*"], "/")));
-        assert!(!shadows((&["*.bank"], "/"), (&["bank"], "/")), "a suffix wants something before its dot");
+        assert!(
+            !shadows((&["*.bank"], "/"), (&["bank"], "/")),
+            "a suffix pattern needs a label before its dot"
+        );
         assert!(!shadows((&["quotes.bank"], "/"), (&["*.bank"], "/")));
         assert!(!shadows((&["*"], "/rate"), (&["*"], "/")));
-        assert!(!shadows((&["a"], "/"), (&["a", "b"], "/")), "it still matches for b");
+        assert!(!shadows((&["a"], "/"), (&["a", "b"], "/")), "it still matches host b");
     }
 
     #[test]
--- a/crates/plan/tests/risks.rs
+++ b/crates/plan/tests/risks.rs
@@ -1,4 +1,4 @@
-//! Each risk with its figures and weight, and no risk where there is none.
+//! Each kind of risk is reported with its figures and severity, and harmless changes have no risks.
 
 use runtrack_model::{Fleet, Severity};
 use runtrack_plan::{Load, PoolLoad, Risk, RiskContext, assess_risks};
@@ -68,8 +68,8 @@
 pool = "q"
 "#;
 
-/// The risks of replacing texts in the fleet's file, with this load, so many milliseconds after it was applied.
-fn found(edits: &[(&str, &str)], load: &Load, applied_at_ms: u64) -> Vec<Risk> {
+/// Risks of replacing texts in the fleet file, under a load, `age_ms` milliseconds after the fleet was applied.
+fn risks_with(edits: &[(&str, &str)], load: &Load, age_ms: u64) -> Vec<Risk> {
     let mut text = FLEET.to_owned();
     for (old, new) in edits {
         assert!(text.contains(old), "{old}");
@@ -79,55 +79,58 @@
     assess_risks(
         &read(FLEET),
         &read(&text),
-        RiskContext { load, applied_at_ms: NOW - applied_at_ms, now_ms: NOW },
+        RiskContext { load, applied_at_ms: NOW - age_ms, now_ms: NOW },
     )
 }
 
-fn of(edits: &[(&str, &str)]) -> Vec<Risk> {
-    found(edits, &Load::default(), 3_600_000)
+fn risks_of(edits: &[(&str, &str)]) -> Vec<Risk> {
+    risks_with(edits, &Load::default(), 3_600_000)
 }
 
-fn one<'r>(risks: &'r [Risk], id: &str) -> &'r Risk {
-    risks.iter().find(|risk| risk.id == id).unwrap_or_else(|| panic!("{id} is not among {risks:#?}"))
+fn risk_with_id<'r>(risks: &'r [Risk], id: &str) -> &'r Risk {
+    risks.iter().find(|risk| risk.id == id).unwrap_or_else(|| panic!("no risk {id} in {risks:#?}"))
 }
 
-fn drained(n: u32) -> (String, String) {
+fn drain_edit(n: u32) -> (String, String) {
     let line = format!("address = \"127.0.0.1:{n}\", zone = \"\" }}");
     (line.clone(), line.replace(" }", ", state = \"draining\" }"))
 }
 
-fn drain(which: &[u32]) -> Vec<Risk> {
-    let edits: Vec<(String, String)> = which.iter().map(|&n| drained(n)).collect();
+fn risks_of_drain(which: &[u32]) -> Vec<Risk> {
+    let edits: Vec<(String, String)> = which.iter().map(|&n| drain_edit(n)).collect();
     let edits: Vec<(&str, &str)> = edits.iter().map(|(old, new)| (old.as_str(), new.as_str())).collect();
-    of(&edits)
+    risks_of(&edits)
 }
 
 #[test]
-fn nothing_changed_and_harmless_changes_risk_nothing() {
-    assert_eq!(of(&[]), []);
-    assert_eq!(of(&[("max_requests = 100", "max_requests = 200")]), []);
-    assert_eq!(of(&[("semantics = \"safe\"", "semantics = \"unsafe\"")]), []);
-    assert_eq!(of(&[("drain_grace = \"2s\"", "drain_grace = \"3s\"")]), []);
-    // What has drained for an hour may go.
+fn harmless_changes_have_no_risks() {
+    assert_eq!(risks_of(&[]), []);
+    assert_eq!(risks_of(&[("max_requests = 100", "max_requests = 200")]), []);
+    assert_eq!(risks_of(&[("semantics = \"safe\"", "semantics = \"unsafe\"")]), []);
+    assert_eq!(risks_of(&[("drain_grace = \"2s\"", "drain_grace = \"3s\"")]), []);
+    // An endpoint that has drained for an hour can be removed without risk.
     assert_eq!(
-        of(&[("  { name = \"q5\", address = \"127.0.0.1:5\", zone = \"\", state = \"draining\" },\n", "")]),
+        risks_of(&[(
+            "  { name = \"q5\", address = \"127.0.0.1:5\", zone = \"\", state = \"draining\" },\n",
+            ""
+        )]),
         []
     );
 }
 
 #[test]
-fn capacity_that_goes_weighs_by_its_part_where_no_load_is_known() {
-    let one_of_four = drain(&[1]);
-    let risk = one(&one_of_four, "capacity-lost/pool.q");
+fn lost_capacity_is_rated_by_fraction_if_load_is_unknown() {
+    let one_of_four = risks_of_drain(&[1]);
+    let risk = risk_with_id(&one_of_four, "capacity-lost/pool.q");
     assert_eq!((risk.severity, risk.figures["lost_part"]), (Severity::Medium, 0.25));
-    let two = drain(&[1, 2]);
-    assert_eq!(one(&two, "capacity-lost/pool.q").severity, Severity::High);
+    let two = risks_of_drain(&[1, 2]);
+    assert_eq!(risk_with_id(&two, "capacity-lost/pool.q").severity, Severity::High);
     assert!(two.iter().all(|risk| !risk.id.starts_with("pool-")), "{two:?}");
 }
 
 #[test]
-fn capacity_that_goes_weighs_by_the_use_of_what_is_left_where_the_load_is_known() {
-    let (old, new) = drained(1);
+fn lost_capacity_is_rated_by_remaining_utilization_if_load_is_known() {
+    let (old, new) = drain_edit(1);
     let with = |requests_per_s| {
         let q = PoolLoad {
             requests_per_s: Some(requests_per_s),
@@ -135,8 +138,8 @@
             ..PoolLoad::default()
         };
         let load = Load { pools: [("q".to_owned(), q)].into(), ..Load::default() };
-        let risks = found(&[(&old, &new)], &load, 3_600_000);
-        let risk = one(&risks, "capacity-lost/pool.q").clone();
+        let risks = risks_with(&[(&old, &new)], &load, 3_600_000);
+        let risk = risk_with_id(&risks, "capacity-lost/pool.q").clone();
         (risk.severity, risk.figures["use_after"])
     };
     assert_eq!(with(150.0), (Severity::Low, 0.5));
@@ -145,16 +148,16 @@
 }
 
 #[test]
-fn a_pool_left_with_one_endpoint_or_none_is_a_high_risk() {
-    assert_eq!(one(&drain(&[1, 2, 3]), "pool-thin/pool.q").severity, Severity::High);
-    let none = drain(&[1, 2, 3, 4]);
-    let risk = one(&none, "pool-emptied/pool.q");
+fn a_pool_with_at_most_one_ready_endpoint_is_a_high_risk() {
+    assert_eq!(risk_with_id(&risks_of_drain(&[1, 2, 3]), "pool-thin/pool.q").severity, Severity::High);
+    let none = risks_of_drain(&[1, 2, 3, 4]);
+    let risk = risk_with_id(&none, "pool-emptied/pool.q");
     assert_eq!((risk.severity, risk.figures["ready_before"]), (Severity::High, 4.0));
-    assert_eq!(none.len(), 1, "one word for it is enough: {none:?}");
+    assert_eq!(none.len(), 1, "no other risk is reported with it: {none:?}");
 }
 
 #[test]
-fn a_pool_left_in_one_zone_is_told() {
+fn a_pool_left_in_one_zone_is_a_medium_risk() {
     let zoned = FLEET
         .replace("[[class]]\nname = \"quote\"", "[zones]\na = {}\nb = {}\n\n[[class]]\nname = \"quote\"")
         .replace("127.0.0.1:1\", zone = \"\"", "127.0.0.1:1\", zone = \"a\"");
@@ -163,90 +166,93 @@
     let read = |text: &str| Fleet::read(text).unwrap_or_else(|problems| panic!("{problems}"));
     let seen = RiskContext { load: &Load::default(), applied_at_ms: 0, now_ms: NOW };
     let risks = assess_risks(&read(&zoned), &read(&zoned.replace(old, new)), seen);
-    assert_eq!(one(&risks, "pool-thin/pool.q").severity, Severity::Medium);
+    assert_eq!(risk_with_id(&risks, "pool-thin/pool.q").severity, Severity::Medium);
 }
 
 #[test]
-fn what_loses_protection_is_a_high_risk() {
-    let safe = of(&[("semantics = \"unsafe\"", "semantics = \"safe\"")]);
-    assert_eq!(one(&safe, "protection-lost/class.post").severity, Severity::High);
-    let wider = of(&[("group = \"cell\"", "group = \"zone\"")]);
-    assert_eq!(one(&wider, "protection-lost/class.key").severity, Severity::High);
-    let longer = of(&[("window = \"10s\"", "window = \"20s\"")]);
-    assert_eq!(one(&longer, "protection-lost/class.key").severity, Severity::High);
-    assert_eq!(of(&[("window = \"10s\"", "window = \"5s\"")]), []);
-    let by_route = of(&[("class = \"post\"", "class = \"quote\"")]);
-    assert_eq!(one(&by_route, "protection-lost/listener.l.route.post").severity, Severity::High);
+fn weaker_retry_protection_is_a_high_risk() {
+    let safe = risks_of(&[("semantics = \"unsafe\"", "semantics = \"safe\"")]);
+    assert_eq!(risk_with_id(&safe, "protection-lost/class.post").severity, Severity::High);
+    let wider = risks_of(&[("group = \"cell\"", "group = \"zone\"")]);
+    assert_eq!(risk_with_id(&wider, "protection-lost/class.key").severity, Severity::High);
+    let longer = risks_of(&[("window = \"10s\"", "window = \"20s\"")]);
+    assert_eq!(risk_with_id(&longer, "protection-lost/class.key").severity, Severity::High);
+    assert_eq!(risks_of(&[("window = \"10s\"", "window = \"5s\"")]), []);
+    let by_route = risks_of(&[("class = \"post\"", "class = \"quote\"")]);
+    assert_eq!(risk_with_id(&by_route, "protection-lost/listener.l.route.post").severity, Severity::High);
 }
 
 #[test]
-fn drains_that_are_skipped_or_cut_short_are_told() {
-    let gone = of(&[("  { name = \"q1\", address = \"127.0.0.1:1\", zone = \"\" },\n", "")]);
-    assert_eq!(one(&gone, "drain-short/pool.q.endpoint.q1").severity, Severity::Medium);
-    let moved = of(&[("127.0.0.1:1\"", "127.0.0.1:11\"")]);
-    assert_eq!(one(&moved, "drain-short/pool.q.endpoint.q1").severity, Severity::Medium);
+fn skipped_and_shortened_drains_are_reported() {
+    let gone = risks_of(&[("  { name = \"q1\", address = \"127.0.0.1:1\", zone = \"\" },\n", "")]);
+    assert_eq!(risk_with_id(&gone, "drain-short/pool.q.endpoint.q1").severity, Severity::Medium);
+    let moved = risks_of(&[("127.0.0.1:1\"", "127.0.0.1:11\"")]);
+    assert_eq!(risk_with_id(&moved, "drain-short/pool.q.endpoint.q1").severity, Severity::Medium);
     let edit = ("  { name = \"q5\", address = \"127.0.0.1:5\", zone = \"\", state = \"draining\" },\n", "");
-    let early = found(&[edit], &Load::default(), 500);
-    let risk = one(&early, "drain-short/pool.q.endpoint.q5");
+    let early = risks_with(&[edit], &Load::default(), 500);
+    let risk = risk_with_id(&early, "drain-short/pool.q.endpoint.q5");
     assert_eq!((risk.figures["drained_s"], risk.figures["grace_s"]), (0.5, 2.0));
-    let grace = of(&[("drain_grace = \"2s\"", "drain_grace = \"1s\"")]);
-    assert_eq!(one(&grace, "drain-short/rules").severity, Severity::Medium);
+    let grace = risks_of(&[("drain_grace = \"2s\"", "drain_grace = \"1s\"")]);
+    assert_eq!(risk_with_id(&grace, "drain-short/rules").severity, Severity::Medium);
 }
 
 #[test]
-fn endpoints_that_start_cold_together_are_told_with_what_the_pool_can_do_meanwhile() {
+fn cold_endpoints_are_reported_with_remaining_capacity() {
     let fresh = format!(", zone = \"\", started_ms = {NOW} }}");
     let new: Vec<String> =
         (6..=9).map(|n| format!("  {{ name = \"q{n}\", address = \"127.0.0.1:{n}6\"{fresh},\n")).collect();
     let end = "  { name = \"q5\"";
-    let risks = of(&[(end, &format!("{}{end}", new.concat()))]);
-    let risk = one(&risks, "cold-together/pool.q");
+    let risks = risks_of(&[(end, &format!("{}{end}", new.concat()))]);
+    let risk = risk_with_id(&risks, "cold-together/pool.q");
     assert_eq!(
         (risk.severity, risk.figures["cold_part"], risk.figures["capacity_part"]),
         (Severity::High, 0.5, 0.625)
     );
-    let one_more = of(&[(end, &format!("{}{end}", new[0]))]);
-    assert_eq!(one(&one_more, "cold-together/pool.q").figures["cold_part"], 0.2);
+    let one_more = risks_of(&[(end, &format!("{}{end}", new[0]))]);
+    assert_eq!(risk_with_id(&one_more, "cold-together/pool.q").figures["cold_part"], 0.2);
     let warm = new[0].replace(&NOW.to_string(), &(NOW - 60_000).to_string());
-    assert_eq!(of(&[(end, &format!("{warm}{end}"))]), [], "it started a minute ago");
+    assert_eq!(risks_of(&[(end, &format!("{warm}{end}"))]), [], "it started a minute ago");
 }
 
 #[test]
-fn limits_under_present_use_are_a_high_risk() {
+fn a_limit_below_current_use_is_a_high_risk() {
     let edit = ("max_requests = 100", "max_requests = 60");
-    assert_eq!(one(&of(&[edit]), "limit-lowered/pool.q.max_requests").severity, Severity::Low);
-    let half = of(&[("max_requests = 100", "max_requests = 50")]);
-    assert_eq!(one(&half, "limit-lowered/pool.q.max_requests").severity, Severity::Medium);
+    assert_eq!(
+        risk_with_id(&risks_of(&[edit]), "limit-lowered/pool.q.max_requests").severity,
+        Severity::Low
+    );
+    let half = risks_of(&[("max_requests = 100", "max_requests = 50")]);
+    assert_eq!(risk_with_id(&half, "limit-lowered/pool.q.max_requests").severity, Severity::Medium);
     let with = |requests| {
         let q = PoolLoad { requests: Some(requests), ..PoolLoad::default() };
         let load = Load { pools: [("q".to_owned(), q)].into(), ..Load::default() };
-        one(&found(&[edit], &load, 3_600_000), "limit-lowered/pool.q.max_requests").severity
+        risk_with_id(&risks_with(&[edit], &load, 3_600_000), "limit-lowered/pool.q.max_requests").severity
     };
     assert_eq!((with(60), with(61)), (Severity::Low, Severity::High));
 }
 
 #[test]
-fn a_route_that_can_no_longer_match_is_a_high_risk_and_a_new_one_a_medium_one() {
+fn a_newly_shadowed_route_is_high_and_a_shadowed_new_route_medium() {
     let wide = "[[listener.route]]\nname = \"all\"\nclass = \"post\"\npool = \"q\"\n\n[[listener.route]]\nname = \"quote\"";
-    let risks = of(&[("[[listener.route]]\nname = \"quote\"", wide)]);
+    let risks = risks_of(&[("[[listener.route]]\nname = \"quote\"", wide)]);
     for route in ["quote", "post", "key"] {
         assert_eq!(
-            one(&risks, &format!("route-shadowed/listener.l.route.{route}")).severity,
+            risk_with_id(&risks, &format!("route-shadowed/listener.l.route.{route}")).severity,
             Severity::High
         );
     }
     let late = "prefix = \"/key\"\nclass = \"key\"\npool = \"q\"\n\n[[listener.route]]\nname = \"late\"\nprefix = \"/key/late\"\nclass = \"post\"\npool = \"q\"";
-    let risks = of(&[("prefix = \"/key\"\nclass = \"key\"\npool = \"q\"", late)]);
-    let risk = one(&risks, "route-shadowed/listener.l.route.late");
+    let risks = risks_of(&[("prefix = \"/key\"\nclass = \"key\"\npool = \"q\"", late)]);
+    let risk = risk_with_id(&risks, "route-shadowed/listener.l.route.late");
     assert_eq!(risk.severity, Severity::Medium);
-    assert!(risk.what.contains("key"), "{}", risk.what);
+    assert!(risk.description.contains("key"), "{}", risk.description);
 }
 
 #[test]
-fn traffic_that_goes_elsewhere_is_counted_by_requests_where_they_are_known() {
+fn moved_traffic_is_measured_in_requests_if_load_is_known() {
     let edit = ("class = \"quote\"\npool = \"q\"", "class = \"quote\"\npools = { q = 9, other = 1 }");
-    let risks = of(&[edit]);
-    let risk = one(&risks, "traffic-moved/class.quote");
+    let risks = risks_of(&[edit]);
+    let risk = risk_with_id(&risks, "traffic-moved/class.quote");
     assert!((risk.figures["moved_part"] - 0.1).abs() < 1e-9, "{risk:?}");
     assert_eq!(risk.severity, Severity::Low);
 
@@ -256,44 +262,49 @@
         routes: [("l.key".to_owned(), 30.0), ("l.quote".to_owned(), 10.0)].into(),
         ..Load::default()
     };
-    let risks = found(&[edit], &load, 3_600_000);
-    assert_eq!(one(&risks, "traffic-moved/class.key").figures["moved_part"], 1.0);
-    assert!(risks.iter().all(|risk| risk.id != "traffic-moved/class.quote"), "quotes go where they went");
+    let risks = risks_with(&[edit], &load, 3_600_000);
+    assert_eq!(risk_with_id(&risks, "traffic-moved/class.key").figures["moved_part"], 1.0);
+    assert!(risks.iter().all(|risk| risk.id != "traffic-moved/class.quote"), "quote traffic is unchanged");
 }
 
 #[test]
-fn listeners_that_go_or_move_and_pools_from_elsewhere_are_high_risks() {
-    let moved = of(&[("127.0.0.1:8080", "127.0.0.1:8081")]);
-    assert_eq!(one(&moved, "listener-gone/listener.l").severity, Severity::High);
+fn moved_listeners_and_replaced_pool_sources_are_high_risks() {
+    let moved = risks_of(&[("127.0.0.1:8080", "127.0.0.1:8081")]);
+    assert_eq!(risk_with_id(&moved, "listener-gone/listener.l").severity, Severity::High);
     let edit = ("endpoint = [{ name = \"o1\", address = \"127.0.0.1:9\" }]", "platform = \"127.0.0.1:9\"");
-    assert_eq!(one(&of(&[edit]), "pool-replaced/pool.other").severity, Severity::High);
+    assert_eq!(risk_with_id(&risks_of(&[edit]), "pool-replaced/pool.other").severity, Severity::High);
 }
 
 #[test]
-fn shorter_times_of_a_class_are_told() {
-    let half = of(&[("objective = \"2s\"\ndeadline = \"3s\"", "objective = \"1s\"\ndeadline = \"2s\"")]);
-    assert_eq!(one(&half, "class-time/class.quote.objective").severity, Severity::Medium);
-    assert_eq!(one(&half, "class-time/class.quote.deadline").severity, Severity::Low);
+fn shorter_class_times_are_reported() {
+    let half =
+        risks_of(&[("objective = \"2s\"\ndeadline = \"3s\"", "objective = \"1s\"\ndeadline = \"2s\"")]);
+    assert_eq!(risk_with_id(&half, "class-time/class.quote.objective").severity, Severity::Medium);
+    assert_eq!(risk_with_id(&half, "class-time/class.quote.deadline").severity, Severity::Low);
 }
 
 #[test]
-fn severities_are_raised_by_the_file_and_never_lowered() {
+fn the_fleet_file_raises_severities_but_never_lowers_them() {
     let raise = |to: &str| {
         ("[rules]", format!("[risks]\nlimit-lowered = \"{to}\"\npool-emptied = \"low\"\n\n[rules]"))
     };
     let (rules, high) = raise("high");
-    let risks = of(&[(rules, &high), ("max_requests = 100", "max_requests = 90")]);
-    assert_eq!(one(&risks, "limit-lowered/pool.q.max_requests").severity, Severity::High);
-    let (old, new): (Vec<String>, Vec<String>) = (1..=4).map(drained).unzip();
+    let risks = risks_of(&[(rules, &high), ("max_requests = 100", "max_requests = 90")]);
+    assert_eq!(risk_with_id(&risks, "limit-lowered/pool.q.max_requests").severity, Severity::High);
+    let (old, new): (Vec<String>, Vec<String>) = (1..=4).map(drain_edit).unzip();
     let mut edits: Vec<(&str, &str)> =
         old.iter().zip(&new).map(|(o, n)| (o.as_str(), n.as_str())).collect();
     edits.push((rules, &high));
-    assert_eq!(one(&of(&edits), "pool-emptied/pool.q").severity, Severity::High, "not lowered");
+    assert_eq!(
+        risk_with_id(&risks_of(&edits), "pool-emptied/pool.q").severity,
+        Severity::High,
+        "not lowered"
+    );
 }
 
 #[test]
-fn a_risk_that_does_not_exist_is_no_setting() {
+fn an_unknown_risk_in_the_fleet_file_is_rejected() {
     let text = FLEET.replace("[rules]", "[risks]\npool-emptid = \"high\"\n\n[rules]");
-    let problems = Fleet::read(&text).expect_err("no such risk").to_string();
+    let problems = Fleet::read(&text).expect_err("an unknown risk is accepted").to_string();
     assert!(problems.starts_with("3:") && problems.contains("did you mean `pool-emptied`"), "{problems}");
 }
