--- a/crates/cli/benches/kills.rs
+++ b/crates/cli/benches/kills.rs
@@ -1,49 +1,52 @@
-//! Five hundred real kills of an apply, and what plan and apply cost by size. Each figure of one run.
+//! Benchmark of `plan` and `apply` by fleet size, of commits and of opening a state, and a crash test that kills 500
+//! applies. Each figure is from one run.
 //!
 //! `cargo bench -p runtrack-cli --bench kills`
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use runtrack_store::{Files, Folder as Files_, Store};
+use runtrack_store::{Files, Folder as StoreFolder, Store};
 use runtrack_testkit::Folder;
 use std::path::Path;
 use std::time::Instant;
 
 fn main() {
-    println!("plan and apply, whole processes; a limit of one pool changes\n");
+    println!("plan and apply as processes; the change is a limit of one pool\n");
     println!(
         "{:>8} {:>10} {:>10} {:>12} {:>12}",
         "pools", "plan ms", "apply ms", "plan bytes", "state bytes"
     );
     for pools in [10, 1000, 10_000] {
         let folder = Folder::new();
-        size(folder.path(), pools);
+        measure_plan_and_apply(folder.path(), pools);
     }
-    let (commit, bare) = commits();
+    let (commit, plain) = measure_commits();
     println!(
-        "\na commit of 100 KB {commit:.2} ms, a bare write and sync of it {bare:.2} ms, ratio {:.2}",
-        commit / bare
+        "\na commit of 100 KB {commit:.2} ms, a plain write and sync of it {plain:.2} ms, ratio {:.2}",
+        commit / plain
     );
     println!("\nopening a state, checks and the current version's text included:");
     for versions in [1, 10, 100] {
-        println!("{versions:>8} versions of 100 KB: {:.3} ms", opening(versions));
+        println!("{versions:>8} versions of 100 KB: {:.3} ms", measure_open(versions));
     }
     println!("\nkills, at random times over a whole apply:");
     for (pools, rounds) in [(10, 300), (1000, 200)] {
         let folder = Folder::new();
-        let (committed, mixes) = common::kills(folder.path(), rounds, pools, 1);
-        println!("{pools:>8} pools: {rounds} kills, {committed} had committed, {mixes} mixes");
+        let (committed, inconsistent) = common::kill_applies(folder.path(), rounds, pools, 1);
+        println!(
+            "{pools:>8} pools: {rounds} kills, {committed} had committed, {inconsistent} inconsistent"
+        );
     }
 }
 
-fn size(folder: &Path, pools: usize) {
+fn measure_plan_and_apply(folder: &Path, pools: usize) {
     use common::{code, ctl, fleet};
     let run = |args: &[&str]| {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let done = ctl(folder, args);
         assert_eq!(code(&done), 0, "{}", common::err(&done));
-        began.elapsed().as_secs_f64() * 1000.0
+        started_at.elapsed().as_secs_f64() * 1000.0
     };
     let median = |mut times: Vec<f64>| {
         times.sort_by(f64::total_cmp);
@@ -71,15 +74,15 @@
     );
 }
 
-/// Medians of a commit and of a bare write and sync of the same bytes, in ms, in turn.
-fn commits() -> (f64, f64) {
+/// Median times of a commit and of a plain write and sync of the same bytes, alternating, in milliseconds.
+fn measure_commits() -> (f64, f64) {
     let folder = Folder::new();
-    let files = || Files_::new(folder.path()).expect("a folder");
+    let files = || StoreFolder::new(folder.path()).expect("a folder");
     let mut store = Store::open_or_create(files(), "l").expect("a store");
     let text = "x".repeat(100_000);
-    let (mut commits, mut bares) = (Vec::new(), Vec::new());
+    let (mut commit_times, mut plain_times) = (Vec::new(), Vec::new());
     for n in 0..200 {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let entry = runtrack_store::CommitInfo {
             author: "a",
             reason: "b",
@@ -87,34 +90,34 @@
             ..runtrack_store::CommitInfo::default()
         };
         store.commit(n, &text, entry).expect("a commit");
-        commits.push(began.elapsed().as_secs_f64() * 1000.0);
-        let began = Instant::now();
-        let bare = files();
-        bare.write("bare", text.as_bytes()).expect("a write");
-        bare.sync("bare").expect("a sync");
-        bares.push(began.elapsed().as_secs_f64() * 1000.0);
+        commit_times.push(started_at.elapsed().as_secs_f64() * 1000.0);
+        let started_at = Instant::now();
+        let plain = files();
+        plain.write("bare", text.as_bytes()).expect("a write");
+        plain.sync("bare").expect("a sync");
+        plain_times.push(started_at.elapsed().as_secs_f64() * 1000.0);
     }
-    commits.sort_by(f64::total_cmp);
-    bares.sort_by(f64::total_cmp);
-    (commits[commits.len() / 2], bares[bares.len() / 2])
+    commit_times.sort_by(f64::total_cmp);
+    plain_times.sort_by(f64::total_cmp);
+    (commit_times[commit_times.len() / 2], plain_times[plain_times.len() / 2])
 }
 
-/// Median time in which a state with so many versions is open and its current text read, in ms.
-fn opening(versions: u64) -> f64 {
+/// Median time to open a state with a number of versions and read its current text, in milliseconds.
+fn measure_open(versions: u64) -> f64 {
     let folder = Folder::new();
-    let files = || Files_::new(folder.path()).expect("a folder");
+    let files = || StoreFolder::new(folder.path()).expect("a folder");
     let mut store = Store::open_or_create(files(), "l").expect("a store");
     let text = "x".repeat(100_000);
     for n in 0..versions {
         store.commit(n, &text, runtrack_store::CommitInfo::default()).expect("a commit");
     }
-    let once = || {
-        let began = Instant::now();
+    let measure_once = || {
+        let started_at = Instant::now();
         let store = Store::open(files()).expect("readable").expect("there");
         assert_eq!(store.text(versions).expect("readable").len(), text.len());
-        began.elapsed().as_secs_f64() * 1000.0
+        started_at.elapsed().as_secs_f64() * 1000.0
     };
-    let mut times: Vec<f64> = (0..50).map(|_| once()).collect();
+    let mut times: Vec<f64> = (0..50).map(|_| measure_once()).collect();
     times.sort_by(f64::total_cmp);
     times[times.len() / 2]
 }
--- a/crates/cli/src/cluster.rs
+++ b/crates/cli/src/cluster.rs
@@ -1,6 +1,7 @@
-//! A cluster of control instances: its beginning, its members, and its versions as any instance gives them.
+//! Cluster commands: creation of a cluster, changes of its members, its status, and access to its versions through any
+//! instance.
 
-use crate::common::{Done, Place, now_ms, print_json, random};
+use crate::common::{CommandResult, Context, now_ms, print_json, random_id};
 use crate::failure::Failure;
 use crate::service::send;
 use clap::Subcommand;
@@ -14,134 +15,138 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A write is repeated with its id, at one instance after the other, for so long.
-const WRITE_MOST: Duration = Duration::from_secs(30);
-/// No instance takes longer for an answer.
-const ANSWER_MOST: Duration = Duration::from_secs(12);
-const AGAIN: Duration = Duration::from_millis(100);
+/// How long a request to the cluster is retried, at one instance after the other. Writes keep their id, so that retries
+/// are idempotent.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum time to wait for a response of one instance.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(12);
+/// Pause between two rounds of requests to all instances.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is asked of a cluster.
+/// Subcommands of `cluster`.
 #[derive(Subcommand)]
-pub enum Ask {
-    /// Make a cluster of one member, in an empty folder. No service ever makes one by itself.
+pub enum Action {
+    /// Create a cluster of one member, in an empty folder. Services never create a cluster themselves.
     Init {
-        /// The member's folder.
+        /// Folder of the member.
         #[arg(long, default_value = "member", value_name = "FOLDER")]
         member: PathBuf,
-        /// Its name.
+        /// Name of the member.
         #[arg(long)]
         name: String,
-        /// Where the other members will reach it.
+        /// Address at which the other members reach it.
         #[arg(long, value_name = "ADDRESS")]
         address: String,
-        /// Begin with the versions of a state's folder.
+        /// Start with the versions of the state in this folder.
         #[arg(long, value_name = "FOLDER")]
         from: Option<PathBuf>,
     },
-    /// Make a new member's folder from an invitation.
+    /// Create a new member's folder from an invitation.
     Join {
-        /// The invitation, as `cluster add` wrote it.
+        /// The invitation file written by `cluster add`.
         invitation: PathBuf,
-        /// The member's folder, empty.
+        /// Folder of the member, which must be empty.
         #[arg(long, default_value = "member", value_name = "FOLDER")]
         member: PathBuf,
     },
-    /// How the cluster stands, as each instance sees it.
+    /// Show the status of the cluster, as reported by each instance.
     Status {
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Add a member, which votes once it has caught up; prints its invitation.
+    /// Add a member, which votes once it has caught up, and print its invitation.
     Add {
-        /// Its name.
+        /// Name of the member.
         name: String,
-        /// Where the others will reach it.
+        /// Address at which the other members reach it.
         address: String,
-        /// Where the invitation is written; without it to standard output.
+        /// File to write the invitation to; by default standard output.
         #[arg(short, long, value_name = "FILE")]
         out: Option<PathBuf>,
     },
-    /// Remove a member. Its number is never given again.
+    /// Remove a member. Its number is never reused.
     Remove {
-        /// Its name or number.
+        /// Name or number of the member.
         name: String,
     },
-    /// Hand leadership to another member.
+    /// Transfer leadership to another member.
     Transfer {
-        /// Its name or number.
+        /// Name or number of the member.
         name: String,
     },
-    /// Write a member's versions into a new state's folder, for one instance alone. The member must not run.
+    /// Export a member's versions to a new state folder, for a single instance. The member must not be running.
     Export {
-        /// The member's folder.
+        /// Folder of the member.
         #[arg(long, default_value = "member", value_name = "FOLDER")]
         member: PathBuf,
-        /// The new state's folder.
+        /// Folder of the new state.
         #[arg(long, value_name = "FOLDER")]
         to: PathBuf,
     },
 }
 
-/// Instances of a cluster, asked in turn.
+/// Client of a cluster, which tries its instances in turn.
 pub struct Cluster {
-    at: Vec<String>,
+    addresses: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct Words {
+struct VersionsResponse {
     lineage: String,
     index: u64,
     versions: Vec<Version>,
     age_ms: Option<u64>,
 }
 
-/// The versions of a cluster as one of its instances gave them.
-pub struct Remote {
+/// Versions of a cluster as reported by one of its instances.
+pub struct ClusterVersions {
     cluster: Cluster,
-    words: Words,
+    response: VersionsResponse,
 }
 
-fn service(at: &str, problem: impl Into<String>) -> Failure {
+fn service_failure(at: &str, problem: impl Into<String>) -> Failure {
     Failure::Service { at: at.to_owned(), problem: problem.into() }
 }
 
-/// What an instance says is wrong.
-fn problem_of(body: &[u8], code: StatusCode) -> String {
-    let said = serde_json::from_slice::<Value>(body).ok();
-    let said = said.and_then(|body| body["error"].as_str().map(str::to_owned));
-    said.unwrap_or_else(|| format!("it answers {code}"))
+/// Error message in the response of an instance.
+fn error_message(body: &[u8], code: StatusCode) -> String {
+    let report = serde_json::from_slice::<Value>(body).ok();
+    let report = report.and_then(|body| body["error"].as_str().map(str::to_owned));
+    report.unwrap_or_else(|| format!("it responds with {code}"))
 }
 
 impl Cluster {
-    /// These instances, by their admin addresses.
-    pub fn new(at: &[String]) -> Cluster {
-        Cluster { at: at.to_vec() }
+    /// Creates a client of the instances with these admin addresses.
+    pub fn new(addresses: &[String]) -> Cluster {
+        Cluster { addresses: addresses.to_vec() }
     }
 
-    /// The answer of the first instance that gives one. Where none does, or none knows, it is asked again for `most`.
+    /// Returns the first conclusive response of an instance. While instances are unreachable or respond with a gateway
+    /// timeout, the request is retried for up to `timeout`.
     fn ask(
         &self,
         method: Method,
         path: &str,
         body: Option<&Value>,
-        most: Duration,
+        timeout: Duration,
     ) -> Result<Vec<u8>, Failure> {
-        if self.at.is_empty() {
-            let what = "name the cluster's instances: --cluster ADDRESS[,ADDRESS...], or RUNTRACK_CLUSTER";
+        if self.addresses.is_empty() {
+            let what =
+                "no cluster instances given: use --cluster ADDRESS[,ADDRESS...], or RUNTRACK_CLUSTER";
             return Err(Failure::Usage(what.to_owned()));
         }
-        let end = Instant::now() + most;
+        let end = Instant::now() + timeout;
         loop {
             let mut last = None;
-            for at in &self.at {
-                match send(at, method.clone(), path, body, ANSWER_MOST) {
+            for at in &self.addresses {
+                match send(at, method.clone(), path, body, RESPONSE_TIMEOUT) {
                     Ok((StatusCode::OK, body)) => return Ok(body.to_vec()),
                     Ok((code, body)) if code == StatusCode::GATEWAY_TIMEOUT => {
-                        last = Some(service(at, problem_of(&body, code)));
+                        last = Some(service_failure(at, error_message(&body, code)));
                     }
-                    // It has decided: another one would say the same.
-                    Ok((code, body)) => return Err(service(at, problem_of(&body, code))),
+                    // A conclusive refusal: other instances would respond alike.
+                    Ok((code, body)) => return Err(service_failure(at, error_message(&body, code))),
                     Err(problem) => last = Some(problem),
                 }
                 if Instant::now() >= end {
@@ -149,79 +154,79 @@
                 }
             }
             if Instant::now() >= end {
-                return Err(last.unwrap_or_else(|| service("the cluster", "no instance answers")));
+                return Err(last.unwrap_or_else(|| service_failure("the cluster", "no instance responds")));
             }
-            std::thread::sleep(AGAIN);
+            std::thread::sleep(RETRY_INTERVAL);
         }
     }
 
-    /// Has a command agreed, once, however often it has to be asked for.
+    /// Commits a command to the log of the cluster. It takes effect once, however often it is retried with the same id.
     fn write(&self, id: &str, command: &Command) -> Result<Outcome, Failure> {
         #[derive(Deserialize)]
-        struct Done {
+        struct WriteResponse {
             outcome: Outcome,
         }
         let body = json!({"id": id, "command": command});
-        let done = self.ask(Method::POST, "/write", Some(&body), WRITE_MOST)?;
-        let done: Done =
-            serde_json::from_slice(&done).map_err(|e| service(&self.at[0], format!("its answer: {e}")))?;
-        Ok(done.outcome)
+        let result = self.ask(Method::POST, "/write", Some(&body), RETRY_TIMEOUT)?;
+        let result: WriteResponse = serde_json::from_slice(&result)
+            .map_err(|e| service_failure(&self.addresses[0], format!("invalid response: {e}")))?;
+        Ok(result.outcome)
     }
 
-    /// The versions that are agreed; with `now`, as a majority has them.
-    pub fn versions(self, now: bool) -> Result<Remote, Failure> {
-        let path = if now { "/versions/now" } else { "/versions" };
-        let words = self.ask(Method::GET, path, None, WRITE_MOST)?;
-        let words =
-            serde_json::from_slice(&words).map_err(|e| service(&self.at[0], format!("its answer: {e}")))?;
-        Ok(Remote { cluster: self, words })
+    /// Reads the committed versions; with `linearizable`, a linearizable read through a majority.
+    pub fn versions(self, linearizable: bool) -> Result<ClusterVersions, Failure> {
+        let path = if linearizable { "/versions/now" } else { "/versions" };
+        let response = self.ask(Method::GET, path, None, RETRY_TIMEOUT)?;
+        let response = serde_json::from_slice(&response)
+            .map_err(|e| service_failure(&self.addresses[0], format!("invalid response: {e}")))?;
+        Ok(ClusterVersions { cluster: self, response })
     }
 
     fn change(&self, change: &Value) -> Result<Vec<u8>, Failure> {
-        let body = json!({"id": random(), "change": change});
-        self.ask(Method::POST, "/cluster/change", Some(&body), WRITE_MOST)
+        let body = json!({"id": random_id(), "change": change});
+        self.ask(Method::POST, "/cluster/change", Some(&body), RETRY_TIMEOUT)
     }
 }
 
-impl Remote {
-    /// How old this word is.
+impl ClusterVersions {
+    /// Describes the age of the response.
     pub fn age(&self) -> String {
-        let index = self.words.index;
-        match self.words.age_ms {
-            None => format!("as of index {index}; this instance has not been in touch with a majority"),
+        let index = self.response.index;
+        match self.response.age_ms {
+            None => format!("as of index {index}; this instance has had no contact with a majority"),
             Some(0) => format!("as of index {index}, now"),
-            Some(ms) => format!("as of index {index}, {ms} ms ago at most"),
+            Some(ms) => format!("as of index {index}, at most {ms} ms ago"),
         }
     }
 }
 
-impl VersionStore for Remote {
+impl VersionStore for ClusterVersions {
     fn lineage(&self) -> &str {
-        &self.words.lineage
+        &self.response.lineage
     }
 
     fn history(&self) -> &[Version] {
-        &self.words.versions
+        &self.response.versions
     }
 
     fn text(&self, serial: u64) -> Result<String, ApplyError> {
-        let text = self.cluster.ask(Method::GET, &format!("/text/{serial}"), None, ANSWER_MOST);
-        let text = text.map_err(|problem| refusal(&self.cluster, &problem))?;
+        let text = self.cluster.ask(Method::GET, &format!("/text/{serial}"), None, RESPONSE_TIMEOUT);
+        let text = text.map_err(|problem| apply_error(&self.cluster, &problem))?;
         String::from_utf8(text)
-            .map_err(|_| ApplyError::InvalidFleet { serial, problem: "it is no text".to_owned() })
+            .map_err(|_| ApplyError::InvalidFleet { serial, problem: "the text is not UTF-8".to_owned() })
     }
 
-    fn commit(&mut self, on: u64, text: &str, entry: CommitInfo) -> Result<Applied, ApplyError> {
+    fn commit(&mut self, base_serial: u64, text: &str, entry: CommitInfo) -> Result<Applied, ApplyError> {
         let parent = self.current().map(|version| version.hash.clone()).unwrap_or_default();
-        // A plan's id is the same in each repeat of `apply`, whoever repeats it.
-        let id = if entry.plan.is_empty() { random() } else { entry.plan.to_owned() };
+        // The id of a plan is the same in every retry of `apply`, so that the plan is committed only once.
+        let id = if entry.plan.is_empty() { random_id() } else { entry.plan.to_owned() };
         let by = Attribution {
             author: entry.author.to_owned(),
             reason: entry.reason.to_owned(),
             at_ms: entry.at_ms,
         };
         let commit = Command::Commit(Commit {
-            on,
+            on: base_serial,
             parent,
             text: text.to_owned(),
             by,
@@ -229,19 +234,19 @@
             stages: entry.stages.to_vec(),
             pause_ms: entry.pause_ms,
         });
-        match self.cluster.write(&id, &commit).map_err(|problem| refusal(&self.cluster, &problem))? {
+        match self.cluster.write(&id, &commit).map_err(|problem| apply_error(&self.cluster, &problem))? {
             Outcome::Committed(serial) => Ok(Applied::Committed(serial)),
             Outcome::Before(serial) => Ok(Applied::AlreadyApplied(serial)),
             Outcome::Moved { expected, found, by } => {
                 Err(StoreError::Moved { expected, found, by: Some(by) }.into())
             }
-            Outcome::Done | Outcome::Refused(_) => Err(refusal(&self.cluster, "nothing was committed")),
+            Outcome::Done | Outcome::Refused(_) => Err(apply_error(&self.cluster, "nothing was committed")),
         }
     }
 }
 
-fn refusal(of: &Cluster, problem: impl ToString) -> ApplyError {
-    ApplyError::Service { at: of.at.join(","), problem: problem.to_string() }
+fn apply_error(cluster: &Cluster, problem: impl ToString) -> ApplyError {
+    ApplyError::Service { at: cluster.addresses.join(","), problem: problem.to_string() }
 }
 
 fn folder(path: &Path) -> Result<Folder, Failure> {
@@ -253,14 +258,14 @@
     move |problem| Failure::Usage(format!("{at}: {problem}"))
 }
 
-/// `cluster ...`.
-pub fn run(ask: Ask, place: &Place) -> Done {
-    let cluster = Cluster::new(&place.cluster);
-    match ask {
-        Ask::Init { member, name, address, from } => init(&member, &name, &address, from.as_deref()),
-        Ask::Join { invitation, member } => join(&invitation, &member),
-        Ask::Status { json } => status(&cluster, json),
-        Ask::Add { name, address, out } => {
+/// Runs a `cluster` subcommand.
+pub fn run(command: Action, context: &Context) -> CommandResult {
+    let cluster = Cluster::new(&context.cluster);
+    match command {
+        Action::Init { member, name, address, from } => init(&member, &name, &address, from.as_deref()),
+        Action::Join { invitation, member } => join(&invitation, &member),
+        Action::Status { json } => status(&cluster, json),
+        Action::Add { name, address, out } => {
             let invitation = cluster.change(&json!({"add": {"name": name, "address": address}}))?;
             match out {
                 Some(out) => std::fs::write(&out, &invitation).map_err(Failure::file(&out))?,
@@ -268,23 +273,23 @@
             }
             Ok(0)
         }
-        Ask::Remove { name } => {
+        Action::Remove { name } => {
             cluster.change(&json!({"remove": {"name": name}}))?;
-            println!("{name} is no member any more");
+            println!("{name} is no longer a member");
             Ok(0)
         }
-        Ask::Transfer { name } => {
+        Action::Transfer { name } => {
             cluster.change(&json!({"transfer": {"name": name}}))?;
-            println!("{name} leads");
+            println!("{name} is now the leader");
             Ok(0)
         }
-        Ask::Export { member, to } => export(&member, &to),
+        Action::Export { member, to } => export(&member, &to),
     }
 }
 
-fn init(at: &Path, name: &str, address: &str, from: Option<&Path>) -> Done {
+fn init(path: &Path, name: &str, address: &str, from: Option<&Path>) -> CommandResult {
     let (lineage, versions) = match from {
-        None => (random(), Vec::new()),
+        None => (random_id(), Vec::new()),
         Some(from) => {
             let store = Store::open(folder(from)?)?.ok_or_else(|| Failure::NoState(from.to_owned()))?;
             let kept = store
@@ -294,41 +299,40 @@
             (store.lineage().to_owned(), kept.collect())
         }
     };
-    let own = random();
-    // Later lineages come after earlier ones, towards proxies that lived through both.
-    let state =
-        State::new(&lineage, now_ms().saturating_mul(1000), name, address, &own).with_versions(versions);
+    let folder_id = random_id();
+    // The time orders lineages, so that a proxy that has seen an earlier one accepts this one.
+    let state = State::new(&lineage, now_ms().saturating_mul(1000), name, address, &folder_id)
+        .with_versions(versions);
     let identity = Identity {
         lineage: lineage.clone(),
         member: 1,
         ticket: String::new(),
-        folder: own,
+        folder: folder_id,
         others: Vec::new(),
     };
-    Node::bootstrap(folder(at)?, identity, &state).map_err(member(at))?;
-    println!("{}: {name} is member 1 of the cluster {lineage}, serial {}", at.display(), state.serial());
+    Node::bootstrap(folder(path)?, identity, &state).map_err(member(path))?;
+    println!("{}: {name} is member 1 of the cluster {lineage}, serial {}", path.display(), state.serial());
     Ok(0)
 }
 
-fn join(file: &Path, at: &Path) -> Done {
+fn join(file: &Path, path: &Path) -> CommandResult {
     let text = std::fs::read_to_string(file).map_err(Failure::file(file))?;
     let invitation: Invitation = serde_json::from_str(&text)
-        .map_err(|problem| Failure::Usage(format!("{}: no invitation: {problem}", file.display())))?;
-    let identity = Identity { folder: random(), ..invitation.identity };
+        .map_err(|problem| Failure::Usage(format!("{}: not an invitation: {problem}", file.display())))?;
+    let identity = Identity { folder: random_id(), ..invitation.identity };
     let (number, lineage) = (identity.member, identity.lineage.clone());
-    Node::join(folder(at)?, identity).map_err(member(at))?;
-    println!("{}: {} is member {number} of the cluster {lineage}", at.display(), invitation.name);
+    Node::join(folder(path)?, identity).map_err(member(path))?;
+    println!("{}: {} is member {number} of the cluster {lineage}", path.display(), invitation.name);
     Ok(0)
 }
 
-fn export(at: &Path, to: &Path) -> Done {
-    let node = Node::open(folder(at)?, runtrack_agree::Tuning::default(), 0).map_err(member(at))?;
-    let state = node
-        .state()
-        .ok_or_else(|| Failure::Usage(format!("{}: it has heard nothing yet", at.display())))?;
+fn export(path: &Path, to: &Path) -> CommandResult {
+    let node = Node::open(folder(path)?, runtrack_agree::Tuning::default(), 0).map_err(member(path))?;
+    let state =
+        node.state().ok_or_else(|| Failure::Usage(format!("{}: no state received yet", path.display())))?;
     let mut store = Store::open_or_create(folder(to)?, &state.lineage)?;
     if store.serial() > 0 {
-        return Err(Failure::Usage(format!("{}: there is a state already", to.display())));
+        return Err(Failure::Usage(format!("{}: the folder already contains a state", to.display())));
     }
     for version in &state.versions {
         let Some(text) = state.text(version.serial) else { continue };
@@ -346,53 +350,53 @@
     Ok(0)
 }
 
-/// `cluster status`. Exits with 3 where an instance does not answer or is not in touch with a majority.
-fn status(cluster: &Cluster, json: bool) -> Done {
-    let mut ill = cluster.at.is_empty();
+/// Runs `cluster status`. The exit code is 3 if an instance does not respond or has no contact with a majority.
+fn status(cluster: &Cluster, json: bool) -> CommandResult {
+    let mut unhealthy = cluster.addresses.is_empty();
     let mut all = serde_json::Map::new();
-    for at in &cluster.at {
-        let said = match send(at, Method::GET, "/cluster", None, ANSWER_MOST) {
+    for at in &cluster.addresses {
+        let report = match send(at, Method::GET, "/cluster", None, RESPONSE_TIMEOUT) {
             Ok((StatusCode::OK, body)) => serde_json::from_slice(&body).unwrap_or(Value::Null),
-            Ok((code, _)) => json!({"problem": format!("it answers {code}: is it a member of a cluster?")}),
+            Ok((code, _)) => json!({"problem": format!("HTTP {code}: is it a member of a cluster?")}),
             Err(problem) => json!({"problem": problem.to_string()}),
         };
-        ill |= said["majority"] != Value::Bool(true);
-        all.insert(at.clone(), said);
+        unhealthy |= report["majority"] != Value::Bool(true);
+        all.insert(at.clone(), report);
     }
     if json {
         print_json(&all);
-        return Ok(if ill { 3 } else { 0 });
+        return Ok(if unhealthy { 3 } else { 0 });
     }
-    for (at, said) in &all {
-        if let Some(problem) = said["problem"].as_str() {
+    for (at, report) in &all {
+        if let Some(problem) = report["problem"].as_str() {
             println!("{at}: {problem}");
             continue;
         }
-        let standing = &said["standing"];
-        let touch = match (said["majority"].as_bool(), said["in_touch_ms_ago"].as_u64()) {
-            (Some(true), _) => "in touch with a majority".to_owned(),
-            (_, Some(ms)) => format!("NOT in touch with a majority for {ms} ms"),
-            _ => "NOT in touch with a majority".to_owned(),
+        let standing = &report["standing"];
+        let contact = match (report["majority"].as_bool(), report["in_touch_ms_ago"].as_u64()) {
+            (Some(true), _) => "in contact with a majority".to_owned(),
+            (_, Some(ms)) => format!("NO contact with a majority for {ms} ms"),
+            _ => "NO contact with a majority".to_owned(),
         };
         println!(
-            "{at}: member {}, {}, {touch}; term {}, index {}, serial {}",
-            said["member"],
-            standing["role"].as_str().unwrap_or("folder not usable"),
+            "{at}: member {}, {}, {contact}; term {}, index {}, serial {}",
+            report["member"],
+            standing["role"].as_str().unwrap_or("folder unusable"),
             standing["term"],
-            said["index"],
-            said["serial"]
+            report["index"],
+            report["serial"]
         );
-        for problem in [&said["trouble"], &said["removed"]] {
+        for problem in [&report["trouble"], &report["removed"]] {
             if let Some(problem) = problem.as_str() {
                 println!("  {problem}");
             }
         }
-        for member in said["members"].as_array().into_iter().flatten() {
+        for member in report["members"].as_array().into_iter().flatten() {
             let text = |key: &str| member[key].as_str().unwrap_or_default();
             let mut notes =
                 vec![if member["voter"] == Value::Bool(true) { "votes" } else { "learns" }.to_owned()];
             if member["joined"] == Value::Bool(false) {
-                notes.push("has not shown itself yet".to_owned());
+                notes.push("has not joined yet".to_owned());
             }
             if member["id"] == standing["leader"] {
                 notes.push("leads".to_owned());
@@ -403,14 +407,17 @@
             println!("  {} {} at {}: {}", member["id"], text("name"), text("address"), notes.join(", "));
         }
     }
-    Ok(if ill { 3 } else { 0 })
+    Ok(if unhealthy { 3 } else { 0 })
 }
 
-/// `hold`.
-pub fn hold(place: &Place, pool: &str, endpoint: &str, held: bool, reason: &str) -> Done {
-    let by = Attribution { author: place.author.clone(), reason: reason.to_owned(), at_ms: now_ms() };
+/// Runs `hold`.
+pub fn hold(context: &Context, pool: &str, endpoint: &str, held: bool, reason: &str) -> CommandResult {
+    let by = Attribution { author: context.author.clone(), reason: reason.to_owned(), at_ms: now_ms() };
     let command = Command::Hold { pool: pool.to_owned(), uid: endpoint.to_owned(), held, by };
-    Cluster::new(&place.cluster).write(&random(), &command)?;
-    println!("{endpoint} of {pool} {}", if held { "gets nothing new" } else { "gets requests again" });
+    Cluster::new(&context.cluster).write(&random_id(), &command)?;
+    println!(
+        "{endpoint} of {pool} {}",
+        if held { "receives no new requests" } else { "receives requests again" }
+    );
     Ok(0)
 }
--- a/crates/cli/src/common.rs
+++ b/crates/cli/src/common.rs
@@ -1,70 +1,73 @@
-//! What several commands share.
+//! Types and functions shared by the commands.
 
 use crate::failure::Failure;
 use std::hash::{BuildHasher, RandomState};
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The exit code, where there is no failure.
-pub type Done = Result<u8, Failure>;
+/// Result of a command: its exit code, or the failure.
+pub type CommandResult = Result<u8, Failure>;
 
-/// Where a state is kept, and who acts on it.
-pub struct Place {
-    /// Its folder; or ...
+/// Location of the state, and the author of changes.
+pub struct Context {
+    /// Folder of the state, used if `cluster` is empty.
     pub folder: PathBuf,
-    /// ... the admin addresses of a cluster that keeps it.
+    /// Admin addresses of the cluster that holds the state; empty for a state in a folder.
     pub cluster: Vec<String>,
-    /// Who.
+    /// Author recorded in the history.
     pub author: String,
 }
 
-/// Unix time in milliseconds.
+/// Current Unix time in milliseconds.
 pub fn now_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// How a plan is made and where it goes.
+/// Options of the commands that create a plan.
 #[derive(clap::Args)]
-pub struct Made {
-    /// Where the plan is written; without it nothing can be applied.
+pub struct PlanArgs {
+    /// File to write the plan to; without it the plan is only shown.
     #[arg(short, long, value_name = "FILE")]
     pub out: Option<PathBuf>,
-    /// What the fleet carries now (TOML), for the risks' figures.
+    /// Current load of the fleet (TOML), for the figures of the risks.
     #[arg(long, value_name = "FILE")]
     pub load: Option<PathBuf>,
-    /// Why, for the history.
+    /// Reason, for the history.
     #[arg(long, default_value = "", value_name = "TEXT")]
     pub reason: String,
-    /// Parts of the proxies that get the change one after the other, such as 10%,50%: the rest follows.
-    #[arg(long, value_name = "PARTS", value_delimiter = ',', value_parser = part)]
+    /// Cumulative shares of the proxies that receive the change in stages, such as 10%,50%; 100% is added as the last one.
+    #[arg(long, value_name = "PARTS", value_delimiter = ',', value_parser = parse_share)]
     pub stages: Vec<u32>,
-    /// Least time between two stages.
+    /// Minimum time between two stages.
     #[arg(long, value_name = "TIME", default_value = "30s", value_parser = humantime::parse_duration)]
     pub pause: Duration,
-    /// For how long the plan may be applied.
+    /// How long the plan can be applied.
     #[arg(long, value_name = "TIME", default_value = "1h", value_parser = humantime::parse_duration)]
     pub life: Duration,
-    /// As JSON.
+    /// Print JSON.
     #[arg(long)]
     pub json: bool,
 }
 
-/// A part of the proxies, in 10,000.
-fn part(text: &str) -> Result<u32, String> {
+/// Parses a share of the proxies, such as `10%`, into units of 0.01%.
+fn parse_share(text: &str) -> Result<u32, String> {
     let number = text.strip_suffix('%').and_then(|number| number.parse::<f64>().ok());
-    let part = number.map(|number| (number * 100.0).round()).filter(|part| (1.0..=10_000.0).contains(part));
-    part.map(|part| part as u32).ok_or_else(|| format!("`{text}` is no part: 0.01% to 100%"))
+    let share =
+        number.map(|number| (number * 100.0).round()).filter(|share| (1.0..=10_000.0).contains(share));
+    share
+        .map(|share| share as u32)
+        .ok_or_else(|| format!("`{text}` is not a percentage between 0.01% and 100%"))
 }
 
-/// A random number that no other command has.
-pub fn random() -> String {
-    let one = || RandomState::new().hash_one(now_ms());
-    format!("{:016x}{:016x}", one(), one())
+/// A unique random id: 128 bits in hexadecimal.
+pub fn random_id() -> String {
+    let half = || RandomState::new().hash_one(now_ms());
+    format!("{:016x}{:016x}", half(), half())
 }
 
-/// Prints what other programs read.
+/// Prints a value as JSON.
 pub fn print_json(value: &impl serde::Serialize) {
-    // Fails only for maps with keys that are no text, which nothing here has.
+    // Fails only for maps with non-string keys, which no printed value has.
     anstream::println!("{}", serde_json::to_string_pretty(value).unwrap_or_default());
 }
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, and the exit code of each.
+//! Errors of the commands, and their exit codes.
 
 use runtrack_plan::{ApplyError, PlanError};
 use runtrack_store::StoreError;
@@ -6,43 +6,43 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a command did not do what it was asked.
+/// Why a command failed.
 #[derive(Debug, Error)]
 pub enum Failure {
     /// A file can't be read or written.
     #[error("{}: {error}", file.display())]
     File {
-        /// Which.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// A fleet's file is wrong: every problem with its place.
+    /// A fleet file is invalid; lists every problem with its position.
     #[error("{0}")]
     Fleet(String),
     /// A plan file can't be used.
     #[error("{}: {problem}", file.display())]
     Plan {
-        /// Which.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Why the plan was refused.
         problem: PlanError,
     },
     /// A plan can't be applied.
     #[error(transparent)]
     Apply(#[from] ApplyError),
-    /// There is no state in the folder.
-    #[error("{}: there is no state here: make one with `runtrackctl init`", .0.display())]
+    /// The folder contains no state.
+    #[error("{}: no state found: create one with `runtrackctl init`", .0.display())]
     NoState(PathBuf),
-    /// Something that the command line asks makes no sense here.
+    /// The command line is invalid, or doesn't apply to this state.
     #[error("{0}")]
     Usage(String),
-    /// The control service does not answer, or not as expected.
+    /// The control service does not respond, or not as expected.
     #[error("{at}: {problem}")]
     Service {
-        /// Its address.
+        /// Address of the service.
         at: String,
-        /// What is wrong.
+        /// Description of the problem.
         problem: String,
     },
 }
@@ -54,13 +54,13 @@
 }
 
 impl Failure {
-    /// `map_err` for what the system says of a file.
+    /// Returns a function for `map_err` that turns an I/O error on a file into a `Failure`.
     pub fn file(file: &Path) -> impl FnOnce(io::Error) -> Failure {
         let file = file.to_owned();
         |error| Failure::File { file, error }
     }
 
-    /// The exit code, as the operators' page lists them.
+    /// Exit code, as documented for operators.
     pub fn code(&self) -> u8 {
         match self {
             Failure::File { .. } | Failure::Fleet(_) | Failure::Usage(_) | Failure::NoState(_) => 1,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `runtrackctl`: what a person types to change a fleet: plan, look, apply, and back.
+//! `runtrackctl`: the command line for planning, reviewing, applying and rolling back changes of a fleet.
 
 mod cluster;
 mod common;
@@ -13,127 +13,127 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Plan changes of a fleet, see what they risk, apply exactly that, and go back.
+/// Plan changes of a fleet, review their risks, apply them and roll them back.
 #[derive(Parser)]
-#[command(name = "runtrackctl", version, about, after_help = CODES)]
+#[command(name = "runtrackctl", version, about, after_help = EXIT_CODES_HELP)]
 struct Cli {
-    /// The state's folder.
+    /// Folder of the state.
     #[arg(long, global = true, env = "RUNTRACK_STATE", default_value = "state", value_name = "FOLDER")]
     state: PathBuf,
-    /// The admin addresses of a cluster's instances, in place of a folder: any of them will do.
+    /// Admin addresses of the cluster's instances, instead of a folder. One is enough.
     #[arg(long, global = true, env = "RUNTRACK_CLUSTER", value_delimiter = ',', value_name = "ADDRESSES")]
     cluster: Vec<String>,
-    /// Who is acting, for the history.
+    /// Author of the changes, for the history.
     #[arg(long, global = true, env = "USER", default_value = "unknown", value_name = "NAME")]
     author: String,
     #[command(subcommand)]
     command: Command,
 }
 
-const CODES: &str = "\
-Exit codes: 0 done; 1 a file or the command line is wrong; 2 `plan --detailed-exitcode` found changes;
-3 the control service does not answer, or a cluster has no majority; 10 the plan is damaged or does not fit; 11 the state has moved;
-12 the plan is another state's; 13 the plan is too old, or a clock is wrong; 14 a high risk is not accepted;
-15 somebody else is writing; 16 the state is damaged or its disk fails.";
+const EXIT_CODES_HELP: &str = "\
+Exit codes: 0 done; 1 a file or the command line is invalid; 2 `plan --detailed-exitcode` found changes;
+3 the control service does not respond, or a cluster has no majority; 10 the plan is damaged or inconsistent; 11 the state has moved;
+12 the plan is for another state; 13 the plan has expired, or a clock is wrong; 14 a high risk is not accepted;
+15 another writer holds the lock; 16 the state is damaged or its disk fails.";
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check a fleet's file; print every problem with its place, or the fleet's hash.
+    /// Validate a fleet file; print every problem with its position, or the hash of the fleet.
     Validate {
-        /// The fleet's file (TOML).
+        /// The fleet file (TOML).
         file: PathBuf,
     },
-    /// Make an empty state.
+    /// Create an empty state.
     Init,
-    /// Say exactly what a fleet's file would change, and what that risks.
+    /// Show what a fleet file would change, and the risks of the change.
     Plan {
         /// The wanted fleet (TOML).
         file: PathBuf,
         #[command(flatten)]
-        made: common::Made,
-        /// Exit with 2 where there is something to change.
+        args: common::PlanArgs,
+        /// Exit with 2 if there are changes.
         #[arg(long)]
         detailed_exitcode: bool,
     },
     /// Show a plan file.
     Show {
-        /// The plan.
+        /// The plan file.
         plan: PathBuf,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Do what a plan says, and nothing else.
+    /// Apply a plan.
     Apply {
-        /// The plan.
+        /// The plan file.
         plan: PathBuf,
-        /// A high risk that is taken, by its id; once for each.
+        /// Id of a high risk to accept; repeat for each one.
         #[arg(long, value_name = "ID")]
         accept_risk: Vec<String>,
-        /// The control service's admin address, or the path of its socket: wait until every proxy has acknowledged.
+        /// Wait until every proxy has acknowledged the change: the control service's admin address, or the path of its socket.
         #[arg(long, value_name = "ADDRESS")]
         wait: Option<String>,
-        /// For how long to wait for that.
+        /// Maximum time to wait.
         #[arg(long, value_name = "TIME", default_value = "30s", value_parser = humantime::parse_duration)]
         wait_most: Duration,
     },
-    /// List the versions that are kept, the newest first.
+    /// List the versions that are kept, newest first.
     History {
-        /// From a cluster: as a majority has it now, at the price of a round.
+        /// Read from a majority of the cluster, which costs a round trip between its members.
         #[arg(long)]
         consistent: bool,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Plan the way back to an earlier version; apply it like any other plan.
+    /// Plan a change back to an earlier version, to be applied like any other plan.
     Rollback {
-        /// The version.
+        /// Serial of the version.
         serial: u64,
         #[command(flatten)]
-        made: common::Made,
+        args: common::PlanArgs,
     },
-    /// Finish a roll-out in stages, either way.
+    /// Resume or abort a staged roll-out.
     #[command(subcommand)]
     Rollout(Rollout),
-    /// Several instances as one: make a cluster, change its members, see how it stands.
+    /// Create a cluster of control instances, change its members, show its status.
     #[command(subcommand)]
-    Cluster(cluster::Ask),
-    /// Have an endpoint get nothing new, whatever discovery says of it, or no longer.
+    Cluster(cluster::Action),
+    /// Hold an endpoint, so that it receives no new requests whatever discovery reports, or release it.
     Hold {
-        /// The pool.
+        /// Name of the pool.
         pool: String,
-        /// The endpoint's name.
+        /// Name of the endpoint.
         endpoint: String,
-        /// Let it get requests again.
+        /// Release the endpoint, so that it receives requests again.
         #[arg(long)]
         release: bool,
-        /// Why, for the history.
+        /// Reason, for the history.
         #[arg(long, default_value = "", value_name = "TEXT")]
         reason: String,
     },
-    /// Look at the state itself.
+    /// Show, export or import the state.
     #[command(subcommand)]
     State(State),
-    /// Ask a running control service how it stands.
+    /// Show the status of a running control service.
     Status {
-        /// Its admin address, or the path of its socket.
+        /// The service's admin address, or the path of its socket.
         #[arg(long, env = "RUNTRACK_ADMIN", default_value = "./control.sock", value_name = "ADDRESS")]
         admin: String,
-        /// All that it says, as JSON.
+        /// Print the complete status as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Follow a control service until every proxy has what it serves.
+    /// Watch a control service until every proxy has received what it serves.
     Watch {
-        /// Its admin address, or the path of its socket.
+        /// The service's admin address, or the path of its socket.
         #[arg(long, env = "RUNTRACK_ADMIN", default_value = "./control.sock", value_name = "ADDRESS")]
         admin: String,
-        /// For how long.
+        /// Maximum time to wait.
         #[arg(long, value_name = "TIME", default_value = "30s", value_parser = humantime::parse_duration)]
         most: Duration,
     },
-    /// Print completions for a shell.
+    /// Print shell completions.
     Completions {
         /// The shell.
         shell: Shell,
@@ -144,32 +144,32 @@
 
 #[derive(Subcommand)]
 enum Rollout {
-    /// Go on with one that has halted.
+    /// Resume a roll-out that has halted.
     Resume {
         /// The control service's admin address, or the path of its socket.
         #[arg(long, env = "RUNTRACK_ADMIN", default_value = "./control.sock", value_name = "ADDRESS")]
         admin: String,
     },
-    /// Go back to the version before, for all proxies at once.
+    /// Return to the previous version, for all proxies at once.
     Abort,
 }
 
 #[derive(Subcommand)]
 enum State {
-    /// The current version, or an earlier one.
+    /// Show the current version, or an earlier one.
     Show {
-        /// Which.
+        /// Serial of the version; by default the current one.
         serial: Option<u64>,
     },
-    /// Write a version's fleet in its canonical form (JSON).
+    /// Export the fleet of a version in its canonical form (JSON).
     Export {
-        /// Which; without it the current one.
+        /// Serial of the version; by default the current one.
         serial: Option<u64>,
-        /// Where to; without it to standard output.
+        /// Output file; by default standard output.
         #[arg(short, long, value_name = "FILE")]
         out: Option<PathBuf>,
     },
-    /// Make an exported fleet the first version of an empty state.
+    /// Import an exported fleet as the first version of an empty state.
     Import {
         /// The exported fleet (JSON).
         file: PathBuf,
@@ -179,32 +179,32 @@
 fn main() -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
-        Err(problem) => {
-            let _ = problem.print();
-            // 2 is taken: `plan --detailed-exitcode` says by it that there are changes.
-            return if problem.use_stderr() { ExitCode::FAILURE } else { ExitCode::SUCCESS };
+        Err(error) => {
+            let _ = error.print();
+            // Not 2, which clap would use: with `plan --detailed-exitcode` it means that there are changes.
+            return if error.use_stderr() { ExitCode::FAILURE } else { ExitCode::SUCCESS };
         }
     };
-    let place = common::Place { folder: cli.state, cluster: cli.cluster, author: cli.author };
-    let done = match cli.command {
+    let context = common::Context { folder: cli.state, cluster: cli.cluster, author: cli.author };
+    let result = match cli.command {
         Command::Validate { file } => run::validate(&file),
-        Command::Init => place.init(),
-        Command::Plan { file, made, detailed_exitcode } => place.plan(&file, &made, detailed_exitcode),
+        Command::Init => context.init(),
+        Command::Plan { file, args, detailed_exitcode } => context.plan(&file, &args, detailed_exitcode),
         Command::Show { plan, json } => run::show(&plan, json),
         Command::Apply { plan, accept_risk, wait, wait_most } => {
-            place.apply(&plan, accept_risk, wait.map(|at| (at, wait_most)))
+            context.apply(&plan, accept_risk, wait.map(|address| (address, wait_most)))
         }
-        Command::History { json, consistent } => place.history(json, consistent),
-        Command::Rollback { serial, made } => place.rollback(serial, &made),
+        Command::History { json, consistent } => context.history(json, consistent),
+        Command::Rollback { serial, args } => context.rollback(serial, &args),
         Command::Rollout(Rollout::Resume { admin }) => service::resume(&admin),
-        Command::Rollout(Rollout::Abort) => place.abort(),
-        Command::Cluster(ask) => cluster::run(ask, &place),
+        Command::Rollout(Rollout::Abort) => context.abort(),
+        Command::Cluster(command) => cluster::run(command, &context),
         Command::Hold { pool, endpoint, release, reason } => {
-            cluster::hold(&place, &pool, &endpoint, !release, &reason)
+            cluster::hold(&context, &pool, &endpoint, !release, &reason)
         }
-        Command::State(State::Show { serial }) => place.state(serial),
-        Command::State(State::Export { serial, out }) => place.export(serial, out.as_deref()),
-        Command::State(State::Import { file }) => place.import(&file),
+        Command::State(State::Show { serial }) => context.state(serial),
+        Command::State(State::Export { serial, out }) => context.export(serial, out.as_deref()),
+        Command::State(State::Import { file }) => context.import(&file),
         Command::Status { admin, json } => service::status(&admin, json),
         Command::Watch { admin, most } => service::watch(&admin, None, most),
         Command::Completions { shell } => {
@@ -216,7 +216,7 @@
             page.map(|()| 0).map_err(failure::Failure::file("standard output".as_ref()))
         }
     };
-    match done {
+    match result {
         Ok(code) => ExitCode::from(code),
         Err(failure) => {
             anstream::eprintln!("{failure}");
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,7 +1,7 @@
-//! The commands on files and on a state's folder.
+//! Commands on fleet files, plan files and a state.
 
 use crate::cluster::Cluster;
-use crate::common::{Done, Made, Place, now_ms, print_json, random};
+use crate::common::{CommandResult, Context, PlanArgs, now_ms, print_json, random_id};
 use crate::failure::Failure;
 use crate::{service, show};
 use runtrack_model::Fleet;
@@ -11,27 +11,27 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// All proxies, in 10,000.
-const ALL: u32 = 10_000;
-/// `plan --detailed-exitcode` has found changes.
-const CHANGES: u8 = 2;
+/// Share of all proxies, in units of 0.01%.
+const ALL_PROXIES: u32 = 10_000;
+/// Exit code of `plan --detailed-exitcode` if there are changes.
+const CHANGES_FOUND: u8 = 2;
 
-fn read(file: &Path) -> Result<String, Failure> {
+fn read_text(file: &Path) -> Result<String, Failure> {
     std::fs::read_to_string(file).map_err(Failure::file(file))
 }
 
-/// A fleet from its file.
-fn fleet(file: &Path) -> Result<Fleet, Failure> {
-    Fleet::read(&read(file)?).map_err(|problems| {
+/// Reads a fleet file.
+fn read_fleet(file: &Path) -> Result<Fleet, Failure> {
+    Fleet::read(&read_text(file)?).map_err(|problems| {
         let lines: Vec<String> =
             problems.to_string().lines().map(|line| format!("{}:{line}", file.display())).collect();
         Failure::Fleet(lines.join("\n"))
     })
 }
 
-fn load(file: Option<&Path>) -> Result<Load, Failure> {
+fn read_load(file: Option<&Path>) -> Result<Load, Failure> {
     let Some(file) = file else { return Ok(Load::default()) };
-    toml::from_str(&read(file)?).map_err(|e| Failure::Fleet(format!("{}: {e}", file.display())))
+    toml::from_str(&read_text(file)?).map_err(|e| Failure::Fleet(format!("{}: {e}", file.display())))
 }
 
 fn read_plan(file: &Path) -> Result<Plan, Failure> {
@@ -39,14 +39,14 @@
     Plan::from_bytes(&bytes).map_err(|problem| Failure::Plan { file: file.to_owned(), problem })
 }
 
-/// `validate`.
-pub fn validate(file: &Path) -> Done {
-    println!("{}", fleet(file)?.hash());
+/// Runs `validate`.
+pub fn validate(file: &Path) -> CommandResult {
+    println!("{}", read_fleet(file)?.hash());
     Ok(0)
 }
 
-/// `show`.
-pub fn show(file: &Path, json: bool) -> Done {
+/// Runs `show`.
+pub fn show(file: &Path, json: bool) -> CommandResult {
     let plan = read_plan(file)?;
     match json {
         true => print_json(&plan),
@@ -55,7 +55,7 @@
     Ok(0)
 }
 
-impl Place {
+impl Context {
     fn folder(&self) -> Result<Folder, Failure> {
         if !self.folder.is_dir() {
             return Err(Failure::NoState(self.folder.clone()));
@@ -71,39 +71,39 @@
         Ok(Box::new(store))
     }
 
-    /// The right to write, and the state as it is once nobody else writes. In a cluster the log decides who comes first.
+    /// Acquires the write lock, then opens the state. A cluster needs no lock: its log orders concurrent writes.
     fn open_locked(&self) -> Result<(Option<Lock>, Box<dyn VersionStore>), Failure> {
         if !self.cluster.is_empty() {
             return Ok((None, Box::new(Cluster::new(&self.cluster).versions(true)?)));
         }
-        let _ = self.folder()?; // says better than the lock that there is none
+        let _ = self.folder()?; // for a clearer error than that of the lock if there is no state
         let lock =
             Lock::acquire(&self.folder, &format!("{}, process {}", self.author, std::process::id()))?;
         Ok((Some(lock), self.open()?))
     }
 
-    /// `init`.
-    pub fn init(&self) -> Done {
+    /// Runs `init`.
+    pub fn init(&self) -> CommandResult {
         let folder = Folder::new(&self.folder).map_err(Failure::file(&self.folder))?;
         let _lock = Lock::acquire(&self.folder, &self.author)?;
-        let store = Store::open_or_create(folder, &random())?;
+        let store = Store::open_or_create(folder, &random_id())?;
         println!("{}: lineage {}, serial {}", self.folder.display(), store.lineage(), store.serial());
         Ok(0)
     }
 
-    fn make(
+    fn create_plan(
         &self,
         store: &dyn VersionStore,
         to: &Fleet,
         reason: &str,
-        made: &Made,
+        args: &PlanArgs,
     ) -> Result<Plan, Failure> {
         let from = fleet_at(store, store.serial())?;
-        let load = load(made.load.as_deref())?;
-        // All proxies are the last stage, said or not.
-        let mut stages = made.stages.clone();
-        if !stages.is_empty() && stages.last() != Some(&ALL) {
-            stages.push(ALL);
+        let load = read_load(args.load.as_deref())?;
+        // The last stage is always all proxies.
+        let mut stages = args.stages.clone();
+        if !stages.is_empty() && stages.last() != Some(&ALL_PROXIES) {
+            stages.push(ALL_PROXIES);
         }
         if stages.windows(2).any(|pair| pair[0] >= pair[1]) {
             return Err(Failure::Usage("--stages: each must be larger than the one before".to_owned()));
@@ -112,7 +112,7 @@
             author: &self.author,
             reason,
             now_ms: now_ms(),
-            lifetime_ms: u64::try_from(made.life.as_millis()).unwrap_or(u64::MAX),
+            lifetime_ms: u64::try_from(args.life.as_millis()).unwrap_or(u64::MAX),
             lineage: store.lineage(),
             base: store.current(),
             load: &load,
@@ -120,65 +120,70 @@
             pause_ms: if stages.is_empty() {
                 0
             } else {
-                u64::try_from(made.pause.as_millis()).unwrap_or(u64::MAX)
+                u64::try_from(args.pause.as_millis()).unwrap_or(u64::MAX)
             },
         };
         let plan = Plan::new(request, &from, to);
-        if let Some(out) = &made.out {
+        if let Some(out) = &args.out {
             std::fs::write(out, plan.to_bytes()).map_err(Failure::file(out))?;
         }
-        match made.json {
+        match args.json {
             true => print_json(&plan),
             false => anstream::print!("{}", show::plan(&plan)),
         }
         Ok(plan)
     }
 
-    /// `plan`.
-    pub fn plan(&self, file: &Path, made: &Made, detailed: bool) -> Done {
-        let to = fleet(file)?;
-        let plan = self.make(&*self.open()?, &to, &made.reason, made)?;
-        Ok(if detailed && !plan.steps.is_empty() { CHANGES } else { 0 })
+    /// Runs `plan`.
+    pub fn plan(&self, file: &Path, args: &PlanArgs, detailed: bool) -> CommandResult {
+        let to = read_fleet(file)?;
+        let plan = self.create_plan(&*self.open()?, &to, &args.reason, args)?;
+        Ok(if detailed && !plan.steps.is_empty() { CHANGES_FOUND } else { 0 })
     }
 
-    /// `rollback`.
-    pub fn rollback(&self, serial: u64, made: &Made) -> Done {
+    /// Runs `rollback`.
+    pub fn rollback(&self, serial: u64, args: &PlanArgs) -> CommandResult {
         let store = self.open()?;
         let to = fleet_at(&*store, serial)?;
-        let reason = match made.reason.is_empty() {
+        let reason = match args.reason.is_empty() {
             true => format!("back to serial {serial}"),
-            false => made.reason.clone(),
+            false => args.reason.clone(),
         };
-        self.make(&*store, &to, &reason, made)?;
+        self.create_plan(&*store, &to, &reason, args)?;
         Ok(0)
     }
 
-    /// `apply`.
-    pub fn apply(&self, file: &Path, accepted: Vec<String>, wait: Option<(String, Duration)>) -> Done {
+    /// Runs `apply`.
+    pub fn apply(
+        &self,
+        file: &Path,
+        accepted: Vec<String>,
+        wait: Option<(String, Duration)>,
+    ) -> CommandResult {
         let plan = read_plan(file)?;
         let accepted: BTreeSet<String> = accepted.into_iter().collect();
-        let done = {
+        let applied = {
             let (_lock, mut store) = self.open_locked()?;
             apply(&mut *store, &plan, &accepted, &self.author, now_ms())?
         };
-        match done {
+        match applied {
             Applied::Committed(serial) => println!("applied as serial {serial}: {}", plan.summary()),
             Applied::AlreadyApplied(serial) => {
                 println!("this plan was applied before, as serial {serial}: nothing done")
             }
         }
         match wait {
-            Some((at, most)) => service::watch(&at, Some(&plan.desired_hash), most),
+            Some((address, most)) => service::watch(&address, Some(&plan.desired_hash), most),
             None => Ok(0),
         }
     }
 
-    /// `rollout abort`.
-    pub fn abort(&self) -> Done {
+    /// Runs `rollout abort`.
+    pub fn abort(&self) -> CommandResult {
         let (_lock, mut store) = self.open_locked()?;
         let Some(version) = store.current().cloned().filter(|version| !version.stages.is_empty()) else {
-            let what = "the current version is not handed out in stages: plan a rollback instead";
-            return Err(Failure::Usage(what.to_owned()));
+            let problem = "the current version has no staged roll-out: plan a rollback instead";
+            return Err(Failure::Usage(problem.to_owned()));
         };
         let before = fleet_at(&*store, version.serial - 1)?;
         let reason = format!("abort of serial {}", version.serial);
@@ -190,13 +195,13 @@
         Ok(0)
     }
 
-    /// `history`.
-    pub fn history(&self, json: bool, consistent: bool) -> Done {
+    /// Runs `history`.
+    pub fn history(&self, json: bool, consistent: bool) -> CommandResult {
         let store: Box<dyn VersionStore> = match self.cluster.is_empty() {
             true => self.open()?,
             false => {
                 let versions = Cluster::new(&self.cluster).versions(consistent)?;
-                // Of two words of a cluster the older one may be shown: people see how old it is.
+                // An instance may lag behind the others, so the age of its response is shown.
                 anstream::eprintln!("{}", versions.age());
                 Box::new(versions)
             }
@@ -208,8 +213,8 @@
         Ok(0)
     }
 
-    /// `state show`.
-    pub fn state(&self, serial: Option<u64>) -> Done {
+    /// Runs `state show`.
+    pub fn state(&self, serial: Option<u64>) -> CommandResult {
         let store = self.open()?;
         let serial = serial.unwrap_or(store.serial());
         let fleet = fleet_at(&*store, serial)?;
@@ -226,8 +231,8 @@
         Ok(0)
     }
 
-    /// `state export`.
-    pub fn export(&self, serial: Option<u64>, out: Option<&Path>) -> Done {
+    /// Runs `state export`.
+    pub fn export(&self, serial: Option<u64>, out: Option<&Path>) -> CommandResult {
         let store = self.open()?;
         let text = fleet_at(&*store, serial.unwrap_or(store.serial()))?.canonical();
         match out {
@@ -237,15 +242,15 @@
         Ok(0)
     }
 
-    /// `state import`.
-    pub fn import(&self, file: &Path) -> Done {
-        let fleet = Fleet::from_canonical(&read(file)?)
+    /// Runs `state import`.
+    pub fn import(&self, file: &Path) -> CommandResult {
+        let fleet = Fleet::from_canonical(&read_text(file)?)
             .map_err(|problem| Failure::Fleet(format!("{}: {problem}", file.display())))?;
         let (_lock, mut store) = self.open_locked()?;
         if store.serial() > 0 {
-            let what =
-                format!("the state has serial {} already: changes go by plan and apply", store.serial());
-            return Err(Failure::Usage(what));
+            let problem =
+                format!("the state already has serial {}: use plan and apply to change it", store.serial());
+            return Err(Failure::Usage(problem));
         }
         let reason = format!("imported from {}", file.display());
         let entry =
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,4 +1,4 @@
-//! Plans, histories and times, as people read them.
+//! Human-readable output of plans and histories.
 
 use anstyle::{AnsiColor, Style};
 use runtrack_model::Severity;
@@ -11,76 +11,80 @@
 
 const ADD: Style = AnsiColor::Green.on_default();
 const CHANGE: Style = AnsiColor::Yellow.on_default();
-const GO: Style = AnsiColor::Red.on_default();
-const HEAD: Style = Style::new().bold();
+const DELETE: Style = AnsiColor::Red.on_default();
+const HEADING: Style = Style::new().bold();
 
-/// Fields that hold microseconds.
-const TIMES: [&str; 7] =
+/// Fields that hold durations, in microseconds.
+const DURATION_FIELDS: [&str; 7] =
     ["connect_timeout", "deadline", "drain_grace", "objective", "panic_hold", "warm_within", "window"];
 
-/// A field's value: times with their unit, the rest as in JSON.
-fn value(field: &str, value: &Value) -> String {
+/// Formats the value of a field: durations with their unit, other values as JSON.
+fn format_value(field: &str, value: &Value) -> String {
     match value {
         Value::Null => "(none)".to_owned(),
-        Value::Number(n) if TIMES.contains(&field) => match n.as_u64() {
+        Value::Number(n) if DURATION_FIELDS.contains(&field) => match n.as_u64() {
             Some(micros) => humantime::format_duration(Duration::from_micros(micros)).to_string(),
             None => n.to_string(),
         },
         Value::Object(map) if field == "semantics" => {
-            let parts: Vec<String> =
-                map.iter().map(|(kind, of)| format!("{kind} {}", fields_inline(of))).collect();
-            parts.join(", ")
+            let shares: Vec<String> =
+                map.iter().map(|(kind, of)| format!("{kind} {}", format_inline(of))).collect();
+            shares.join(", ")
         }
         other => other.to_string(),
     }
 }
 
-fn fields_inline(of: &Value) -> String {
+fn format_inline(of: &Value) -> String {
     let Value::Object(map) = of else { return of.to_string() };
-    let parts: Vec<String> =
-        map.iter().map(|(name, held)| format!("{name} {}", value(name, held))).collect();
-    parts.join(", ")
+    let shares: Vec<String> =
+        map.iter().map(|(name, value)| format!("{name} {}", format_value(name, value))).collect();
+    shares.join(", ")
 }
 
-fn whole(out: &mut String, fields: &Fields) {
-    for (name, held) in fields {
-        let _ = writeln!(out, "      {name} = {}", value(name, held));
+fn write_fields(out: &mut String, fields: &Fields) {
+    for (name, value) in fields {
+        let _ = writeln!(out, "      {name} = {}", format_value(name, value));
     }
 }
 
-fn edits(out: &mut String, fields: &BTreeMap<String, Edit>) {
+fn write_edits(out: &mut String, fields: &BTreeMap<String, Edit>) {
     for (name, edit) in fields {
-        let _ =
-            writeln!(out, "      {name}: {} -> {}", value(name, &edit.before), value(name, &edit.after));
+        let _ = writeln!(
+            out,
+            "      {name}: {} -> {}",
+            format_value(name, &edit.before),
+            format_value(name, &edit.after)
+        );
     }
 }
 
-/// A plan: its steps, its risks, and the line that sums it up.
+/// Formats a plan: its steps, its risks and its summary.
 pub fn plan(plan: &Plan) -> String {
     let mut out = String::new();
     for step in &plan.steps {
-        let what = step.address();
-        let (sign, style, more) = match step {
+        let address = step.address();
+        let (symbol, style, note) = match step {
             Step::Create { .. } => ("+", ADD, String::new()),
             Step::Change { .. } => ("~", CHANGE, String::new()),
-            Step::Replace { .. } => ("-/+", CHANGE, "   another one takes the name".to_owned()),
-            Step::Move { after: Some(after), .. } => (">", CHANGE, format!("   moves behind {after}")),
+            Step::Replace { .. } => ("-/+", CHANGE, "   replaced by a new one".to_owned()),
+            Step::Move { after: Some(after), .. } => (">", CHANGE, format!("   moves after {after}")),
             Step::Move { after: None, .. } => (">", CHANGE, "   moves to the front".to_owned()),
-            Step::Delete { .. } => ("-", GO, String::new()),
+            Step::Delete { .. } => ("-", DELETE, String::new()),
         };
-        let _ = writeln!(out, "{style}{sign:>3} {what}{style:#}{more}");
+        let _ = writeln!(out, "{style}{symbol:>3} {address}{style:#}{note}");
         match step {
-            Step::Create { fields, .. } => whole(&mut out, fields),
-            Step::Change { fields, .. } | Step::Replace { fields, .. } => edits(&mut out, fields),
+            Step::Create { fields, .. } => write_fields(&mut out, fields),
+            Step::Change { fields, .. } | Step::Replace { fields, .. } => write_edits(&mut out, fields),
             Step::Move { .. } | Step::Delete { .. } => {}
         }
     }
     if !plan.risks.is_empty() {
-        let _ = writeln!(out, "\n{HEAD}Risks{HEAD:#}");
+        let _ = writeln!(out, "\n{HEADING}Risks{HEADING:#}");
     }
     for risk in &plan.risks {
         let style = match risk.severity {
-            Severity::High => GO,
+            Severity::High => DELETE,
             Severity::Medium => CHANGE,
             Severity::Low => Style::new(),
         };
@@ -97,26 +101,31 @@
         serial => format!("serial {serial}"),
     };
     let _ = match plan.steps.is_empty() {
-        true => writeln!(out, "{HEAD}Nothing to change{HEAD:#}: {serial} is what is wanted."),
+        true => writeln!(out, "{HEADING}Nothing to change{HEADING:#}: {serial} is up to date."),
         false => {
-            writeln!(out, "\n{HEAD}Plan{HEAD:#}: {}.\nMade on {serial}.{}", plan.summary(), stages(plan))
+            writeln!(
+                out,
+                "\n{HEADING}Plan{HEADING:#}: {}.\nBased on {serial}.{}",
+                plan.summary(),
+                stages(plan)
+            )
         }
     };
     out
 }
 
-/// How it is handed out, where that is in stages.
+/// Formats the stages of the roll-out; empty if there are none.
 fn stages(plan: &Plan) -> String {
     if plan.stages.is_empty() {
         return String::new();
     }
-    let parts: Vec<String> =
-        plan.stages.iter().map(|part| format!("{}%", f64::from(*part) / 100.0)).collect();
+    let shares: Vec<String> =
+        plan.stages.iter().map(|share| format!("{}%", f64::from(*share) / 100.0)).collect();
     let pause = humantime::format_duration(Duration::from_millis(plan.pause_ms));
-    format!(" Handed out to {} of the proxies, {pause} apart at least.", parts.join(", "))
+    format!(" Rolled out to {} of the proxies, at least {pause} apart.", shares.join(", "))
 }
 
-/// Versions, the newest first.
+/// Formats versions, newest first.
 pub fn history(versions: &[Version]) -> String {
     let mut out = String::new();
     for version in versions.iter().rev() {
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests and the measurement of kills share.
+//! Helpers for the tests and the benchmark of killed applies.
 #![allow(dead_code)]
 
 use rand_core::{RngCore, SeedableRng};
@@ -13,12 +13,12 @@
 pub const BINARY: &str = env!("CARGO_BIN_EXE_runtrackctl");
 
 pub fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("clock before 1970").as_millis() as u64
 }
 
-/// Runs the program in a folder, with `state` as the state's.
+/// Runs `runtrackctl` in a folder, with its subfolder `state` as the state.
 pub fn ctl(folder: &Path, args: &[&str]) -> Output {
-    command(folder, args).output().expect("the program starts")
+    command(folder, args).output().expect("failed to start runtrackctl")
 }
 
 pub fn command(folder: &Path, args: &[&str]) -> Command {
@@ -29,7 +29,7 @@
 }
 
 pub fn code(output: &Output) -> i32 {
-    output.status.code().expect("it ended by itself")
+    output.status.code().expect("killed by a signal")
 }
 
 pub fn out(output: &Output) -> String {
@@ -40,7 +40,7 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// A fleet of so many pools with an endpoint each, all with this limit, and a route to each.
+/// A fleet file with a number of pools with one endpoint each, all with the same request limit, and a route to each.
 pub fn fleet(pools: usize, limit: u32) -> String {
     let mut text = "[[class]]\nname = \"c\"\nsemantics = \"unsafe\"\ndeadline = \"1s\"\n".to_owned();
     for n in 0..pools {
@@ -59,17 +59,18 @@
 }
 
 pub fn open(folder: &Path) -> Store<Folder> {
-    let files = Folder::new(&folder.join("state")).expect("a folder");
-    Store::open(files).expect("readable at any time").expect("a state")
+    let files = Folder::new(&folder.join("state")).expect("failed to open the folder");
+    Store::open(files).expect("the state is not readable").expect("no state")
 }
 
-/// Kills so many applies at random times; gives how many had committed, and how many states were neither the old one
-/// nor the new one.
-pub fn kills(folder: &Path, rounds: usize, pools: usize, seed: u64) -> (usize, usize) {
-    let mut draws = Pcg32::seed_from_u64(seed);
+/// Kills `rounds` applies at random times. Returns how many had committed, and how many left a state that was neither
+/// the old nor the new one.
+pub fn kill_applies(folder: &Path, rounds: usize, pools: usize, seed: u64) -> (usize, usize) {
+    let mut random = Pcg32::seed_from_u64(seed);
     assert_eq!(code(&ctl(folder, &["init"])), 0);
-    let fleets = [fleet(pools, 100), fleet(pools, 200)].map(|text| Fleet::read(&text).expect("a fleet"));
-    let plan = |which: usize| {
+    let fleets = [fleet(pools, 100), fleet(pools, 200)]
+        .map(|text| Fleet::read(&text).expect("failed to read the fleet"));
+    let plan = |index: usize| {
         let store = open(folder);
         let request = PlanRequest {
             author: "nok",
@@ -82,37 +83,41 @@
             stages: &[],
             pause_ms: 0,
         };
-        let plan = Plan::new(request, &fleet_at(&store, store.serial()).expect("a fleet"), &fleets[which]);
-        std::fs::write(folder.join("plan"), plan.to_bytes()).expect("a plan");
+        let plan = Plan::new(
+            request,
+            &fleet_at(&store, store.serial()).expect("failed to read the fleet"),
+            &fleets[index],
+        );
+        std::fs::write(folder.join("plan"), plan.to_bytes()).expect("failed to write the plan");
     };
     plan(0);
-    let began = Instant::now();
-    let first = ctl(folder, &["apply", "plan"]);
-    assert_eq!(code(&first), 0, "{}", err(&first));
-    // Spread over somewhat more than a whole run, so that every part of it is hit.
-    let span = began.elapsed().as_micros() as u64 * 5 / 4;
-    let (mut committed, mut mixes, mut is) = (0, 0, 0);
+    let started_at = Instant::now();
+    let first_apply = ctl(folder, &["apply", "plan"]);
+    assert_eq!(code(&first_apply), 0, "{}", err(&first_apply));
+    // Kill times are spread over slightly more than a complete run, so that every part of it is covered.
+    let max_delay_us = started_at.elapsed().as_micros() as u64 * 5 / 4;
+    let (mut committed, mut inconsistent, mut current) = (0, 0, 0);
     for _ in 0..rounds {
         let before = open(folder).serial();
-        plan(1 - is);
+        plan(1 - current);
         let mut child = command(folder, &["apply", "plan"])
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("the program starts");
-        std::thread::sleep(Duration::from_micros(u64::from(draws.next_u32()) % span));
+            .expect("failed to start runtrackctl");
+        std::thread::sleep(Duration::from_micros(u64::from(random.next_u32()) % max_delay_us));
         let _ = child.kill();
         let _ = child.wait();
         let store = open(folder);
         let found = fleet_at(&store, store.serial());
         match store.serial() - before {
-            0 if found.as_ref().is_ok_and(|found| *found == fleets[is]) => {}
-            1 if found.as_ref().is_ok_and(|found| *found == fleets[1 - is]) => {
+            0 if found.as_ref().is_ok_and(|found| *found == fleets[current]) => {}
+            1 if found.as_ref().is_ok_and(|found| *found == fleets[1 - current]) => {
                 committed += 1;
-                is = 1 - is;
+                current = 1 - current;
             }
-            _ => mixes += 1,
+            _ => inconsistent += 1,
         }
     }
-    (committed, mixes)
+    (committed, inconsistent)
 }
--- a/crates/cli/tests/kills.rs
+++ b/crates/cli/tests/kills.rs
@@ -1,4 +1,4 @@
-//! Hard case 1 on the real file system: an apply killed at any time leaves the old state or the new.
+//! Crash safety on a real file system: an `apply` killed at any time leaves either the old state or the new one.
 
 mod common;
 
@@ -7,7 +7,7 @@
 #[test]
 fn an_apply_killed_at_random_times_leaves_the_old_state_or_the_new() {
     let folder = Folder::new();
-    // `cargo bench -p runtrack-cli --bench kills` does 500, on larger states.
-    let (_, mixes) = common::kills(folder.path(), 40, 50, 7);
-    assert_eq!(mixes, 0);
+    // `cargo bench -p runtrack-cli --bench kills` performs 500 kills, also on larger states.
+    let (_, inconsistent) = common::kill_applies(folder.path(), 40, 50, 7);
+    assert_eq!(inconsistent, 0);
 }
--- a/crates/plan/tests/refusals.rs
+++ b/crates/plan/tests/refusals.rs
@@ -56,9 +56,8 @@
     let (from, to) = two_fleets();
     let plan = plan_on(&store_with(&from), &from, &to, "why");
     let set_key = |key: &'static str, value: Value| move |plan: &mut Value| plan[key] = value;
-    let remove_key = |key: &'static str| {
-        move |plan: &mut Value| drop(plan.as_object_mut().expect("not a map").remove(key))
-    };
+    let remove =
+        |key: &'static str| move |plan: &mut Value| drop(plan.as_object_mut().expect("no map").remove(key));
     let step = |value: Value| move |plan: &mut Value| plan["steps"][0] = value;
     let sealed = |magic: &str, format: u32, text: &str| seal::seal(magic, format, text);
     let mut cases: Vec<(&str, Vec<u8>, &str)> = vec![
@@ -90,7 +89,7 @@
         "stages",
         "pause_ms",
     ] {
-        cases.push((key, forged_file(&plan, remove_key(key)), "missing field"));
+        cases.push((key, forged_file(&plan, remove(key)), "missing field"));
     }
     let forgeries: Vec<(&str, Vec<u8>, &str)> = vec![
         ("an additional field", forged_file(&plan, set_key("note", json!("hello"))), "unknown field"),
--- a/crates/plan/tests/risks.rs
+++ b/crates/plan/tests/risks.rs
@@ -76,11 +76,7 @@
         text = text.replacen(old, new, 1);
     }
     let read = |text: &str| Fleet::read(text).unwrap_or_else(|problems| panic!("{problems}"));
-    assess_risks(
-        &read(FLEET),
-        &read(&text),
-        RiskContext { load, applied_at_ms: NOW - age_ms, now_ms: NOW },
-    )
+    assess_risks(&read(FLEET), &read(&text), RiskContext { load, applied_at_ms: NOW - age_ms, now_ms: NOW })
 }
 
 fn risks_of(edits: &[(&str, &str)]) -> Vec<Risk> {
