--- a/crates/config_delta/src/chunk.rs
+++ b/crates/config_delta/src/chunk.rs
@@ -1,4 +1,4 @@
-//! Where a body is divided.
+//! Division of a body into chunks, and digests.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
@@ -16,13 +16,13 @@
     }
 }
 
-/// A part of a body: an item of a list, with what stands between it and the item before.
+/// A part of a body: an item of a list, with the bytes between it and the previous item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Chunk {
     /// Its length in bytes.
     pub length: usize,
-    /// Digest of its bytes. Two chunks with the same one are taken to be equal; the digest of the whole body finds out
-    /// where they are not.
+    /// Digest of its bytes. Two chunks with the same digest are assumed to be equal; the digest of the whole body
+    /// detects collisions.
     pub digest: u64,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Follows the nesting of JSON. Bytes that are no JSON are divided somehow, which does no harm.
+/// Tracks the nesting of JSON. Other bytes are divided at arbitrary positions, which is harmless.
 struct Scanner {
     depth: usize,
     in_string: bool,
@@ -40,7 +40,7 @@
 }
 
 impl Scanner {
-    /// Takes the next byte; returns whether an item of a list ends with it.
+    /// Processes the next byte; returns whether an item of a list ends with it.
     fn ends_item(&mut self, byte: u8) -> bool {
         if self.in_string {
             self.in_string = self.escaped || byte != b'"';
@@ -65,7 +65,7 @@
     split(body, 0)
 }
 
-/// The chunks of a part of a body that begins behind an item.
+/// The chunks of a part of a body that begins after an item.
 pub(crate) fn split_items(part: &[u8]) -> Vec<Chunk> {
     split(part, ITEM_DEPTH)
 }
@@ -73,15 +73,15 @@
 fn split(bytes: &[u8], depth: usize) -> Vec<Chunk> {
     let mut scanner = Scanner { depth, in_string: false, escaped: false };
     let mut chunks = Vec::new();
-    let mut begin = 0;
-    for (at, byte) in bytes.iter().enumerate() {
+    let mut start = 0;
+    for (index, byte) in bytes.iter().enumerate() {
         if scanner.ends_item(*byte) {
-            chunks.push(Chunk::of(&bytes[begin..=at]));
-            begin = at + 1;
+            chunks.push(Chunk::of(&bytes[start..=index]));
+            start = index + 1;
         }
     }
-    if begin < bytes.len() {
-        chunks.push(Chunk::of(&bytes[begin..]));
+    if start < bytes.len() {
+        chunks.push(Chunk::of(&bytes[start..]));
     }
     chunks
 }
--- a/crates/config_delta/src/chunked.rs
+++ b/crates/config_delta/src/chunked.rs
@@ -1,4 +1,4 @@
-//! A body with its chunks, and the steps from one body to another.
+//! A body with its chunks, and the computation and application of deltas.
 
 use crate::chunk::{Chunk, ConfigDigest, split_body, split_items};
 use crate::compression::{compress, decompress};
@@ -7,24 +7,24 @@
 use runtrack_message::{ConfigDelta, DeltaStep, MAX_LIST};
 use std::collections::HashMap;
 
-/// Maximum size of a body that a delta may lead to, in bytes: what a frame may hold.
+/// Maximum size of the body that a delta results in, in bytes: that of a frame.
 const MAX_BODY: usize = runtrack_message::MAX_FRAME;
 
 quick_error! {
-    /// Why a delta can't be applied. The remedy is always the same: the whole body.
+    /// Why a delta can't be applied. The remedy is always to request the whole body.
     #[derive(Debug, PartialEq, Eq)]
     pub enum DeltaError {
-        /// It builds on another body than the one here.
+        /// The delta is based on a different body than the local one of this version.
         AnotherBase(version: u64) {
-            display("the delta builds on another body than the one here, of version {version}")
+            display("the delta is based on a different body than the local one of version {version}")
         }
-        /// Its steps lead outside the base or its own bytes, or its bytes can't be decompressed.
+        /// The steps refer to data outside the base or the inserted bytes, or the bytes can't be decompressed.
         Malformed {
             display("the delta is malformed")
         }
-        /// It does not lead to the body that it states.
+        /// The result differs from the body that the delta states.
         WrongResult {
-            display("the delta does not lead to the body that it states")
+            display("the delta does not result in the body that it states")
         }
     }
 }
@@ -38,7 +38,7 @@
 }
 
 impl ChunkedBody {
-    /// Divides a body.
+    /// Divides a body into chunks.
     pub fn new(body: Vec<u8>) -> Self {
         ChunkedBody { digest: ConfigDigest::of(&body), chunks: split_body(&body), body }
     }
@@ -53,14 +53,14 @@
         self.digest
     }
 
-    /// What a peer must know to compute a delta from this body.
+    /// The digests that a peer needs to compute a delta from this body.
     pub fn base_digests(&self, version: u64) -> BaseDigests {
         let chunks = self.chunks.iter().map(|chunk| chunk.digest).collect();
         BaseDigests { version, body: self.digest, chunks }
     }
 
-    /// The steps that lead from a base to this body, the configuration of `version`. Without a base, or where the steps
-    /// would be more than a message holds, all bytes are sent.
+    /// The delta from a base to this body, the configuration of `version`. Without a base, or if the delta would have more
+    /// steps than a message can hold, it contains the whole body.
     pub fn delta_from(&self, base: Option<&BaseDigests>, version: u64) -> ConfigDelta {
         let steps = base.map(|base| Steps::between(&base.chunks, &self.chunks, &self.body));
         let (steps, base) = match steps.filter(|steps| steps.steps.len() < MAX_LIST as usize) {
@@ -94,26 +94,26 @@
     }
 
     fn between(base: &[u64], chunks: &[Chunk], body: &[u8]) -> Self {
-        let mut places: HashMap<u64, u32> = HashMap::with_capacity(base.len());
-        for (at, digest) in base.iter().enumerate() {
-            places.entry(*digest).or_insert(at as u32);
+        let mut first_index: HashMap<u64, u32> = HashMap::with_capacity(base.len());
+        for (index, digest) in base.iter().enumerate() {
+            first_index.entry(*digest).or_insert(index as u32);
         }
         let mut steps = Steps::default();
-        let mut begin = 0;
+        let mut start = 0;
         for chunk in chunks {
-            let bytes = &body[begin..begin + chunk.length];
-            begin += chunk.length;
-            // The chunk behind the last copied one comes first: equal chunks then make one run, not many.
+            let bytes = &body[start..start + chunk.length];
+            start += chunk.length;
+            // The chunk after the last copied one is preferred, so that equal chunks form one run instead of many.
             let next = steps.next_copied().filter(|next| base.get(*next as usize) == Some(&chunk.digest));
-            match next.or_else(|| places.get(&chunk.digest).copied()) {
-                Some(at) => steps.copy(at),
+            match next.or_else(|| first_index.get(&chunk.digest).copied()) {
+                Some(index) => steps.copy(index),
                 None => steps.insert(bytes),
             }
         }
         steps
     }
 
-    /// The chunk of the base behind the one that was copied last.
+    /// Index of the chunk of the base after the one that was copied last.
     fn next_copied(&self) -> Option<u32> {
         self.steps.iter().rev().find_map(|step| match step {
             DeltaStep::Copy { first, count } => Some(first + count),
@@ -121,10 +121,10 @@
         })
     }
 
-    fn copy(&mut self, at: u32) {
+    fn copy(&mut self, index: u32) {
         match self.steps.last_mut() {
-            Some(DeltaStep::Copy { first, count }) if *first + *count == at => *count += 1,
-            _ => self.steps.push(DeltaStep::Copy { first: at, count: 1 }),
+            Some(DeltaStep::Copy { first, count }) if *first + *count == index => *count += 1,
+            _ => self.steps.push(DeltaStep::Copy { first: index, count: 1 }),
         }
     }
 
@@ -137,21 +137,22 @@
     }
 }
 
-/// Applies the steps of a delta to a base, or to nothing.
+/// Applies the steps of a delta to a base, which may be empty.
 struct Rebuild<'a> {
     base: &'a [u8],
     base_chunks: &'a [Chunk],
-    /// Where each chunk of the base begins.
+    /// Offset of each chunk of the base, and the end of the last one.
     offsets: Vec<usize>,
     inserted: &'a [u8],
-    /// Length that the result must not exceed.
+    /// Maximum length of the result.
     limit: usize,
     body: Vec<u8>,
     chunks: Vec<Chunk>,
 }
 
 impl ChunkedBody {
-    /// The body that a delta leads to. `base` is what is here, with its version; a delta of the whole body needs none.
+    /// The body that results from a delta. `base` is the local body with its version; a delta that contains the whole body
+    /// needs none.
     pub fn rebuild(
         base: Option<(u64, &ChunkedBody)>,
         delta: &ConfigDelta,
@@ -216,7 +217,7 @@
         let end = first.checked_add(count).filter(|end| *end <= self.base_chunks.len());
         let end = end.ok_or(DeltaError::Malformed)?;
         let bytes = &self.base[self.offsets[first]..self.offsets[end]];
-        // Copies may be repeated: the bound on the result holds here already.
+        // Copy steps may repeat chunks, so the length of the result is checked before each copy.
         if self.body.len() + bytes.len() > self.limit {
             return Err(DeltaError::WrongResult);
         }
--- a/crates/config_delta/src/compression.rs
+++ b/crates/config_delta/src/compression.rs
@@ -1,21 +1,21 @@
-//! Compression of the bytes that a delta carries. Routes repeat their fields' names: they shrink to a sixth or less.
+//! Compression of the bytes that a delta carries. Routes repeat their field names, so they compress to a sixth or less.
 
 use flate2::Compression;
 use flate2::read::{DeflateDecoder, DeflateEncoder};
 use std::io::{self, Read};
 
-/// Level of DEFLATE: the fastest one, since a member does this while others wait for it.
+/// DEFLATE level: the fastest one, since a member compresses while other processes wait for it.
 const LEVEL: Compression = Compression::fast();
 
-/// The bytes, compressed.
+/// Compresses bytes.
 pub(crate) fn compress(bytes: &[u8]) -> Vec<u8> {
     let mut compressed = Vec::with_capacity(bytes.len() / 4);
-    // Reading from memory into memory fails only where memory can't be had.
+    // Reading from memory into memory fails only if memory is exhausted.
     let _ = DeflateEncoder::new(bytes, LEVEL).read_to_end(&mut compressed);
     compressed
 }
 
-/// What was compressed, which must have exactly this length: no more than that is ever allocated.
+/// Decompresses bytes whose result must have exactly this length, which bounds the memory allocated.
 pub(crate) fn decompress(compressed: &[u8], length: usize) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::with_capacity(length);
     DeflateDecoder::new(compressed).take(length as u64 + 1).read_to_end(&mut bytes)?;
--- a/crates/config_delta/src/history.rs
+++ b/crates/config_delta/src/history.rs
@@ -1,12 +1,12 @@
-//! What a process remembers of older configurations: enough to tell those who still have one what has changed since.
+//! Digests of older configurations, kept to compute deltas for peers that still have one of them.
 
 use crate::ConfigDigest;
 use std::collections::VecDeque;
 
-/// Digests of chunks that are remembered, over all versions: 512 KiB. A version of 2,500 routes has as many.
+/// Maximum number of chunk digests kept over all versions (512 KiB). A version of 2,500 routes has 2,500 of them.
 const MAX_REMEMBERED_CHUNKS: usize = 65_536;
 
-/// What must be known of a body to compute a delta from it.
+/// Digests of a body from which a delta can be computed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BaseDigests {
     /// Version of the configuration.
@@ -17,7 +17,7 @@
     pub chunks: Vec<u64>,
 }
 
-/// Digests of the configurations before the one in force, oldest first, within a bound on their memory.
+/// Digests of the configurations before the current one, oldest first, with bounded memory.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigHistory {
     bases: VecDeque<BaseDigests>,
@@ -25,7 +25,7 @@
 }
 
 impl ConfigHistory {
-    /// Remembers a configuration that another one has replaced.
+    /// Adds a configuration that has been replaced; drops the oldest ones beyond the memory bound.
     pub fn remember(&mut self, base: BaseDigests) {
         self.chunks += base.chunks.len();
         self.bases.push_back(base);
@@ -35,7 +35,7 @@
         }
     }
 
-    /// What is remembered of a version.
+    /// The digests of a version, if they are still kept.
     pub fn base(&self, version: u64) -> Option<&BaseDigests> {
         self.bases.iter().rev().find(|base| base.version == version)
     }
--- a/crates/config_delta/src/lib.rs
+++ b/crates/config_delta/src/lib.rs
@@ -1,9 +1,10 @@
-//! Differences between two configurations, so that the bytes of a change follow the change and not the configuration.
+//! Deltas between two configurations, so that the size of an update depends on the change and not on the configuration.
 //!
-//! A body is divided into [`Chunk`]s, one for each named item of its lists. Whoever has an older body is sent the steps
-//! that lead from there to the newer one: runs of chunks that it has already, and the bytes of the others, compressed.
-//! The result is the operator's body to the byte, which its digest proves before anybody sees it; where it does not, or
-//! where the base is another one, the whole body is sent instead. No I/O and no clock.
+//! A body is divided into [`Chunk`]s, one for each named item of its lists. A peer with an older body receives the steps
+//! that turn it into the newer one: runs of chunks that it already has, and the compressed bytes of the others. The
+//! result is identical to the operator's body, which its digest verifies before the result is used. If the digest does
+//! not match, or the peer has a different base, the whole body is sent instead. The crate performs no I/O and reads no
+//! clock.
 
 mod chunk;
 mod chunked;
