--- a/crates/sim/src/fleet/command.rs
+++ b/crates/sim/src/fleet/command.rs
@@ -16,7 +16,7 @@
 
 /// The real controllers and agents, in place of the sidecar.
 #[derive(Subcommand)]
-pub enum Fleet {
+pub enum Command {
     /// Run one seed.
     Play {
         /// The seed.
@@ -73,51 +73,51 @@
     },
 }
 
-fn report(script: &Script, outcome: &Outcome, whole: bool) -> ExitCode {
-    if whole {
-        print!("{}", timeline::whole(script, &outcome.facts, &outcome.log, &outcome.breaches));
+fn report(script: &Script, outcome: &Outcome, with_timeline: bool) -> ExitCode {
+    if with_timeline {
+        print!("{}", timeline::render(script, &outcome.facts, &outcome.log, &outcome.violations));
     }
-    outcome.breaches.iter().for_each(|breach| println!("{breach}"));
+    outcome.violations.iter().for_each(|violation| println!("{violation}"));
     let facts = &outcome.facts;
     println!(
         "{} calls, {} orders, {} words of agents; {:.1} s of the world's time; hash {:016x}; {} broken rules",
         facts.calls.len(),
-        facts.orders.len(),
-        facts.words.len(),
+        facts.changes.len(),
+        facts.events.len(),
         facts.end.as_secs_f64(),
         outcome.hash,
-        outcome.breaches.len()
+        outcome.violations.len()
     );
-    if outcome.breaches.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if outcome.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// Carries the verb out.
-pub fn carry_out(verb: Fleet, mutant: Option<&str>) -> Result<ExitCode, String> {
-    let play = |script: &Script, whole: bool| {
-        let outcome = mutants::with(mutant, || run(script, whole));
-        report(script, &outcome, whole)
+pub fn execute(command: Command, mutant: Option<&str>) -> Result<ExitCode, String> {
+    let play = |script: &Script, with_timeline: bool| {
+        let outcome = mutants::with(mutant, || run(script, with_timeline));
+        report(script, &outcome, with_timeline)
     };
-    match verb {
-        Fleet::Play { seed, theme, timeline, script } => {
-            let drawn = draw::script_of(theme, seed);
-            let kept = script.map_or(Ok(()), |path| campaign::write(&path, &drawn));
-            kept.map(|()| play(&drawn, timeline))
+    match command {
+        Command::Play { seed, theme, timeline, script } => {
+            let script_of_seed = draw::script_of(theme, seed);
+            let saved = script.map_or(Ok(()), |path| campaign::write(&path, &script_of_seed));
+            saved.map(|()| play(&script_of_seed, timeline))
         }
-        Fleet::Replay { script, timeline } => campaign::read(&script).map(|script| play(&script, timeline)),
-        Fleet::Search { which, theme } => Ok(search(&which, theme, mutant)),
-        Fleet::Shrink { seed, theme, to } => {
+        Command::Replay { script, timeline } => campaign::read(&script).map(|s| play(&s, timeline)),
+        Command::Search { which, theme } => Ok(search(&which, theme, mutant)),
+        Command::Shrink { seed, theme, to } => {
             let script = draw::script_of(theme, seed);
             let outcome = mutants::with(mutant, || run(&script, false));
-            let Some(breach) = outcome.breaches.first() else {
+            let Some(violation) = outcome.violations.first() else {
                 return Err("it breaks no rule".to_owned());
             };
             let (small, runs) =
-                mutants::with(mutant, || shrink::shrink(&script, breach.rule, shrink::RUNS));
+                mutants::with(mutant, || shrink::shrink(&script, violation.rule, shrink::DEFAULT_MAX_RUNS));
             campaign::write(&to, &small)?;
             println!("{}: {} faults, {runs} runs", to.display(), small.faults.len());
             Ok(play(&small, false))
         }
-        Fleet::Mutants { starts, only, jobs } => Ok(plant(&starts, jobs, only.as_deref())),
+        Command::Mutants { starts, only, jobs } => Ok(measure_mutants(&starts, jobs, only.as_deref())),
     }
 }
 
@@ -128,50 +128,52 @@
     let done = campaign::search(which, bar, |seed, bar| {
         let script = draw::script_of(theme, seed);
         let outcome = mutants::with(mutant, || run(&script, false));
-        let (pairs, calls, broken, lasted) = &mut *sums.lock().unwrap_or_else(PoisonError::into_inner);
+        let (pairs, calls, violating, virtual_s) =
+            &mut *sums.lock().unwrap_or_else(PoisonError::into_inner);
         pairs.add(script.faults.iter().map(|fault| fault.kind()));
         *calls += outcome.facts.calls.len() as u64;
-        *lasted += outcome.facts.end.as_secs_f64();
-        if let Some(breach) = outcome.breaches.first() {
-            bar.suspend(|| println!("seed {seed}: {breach}"));
-            *broken += 1;
+        *virtual_s += outcome.facts.end.as_secs_f64();
+        if let Some(violation) = outcome.violations.first() {
+            bar.suspend(|| println!("seed {seed}: {violation}"));
+            *violating += 1;
         }
         true
     });
-    let (pairs, calls, broken, lasted) = sums.into_inner().unwrap_or_else(PoisonError::into_inner);
-    let took = began.elapsed().as_secs_f64();
+    let (pairs, calls, violating, virtual_s) = sums.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let elapsed_s = began.elapsed().as_secs_f64();
     println!(
-        "{done} seeds in {took:.1} s: {:.1} a second, {:.0} s of the world's time a second; {calls} calls; {pairs}; \
-         {broken} seeds break a rule",
-        done as f64 / took,
-        lasted / took
+        "{done} seeds in {elapsed_s:.1} s: {:.1} a second, {:.0} s of the world's time a second; {calls} calls; {pairs}; \
+         {violating} seeds break a rule",
+        done as f64 / elapsed_s,
+        virtual_s / elapsed_s
     );
-    if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if violating == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// Seeds until an error is found, from each start; none where none of the seeds shows it.
 fn seeds_until_found(name: &str, starts: &Starts) -> Vec<Option<(u64, Rule)>> {
-    let breaks = |seed: u64| {
+    let violated_rule = |seed: u64| {
         let outcome = mutants::with(Some(name), || run(&draw::script(seed), false));
-        outcome.breaches.first().map(|breach| breach.rule)
+        outcome.violations.first().map(|violation| violation.rule)
     };
     let from = |first: u64| {
-        (first..first + starts.most).find_map(|seed| breaks(seed).map(|rule| (seed - first + 1, rule)))
+        (first..first + starts.most)
+            .find_map(|seed| violated_rule(seed).map(|rule| (seed - first + 1, rule)))
     };
     (0..starts.starts).map(|start| from(start * 100_000)).collect()
 }
 
-fn plant(starts: &Starts, jobs: usize, only: Option<&str>) -> ExitCode {
-    let wanted: Vec<_> =
+fn measure_mutants(starts: &Starts, jobs: usize, only: Option<&str>) -> ExitCode {
+    let selected: Vec<_> =
         MUTANTS.iter().filter(|mutant| only.is_none_or(|only| mutant.name.contains(only))).collect();
     let rows: Mutex<BTreeMap<u64, String>> = Mutex::default();
-    let missed = AtomicBool::new(false);
-    let seeds = Seeds { seeds: 0..wanted.len() as u64, jobs };
+    let any_missed = AtomicBool::new(false);
+    let seeds = Seeds { seeds: 0..selected.len() as u64, jobs };
     campaign::search(&seeds, "{pos}/{len} planted errors", |number, _| {
-        let mutant = wanted[number as usize];
+        let mutant = selected[number as usize];
         let found = seeds_until_found(mutant.name, starts);
         if found.contains(&None) {
-            missed.store(true, Ordering::Relaxed);
+            any_missed.store(true, Ordering::Relaxed);
         }
         let mut rows = rows.lock().unwrap_or_else(PoisonError::into_inner);
         rows.insert(number, row(mutant, starts, &found));
@@ -181,17 +183,23 @@
     println!("| --- | --- | --- | --- | --- |");
     let rows = rows.into_inner().unwrap_or_else(PoisonError::into_inner);
     rows.values().for_each(|row| println!("{row}"));
-    if missed.into_inner() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+    if any_missed.into_inner() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
 fn row(mutant: &Mutant, starts: &Starts, found: &[Option<(u64, Rule)>]) -> String {
-    let text =
+    let format_count =
         |count: Option<u64>| count.map_or(format!("over {}", starts.most), |count| count.to_string());
     let counts: Vec<Option<u64>> = found.iter().map(|found| found.map(|(count, _)| count)).collect();
     let mut sorted = counts.clone();
     sorted.sort_unstable_by_key(|count| count.unwrap_or(u64::MAX));
     let median = sorted.get(sorted.len() / 2).copied().flatten();
     let rule = found.iter().flatten().next().map_or("-".to_owned(), |(_, rule)| format!("{rule:?}"));
-    let each: Vec<String> = counts.into_iter().map(text).collect();
-    format!("| {} | `{}` | {rule} | {} | {} |", mutant.point, mutant.name, each.join(", "), text(median))
+    let each: Vec<String> = counts.into_iter().map(format_count).collect();
+    format!(
+        "| {} | `{}` | {rule} | {} | {} |",
+        mutant.point,
+        mutant.name,
+        each.join(", "),
+        format_count(median)
+    )
 }
--- a/crates/sim/src/fleet/config_body.rs
+++ b/crates/sim/src/fleet/config_body.rs
@@ -1,17 +1,17 @@
 //! Bodies of configurations: what operators send, and what of it can be told from a body that is read.
 
-use crate::fleet::facts::Order;
+use crate::fleet::facts::ConfigChange;
 use serde_json::Value;
 
 /// The body of an order. Its route bears its marker; a service bears its version, and an amendment leaves those of the
 /// versions before.
-pub fn config_body(order: &Order) -> String {
-    let timeout = if order.valid { 1000 } else { 0 };
-    let Order { version, marker, .. } = order;
+pub fn config_body(change: &ConfigChange) -> String {
+    let timeout = if change.valid { 1000 } else { 0 };
+    let ConfigChange { version, marker, .. } = change;
     let route = format!(
         r#"{{"name":"r","host":"m{marker}","pathPrefix":"/a/","kind":"idempotent","timeoutMs":{timeout},"service":"s"}}"#
     );
-    if order.is_amendment() {
+    if change.is_amendment() {
         return format!(
             r#"{{"version":{version},"upsert":{{"routes":[{route}],"services":[{{"name":"v{version}"}}]}}}}"#
         );
@@ -22,7 +22,7 @@
 }
 
 /// The versions that a configuration was made of, in the order in which they were put into it.
-pub fn lineage_of(body: &[u8]) -> Vec<u64> {
+pub fn parse_lineage(body: &[u8]) -> Vec<u64> {
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     let services = value.get("services").and_then(Value::as_array).into_iter().flatten();
     let names = services.filter_map(|service| service.get("name")?.as_str());
@@ -30,7 +30,7 @@
 }
 
 /// Version and marker of a configuration's body.
-pub fn config_of(body: &[u8]) -> Option<(u64, u64)> {
+pub fn parse_config(body: &[u8]) -> Option<(u64, u64)> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let marker = value.get("routes")?.get(0)?.get("host")?.as_str()?.strip_prefix('m')?.parse().ok()?;
     Some((value.get("version")?.as_u64()?, marker))
--- a/crates/sim/src/fleet/draw/disks.rs
+++ b/crates/sim/src/fleet/draw/disks.rs
@@ -1,32 +1,32 @@
 //! Trouble of disks: those that refuse, stall or are slow right as values are accepted or endpoints leave, with a loss of power
 //! soon after, and older copies that are put back.
 
-use super::READY;
-use super::losses::{Losses, SETTLE};
+use super::READY_MS;
+use super::failure_budget::{FailureBudget, REPAIR_MS};
 use crate::draw::Draws;
-use crate::fleet::script::{DiskFault, EndpointPlan, Fault, Leaving, Script};
+use crate::fleet::script::{Departure, DiskFault, EndpointPlan, Fault, Script};
 
 /// Nothing else is harmed for so long before an older copy is put back, and the other members hold the newest value.
-const QUIET: u32 = 5_000;
+const QUIET_MS: u32 = 5_000;
 /// Endpoints that start when members have come together are known everywhere this much later.
-const KNOWN: u32 = 1_500;
+const PROPAGATION_MS: u32 = 1_500;
 /// Agents are cut off, and disks are slow, since so long before endpoints leave.
-const LEAD: u32 = 300;
+const LEAD_MS: u32 = 300;
 /// Disks that stall together begin to within so much of each other.
-const TOGETHER: u32 = 400;
+const STALL_SPREAD_MS: u32 = 400;
 
 /// Draws one kind of this trouble.
-pub fn draw(draws: &mut Draws, script: &mut Script, losses: &mut Losses, length: u32) {
-    let at = draws.of(READY, length);
+pub fn draw(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, length: u32) {
+    let at = draws.of(READY_MS, length);
     match draws.of(0, 7) {
-        0..=2 => refusals(draws, script, losses, at),
-        3 => several_stall(draws, script, losses, at),
-        4 | 5 => older_disk(draws, script, losses, at),
-        _ => leaves_before_a_loss_of_power(draws, script, losses, at),
+        0..=2 => disk_fault_with_power_loss(draws, script, budget, at),
+        3 => several_disks_stall(draws, script, budget, at),
+        4 | 5 => disk_rollback(draws, script, budget, at),
+        _ => departures_before_power_loss(draws, script, budget, at),
     }
 }
 
-fn trouble(draws: &mut Draws) -> DiskFault {
+fn disk_fault(draws: &mut Draws) -> DiskFault {
     match draws.of(0, 5) {
         0 => DiskFault::Slow(draws.of(5, 200)),
         1 => DiskFault::Stall,
@@ -36,7 +36,7 @@
 }
 
 /// Disks of as many machines as may be lost refuse or are late, once or again, and power is lost at one or all.
-fn refusals(draws: &mut Draws, script: &mut Script, losses: &mut Losses, at: u32) {
+fn disk_fault_with_power_loss(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, at: u32) {
     let core = draws.of(0, script.cores - 1);
     let lasts = draws.of(150, 4_500);
     let power = draws.of(0, 2);
@@ -44,13 +44,13 @@
     let off_at = at + draws.of(0, lasts + 1_000);
     let until = (at + lasts).max(off_at + off);
     let may = match power {
-        0 => losses.take_all(script.cores, at, until),
-        _ => losses.take(core, at, until),
+        0 => budget.reserve_all(script.cores, at, until),
+        _ => budget.reserve(core, at, until),
     };
     if !may {
         return;
     }
-    script.faults.push(Fault::Disk { core, what: trouble(draws), at, lasts });
+    script.faults.push(Fault::Disk { core, what: disk_fault(draws), at, lasts });
     match power {
         0 => script.faults.push(Fault::PowerAll { at: off_at, lasts: off }),
         1 => script.faults.push(Fault::Power { core, at: off_at, lasts: off }),
@@ -60,68 +60,74 @@
 
 /// Endpoints end while disks are slow and all agents are cut off, and all power is lost about when they are acknowledged: what
 /// the agents hear when they are back is what the disks hold, since nobody else knows.
-fn leaves_before_a_loss_of_power(draws: &mut Draws, script: &mut Script, losses: &mut Losses, at: u32) {
-    let at = at.max(READY + KNOWN);
+fn departures_before_power_loss(
+    draws: &mut Draws,
+    script: &mut Script,
+    budget: &mut FailureBudget,
+    at: u32,
+) {
+    let at = at.max(READY_MS + PROPAGATION_MS);
     let off_at = at + draws.of(2, 700);
     let off = draws.of(150, 1_500);
-    if !losses.take_all(script.cores, at, off_at + off) {
+    if !budget.reserve_all(script.cores, at, off_at + off) {
         return;
     }
     for core in 0..script.cores {
         let what = DiskFault::Slow(draws.of(10, 150));
-        script.faults.push(Fault::Disk { core, what, at: at - LEAD, lasts: off_at - at + LEAD });
+        script.faults.push(Fault::Disk { core, what, at: at - LEAD_MS, lasts: off_at - at + LEAD_MS });
     }
     for _ in 0..draws.of(2, 5) {
-        let plan = EndpointPlan::beating(draws.of(0, script.cores - 1), READY);
-        let leaves = Some((draws.of(at, off_at), Leaving::Deregisters));
+        let plan = EndpointPlan::steady(draws.of(0, script.cores - 1), READY_MS);
+        let leaves = Some((draws.of(at, off_at), Departure::Deregisters));
         script.endpoints.push(EndpointPlan { leaves, ..plan });
     }
     for agent in 0..script.agents {
-        let lasts = off_at + off - at + LEAD + draws.of(0, 2_000);
-        script.faults.push(Fault::AgentCut { agent, but: None, at: at - LEAD, lasts });
+        let lasts = off_at + off - at + LEAD_MS + draws.of(0, 2_000);
+        script.faults.push(Fault::AgentCut { agent, but: None, at: at - LEAD_MS, lasts });
     }
     script.faults.push(Fault::PowerAll { at: off_at, lasts: off });
 }
 
 /// Takes out lost packets around older copies of disks: members hear of each other's disks by probes every 250 ms, and of one that
 /// is put back nobody may know where these take seconds.
-pub fn keep_links_whole_around_older_disks(script: &mut Script) {
-    let older = script.faults.iter().filter(|fault| matches!(fault, Fault::OlderDisk { .. }));
-    let spans: Vec<(u32, u32)> = older.map(Fault::span).collect();
+pub fn remove_loss_around_disk_rollbacks(script: &mut Script) {
+    let rollbacks = script.faults.iter().filter(|fault| matches!(fault, Fault::OlderDisk { .. }));
+    let spans: Vec<(u32, u32)> = rollbacks.map(Fault::span).collect();
     script.faults.retain(|fault| {
         let (from, lasts) = fault.span();
-        let near = |(at, down): &(u32, u32)| from < at + down + SETTLE && from + lasts + QUIET > *at;
-        !matches!(fault, Fault::Loss { .. }) || !spans.iter().any(near)
+        let overlaps =
+            |(at, down): &(u32, u32)| from < at + down + REPAIR_MS && from + lasts + QUIET_MS > *at;
+        !matches!(fault, Fault::Loss { .. }) || !spans.iter().any(overlaps)
     });
 }
 
 /// Several disks stall or are slow at the same time: nothing is lost, but rounds take longer than callers wait.
-fn several_stall(draws: &mut Draws, script: &mut Script, losses: &mut Losses, at: u32) {
+fn several_disks_stall(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, at: u32) {
     let lasts = draws.of(300, 3_000);
-    if !losses.take_all(script.cores, at, at + lasts + TOGETHER) {
+    if !budget.reserve_all(script.cores, at, at + lasts + STALL_SPREAD_MS) {
         return;
     }
     let first = draws.of(0, script.cores - 1);
     for n in 0..draws.of(2, script.cores) {
         let core = (first + n) % script.cores;
         let what = if draws.one_in(2) { DiskFault::Stall } else { DiskFault::Slow(draws.of(20, 300)) };
-        let from = at + draws.of(0, TOGETHER);
+        let from = at + draws.of(0, STALL_SPREAD_MS);
         script.faults.push(Fault::Disk { core, what, at: from, lasts });
     }
 }
 
 /// A machine comes back with its disk as it was some time ago.
-fn older_disk(draws: &mut Draws, script: &mut Script, losses: &mut Losses, at: u32) {
-    let at = at.max(READY + QUIET);
+fn disk_rollback(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, at: u32) {
+    let at = at.max(READY_MS + QUIET_MS);
     let core = draws.of(0, script.cores - 1);
     let (age, lasts) = (draws.of(100, 8_000), draws.of(150, 3_000));
-    let others_well = losses.take_all(script.cores, at - QUIET, at + lasts);
-    if others_well {
+    let others_healthy = budget.reserve_all(script.cores, at - QUIET_MS, at + lasts);
+    if others_healthy {
         script.faults.push(Fault::OlderDisk { core, age, at, lasts });
-        let second = at + lasts + SETTLE + draws.of(0, 200);
+        let second = at + lasts + REPAIR_MS + draws.of(0, 200);
         let other = (core + draws.of(1, script.cores - 1)) % script.cores;
         let off = draws.of(150, 3_000);
-        if draws.one_in(2) && losses.take(other, second, second + off) {
+        if draws.one_in(2) && budget.reserve(other, second, second + off) {
             script.faults.push(Fault::Kill { core: other, at: second, lasts: off });
         }
     }
--- a/crates/sim/src/fleet/draw/losses.rs
+++ b/crates/sim/src/fleet/draw/failure_budget.rs
@@ -3,41 +3,41 @@
 use crate::fleet::script::{Fault, Script};
 
 /// A machine that was lost counts as lost for so long after it is back.
-pub const SETTLE: u32 = 4_000;
+pub const REPAIR_MS: u32 = 4_000;
 
 /// Losses of core machines, so that never more are lost at once than may be.
-pub struct Losses {
+pub struct FailureBudget {
     tolerance: u32,
-    lost: Vec<(u32, u32, u32)>,
+    reserved: Vec<(u32, u32, u32)>,
 }
 
-impl Losses {
+impl FailureBudget {
     /// Nothing is lost yet.
     pub fn new(tolerance: u32) -> Self {
-        Losses { tolerance, lost: Vec::new() }
+        FailureBudget { tolerance, reserved: Vec::new() }
     }
 
     /// Takes a loss in, if it may be.
-    pub fn take(&mut self, core: u32, at: u32, until: u32) -> bool {
-        let until = until + SETTLE;
-        let overlaps = self.lost.iter().filter(|(_, from, to)| *from < until && at < *to);
+    pub fn reserve(&mut self, core: u32, at: u32, until: u32) -> bool {
+        let until = until + REPAIR_MS;
+        let overlaps = self.reserved.iter().filter(|(_, from, to)| *from < until && at < *to);
         let mut others: Vec<u32> =
             overlaps.map(|(other, _, _)| *other).filter(|other| *other != core).collect();
         others.sort_unstable();
         others.dedup();
-        let may = (others.len() as u32) < self.tolerance;
-        if may {
-            self.lost.push((core, at, until));
+        let is_allowed = (others.len() as u32) < self.tolerance;
+        if is_allowed {
+            self.reserved.push((core, at, until));
         }
-        may
+        is_allowed
     }
 
     /// Nothing is lost in that time, and this is all of them.
-    pub fn take_all(&mut self, cores: u32, at: u32, until: u32) -> bool {
-        let until = until + SETTLE;
-        let free = self.lost.iter().all(|(_, from, to)| *from >= until || at >= *to);
+    pub fn reserve_all(&mut self, cores: u32, at: u32, until: u32) -> bool {
+        let until = until + REPAIR_MS;
+        let free = self.reserved.iter().all(|(_, from, to)| *from >= until || at >= *to);
         if free {
-            self.lost.extend((0..=cores + 8).map(|core| (core, at, until)));
+            self.reserved.extend((0..=cores + 8).map(|core| (core, at, until)));
         }
         free
     }
@@ -49,34 +49,34 @@
 }
 
 /// Until when a lost disk is made up for: trouble at any machine may hold its repair up.
-fn repaired(faults: &[Fault], lost: &Fault) -> u32 {
+fn repair_end(faults: &[Fault], lost: &Fault) -> u32 {
     let (at, lasts) = lost.span();
-    let mut until = at + lasts + SETTLE;
+    let mut until = at + lasts + REPAIR_MS;
     let holds_up = |fault: &&Fault| !matches!(fault, Fault::Spare { .. } | Fault::Seeds { .. });
     let mut spans: Vec<(u32, u32)> = faults.iter().filter(holds_up).map(Fault::span).collect();
     spans.sort_unstable();
     for (from, lasts) in spans.into_iter().filter(|(from, lasts)| from + lasts > at) {
         if from < until {
-            until = until.max(from + lasts + SETTLE);
+            until = until.max(from + lasts + REPAIR_MS);
         }
     }
     until
 }
 
 /// Takes out losses of disks that come before as many others as may be lost have been made up for.
-pub fn leave_repairs_time(script: &mut Script) {
+pub fn remove_early_disk_losses(script: &mut Script) {
     let mut faults = script.faults.clone();
     faults.sort_by_key(|fault| fault.span().0);
-    let mut open: Vec<u32> = Vec::new();
-    let mut early = Vec::new();
+    let mut pending_repairs: Vec<u32> = Vec::new();
+    let mut too_early = Vec::new();
     for lost in faults.iter().filter(|fault| loses_disk(fault)) {
         let (at, _) = lost.span();
-        open.retain(|until| *until > at);
-        if open.len() < script.tolerance as usize {
-            open.push(repaired(&faults, lost));
+        pending_repairs.retain(|until| *until > at);
+        if pending_repairs.len() < script.tolerance as usize {
+            pending_repairs.push(repair_end(&faults, lost));
         } else {
-            early.push(lost.clone());
+            too_early.push(lost.clone());
         }
     }
-    script.faults.retain(|fault| !early.contains(fault));
+    script.faults.retain(|fault| !too_early.contains(fault));
 }
--- a/crates/sim/src/fleet/draw/faults.rs
+++ b/crates/sim/src/fleet/draw/faults.rs
@@ -1,18 +1,18 @@
 //! What goes wrong: faults of a few kinds, several at once.
 
-use super::READY;
-use super::losses::Losses;
+use super::READY_MS;
+use super::failure_budget::FailureBudget;
 use crate::draw::Draws;
-use crate::fleet::script::{DiskFault, Fault, From, Script, Way};
+use crate::fleet::script::{CutScope, Direction, DiskFault, Fault, Script};
 
 /// Kinds of fault that can be drawn.
-const KINDS: u32 = 20;
+const FAULT_KINDS: u32 = 20;
 
 /// Draws the faults.
-pub fn draw(draws: &mut Draws, script: &mut Script, losses: &mut Losses, length: u32) {
-    let kinds: Vec<u32> = (0..draws.of(1, 5)).map(|_| draws.of(0, KINDS - 1)).collect();
+pub fn draw(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, length: u32) {
+    let kinds: Vec<u32> = (0..draws.of(1, 5)).map(|_| draws.of(0, FAULT_KINDS - 1)).collect();
     // One machine is struck more than others: faults meet on it.
-    let favourite = draws.of(0, script.cores - 1);
+    let preferred_core = draws.of(0, script.cores - 1);
     let replaced_by = |fault: &Fault| match fault {
         Fault::Replace { core, .. } => Some(*core),
         _ => None,
@@ -20,18 +20,18 @@
     let mut replaced: Vec<u32> = script.faults.iter().filter_map(replaced_by).collect();
     for _ in 0..draws.of(1, 7) {
         let kind = kinds[draws.of(0, kinds.len() as u32 - 1) as usize];
-        let core = if draws.one_in(2) { favourite } else { draws.of(0, script.cores - 1) };
+        let core = if draws.one_in(2) { preferred_core } else { draws.of(0, script.cores - 1) };
         if replaced.contains(&core) {
             continue;
         }
-        let at = draws.of(READY, length);
+        let at = draws.of(READY_MS, length);
         let long = draws.one_in(12);
         let lasts = if long { draws.of(8_000, 20_000) } else { draws.of(150, 4_500) };
-        let fault = fault(draws, script, kind, core, (at, lasts));
+        let fault = draw_fault(draws, script, kind, core, (at, lasts));
         let (at, lasts) = fault.span();
-        let may = match &fault {
+        let is_allowed = match &fault {
             Fault::KillAll { .. } | Fault::PowerAll { .. } | Fault::Roll { .. } => {
-                losses.take_all(script.cores, at, at + lasts)
+                budget.reserve_all(script.cores, at, at + lasts)
             }
             Fault::Replace { .. } if !replaced.is_empty() => false,
             Fault::Cut { .. }
@@ -41,10 +41,10 @@
             | Fault::Disk { .. }
             | Fault::Wipe { .. }
             | Fault::Replace { .. }
-            | Fault::Term { .. } => losses.take(core, at, at + lasts),
+            | Fault::Term { .. } => budget.reserve(core, at, at + lasts),
             _ => true,
         };
-        if !may {
+        if !is_allowed {
             continue;
         }
         if matches!(fault, Fault::Replace { .. }) {
@@ -54,10 +54,10 @@
     }
 }
 
-fn fault(draws: &mut Draws, script: &Script, kind: u32, core: u32, (at, lasts): (u32, u32)) -> Fault {
+fn draw_fault(draws: &mut Draws, script: &Script, kind: u32, core: u32, (at, lasts): (u32, u32)) -> Fault {
     let agent = draws.of(0, script.agents - 1);
     match kind {
-        0..=2 => cut(draws, core, at, lasts),
+        0..=2 => draw_cut(draws, core, at, lasts),
         3 => Fault::SlowLinks { core, by: draws.of(20, 250), at, lasts },
         4 => Fault::Loss { core, percent: draws.of(2, 25), at, lasts },
         5 => Fault::Reset { core, at },
@@ -79,27 +79,27 @@
         }
         15 => Fault::Term { core, at, lasts },
         16 => Fault::Roll { at, gap: draws.of(2_500, 5_000) },
-        17 => agent_fault(draws, script, agent, (at, lasts)),
+        17 => draw_agent_fault(draws, script, agent, (at, lasts)),
         18 => Fault::Spare { at },
         _ => Fault::Seeds { first: draws.of(0, 2), at },
     }
 }
 
-fn cut(draws: &mut Draws, core: u32, at: u32, lasts: u32) -> Fault {
+fn draw_cut(draws: &mut Draws, core: u32, at: u32, lasts: u32) -> Fault {
     let way = match draws.of(0, 3) {
-        0 => Way::Out,
-        1 => Way::In,
-        _ => Way::Both,
+        0 => Direction::Out,
+        1 => Direction::In,
+        _ => Direction::Both,
     };
     let from = match draws.of(0, 3) {
-        0 => From::All,
-        1 => From::Near,
-        _ => From::Cores,
+        0 => CutScope::All,
+        1 => CutScope::Near,
+        _ => CutScope::Cores,
     };
     Fault::Cut { core, way, from, resets: draws.one_in(4), at, lasts }
 }
 
-fn agent_fault(draws: &mut Draws, script: &Script, agent: u32, (at, lasts): (u32, u32)) -> Fault {
+fn draw_agent_fault(draws: &mut Draws, script: &Script, agent: u32, (at, lasts): (u32, u32)) -> Fault {
     match draws.of(0, 3) {
         0 => Fault::AgentCut { agent, but: None, at, lasts },
         1 => Fault::AgentCut { agent, but: Some(draws.of(0, script.cores - 1)), at, lasts },
--- a/crates/sim/src/fleet/draw/mod.rs
+++ b/crates/sim/src/fleet/draw/mod.rs
@@ -3,22 +3,22 @@
 
 mod contact;
 mod disks;
+mod failure_budget;
 mod faults;
-mod losses;
 mod membership;
 mod requests;
 
 use crate::draw::Draws;
-use crate::fleet::draw::losses::Losses;
+use crate::fleet::draw::failure_budget::FailureBudget;
 use crate::fleet::script::{Fault, Script};
 use clap::ValueEnum;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 
 /// The members have come together by then.
-const READY: u32 = 1_500;
+const READY_MS: u32 = 1_500;
 /// Sets the draws of themes apart, so that worlds without one stay as they are.
-const THEMES: u64 = 0x7e3e_5eed;
+const THEME_SEED: u64 = 0x7e3e_5eed;
 
 /// What a world is drawn around: trouble of one sort, close together in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
@@ -48,22 +48,22 @@
 
 /// The script of a seed, around this theme where one is given.
 pub fn script_of(theme: Option<Theme>, seed: u64) -> Script {
-    let mut themes = Draws(Pcg32::seed_from_u64(seed ^ THEMES));
+    let mut themes = Draws(Pcg32::seed_from_u64(seed ^ THEME_SEED));
     let of_seed = theme_of(&mut themes);
-    drawn(seed, theme.or(of_seed), themes)
+    draw_script(seed, theme.or(of_seed), themes)
 }
 
-fn drawn(seed: u64, theme: Option<Theme>, mut themes: Draws) -> Script {
+fn draw_script(seed: u64, theme: Option<Theme>, mut themes: Draws) -> Script {
     let mut draws = Draws(Pcg32::seed_from_u64(seed ^ 0xf1ee7));
     // Five members bear slow disks beside a loss.
-    let five = draws.one_in(6) || theme == Some(Theme::Membership) && themes.one_in(3);
-    let least = draws.of(1, 3);
+    let has_five_cores = draws.one_in(6) || theme == Some(Theme::Membership) && themes.one_in(3);
+    let min_latency = draws.of(1, 3);
     let mut script = Script {
         seed,
-        cores: if five { 5 } else { 3 },
+        cores: if has_five_cores { 5 } else { 3 },
         agents: draws.of(1, 3),
-        tolerance: if five { 2 } else { 1 },
-        latency_ms: (least, least + draws.of(0, 5)),
+        tolerance: if has_five_cores { 2 } else { 1 },
+        latency_ms: (min_latency, min_latency + draws.of(0, 5)),
         split: if draws.one_in(3) { draws.of(1, 40) } else { 0 },
         healed_ms: 0,
         requests: Vec::new(),
@@ -71,29 +71,29 @@
         faults: Vec::new(),
     };
     let mut length = draws.of(6_000, 14_000);
-    let mut losses = Losses::new(script.tolerance);
+    let mut budget = FailureBudget::new(script.tolerance);
     match theme {
-        Some(Theme::Contact) => contact::draw(&mut themes, &mut script, &mut losses),
-        Some(Theme::Membership) => membership::draw(&mut themes, &mut script, &mut losses, length),
-        Some(Theme::Disks) => disks::draw(&mut themes, &mut script, &mut losses, length),
+        Some(Theme::Contact) => contact::draw(&mut themes, &mut script, &mut budget),
+        Some(Theme::Membership) => membership::draw(&mut themes, &mut script, &mut budget, length),
+        Some(Theme::Disks) => disks::draw(&mut themes, &mut script, &mut budget, length),
         None => {}
     }
     // Five machines are three members until the first configuration is there, which faults of any time may keep off.
     let may_mix = theme == Some(Theme::Contact) || script.tolerance == 1;
     let mixed = may_mix && themes.one_in(3);
     if theme.is_none() || mixed {
-        faults::draw(&mut draws, &mut script, &mut losses, length);
+        faults::draw(&mut draws, &mut script, &mut budget, length);
     }
     if theme == Some(Theme::Contact) {
         // A machine that it is about does not go for good.
         script.faults.retain(|fault| !matches!(fault, Fault::Replace { .. }));
     }
-    losses::leave_repairs_time(&mut script);
-    disks::keep_links_whole_around_older_disks(&mut script);
+    failure_budget::remove_early_disk_losses(&mut script);
+    disks::remove_loss_around_disk_rollbacks(&mut script);
     let last = script.faults.iter().map(|fault| fault.span()).map(|(at, lasts)| at + lasts).max();
     length = length.max(last.unwrap_or(0));
     script.healed_ms = length;
     requests::draw(&mut draws, &mut script, length);
-    requests::endpoints(&mut draws, &mut script, length);
+    requests::draw_endpoints(&mut draws, &mut script, length);
     script
 }
--- a/crates/sim/src/fleet/draw/requests.rs
+++ b/crates/sim/src/fleet/draw/requests.rs
@@ -1,7 +1,7 @@
 //! What operators and endpoints do.
 
 use crate::draw::Draws;
-use crate::fleet::script::{EndpointPlan, Leaving, Manner, Request, RequestKind, Script};
+use crate::fleet::script::{Departure, EndpointPlan, Request, RequestKind, Script, SendMode};
 
 /// Operators.
 const OPERATORS: u32 = 4;
@@ -13,17 +13,18 @@
         let mut at = draws.of(100, length);
         // Right at the beginning or the end of a fault is where things go wrong.
         if !script.faults.is_empty() && draws.one_in(2) {
-            let (begin, lasts) = script.faults[draws.of(0, script.faults.len() as u32 - 1) as usize].span();
-            let edge = if draws.one_in(2) { begin } else { begin + lasts };
-            at = (edge + draws.of(0, 600)).saturating_sub(200).max(100);
+            let (starts_at, lasts) =
+                script.faults[draws.of(0, script.faults.len() as u32 - 1) as usize].span();
+            let boundary = if draws.one_in(2) { starts_at } else { starts_at + lasts };
+            at = (boundary + draws.of(0, 600)).saturating_sub(200).max(100);
         }
         let (operator, member) = (draws.of(0, OPERATORS - 1), draws.of(0, 15));
-        let what = request(draws);
+        let what = draw_request(draws);
         let request = Request { at, operator, member, what };
         if draws.one_in(4) {
             // Another operator does the same at the same time, under the same number.
             let (operator, member) = ((operator + 1) % OPERATORS, draws.of(0, 15));
-            let what = RequestKind::Replace { step: 1, manner: Manner::Patient };
+            let what = RequestKind::Replace { step: 1, manner: SendMode::Patient };
             script.requests.push(Request { at: at + draws.of(0, 12), operator, member, what });
         }
         script.requests.push(request);
@@ -31,12 +32,12 @@
     script.requests.sort_by_key(|request| request.at);
 }
 
-fn request(draws: &mut Draws) -> RequestKind {
+fn draw_request(draws: &mut Draws) -> RequestKind {
     match draws.of(0, 19) {
         0..=4 => RequestKind::Read,
-        5..=9 => RequestKind::Replace { step: draws.of(1, 3), manner: Manner::Patient },
-        10..=12 => RequestKind::Replace { step: 1, manner: Manner::Once },
-        13..=15 => RequestKind::Replace { step: 1, manner: Manner::AnswerLost(draws.of(0, 40)) },
+        5..=9 => RequestKind::Replace { step: draws.of(1, 3), manner: SendMode::Patient },
+        10..=12 => RequestKind::Replace { step: 1, manner: SendMode::Once },
+        13..=15 => RequestKind::Replace { step: 1, manner: SendMode::AnswerLost(draws.of(0, 40)) },
         16 => RequestKind::ReplaceStale { behind: draws.of(0, 4) as i32 - 2 },
         17 => RequestKind::ReplaceInvalid,
         _ => RequestKind::Repeat { back: draws.of(0, 6) },
@@ -44,17 +45,17 @@
 }
 
 /// Draws the lives of endpoints.
-pub fn endpoints(draws: &mut Draws, script: &mut Script, length: u32) {
+pub fn draw_endpoints(draws: &mut Draws, script: &mut Script, length: u32) {
     for _ in 0..draws.of(1, 5) {
         let at = draws.of(200, length / 2);
         let leaving = match draws.of(0, 3) {
-            0 | 1 => Some(Leaving::Drains),
-            2 => Some(Leaving::Deregisters),
-            _ => Some(Leaving::Crashes),
+            0 | 1 => Some(Departure::Drains),
+            2 => Some(Departure::Deregisters),
+            _ => Some(Departure::Crashes),
         };
         let leaves =
             leaving.filter(|_| !draws.one_in(4)).map(|how| (draws.of(at + 500, length + 1_000), how));
         let member = draws.of(0, 15);
-        script.endpoints.push(EndpointPlan { leaves, ..EndpointPlan::beating(member, at) });
+        script.endpoints.push(EndpointPlan { leaves, ..EndpointPlan::steady(member, at) });
     }
 }
--- a/crates/sim/src/fleet/facts.rs
+++ b/crates/sim/src/fleet/facts.rs
@@ -6,7 +6,7 @@
 
 /// An order: a configuration on top of a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct ConfigChange {
     /// The version that it builds on.
     pub base: u64,
     /// Its own.
@@ -17,7 +17,7 @@
     pub valid: bool,
 }
 
-impl Order {
+impl ConfigChange {
     /// Whether it is sent as an amendment of its base instead of as a whole configuration: every second one that has a
     /// base.
     pub fn is_amendment(&self) -> bool {
@@ -27,7 +27,7 @@
 
 /// What was asked of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum CallKind {
     /// To take the order of this number.
     Replace(usize),
     /// The configuration.
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// What was asked.
-    pub asked: Asked,
+    pub asked: CallKind,
     /// The core machine.
     pub core: u32,
     /// When it began.
@@ -74,7 +74,7 @@
 
 /// What an agent told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Report {
     /// The newest version that it has.
     Version(u64),
     /// A configuration: version and marker.
@@ -87,20 +87,20 @@
 
 /// A word of an agent.
 #[derive(Clone, Debug)]
-pub struct Word {
+pub struct AgentEvent {
     /// Which agent.
     pub agent: u32,
     /// In which of its lives.
-    pub life: u32,
+    pub start_number: u32,
     /// When it came.
     pub at: Duration,
     /// What.
-    pub told: Told,
+    pub report: Report,
 }
 
 /// A time through which something was wrong with a machine, or with its links.
 #[derive(Clone, Debug)]
-pub struct Harm {
+pub struct Disruption {
     /// The core machine, or none.
     pub core: Option<u32>,
     /// The agent, or none.
@@ -112,11 +112,11 @@
     /// The core machine had no way, both ways, to any other core machine all that time, while its process ran.
     pub isolates: bool,
     /// It is slower or lossy, all the time.
-    pub slows: bool,
+    pub degraded: bool,
     /// It is the disk's alone.
-    pub disk: bool,
+    pub disk_only: bool,
     /// The process stood still, and went on as if nothing had been.
-    pub stands_still: bool,
+    pub freezes: bool,
     /// All that it sends and gets takes this much longer, and nothing else is wrong.
     pub delay: Duration,
 }
@@ -143,7 +143,7 @@
 
 /// An older copy was put back onto the disk of a core machine.
 #[derive(Clone, Debug)]
-pub struct PutBack {
+pub struct DiskRollback {
     /// The core machine.
     pub core: u32,
     /// When.
@@ -153,16 +153,16 @@
     /// Sequence number of the value on the copy.
     pub sequence: u64,
     /// The disk had held a newer value for long enough to be known of elsewhere.
-    pub older: bool,
+    pub is_stale: bool,
 }
 
 /// A controller was told to end.
 #[derive(Clone, Debug)]
-pub struct Ending {
+pub struct Termination {
     /// The core machine.
     pub core: u32,
     /// When it was told.
-    pub told: Duration,
+    pub requested: Duration,
     /// When it had ended by itself.
     pub ended: Option<Duration>,
 }
@@ -171,40 +171,40 @@
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
     /// Orders, by number.
-    pub orders: Vec<Order>,
+    pub changes: Vec<ConfigChange>,
     /// Calls in the order of their beginning.
     pub calls: Vec<Call>,
     /// What agents told, in the order of time.
-    pub words: Vec<Word>,
+    pub events: Vec<AgentEvent>,
     /// What was done to machines.
-    pub harms: Vec<Harm>,
+    pub disruptions: Vec<Disruption>,
     /// When all connections of a core machine were reset.
-    pub resets: Vec<(u32, Duration)>,
+    pub connection_resets: Vec<(u32, Duration)>,
     /// When agents' processes started.
     pub agent_starts: Vec<(u32, Duration)>,
     /// All is mended from here on.
-    pub healed: Duration,
+    pub healed_at: Duration,
     /// Configurations that were seen: when, and the versions that the newest one was made of, the oldest, which was sent
     /// whole, first.
     pub lineages: Vec<(Duration, Vec<u64>)>,
     /// Processes that ended by themselves, and why.
-    pub crashed: Vec<(String, Duration, String)>,
+    pub exits: Vec<(String, Duration, String)>,
     /// The last change, after all was mended, was acknowledged.
     pub last_acknowledged: bool,
     /// Core machines that gave no clear answer to the last read.
-    pub unread: Vec<u32>,
+    pub unreadable_cores: Vec<u32>,
     /// At the end: version on the disk of each controller that runs, and its marker.
-    pub disks: BTreeMap<u32, Option<(u64, u64)>>,
+    pub final_disks: BTreeMap<u32, Option<(u64, u64)>>,
     /// What disks of core machines held, in the order of time.
     pub disk_states: Vec<DiskState>,
     /// When controllers' processes started.
     pub core_starts: Vec<(u32, Duration)>,
     /// Core machines that are gone for good, and since when.
-    pub gone: Vec<(u32, Duration)>,
+    pub removed_cores: Vec<(u32, Duration)>,
     /// Older copies that were put back onto disks.
-    pub put_backs: Vec<PutBack>,
+    pub disk_rollbacks: Vec<DiskRollback>,
     /// Controllers that were told to end.
-    pub endings: Vec<Ending>,
+    pub terminations: Vec<Termination>,
     /// When each endpoint crashed, of those that did.
     pub silent_since: BTreeMap<usize, Duration>,
     /// The end.
--- a/crates/sim/src/fleet/host.rs
+++ b/crates/sim/src/fleet/host.rs
@@ -24,7 +24,7 @@
 }
 
 /// A controller that ended by itself is started again after this.
-const RESTART: Duration = Duration::from_millis(100);
+const RESTART_DELAY: Duration = Duration::from_millis(100);
 
 struct Process {
     gate: Rc<Gate>,
@@ -40,10 +40,10 @@
     /// The disk of a core machine.
     pub disk: Rc<SimDisk>,
     process: RefCell<Option<Process>>,
-    life: Cell<u32>,
+    start_number: Cell<u32>,
     frozen: Cell<bool>,
     /// Faults that hold it down.
-    held: Cell<u32>,
+    hold_count: Cell<u32>,
 }
 
 impl Host {
@@ -58,7 +58,7 @@
             world.script.seed ^ (seed << 32),
             Box::new(move |incarnation, value| {
                 if let Program::Controller(core) = program {
-                    watched.disk_holds(core, incarnation, value);
+                    watched.record_disk_state(core, incarnation, value);
                 }
             }),
         );
@@ -67,9 +67,9 @@
             program,
             disk,
             process: RefCell::default(),
-            life: Cell::new(0),
+            start_number: Cell::new(0),
             frozen: Cell::new(false),
-            held: Cell::new(0),
+            hold_count: Cell::new(0),
         })
     }
 
@@ -82,8 +82,8 @@
     }
 
     /// How often its program has been started.
-    pub fn life(&self) -> u32 {
-        self.life.get()
+    pub fn start_number(&self) -> u32 {
+        self.start_number.get()
     }
 
     /// Whether a process is there.
@@ -92,10 +92,11 @@
     }
 
     /// A fault holds it down, or does no longer; whether none does.
-    pub fn hold(&self, down: bool) -> bool {
-        let held = if down { self.held.get() + 1 } else { self.held.get().saturating_sub(1) };
-        self.held.set(held);
-        held == 0
+    pub fn set_held(&self, down: bool) -> bool {
+        let hold_count =
+            if down { self.hold_count.get() + 1 } else { self.hold_count.get().saturating_sub(1) };
+        self.hold_count.set(hold_count);
+        hold_count == 0
     }
 
     fn name(&self) -> String {
@@ -110,7 +111,7 @@
         if self.is_running() {
             return;
         }
-        self.life.set(self.life.get() + 1);
+        self.start_number.set(self.start_number.get() + 1);
         let (world, name) = (self.world.clone(), self.name());
         if let Program::Agent(agent) = self.program {
             let now = world.now();
@@ -120,7 +121,7 @@
             network: world.network(self.ip()),
             logger: timeline::logger(&name, world.traced),
         };
-        let (events, told) = unbounded_channel();
+        let (events, receiver) = unbounded_channel();
         let events = Rc::new(RefCell::new(events));
         let process = Supervised {
             world,
@@ -130,7 +131,7 @@
             environment,
             events: events.clone(),
         };
-        let process = process.run(told, first_boot);
+        let process = process.run(receiver, first_boot);
         let gate: Rc<Gate> = Rc::default();
         let task = spawn_local(Gated { gate: gate.clone(), inner: Box::pin(process) });
         gate.pause(self.frozen.get());
@@ -138,23 +139,23 @@
     }
 
     /// Ends its process at once; with a loss of power nobody hears of it.
-    pub async fn kill(&self, power: bool) {
+    pub async fn kill(&self, power_lost: bool) {
         let process = self.process.borrow_mut().take();
         let Some(process) = process else { return };
-        if power {
+        if power_lost {
             self.world.wires.lost_power(self.ip().into());
         } else {
             self.world.wires.died(self.ip().into());
         }
         process.task.abort();
         let _ = process.task.await; // an error says that it was aborted
-        self.disk.interrupted(power);
+        self.disk.process_stopped(power_lost);
     }
 
     /// Tells its process something.
-    pub fn tell(&self, event: ProcessEvent) {
+    pub fn send_event(&self, event: ProcessEvent) {
         if let (ProcessEvent::Terminate, Program::Controller(core)) = (&event, self.program) {
-            self.world.told_to_end(core);
+            self.world.record_termination_request(core);
         }
         if let Some(process) = &*self.process.borrow() {
             let _ = process.events.borrow().send(event); // it may just have ended
@@ -162,7 +163,7 @@
     }
 
     /// Stops its process where it is, or lets it go on.
-    pub fn freeze(&self, frozen: bool) {
+    pub fn set_frozen(&self, frozen: bool) {
         self.frozen.set(frozen);
         if let Some(process) = &*self.process.borrow() {
             process.gate.pause(frozen);
@@ -181,31 +182,31 @@
 }
 
 impl Supervised {
-    async fn run(self, mut told: ProcessEvents, first_boot: bool) {
-        while let Err(problem) = self.run_once(told, first_boot).await {
+    async fn run(self, mut receiver: ProcessEvents, first_boot: bool) {
+        while let Err(problem) = self.run_once(receiver, first_boot).await {
             let now = self.world.now();
-            self.world.facts.borrow_mut().crashed.push((self.name.clone(), now, problem));
+            self.world.facts.borrow_mut().exits.push((self.name.clone(), now, problem));
             if matches!(self.program, Program::Agent(_)) {
                 return;
             }
-            sleep(RESTART).await;
-            let (events, heard) = unbounded_channel();
+            sleep(RESTART_DELAY).await;
+            let (events, new_receiver) = unbounded_channel();
             *self.events.borrow_mut() = events;
-            told = heard;
+            receiver = new_receiver;
         }
         if let Program::Controller(core) = self.program {
-            self.world.ended(core);
+            self.world.record_termination(core);
         }
     }
 
-    async fn run_once(&self, told: ProcessEvents, first_boot: bool) -> Result<(), String> {
+    async fn run_once(&self, receiver: ProcessEvents, first_boot: bool) -> Result<(), String> {
         if let Program::Controller(core) = self.program {
             let now = self.world.now();
             self.world.facts.borrow_mut().core_starts.push((core, now));
         }
         let set = LocalSet::new();
         let (world, disk) = (self.world.clone(), self.disk.clone());
-        let running = run(world, self.program, disk, self.environment.clone(), told, first_boot);
+        let running = run(world, self.program, disk, self.environment.clone(), receiver, first_boot);
         set.run_until(running).await
     }
 }
--- a/crates/sim/src/fleet/observer.rs
+++ b/crates/sim/src/fleet/observer.rs
@@ -1,10 +1,10 @@
 //! Looks on at an agent as its proxy does, by the fleet's own messages, and notes each word.
 
-use crate::fleet::config_body::config_of;
+use crate::fleet::config_body::parse_config;
 use crate::fleet::endpoint;
-use crate::fleet::facts::Told;
+use crate::fleet::facts::Report;
 use crate::fleet::host::Host;
-use crate::fleet::world::{World, agent_ip, feed};
+use crate::fleet::world::{World, agent_ip, feed_address};
 use bytes::{Bytes, BytesMut};
 use runtrack_link::PING_INTERVAL;
 use runtrack_message::{
@@ -19,9 +19,9 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 /// Wait before an agent is dialled again.
-const REDIAL: Duration = Duration::from_millis(50);
+const REDIAL_DELAY: Duration = Duration::from_millis(50);
 /// An agent that says nothing for so long is dialled again.
-const SILENCE: Duration = Duration::from_millis(1500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 type Stream = crate::net::Stream;
 
@@ -67,25 +67,26 @@
 struct Observer {
     world: Rc<World>,
     agent: u32,
-    life: u32,
+    start_number: u32,
     /// The newest version whose configuration has come.
-    version: u64,
+    newest_version: u64,
     /// Endpoints by their short names.
-    names: BTreeMap<u64, usize>,
+    endpoints_by_key: BTreeMap<u64, usize>,
 }
 
 /// Looks on at an agent for the whole run.
-pub async fn play(world: Rc<World>, agent: u32, host: Rc<Host>) {
+pub async fn run(world: Rc<World>, agent: u32, host: Rc<Host>) {
     let endpoints = 0..world.script.endpoints.len();
-    let names = endpoints.map(|number| (key_of(&endpoint::name(number)), number)).collect();
-    let mut observer = Observer { world: world.clone(), agent, life: 0, version: 0, names };
+    let endpoints_by_key = endpoints.map(|number| (key_of(&endpoint::name(number)), number)).collect();
+    let mut observer =
+        Observer { world: world.clone(), agent, start_number: 0, newest_version: 0, endpoints_by_key };
     loop {
-        if let Ok(stream) = world.wires.connect(agent_ip(agent).into(), feed(agent)).await {
-            observer.life = host.life();
-            observer.version = 0;
-            observer.look(stream).await;
+        if let Ok(stream) = world.wires.connect(agent_ip(agent).into(), feed_address(agent)).await {
+            observer.start_number = host.start_number();
+            observer.newest_version = 0;
+            observer.observe(stream).await;
         }
-        sleep(REDIAL).await;
+        sleep(REDIAL_DELAY).await;
     }
 }
 
@@ -99,7 +100,7 @@
         })
     }
 
-    async fn look(&mut self, stream: Stream) {
+    async fn observe(&mut self, stream: Stream) {
         let (reader, writer) = split(stream);
         let mut reader = Reader { stream: reader, codec: codec(), buffer: BytesMut::new() };
         let mut writer = Writer { stream: writer, codec: codec() };
@@ -108,17 +109,17 @@
         if !writer.send(&self.hello()).await || !writer.send(&empty).await {
             return;
         }
-        let mut quiet = Duration::ZERO;
-        while quiet < SILENCE {
+        let mut idle = Duration::ZERO;
+        while idle < IDLE_TIMEOUT {
             let next = timeout(PING_INTERVAL, reader.next()).await;
             let answer = match next {
                 Ok(Some(message)) => {
-                    quiet = Duration::ZERO;
-                    self.note(message)
+                    idle = Duration::ZERO;
+                    self.handle(message)
                 }
                 Ok(None) => return,
                 Err(_) => {
-                    quiet += PING_INTERVAL;
+                    idle += PING_INTERVAL;
                     Some(Message::Ping)
                 }
             };
@@ -130,33 +131,33 @@
         }
     }
 
-    fn tell(&self, told: Told) {
-        self.world.told(self.agent, self.life, told);
+    fn record(&self, report: Report) {
+        self.world.record_report(self.agent, self.start_number, report);
     }
 
     /// Notes a word; what it is answered with.
-    fn note(&mut self, message: Message) -> Option<Message> {
+    fn handle(&mut self, message: Message) -> Option<Message> {
         match message {
             Message::StateSummary(summary) => {
-                self.tell(Told::Version(summary.version));
-                (summary.version > self.version).then_some(Message::Fetch(self.version))
+                self.record(Report::Version(summary.version));
+                (summary.version > self.newest_version).then_some(Message::Fetch(self.newest_version))
             }
             Message::Config(config) => {
-                self.version = self.version.max(config.version);
-                if let Some((version, marker)) = config_of(config.body.as_slice()) {
-                    self.tell(Told::Config(version, marker));
-                    self.world.saw_config(config.body.as_slice());
+                self.newest_version = self.newest_version.max(config.version);
+                if let Some((version, marker)) = parse_config(config.body.as_slice()) {
+                    self.record(Report::Config(version, marker));
+                    self.world.record_lineage(config.body.as_slice());
                 }
                 None
             }
             Message::RangeDigests(_) => Some(Message::RangeDigests(Vec::new().into())),
             Message::Entries(records) => {
-                records.into_vec().iter().for_each(|record| self.note_endpoint(record));
+                records.into_vec().iter().for_each(|record| self.record_endpoint(record));
                 None
             }
             Message::Suspects(keys) => {
-                let silent = keys.items().iter().filter_map(|key| self.names.get(key).copied());
-                self.tell(Told::Suspects(silent.collect()));
+                let silent = keys.items().iter().filter_map(|key| self.endpoints_by_key.get(key).copied());
+                self.record(Report::Suspects(silent.collect()));
                 None
             }
             Message::Ping => Some(Message::Ping),
@@ -164,9 +165,9 @@
         }
     }
 
-    fn note_endpoint(&self, record: &Endpoint) {
-        if let Some(number) = self.names.get(&key_of(&record.id.as_string())) {
-            self.tell(Told::Endpoint(*number, record.state as u8));
+    fn record_endpoint(&self, record: &Endpoint) {
+        if let Some(number) = self.endpoints_by_key.get(&key_of(&record.id.as_string())) {
+            self.record(Report::Endpoint(*number, record.state as u8));
         }
     }
 }
--- a/crates/sim/src/fleet/operator.rs
+++ b/crates/sim/src/fleet/operator.rs
@@ -1,48 +1,48 @@
 //! Operators: requests of a script, several under way at a time.
 
-use crate::fleet::call::{Sending, call};
+use crate::fleet::call::{CallRequest, call};
 use crate::fleet::config_body::config_body;
-use crate::fleet::facts::{Answer, Asked, Order};
-use crate::fleet::script::{Manner, Request, RequestKind};
+use crate::fleet::facts::{Answer, CallKind, ConfigChange};
+use crate::fleet::script::{Request, RequestKind, SendMode};
 use crate::fleet::world::World;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// A patient operator asks for so long.
-const PATIENCE: Duration = Duration::from_millis(7_000);
-const REPLACE: &str = "/runtrack/config/replace";
-const AMEND: &str = "/runtrack/config/amend";
+const RETRY_TIMEOUT: Duration = Duration::from_millis(7_000);
+const REPLACE_PATH: &str = "/runtrack/config/replace";
+const AMEND_PATH: &str = "/runtrack/config/amend";
 /// Wait before the next member is asked.
-const PAUSE: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// Carries a request of the script out.
-pub async fn play(world: Rc<World>, request: Request) {
-    sleep_until(world.at(request.at)).await;
+pub async fn run(world: Rc<World>, request: Request) {
+    sleep_until(world.instant_at(request.at)).await;
     match request.what {
         RequestKind::Read => {
-            read(&world, request.operator, world.core(request.member)).await;
+            read(&world, request.operator, world.nth_core(request.member)).await;
         }
         RequestKind::Replace { step, manner } => {
-            let base = world.known.get();
-            let order = new_order(&world, base, base + u64::from(step), true);
-            send(&world, &request, order, manner).await;
+            let base = world.newest_known.get();
+            let change = new_change(&world, base, base + u64::from(step), true);
+            send_request(&world, &request, change, manner).await;
         }
         RequestKind::ReplaceStale { behind } => {
-            let known = world.known.get();
-            let base = known.saturating_add_signed(-i64::from(behind));
-            let order = new_order(&world, base, known.max(base) + 1, true);
-            send(&world, &request, order, Manner::Once).await;
+            let newest_known = world.newest_known.get();
+            let base = newest_known.saturating_add_signed(-i64::from(behind));
+            let change = new_change(&world, base, newest_known.max(base) + 1, true);
+            send_request(&world, &request, change, SendMode::Once).await;
         }
         RequestKind::ReplaceInvalid => {
-            let base = world.known.get();
-            let order = new_order(&world, base, base + 1, false);
-            send(&world, &request, order, Manner::Once).await;
+            let base = world.newest_known.get();
+            let change = new_change(&world, base, base + 1, false);
+            send_request(&world, &request, change, SendMode::Once).await;
         }
         RequestKind::Repeat { back } => {
-            let count = world.facts.borrow().orders.len();
-            if let Some(order) = count.checked_sub(1 + back as usize) {
-                send(&world, &request, order, Manner::Once).await;
+            let count = world.facts.borrow().changes.len();
+            if let Some(change) = count.checked_sub(1 + back as usize) {
+                send_request(&world, &request, change, SendMode::Once).await;
             }
         }
     }
@@ -50,88 +50,88 @@
 
 /// Reads from a member; whether there was a clear answer.
 pub async fn read(world: &World, operator: u32, core: u32) -> bool {
-    let sending = Sending {
+    let call_request = CallRequest {
         caller: operator,
         core,
-        asked: Asked::Read,
-        first_line: "GET /runtrack/config/read".to_owned(),
+        asked: CallKind::Read,
+        method_and_path: "GET /runtrack/config/read".to_owned(),
         base: None,
         body: String::new(),
-        leaves_after: None,
+        disconnect_after: None,
     };
-    let answer = call(world, sending).await;
+    let answer = call(world, call_request).await;
     if let Some((version, _)) = answer.as_ref().and_then(|answer| answer.config) {
-        world.known.set(world.known.get().max(version));
+        world.newest_known.set(world.newest_known.get().max(version));
     }
     answer.is_some_and(|answer| matches!(answer.status, 200 | 404))
 }
 
-fn new_order(world: &World, base: u64, version: u64, valid: bool) -> usize {
-    let orders = &mut world.facts.borrow_mut().orders;
-    let marker = orders.len() as u64;
-    orders.push(Order { base, version, marker, valid });
-    orders.len() - 1
+fn new_change(world: &World, base: u64, version: u64, valid: bool) -> usize {
+    let changes = &mut world.facts.borrow_mut().changes;
+    let marker = changes.len() as u64;
+    changes.push(ConfigChange { base, version, marker, valid });
+    changes.len() - 1
 }
 
-async fn send_to(
+async fn send_change(
     world: &World,
     operator: u32,
     core: u32,
-    number: usize,
-    leaves_after: Option<Duration>,
+    index: usize,
+    disconnect_after: Option<Duration>,
 ) -> Option<Answer> {
-    let order = world.facts.borrow().orders[number].clone();
-    let sending = Sending {
+    let change = world.facts.borrow().changes[index].clone();
+    let call_request = CallRequest {
         caller: operator,
         core,
-        asked: Asked::Replace(number),
-        first_line: format!("POST {}", if order.is_amendment() { AMEND } else { REPLACE }),
-        base: Some(order.base),
-        body: config_body(&order),
-        leaves_after,
+        asked: CallKind::Replace(index),
+        method_and_path: format!("POST {}", if change.is_amendment() { AMEND_PATH } else { REPLACE_PATH }),
+        base: Some(change.base),
+        body: config_body(&change),
+        disconnect_after,
     };
-    let answer = call(world, sending).await?;
+    let answer = call(world, call_request).await?;
     let newest = match answer.status {
-        200 => order.version,
+        200 => change.version,
         _ => answer.named.unwrap_or(0),
     };
-    world.known.set(world.known.get().max(newest));
+    world.newest_known.set(world.newest_known.get().max(newest));
     Some(answer)
 }
 
-async fn send(world: &World, request: &Request, order: usize, manner: Manner) {
-    let until = Instant::now() + PATIENCE;
+async fn send_request(world: &World, request: &Request, change: usize, manner: SendMode) {
+    let until = Instant::now() + RETRY_TIMEOUT;
     let mut member = request.member;
-    if let Manner::AnswerLost(after) = manner {
+    if let SendMode::AnswerLost(after) = manner {
         let after = Duration::from_millis(after.into());
-        send_to(world, request.operator, world.core(member), order, Some(after)).await;
+        send_change(world, request.operator, world.nth_core(member), change, Some(after)).await;
         member += 1;
     }
     while Instant::now() < until {
-        let answer = send_to(world, request.operator, world.core(member), order, None).await;
-        let clear = answer.is_some_and(|answer| answer.status != 503);
-        if clear || manner == Manner::Once {
+        let answer = send_change(world, request.operator, world.nth_core(member), change, None).await;
+        let is_definite = answer.is_some_and(|answer| answer.status != 503);
+        if is_definite || manner == SendMode::Once {
             return;
         }
         member += 1;
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
 /// A patient replacement on top of what is known at the end of a run; whether it was acknowledged.
-pub async fn last_replace(world: &World, member: u32) -> bool {
-    let until = Instant::now() + PATIENCE;
+pub async fn final_replace(world: &World, member: u32) -> bool {
+    let until = Instant::now() + RETRY_TIMEOUT;
     let mut member = member;
     while Instant::now() < until {
-        let base = world.known.get();
-        let order = new_order(world, base, base + 1, true);
+        let base = world.newest_known.get();
+        let change = new_change(world, base, base + 1, true);
         while Instant::now() < until {
-            let answer = send_to(world, 0, world.core(member), order, None).await;
+            let answer = send_change(world, 0, world.nth_core(member), change, None).await;
             member += 1;
             match answer.map(|answer| answer.status) {
                 Some(200) => return true,
                 Some(409 | 412) => break,
-                _ => sleep(PAUSE).await,
+                _ => sleep(RETRY_DELAY).await,
             }
         }
     }
--- a/crates/sim/src/fleet/oracle/healing.rs
+++ b/crates/sim/src/fleet/oracle/healing.rs
@@ -1,43 +1,53 @@
 //! Once all is mended: changes and reads come through, and the copies are whole.
 
-use super::{Breach, Rule};
-use crate::fleet::facts::{Asked, Facts};
+use super::{Rule, Violation};
+use crate::fleet::facts::{CallKind, Facts};
 use crate::fleet::script::Script;
 use std::time::Duration;
 
 /// Judges the end of a run.
-pub fn judge(script: &Script, facts: &Facts) -> Vec<Breach> {
-    let mut breaches = Vec::new();
+pub fn check(script: &Script, facts: &Facts) -> Vec<Violation> {
+    let mut violations = Vec::new();
     if !facts.last_acknowledged {
         let what = "no change is acknowledged after all was mended";
-        breaches.push(Breach::new(Rule::Heals, facts.end, what));
+        violations.push(Violation::new(Rule::Heals, facts.end, what));
     }
-    for core in &facts.unread {
-        breaches.push(Breach::new(Rule::Heals, facts.end, format!("core-{core} gives no clear answer")));
+    for core in &facts.unreadable_cores {
+        violations.push(Violation::new(
+            Rule::Heals,
+            facts.end,
+            format!("core-{core} gives no clear answer"),
+        ));
     }
-    for (name, at, problem) in facts.crashed.iter().filter(|(name, at, _)| !recognized(facts, name, *at)) {
-        breaches.push(Breach::new(Rule::Runs, *at, format!("{name}: {problem}")));
+    for (name, at, problem) in
+        facts.exits.iter().filter(|(name, at, _)| !is_stale_disk_exit(facts, name, *at))
+    {
+        violations.push(Violation::new(Rule::Runs, *at, format!("{name}: {problem}")));
     }
-    breaches.extend(copies(script, facts).filter(|_| facts.last_acknowledged));
-    breaches
+    violations.extend(check_copies(script, facts).filter(|_| facts.last_acknowledged));
+    violations
 }
 
 /// Whether the process of an older disk has ended: it comes back as another member.
-fn recognized(facts: &Facts, name: &str, at: Duration) -> bool {
-    facts.put_backs.iter().any(|put_back| format!("core-{}", put_back.core) == name && put_back.at <= at)
+fn is_stale_disk_exit(facts: &Facts, name: &str, at: Duration) -> bool {
+    facts
+        .disk_rollbacks
+        .iter()
+        .any(|rollback| format!("core-{}", rollback.core) == name && rollback.at <= at)
 }
 
-fn copies(script: &Script, facts: &Facts) -> Option<Breach> {
+fn check_copies(script: &Script, facts: &Facts) -> Option<Violation> {
     let versions = facts.calls.iter().filter_map(|call| {
-        let Asked::Replace(order) = call.asked else { return None };
+        let CallKind::Replace(change) = call.asked else { return None };
         let taken = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
-        taken.then(|| facts.orders[order].version)
+        taken.then(|| facts.changes[change].version)
     });
     let newest = versions.max()?;
-    let whole = facts.disks.values().filter(|disk| disk.is_some_and(|(version, _)| version >= newest));
-    let (whole, wanted) = (whole.count(), (2 * script.tolerance as usize + 1).min(facts.disks.len()));
+    let whole =
+        facts.final_disks.values().filter(|disk| disk.is_some_and(|(version, _)| version >= newest));
+    let (whole, wanted) = (whole.count(), (2 * script.tolerance as usize + 1).min(facts.final_disks.len()));
     (whole < wanted).then(|| {
         let what = format!("version {newest} is on {whole} disks, not on {wanted}");
-        Breach::new(Rule::Copies, facts.end, what)
+        Violation::new(Rule::Copies, facts.end, what)
     })
 }
--- a/crates/sim/src/fleet/oracle/mod.rs
+++ b/crates/sim/src/fleet/oracle/mod.rs
@@ -71,7 +71,7 @@
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     /// Which.
     pub rule: Rule,
     /// When it showed.
@@ -80,26 +80,26 @@
     pub what: String,
 }
 
-impl Breach {
+impl Violation {
     fn new(rule: Rule, at: Duration, what: impl Into<String>) -> Self {
-        Breach { rule, at, what: what.into() }
+        Violation { rule, at, what: what.into() }
     }
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{:?} at {:.3}: {}", self.rule, self.at.as_secs_f64(), self.what)
     }
 }
 
 /// The broken rules, in the order of time.
-pub fn judge(script: &Script, facts: &Facts) -> Vec<Breach> {
-    let mut breaches = register::judge(facts);
-    breaches.extend(contact::judge(script, facts));
-    breaches.extend(agents::judge(script, facts));
-    breaches.extend(healing::judge(script, facts));
-    breaches.extend(disks::judge(script, facts));
-    breaches.extend(membership::judge(facts));
-    breaches.sort_by_key(|breach| (breach.at, breach.rule));
-    breaches
+pub fn check(script: &Script, facts: &Facts) -> Vec<Violation> {
+    let mut violations = register::check(facts);
+    violations.extend(contact::check(script, facts));
+    violations.extend(agents::check(script, facts));
+    violations.extend(healing::check(script, facts));
+    violations.extend(disks::check(script, facts));
+    violations.extend(membership::check(facts));
+    violations.sort_by_key(|violation| (violation.at, violation.rule));
+    violations
 }
--- a/crates/sim/src/fleet/oracle/starts.rs
+++ b/crates/sim/src/fleet/oracle/starts.rs
@@ -1,56 +1,64 @@
 //! What an agent takes right after its start: nothing older than what those know who are in contact.
 
-use super::agents::{BOUND, CONTACT, View};
-use super::contact::KNOWS;
-use super::{Breach, Rule};
-use crate::fleet::facts::{Asked, Told};
+use super::agents::{AgentView, MAX_LATENCY, STABLE_PERIOD};
+use super::contact::CUT_DETECTION_BOUND;
+use super::{Rule, Violation};
+use crate::fleet::facts::{CallKind, Report};
 use std::time::Duration;
 
 /// From its start on, for so long, an agent takes a configuration only from members in contact.
-const WAITS: Duration = Duration::from_millis(1_450);
+const STARTUP_WINDOW: Duration = Duration::from_millis(1_450);
 
-impl View<'_> {
+impl AgentView<'_> {
     /// A version that an agent takes right after its start though a newer one was acknowledged long before, and only a
     /// member that was cut off could lack it.
-    pub(super) fn started_behind(&self) -> Option<Breach> {
+    pub(super) fn check_start_version(&self) -> Option<Violation> {
         let starts = self.facts.agent_starts.iter().filter(|(agent, _)| *agent == self.agent);
         for (number, (_, start)) in starts.enumerate() {
-            let Some(newest) = self.acknowledged_before(start.saturating_sub(BOUND)) else { continue };
-            let life = number as u32 + 1;
-            let soon = self.words.iter().filter(|word| word.life == life && word.at < *start + WAITS);
-            let behind = soon.filter_map(|word| match word.told {
-                Told::Version(version) | Told::Config(version, _) => Some((word.at, version)),
+            let Some(newest) = self.acknowledged_by(start.saturating_sub(MAX_LATENCY)) else { continue };
+            let start_number = number as u32 + 1;
+            let reported_early = self
+                .events
+                .iter()
+                .filter(|event| event.start_number == start_number && event.at < *start + STARTUP_WINDOW);
+            let behind = reported_early.filter_map(|event| match event.report {
+                Report::Version(version) | Report::Config(version, _) => Some((event.at, version)),
                 _ => None,
             });
             let mut behind = behind.filter(|(_, version)| (1..newest).contains(version));
-            if let Some((at, version)) = behind.find(|(at, _)| self.others_are_steady(*start, *at)) {
+            if let Some((at, version)) = behind.find(|(at, _)| self.only_steady_cuts(*start, *at)) {
                 let what = format!("{} starts with version {version}, not {newest}", self.name());
-                return Some(Breach::new(Rule::StartsCurrent, at, what));
+                return Some(Violation::new(Rule::StartsCurrent, at, what));
             }
         }
         None
     }
 
     /// The newest version that was acknowledged by then.
-    fn acknowledged_before(&self, by: Duration) -> Option<u64> {
+    fn acknowledged_by(&self, by: Duration) -> Option<u64> {
         let versions = self.facts.calls.iter().filter_map(|call| {
-            let Asked::Replace(order) = call.asked else { return None };
+            let CallKind::Replace(change) = call.asked else { return None };
             let taken = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
-            (taken && call.ended.is_some_and(|ended| ended <= by)).then(|| self.facts.orders[order].version)
+            (taken && call.ended.is_some_and(|ended| ended <= by))
+                .then(|| self.facts.changes[change].version)
         });
         versions.max()
     }
 
     /// Whether all that has befallen the core for a while is that members were cut off, knew of it, and still are; no more of
     /// them than the tolerance bears.
-    fn others_are_steady(&self, start: Duration, at: Duration) -> bool {
-        let before = start.saturating_sub(CONTACT);
-        let harms = self.facts.harms.iter().filter(|harm| harm.from <= at && harm.until >= before);
-        let cores = harms.filter(|harm| harm.core.is_some());
-        let steady = |from: Duration, until: Duration| from + KNOWS <= start && until > at;
+    fn only_steady_cuts(&self, start: Duration, at: Duration) -> bool {
+        let before = start.saturating_sub(STABLE_PERIOD);
+        let disruptions = self
+            .facts
+            .disruptions
+            .iter()
+            .filter(|disruption| disruption.from <= at && disruption.until >= before);
+        let cores = disruptions.filter(|disruption| disruption.core.is_some());
+        let steady = |from: Duration, until: Duration| from + CUT_DETECTION_BOUND <= start && until > at;
         let mut lost = 0;
-        for harm in cores {
-            if !harm.isolates || !steady(harm.from, harm.until) {
+        for disruption in cores {
+            if !disruption.isolates || !steady(disruption.from, disruption.until) {
                 return false;
             }
             lost += 1;
--- a/crates/sim/src/fleet/script.rs
+++ b/crates/sim/src/fleet/script.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// From the mending of the last fault until all must be well again.
-pub const SETTLE: Duration = Duration::from_millis(5_000);
+pub const RECOVERY_TIME: Duration = Duration::from_millis(5_000);
 
 /// A run of the control plane.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -55,7 +55,7 @@
         /// How far its version is above the one that it builds on.
         step: u32,
         /// How it is sent.
-        manner: Manner,
+        manner: SendMode,
     },
     /// A configuration on top of a version that is not current.
     ReplaceStale {
@@ -73,7 +73,7 @@
 
 /// How a replacement is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Manner {
+pub enum SendMode {
     /// Until it is answered clearly: after silence or 503 to the next member.
     Patient,
     /// Once.
@@ -89,7 +89,7 @@
     /// When it starts, in milliseconds.
     pub at: u32,
     /// When it leaves, and how.
-    pub leaves: Option<(u32, Leaving)>,
+    pub leaves: Option<(u32, Departure)>,
     /// The member that it reports to first.
     pub member: u32,
     /// It stands still from a moment on, for so long, and then goes on.
@@ -102,14 +102,14 @@
 
 impl EndpointPlan {
     /// One that beats from a moment on, and does no more.
-    pub fn beating(member: u32, at: u32) -> Self {
+    pub fn steady(member: u32, at: u32) -> Self {
         EndpointPlan { at, leaves: None, member, pauses: None, stays: false }
     }
 }
 
 /// How an endpoint leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Leaving {
+pub enum Departure {
     /// It drains, and then deregisters.
     Drains,
     /// It deregisters at once.
@@ -120,7 +120,7 @@
 
 /// Which way a cut goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Way {
+pub enum Direction {
     /// Both.
     Both,
     /// What the machine sends is held up.
@@ -131,7 +131,7 @@
 
 /// From whom a core machine is cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum From {
+pub enum CutScope {
     /// The other core machines.
     Cores,
     /// All other machines.
@@ -158,9 +158,9 @@
 #[allow(missing_docs, reason = "the fields are named alike: when, how long, and which machine")]
 pub enum Fault {
     /// A core machine is cut off.
-    Cut { core: u32, way: Way, from: From, resets: bool, at: u32, lasts: u32 },
+    Cut { core: u32, way: Direction, from: CutScope, resets: bool, at: u32, lasts: u32 },
     /// Two core machines are cut off from each other, and from nobody else.
-    PairCut { core: u32, other: u32, way: Way, at: u32, lasts: u32 },
+    PairCut { core: u32, other: u32, way: Direction, at: u32, lasts: u32 },
     /// An agent is cut off from all core machines but, perhaps, one.
     AgentCut { agent: u32, but: Option<u32>, at: u32, lasts: u32 },
     /// All that a core machine sends and gets takes longer.
@@ -205,7 +205,7 @@
     /// Its kind, by name.
     pub fn kind(&self) -> &'static str {
         match self {
-            Fault::Cut { way: Way::Both, .. } => "cut",
+            Fault::Cut { way: Direction::Both, .. } => "cut",
             Fault::Cut { .. } => "cut_one_way",
             Fault::PairCut { .. } => "pair_cut",
             Fault::AgentCut { .. } => "agent_cut",
@@ -261,7 +261,7 @@
 
 impl Script {
     /// Core machines that there are in the course of the run.
-    pub fn machines(&self) -> u32 {
+    pub fn machine_count(&self) -> u32 {
         let new = |fault: &&Fault| matches!(fault, Fault::Replace { .. } | Fault::Spare { .. });
         self.cores + self.faults.iter().filter(new).count() as u32
     }
--- a/crates/sim/src/fleet/shrink.rs
+++ b/crates/sim/src/fleet/shrink.rs
@@ -6,23 +6,23 @@
 use crate::shrink::fewer;
 
 /// Runs that are enough for a script of this size, in most cases.
-pub const RUNS: usize = 600;
+pub const DEFAULT_MAX_RUNS: usize = 600;
 
 /// The smaller script, after so many runs at most, and how many it took.
-pub fn shrink(script: &Script, rule: Rule, runs_most: usize) -> (Script, usize) {
+pub fn shrink(script: &Script, rule: Rule, max_runs: usize) -> (Script, usize) {
     let mut runs = 0;
-    let mut breaks = |candidate: &Script| {
+    let mut still_violates = |candidate: &Script| {
         runs += 1;
-        runs <= runs_most && run(candidate, false).breaches.iter().any(|breach| breach.rule == rule)
+        runs <= max_runs && run(candidate, false).violations.iter().any(|violation| violation.rule == rule)
     };
     let mut best = script.clone();
     loop {
         let before = best.clone();
-        best = fewer(best, |script| &mut script.faults, &mut breaks);
-        best = fewer(best, |script| &mut script.requests, &mut breaks);
-        best = fewer(best, |script| &mut script.endpoints, &mut breaks);
-        for simpler in simpler(&best) {
-            if breaks(&simpler) {
+        best = fewer(best, |script| &mut script.faults, &mut still_violates);
+        best = fewer(best, |script| &mut script.requests, &mut still_violates);
+        best = fewer(best, |script| &mut script.endpoints, &mut still_violates);
+        for simpler in simplifications(&best) {
+            if still_violates(&simpler) {
                 best = simpler;
             }
         }
@@ -33,7 +33,7 @@
 }
 
 /// Scripts that differ in one setting, each simpler.
-fn simpler(script: &Script) -> Vec<Script> {
+fn simplifications(script: &Script) -> Vec<Script> {
     let with = |change: &dyn Fn(&mut Script)| {
         let mut changed = script.clone();
         change(&mut changed);
--- a/crates/sim/src/fleet/timeline.rs
+++ b/crates/sim/src/fleet/timeline.rs
@@ -1,7 +1,7 @@
 //! What happened, for a person: the log of each process and what callers saw, in the order of time.
 
-use crate::fleet::facts::{Asked, Facts, Told};
-use crate::fleet::oracle::Breach;
+use crate::fleet::facts::{CallKind, Facts, Report};
+use crate::fleet::oracle::Violation;
 use crate::fleet::script::Script;
 use slog::{Discard, Drain, Logger, OwnedKVList, Record, o};
 use std::cell::RefCell;
@@ -14,34 +14,38 @@
 }
 
 /// Log events of this thread's run, as lines.
-struct Lines {
+struct LineDrain {
     node: String,
 }
 
-struct Pairs(String);
+struct KeyValues(String);
 
-impl slog::Serializer for Pairs {
+impl slog::Serializer for KeyValues {
     fn emit_arguments(&mut self, key: slog::Key, value: &fmt::Arguments<'_>) -> slog::Result {
         write!(self.0, " {key}={value}")?;
         Ok(())
     }
 }
 
-impl Drain for Lines {
+impl Drain for LineDrain {
     type Ok = ();
     type Err = slog::Never;
 
     fn log(&self, record: &Record<'_>, _: &OwnedKVList) -> Result<(), slog::Never> {
-        let mut pairs = Pairs(format!("{:<9} {}", self.node, record.msg()));
-        let _ = slog::KV::serialize(&record.kv(), record, &mut pairs); // text can always be written
-        LINES.with_borrow_mut(|lines| lines.push((Instant::now(), pairs.0)));
+        let mut key_values = KeyValues(format!("{:<9} {}", self.node, record.msg()));
+        let _ = slog::KV::serialize(&record.kv(), record, &mut key_values); // text can always be written
+        LINES.with_borrow_mut(|lines| lines.push((Instant::now(), key_values.0)));
         Ok(())
     }
 }
 
 /// A logger for a process of the run; it keeps lines where they are wanted.
 pub fn logger(node: &str, traced: bool) -> Logger {
-    if traced { Logger::root(Lines { node: node.to_owned() }, o!()) } else { Logger::root(Discard, o!()) }
+    if traced {
+        Logger::root(LineDrain { node: node.to_owned() }, o!())
+    } else {
+        Logger::root(Discard, o!())
+    }
 }
 
 /// The lines of the run that has just ended on this thread.
@@ -50,26 +54,26 @@
     lines.into_iter().map(|(at, line)| (at.saturating_duration_since(start), line)).collect()
 }
 
-fn asked(facts: &Facts, asked: Asked) -> String {
+fn describe(facts: &Facts, asked: CallKind) -> String {
     match asked {
-        Asked::Replace(number) => {
-            let order = &facts.orders[number];
-            format!("replace #{number}: {} on {}", order.version, order.base)
+        CallKind::Replace(number) => {
+            let change = &facts.changes[number];
+            format!("replace #{number}: {} on {}", change.version, change.base)
         }
-        Asked::Read => "read".to_owned(),
-        Asked::Heartbeat(endpoint) => format!("heartbeat of e{endpoint}"),
-        Asked::Drain(endpoint) => format!("draining of e{endpoint}"),
-        Asked::Deregister(endpoint) => format!("deregistration of e{endpoint}"),
+        CallKind::Read => "read".to_owned(),
+        CallKind::Heartbeat(endpoint) => format!("heartbeat of e{endpoint}"),
+        CallKind::Drain(endpoint) => format!("draining of e{endpoint}"),
+        CallKind::Deregister(endpoint) => format!("deregistration of e{endpoint}"),
     }
 }
 
 fn call_lines(facts: &Facts) -> Vec<(Duration, String)> {
     let mut lines = Vec::new();
     for (number, call) in facts.calls.iter().enumerate() {
-        if matches!(call.asked, Asked::Heartbeat(_)) {
+        if matches!(call.asked, CallKind::Heartbeat(_)) {
             continue;
         }
-        let what = asked(facts, call.asked);
+        let what = describe(facts, call.asked);
         lines.push((call.began, format!("caller    call {number} to core-{}: {what}", call.core)));
         let outcome = match &call.answer {
             Some(answer) => match answer.config {
@@ -86,27 +90,34 @@
     lines
 }
 
-fn word_lines(facts: &Facts) -> Vec<(Duration, String)> {
-    let mut last: Vec<(u32, Told)> = Vec::new();
+fn report_lines(facts: &Facts) -> Vec<(Duration, String)> {
+    let mut last: Vec<(u32, Report)> = Vec::new();
     let mut lines = Vec::new();
-    for word in &facts.words {
-        let (agent, told) = (word.agent, &word.told);
-        let said = (agent, told.clone());
+    for event in &facts.events {
+        let (agent, told) = (event.agent, &event.report);
+        let reported = (agent, told.clone());
         // Words that only repeat what was said say nothing.
-        if matches!(told, Told::Version(_)) && last.iter().rev().find(|(a, _)| *a == agent) == Some(&said) {
+        if matches!(told, Report::Version(_))
+            && last.iter().rev().find(|(a, _)| *a == agent) == Some(&reported)
+        {
             continue;
         }
-        lines.push((word.at, format!("edge-{agent}    tells (life {}): {told:?}", word.life)));
-        last.push(said);
+        lines.push((event.at, format!("edge-{agent}    tells (life {}): {told:?}", event.start_number)));
+        last.push(reported);
     }
     lines
 }
 
 /// All that happened.
-pub fn whole(script: &Script, facts: &Facts, log: &[(Duration, String)], breaches: &[Breach]) -> String {
+pub fn render(
+    script: &Script,
+    facts: &Facts,
+    log: &[(Duration, String)],
+    violations: &[Violation],
+) -> String {
     let mut lines: Vec<(Duration, String)> = log.to_vec();
     lines.extend(call_lines(facts));
-    lines.extend(word_lines(facts));
+    lines.extend(report_lines(facts));
     for fault in &script.faults {
         let (at, lasts) = fault.span();
         let text = serde_json::to_string(fault).unwrap_or_default();
@@ -114,8 +125,8 @@
         let until = Duration::from_millis((at + lasts).into());
         lines.push((until, format!("mended    {text}")));
     }
-    for breach in breaches {
-        lines.push((breach.at, format!("BROKEN    {breach}")));
+    for violation in violations {
+        lines.push((violation.at, format!("BROKEN    {violation}")));
     }
     lines.sort_by_key(|(at, _)| *at);
     let mut text = String::new();
--- a/crates/sim/src/fleet/world.rs
+++ b/crates/sim/src/fleet/world.rs
@@ -1,8 +1,10 @@
 //! What all parts of a run share: the network, the facts, and who is where.
 
-use crate::fleet::config_body::lineage_of;
-use crate::fleet::disk::OlderCopy;
-use crate::fleet::facts::{Call, DiskState, Ending, Facts, MemberId, PutBack, Told, Word};
+use crate::fleet::config_body::parse_lineage;
+use crate::fleet::disk::RestoredCopy;
+use crate::fleet::facts::{
+    AgentEvent, Call, DiskRollback, DiskState, Facts, MemberId, Report, Termination,
+};
 use crate::fleet::script::Script;
 use crate::net::Wires;
 use rand_core::{RngCore, SeedableRng};
@@ -17,15 +19,15 @@
 use tokio::time::Instant;
 
 /// Where operators and endpoints call.
-const CONTROL: u16 = 8146;
+const CONTROL_PORT: u16 = 8146;
 /// Where controllers listen for other processes.
-const FIRST_PORT: u16 = 7660;
+const FIRST_PEER_PORT: u16 = 7660;
 /// Where an agent's proxy comes in.
-const FEED: u16 = 7661;
+const FEED_PORT: u16 = 7661;
 /// How often endpoints tell that they are there.
-pub const HEARTBEAT: Duration = Duration::from_millis(400);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 /// Seeds that the settings name.
-const SEEDS: u32 = 3;
+const SEED_COUNT: u32 = 3;
 
 /// The world of one run.
 pub struct World {
@@ -36,7 +38,7 @@
     /// What was seen.
     pub facts: RefCell<Facts>,
     /// The newest version that operators know of.
-    pub known: Cell<u64>,
+    pub newest_known: Cell<u64>,
     /// Core machines that there are now.
     pub cores: RefCell<Vec<u32>>,
     /// Core machines that the settings name.
@@ -44,7 +46,7 @@
     /// Log lines, where they are wanted.
     pub traced: bool,
     start: Instant,
-    draws: RefCell<Pcg32>,
+    rng: RefCell<Pcg32>,
 }
 
 /// A core machine's address.
@@ -69,13 +71,13 @@
 }
 
 /// Where a core machine takes calls.
-pub fn control(core: u32) -> SocketAddr {
-    SocketAddrV4::new(core_ip(core), CONTROL).into()
+pub fn control_address(core: u32) -> SocketAddr {
+    SocketAddrV4::new(core_ip(core), CONTROL_PORT).into()
 }
 
 /// Where an agent takes its proxy.
-pub fn feed(agent: u32) -> SocketAddr {
-    SocketAddrV4::new(agent_ip(agent), FEED).into()
+pub fn feed_address(agent: u32) -> SocketAddr {
+    SocketAddrV4::new(agent_ip(agent), FEED_PORT).into()
 }
 
 impl World {
@@ -84,16 +86,16 @@
         let ms = |time: u32| Duration::from_millis(time.into());
         let latency = (ms(script.latency_ms.0), ms(script.latency_ms.1));
         let wires = Wires::new(script.seed, latency, script.split, false);
-        let seeds = (0..script.cores.min(SEEDS)).collect();
+        let seeds = (0..script.cores.min(SEED_COUNT)).collect();
         Rc::new(World {
             wires,
             facts: RefCell::default(),
-            known: Cell::new(0),
+            newest_known: Cell::new(0),
             cores: RefCell::new((0..script.cores).collect()),
             seeds: RefCell::new(seeds),
             traced,
             start: Instant::now(),
-            draws: RefCell::new(Pcg32::seed_from_u64(script.seed ^ 0x5157)),
+            rng: RefCell::new(Pcg32::seed_from_u64(script.seed ^ 0x5157)),
             script,
         })
     }
@@ -104,24 +106,24 @@
     }
 
     /// A moment of the script.
-    pub fn at(&self, ms: u32) -> Instant {
+    pub fn instant_at(&self, ms: u32) -> Instant {
         self.start + Duration::from_millis(ms.into())
     }
 
     /// A draw of its own.
-    pub fn draw(&self) -> u32 {
-        self.draws.borrow_mut().next_u32()
+    pub fn random(&self) -> u32 {
+        self.rng.borrow_mut().next_u32()
     }
 
     /// The core machine of this number among those that there are.
-    pub fn core(&self, number: u32) -> u32 {
+    pub fn nth_core(&self, number: u32) -> u32 {
         let cores = self.cores.borrow();
         cores[number as usize % cores.len()]
     }
 
     /// The settings of a core machine.
     pub fn core_settings(&self, core: u32, first_boot: bool) -> Result<Node, String> {
-        let (ip, control) = (core_ip(core), control(core));
+        let (ip, control) = (core_ip(core), control_address(core));
         self.settings(&format!(
             "node=core-{core}\nip={ip}\nlisten.control={control}\nfirstBoot={first_boot}\n"
         ))
@@ -129,18 +131,18 @@
 
     /// The settings of an edge machine.
     pub fn agent_settings(&self, agent: u32) -> Result<Node, String> {
-        let (ip, feed) = (agent_ip(agent), feed(agent));
+        let (ip, feed) = (agent_ip(agent), feed_address(agent));
         self.settings(&format!("node=edge-{agent}\nip={ip}\nlisten.feed={feed}\n"))
     }
 
     fn settings(&self, own: &str) -> Result<Node, String> {
         let seeds: Vec<String> =
-            self.seeds.borrow().iter().map(|seed| control(*seed).to_string()).collect();
+            self.seeds.borrow().iter().map(|seed| control_address(*seed).to_string()).collect();
         let common = format!(
-            "portRange={FIRST_PORT},{}\nseeds={}\nbeatPeriodMs={}\ntolerance.machines={}\n",
-            FIRST_PORT + 15,
+            "portRange={FIRST_PEER_PORT},{}\nseeds={}\nbeatPeriodMs={}\ntolerance.machines={}\n",
+            FIRST_PEER_PORT + 15,
             seeds.join(","),
-            HEARTBEAT.as_millis(),
+            HEARTBEAT_INTERVAL.as_millis(),
             self.script.tolerance
         );
         Node::read(&format!("{own}{common}")).map_err(|error| error.to_string())
@@ -152,21 +154,21 @@
     }
 
     /// Notes the beginning of a call; its number.
-    pub fn call_begins(&self, call: Call) -> usize {
+    pub fn record_call_start(&self, call: Call) -> usize {
         let calls = &mut self.facts.borrow_mut().calls;
         calls.push(call);
         calls.len() - 1
     }
 
     /// Notes what came of a call.
-    pub fn call(&self, number: usize, note: impl FnOnce(&mut Call)) {
+    pub fn update_call(&self, number: usize, update: impl FnOnce(&mut Call)) {
         if let Some(call) = self.facts.borrow_mut().calls.get_mut(number) {
-            note(call);
+            update(call);
         }
     }
 
     /// Notes what the disk of a core machine holds now.
-    pub fn disk_holds(&self, core: u32, incarnation: u64, value: Option<&Value>) {
+    pub fn record_disk_state(&self, core: u32, incarnation: u64, value: Option<&Value>) {
         let sets = value.map(sets_of).unwrap_or_default();
         let state = DiskState {
             core,
@@ -180,36 +182,36 @@
     }
 
     /// Notes that an older copy was put back.
-    pub fn put_back(&self, core: u32, copy: &OlderCopy) {
-        let OlderCopy { incarnation, sequence, older } = *copy;
-        let put_back = PutBack { core, at: self.now(), incarnation, sequence, older };
-        self.facts.borrow_mut().put_backs.push(put_back);
+    pub fn record_disk_rollback(&self, core: u32, copy: &RestoredCopy) {
+        let RestoredCopy { incarnation, sequence, is_stale } = *copy;
+        let rollback = DiskRollback { core, at: self.now(), incarnation, sequence, is_stale };
+        self.facts.borrow_mut().disk_rollbacks.push(rollback);
     }
 
     /// Notes that a controller was told to end.
-    pub fn told_to_end(&self, core: u32) {
-        let ending = Ending { core, told: self.now(), ended: None };
-        self.facts.borrow_mut().endings.push(ending);
+    pub fn record_termination_request(&self, core: u32) {
+        let termination = Termination { core, requested: self.now(), ended: None };
+        self.facts.borrow_mut().terminations.push(termination);
     }
 
     /// Notes that a controller that was told to end has ended.
-    pub fn ended(&self, core: u32) {
+    pub fn record_termination(&self, core: u32) {
         let now = self.now();
-        let endings = &mut self.facts.borrow_mut().endings;
-        if let Some(ending) = endings.iter_mut().rfind(|ending| ending.core == core) {
-            ending.ended = Some(now);
+        let terminations = &mut self.facts.borrow_mut().terminations;
+        if let Some(termination) = terminations.iter_mut().rfind(|termination| termination.core == core) {
+            termination.ended = Some(now);
         }
     }
 
     /// Notes of which versions a configuration was made.
-    pub fn saw_config(&self, body: &[u8]) {
-        let seen = (self.now(), lineage_of(body));
+    pub fn record_lineage(&self, body: &[u8]) {
+        let seen = (self.now(), parse_lineage(body));
         self.facts.borrow_mut().lineages.push(seen);
     }
 
     /// Notes what an agent told.
-    pub fn told(&self, agent: u32, life: u32, told: Told) {
+    pub fn record_report(&self, agent: u32, start_number: u32, report: Report) {
         let at = self.now();
-        self.facts.borrow_mut().words.push(Word { agent, life, at, told });
+        self.facts.borrow_mut().events.push(AgentEvent { agent, start_number, at, report });
     }
 }
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -68,7 +68,7 @@
     Cluster(Cluster),
     /// The fleet's controllers and agents, in place of the sidecar.
     #[command(subcommand)]
-    Fleet(fleet::command::Fleet),
+    Fleet(fleet::command::Command),
     /// Plant each error in turn, and count the seeds until it is found and the lines of its smallest script.
     Mutants(Starts),
 }
@@ -132,7 +132,7 @@
 
 /// All planted errors that there are, each with what it does.
 fn known_mutants() -> impl Iterator<Item = (&'static str, &'static str)> {
-    let of_fleet = fleet::MUTANTS.iter().map(|mutant| (mutant.name, mutant.what));
+    let of_fleet = fleet::MUTANTS.iter().map(|mutant| (mutant.name, mutant.effect));
     mutants::ALL.into_iter().chain(agreement::MUTANTS).chain(of_fleet)
 }
 
@@ -172,7 +172,7 @@
             report(&outcome)
         }),
         Command::Cluster(ask) => cluster(ask, mutant),
-        Command::Fleet(verb) => fleet::command::carry_out(verb, mutant),
+        Command::Fleet(verb) => fleet::command::execute(verb, mutant),
         Command::Mutants(starts) => Ok(plant_all(starts)),
     };
     done.unwrap_or_else(|problem| {
--- a/crates/sim/tests/fleet.rs
+++ b/crates/sim/tests/fleet.rs
@@ -14,37 +14,37 @@
 fn no_seed_of_the_fixed_set_breaks_a_rule() {
     each(0..100, |seed| {
         let outcome = run(&draw::script(seed), false);
-        assert!(outcome.breaches.is_empty(), "seed {seed}: {}", outcome.breaches[0]);
+        assert!(outcome.violations.is_empty(), "seed {seed}: {}", outcome.violations[0]);
         assert!(outcome.facts.last_acknowledged, "seed {seed}: nothing was acknowledged at the end");
     });
 }
 
 /// The last line of `fleet play`, which has the hash of all that went over the network and all that was seen.
-fn in_a_process(seed: u64) -> String {
+fn report_of_process(seed: u64) -> String {
     last_line_of(&["fleet", "play", &seed.to_string()])
 }
 
 #[test]
 fn the_same_seed_is_the_same_run_in_another_process() {
     each(0..16, |seed| {
-        let there = in_a_process(seed);
+        let there = report_of_process(seed);
         let here = format!("hash {:016x};", run(&draw::script(seed), false).hash);
         assert!(there.contains(&here), "seed {seed}: {there}, here {here}");
     });
-    assert_ne!(in_a_process(1), in_a_process(2));
+    assert_ne!(report_of_process(1), report_of_process(2));
 }
 
 /// Seeds in which several tasks of a controller wait for one write of leaves.
-const LEAVES_AT_ONCE: [u64; 4] = [12, 20, 22, 24];
+const CONCURRENT_LEAVE_SEEDS: [u64; 4] = [12, 20, 22, 24];
 /// Where such waiters woke in random order, each of these seeds had two hashes or more, the rarer one in 3 of 8 runs at
 /// least: with this many runs the first three alone miss that once in some 8,000 times.
-const RUNS: usize = 6;
+const REPEATS: usize = 6;
 
 #[test]
 fn a_run_is_the_same_each_time_though_leaves_wait_for_a_disk_together() {
-    each(0..LEAVES_AT_ONCE.len() as u64, |number| {
-        let script = draw::script(LEAVES_AT_ONCE[number as usize]);
-        let hashes: BTreeSet<u64> = (0..RUNS).map(|_| run(&script, false).hash).collect();
+    each(0..CONCURRENT_LEAVE_SEEDS.len() as u64, |number| {
+        let script = draw::script(CONCURRENT_LEAVE_SEEDS[number as usize]);
+        let hashes: BTreeSet<u64> = (0..REPEATS).map(|_| run(&script, false).hash).collect();
         assert_eq!(hashes.len(), 1, "seed {}: {hashes:x?}", script.seed);
     });
 }
@@ -59,16 +59,16 @@
 }
 
 /// A lost disk counts as lost for so long after its machine is back.
-const SETTLE: u32 = 4_000;
+const REPAIR_MS: u32 = 4_000;
 /// Nothing else is harmed for so long before an older disk is put back.
-const QUIET: u32 = 5_000;
+const QUIET_MS: u32 = 5_000;
 
 /// Losses of disks: when, and until when they count.
 fn lost_disks(script: &Script) -> Vec<(u32, u32)> {
     let lost = script.faults.iter().filter(|fault| {
         matches!(fault, Fault::Wipe { .. } | Fault::Replace { .. } | Fault::OlderDisk { .. })
     });
-    lost.map(|fault| (fault.span().0, fault.span().0 + fault.span().1 + SETTLE)).collect()
+    lost.map(|fault| (fault.span().0, fault.span().0 + fault.span().1 + REPAIR_MS)).collect()
 }
 
 #[test]
@@ -91,7 +91,7 @@
     let mut drawn = 0;
     for seed in 0..1_000 {
         let script = draw::script(seed);
-        let harmful = |fault: &&Fault| {
+        let is_harmful = |fault: &&Fault| {
             !matches!(
                 fault,
                 Fault::SlowLinks { .. }
@@ -103,13 +103,14 @@
                     | Fault::AgentFreeze { .. }
             )
         };
-        for older in script.faults.iter().filter(|fault| matches!(fault, Fault::OlderDisk { .. })) {
-            let (at, lasts) = older.span();
-            let near = |fault: &&Fault| {
+        for rollback in script.faults.iter().filter(|fault| matches!(fault, Fault::OlderDisk { .. })) {
+            let (at, lasts) = rollback.span();
+            let overlaps = |fault: &&Fault| {
                 let (from, lasting) = fault.span();
-                from < at + lasts + SETTLE && from + lasting + QUIET > at
+                from < at + lasts + REPAIR_MS && from + lasting + QUIET_MS > at
             };
-            let others = script.faults.iter().filter(|fault| *fault != older).filter(harmful).filter(near);
+            let others =
+                script.faults.iter().filter(|fault| *fault != rollback).filter(is_harmful).filter(overlaps);
             assert_eq!(others.count(), 0, "seed {seed}");
             drawn += 1;
         }
@@ -121,7 +122,7 @@
 fn scripts_of_what_was_found_and_mended_break_no_rule() {
     for (path, script) in scripts_in::<Script>("fleet_scripts") {
         let outcome = run(&script, false);
-        assert!(outcome.breaches.is_empty(), "{}: {}", path.display(), outcome.breaches[0]);
+        assert!(outcome.violations.is_empty(), "{}: {}", path.display(), outcome.violations[0]);
     }
 }
 
@@ -130,11 +131,11 @@
     let text = include_str!("fleet_scripts/frozen_agent_and_all_killed.json");
     let script: Script = serde_json::from_str(text).expect("a script");
     let outcome = mutants::with(Some("leaves-not-read"), || run(&script, false));
-    assert!(outcome.breaches.iter().any(|breach| breach.rule == Rule::LeaverHeard));
+    assert!(outcome.violations.iter().any(|violation| violation.rule == Rule::LeaverHeard));
 }
 
 /// Seeds that show a planted error; `runtrack-sim fleet mutants` measures how many it takes.
-const SHOWN_BY: [(&str, u64); 30] = [
+const MUTANT_SEEDS: [(&str, u64); 30] = [
     ("amendment-loses-items", 6),
     ("heartbeats-out-of-contact", 14),
     ("contact-of-one-side", 25),
@@ -172,27 +173,27 @@
 #[test]
 fn each_planted_error_is_found_by_its_seed() {
     let names: Vec<&str> = MUTANTS.iter().map(|mutant| mutant.name).collect();
-    each(0..SHOWN_BY.len() as u64, |number| {
-        let (name, seed) = SHOWN_BY[number as usize];
+    each(0..MUTANT_SEEDS.len() as u64, |number| {
+        let (name, seed) = MUTANT_SEEDS[number as usize];
         assert!(names.contains(&name), "{name}");
         let outcome = mutants::with(Some(name), || run(&draw::script(seed), false));
-        assert!(!outcome.breaches.is_empty(), "{name}: seed {seed} breaks nothing");
+        assert!(!outcome.violations.is_empty(), "{name}: seed {seed} breaks nothing");
     });
 }
 
 #[test]
 fn a_script_that_breaks_a_rule_becomes_a_small_one_with_a_timeline() {
-    let (name, seed) = SHOWN_BY[0];
+    let (name, seed) = MUTANT_SEEDS[0];
     let script = draw::script(seed);
     let (small, again) = mutants::with(Some(name), || {
-        let rule = run(&script, false).breaches.first().expect("it breaks a rule").rule;
+        let rule = run(&script, false).violations.first().expect("it breaks a rule").rule;
         let (small, _) = shrink::shrink(&script, rule, SHRINK_RUNS);
         let again = run(&small, true);
-        assert!(again.breaches.iter().any(|breach| breach.rule == rule));
+        assert!(again.violations.iter().any(|violation| violation.rule == rule));
         (small, again)
     });
     assert!(small.faults.len() + small.requests.len() < script.faults.len() + script.requests.len());
-    let text = timeline::whole(&small, &again.facts, &again.log, &again.breaches);
+    let text = timeline::render(&small, &again.facts, &again.log, &again.violations);
     assert!(text.contains("controller.start") && text.contains("BROKEN"), "{text}");
-    assert!(run(&small, false).breaches.is_empty(), "without the error it breaks nothing");
+    assert!(run(&small, false).violations.is_empty(), "without the error it breaks nothing");
 }
--- a/crates/sim/tests/fleet_oracle_disks.rs
+++ b/crates/sim/tests/fleet_oracle_disks.rs
@@ -2,8 +2,10 @@
 //! changes of members, each beside a sound one.
 
 use runtrack_sim::fleet::draw;
-use runtrack_sim::fleet::facts::{Answer, Asked, Call, DiskState, Ending, Facts, MemberId, Order, PutBack};
-use runtrack_sim::fleet::oracle::{Rule, judge};
+use runtrack_sim::fleet::facts::{
+    Answer, Call, CallKind, ConfigChange, DiskRollback, DiskState, Facts, MemberId, Termination,
+};
+use runtrack_sim::fleet::oracle::{Rule, check};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -27,9 +29,9 @@
     DiskState { sets, ..state(core, at, sequence, 2) }
 }
 
-fn replace(order: usize, began: u64) -> Call {
+fn replace(change: usize, began: u64) -> Call {
     Call {
-        asked: Asked::Replace(order),
+        asked: CallKind::Replace(change),
         core: 0,
         began: ms(began),
         ended: Some(ms(began + 10)),
@@ -42,97 +44,103 @@
 
 /// Two acknowledged versions, on all disks.
 fn sound() -> Facts {
-    let order = |base, marker| Order { base, version: base + 1, marker, valid: true };
+    let config_change = |base, marker| ConfigChange { base, version: base + 1, marker, valid: true };
     let mut facts = Facts {
-        orders: vec![order(0, 0), order(1, 1)],
+        changes: vec![config_change(0, 0), config_change(1, 1)],
         calls: vec![replace(0, 100), replace(1, 5_000)],
         last_acknowledged: true,
-        healed: ms(12_000),
+        healed_at: ms(12_000),
         end: ms(20_000),
         ..Facts::default()
     };
     for core in 0..3 {
-        facts.disks.insert(core, Some((2, 1)));
+        facts.final_disks.insert(core, Some((2, 1)));
         facts.disk_states.extend([state(core, 0, 0, 0), state(core, 105, 1, 1), state(core, 5_005, 2, 2)]);
     }
     facts.disk_states.sort_by_key(|state| state.at);
     facts
 }
 
-fn broken(change: impl Fn(&mut Facts)) -> Vec<Rule> {
+fn violated_rules(change: impl Fn(&mut Facts)) -> Vec<Rule> {
     let mut script = draw::script(0);
     (script.cores, script.tolerance, script.agents) = (3, 1, 0);
     let mut facts = sound();
     change(&mut facts);
-    judge(&script, &facts).into_iter().map(|breach| breach.rule).collect()
+    check(&script, &facts).into_iter().map(|violation| violation.rule).collect()
 }
 
 /// One history breaks the rule, and the other one does not.
 #[track_caller]
-fn tells_apart(rule: Rule, bad: impl Fn(&mut Facts), good: impl Fn(&mut Facts)) {
-    let (bad, good) = (broken(bad), broken(good));
+fn assert_distinguishes(rule: Rule, bad: impl Fn(&mut Facts), good: impl Fn(&mut Facts)) {
+    let (bad, good) = (violated_rules(bad), violated_rules(good));
     assert!(bad.contains(&rule), "{bad:?}");
     assert!(!good.contains(&rule), "{good:?}");
 }
 
 /// This disk has missed the second version.
-fn misses(facts: &mut Facts, core: u32) {
+fn lose_second_version(facts: &mut Facts, core: u32) {
     facts.disk_states.retain(|state| state.core != core || state.sequence < 2);
 }
 
 #[test]
 fn a_sound_history_breaks_nothing() {
-    assert_eq!(broken(|_| {}), []);
+    assert_eq!(violated_rules(|_| {}), []);
 }
 
 #[test]
 fn a_member_that_goes_on_with_an_older_disk_is_found_and_another_one_there_is_not() {
     let goes_on = |facts: &mut Facts, incarnation: u64| {
-        let back = PutBack { core: 0, at: ms(6_000), incarnation: 0, sequence: 1, older: true };
-        facts.put_backs.push(back);
+        let back = DiskRollback { core: 0, at: ms(6_000), incarnation: 0, sequence: 1, is_stale: true };
+        facts.disk_rollbacks.push(back);
         facts
             .disk_states
             .extend([state(0, 6_000, 1, 1), DiskState { incarnation, ..state(0, 6_500, 3, 2) }]);
     };
-    tells_apart(Rule::OlderDisk, |facts| goes_on(facts, 0), |facts| goes_on(facts, 7));
+    assert_distinguishes(Rule::OlderDisk, |facts| goes_on(facts, 0), |facts| goes_on(facts, 7));
     let current = |facts: &mut Facts| {
         goes_on(facts, 0);
-        facts.put_backs[0].older = false;
+        facts.disk_rollbacks[0].is_stale = false;
     };
-    assert_eq!(broken(current), [], "nothing was missing on the copy");
+    assert_eq!(violated_rules(current), [], "nothing was missing on the copy");
 }
 
 #[test]
 fn only_an_older_disk_ends_a_process() {
-    let ends = |facts: &mut Facts| facts.crashed.push(("core-0".to_owned(), ms(6_100), "why".to_owned()));
+    let ends = |facts: &mut Facts| facts.exits.push(("core-0".to_owned(), ms(6_100), "why".to_owned()));
     let older = |facts: &mut Facts| {
         ends(facts);
-        facts.put_backs.push(PutBack { core: 0, at: ms(6_000), incarnation: 0, sequence: 1, older: true });
+        facts.disk_rollbacks.push(DiskRollback {
+            core: 0,
+            at: ms(6_000),
+            incarnation: 0,
+            sequence: 1,
+            is_stale: true,
+        });
     };
-    tells_apart(Rule::Runs, ends, older);
+    assert_distinguishes(Rule::Runs, ends, older);
 }
 
 #[test]
 fn a_member_that_ends_before_the_others_hold_its_value_is_found() {
     let ends = |facts: &mut Facts, ended: u64| {
-        misses(facts, 1);
-        facts.endings.push(Ending { core: 0, told: ms(8_000), ended: Some(ms(ended)) });
+        lose_second_version(facts, 1);
+        facts.terminations.push(Termination { core: 0, requested: ms(8_000), ended: Some(ms(ended)) });
     };
-    tells_apart(Rule::HandsOver, |facts| ends(facts, 8_400), |facts| ends(facts, 10_000));
+    assert_distinguishes(Rule::HandsOver, |facts| ends(facts, 8_400), |facts| ends(facts, 10_000));
     let all_hold_it = |facts: &mut Facts| {
         ends(facts, 8_400);
         facts.disk_states.push(state(1, 8_200, 2, 2));
     };
-    tells_apart(Rule::HandsOver, |facts| ends(facts, 8_400), all_hold_it);
+    assert_distinguishes(Rule::HandsOver, |facts| ends(facts, 8_400), all_hold_it);
 }
 
 #[test]
 fn a_copy_that_is_not_made_up_for_is_found_though_nothing_changes_any_more() {
     let late = |facts: &mut Facts, at: u64| {
-        misses(facts, 2);
+        lose_second_version(facts, 2);
         facts.disk_states.push(state(2, at, 2, 2));
     };
-    tells_apart(Rule::Copies, |facts| late(facts, 18_000), |facts| late(facts, 16_000));
+    assert_distinguishes(Rule::Copies, |facts| late(facts, 18_000), |facts| late(facts, 16_000));
 }
 
 #[test]
@@ -140,8 +148,16 @@
     let changes = |facts: &mut Facts, next: &[u32]| {
         facts.disk_states.push(change(0, 9_000, 3, &[&[0, 1, 2], next]));
     };
-    tells_apart(Rule::OneChange, |facts| changes(facts, &[0, 3, 4]), |facts| changes(facts, &[0, 1, 3]));
-    tells_apart(Rule::OneChange, |facts| changes(facts, &[0]), |facts| changes(facts, &[0, 1, 2, 3]));
+    assert_distinguishes(
+        Rule::OneChange,
+        |facts| changes(facts, &[0, 3, 4]),
+        |facts| changes(facts, &[0, 1, 3]),
+    );
+    assert_distinguishes(
+        Rule::OneChange,
+        |facts| changes(facts, &[0]),
+        |facts| changes(facts, &[0, 1, 2, 3]),
+    );
 }
 
 #[test]
@@ -154,12 +170,12 @@
         }
         facts.disk_states.push(change(0, at, 5, &[&[0, 1, 2, 3], &[1, 2, 3]]));
     };
-    tells_apart(Rule::CopiesFirst, |facts| changes(facts, 9_300), |facts| changes(facts, 10_200));
+    assert_distinguishes(Rule::CopiesFirst, |facts| changes(facts, 9_300), |facts| changes(facts, 10_200));
     let copied = |facts: &mut Facts| {
         facts.disk_states.push(change(2, 9_200, 4, &[&[0, 1, 2, 3]]));
         changes(facts, 9_300);
     };
-    tells_apart(Rule::CopiesFirst, |facts| changes(facts, 9_300), copied);
+    assert_distinguishes(Rule::CopiesFirst, |facts| changes(facts, 9_300), copied);
 }
 
 #[test]
@@ -168,7 +184,7 @@
         facts.disk_states.push(state(3, 8_900, version, version));
         facts.disk_states.push(change(0, 9_000, 3, &[&[0, 1, 2], &[0, 1, 2, 3]]));
     };
-    tells_apart(Rule::JoinsWhole, |facts| joins(facts, 1), |facts| joins(facts, 2));
+    assert_distinguishes(Rule::JoinsWhole, |facts| joins(facts, 1), |facts| joins(facts, 2));
 }
 
 #[test]
@@ -179,7 +195,7 @@
         facts.disk_states.push(DiskState { incarnation: 0, ..state(3, at, 0, 0) });
         facts.disk_states.push(change(0, 9_000, 3, &[&[0, 1, 2], &[0, 1, 2, 3]]));
     };
-    tells_apart(Rule::JoinsWhole, |facts| wiped(facts, 8_300), |facts| wiped(facts, 8_990));
+    assert_distinguishes(Rule::JoinsWhole, |facts| wiped(facts, 8_300), |facts| wiped(facts, 8_990));
 }
 
 #[test]
@@ -193,5 +209,5 @@
         facts.disk_states.insert(0, DiskState { incarnation: 7, ..state(2, 8_000, 0, 0) });
         facts.disk_states.sort_by_key(|state| state.at);
     };
-    tells_apart(Rule::MemberStays, replaced, ended);
+    assert_distinguishes(Rule::MemberStays, replaced, ended);
 }
