--- a/crates/sim/src/fleet/call.rs
+++ b/crates/sim/src/fleet/call.rs
@@ -1,4 +1,4 @@
-//! A call over HTTP to a controller.
+//! HTTP calls to a controller, as operators and endpoints make them.
 
 use crate::fleet::config_body::parse_config;
 use crate::fleet::facts::{Answer, Call, CallKind};
@@ -9,26 +9,27 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// A caller waits so long for its answer.
+/// Time after which a caller gives up waiting for its answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
-/// More that comes behind an answer is waited for.
+/// Time for which a caller watches for bytes that follow its answer.
 const SURPLUS_WAIT: Duration = Duration::from_millis(20);
 
-/// What is sent.
+/// An HTTP request to a controller and how the caller behaves.
 pub struct CallRequest {
-    /// Who calls, by the number of its address.
+    /// Number of the caller, which determines its address.
     pub caller: u32,
-    /// Which core machine.
+    /// Number of the core machine that is called.
     pub core: u32,
-    /// What is asked.
+    /// What the request asks for, as recorded in the facts.
     pub asked: CallKind,
-    /// Path and method.
+    /// Method and path of the request line.
     pub method_and_path: String,
-    /// The version that a configuration builds on.
+    /// The version that a configuration builds on, sent as `X-Base-Version`.
     pub base: Option<u64>,
-    /// The body.
+    /// The request body.
     pub body: String,
-    /// The connection is closed so long after the request was sent, whatever has come by then.
+    /// If set, the caller closes the connection this long after it sent the request, without reading an
+    /// answer.
     pub disconnect_after: Option<Duration>,
 }
 
@@ -44,7 +45,7 @@
     }
 }
 
-/// The current version, as a refusal for another base names it: the last number in its reason.
+/// The current version that a refusal (412) names: the last number in its reason.
 fn version_in_refusal(message: &Message) -> Option<u64> {
     let text = String::from_utf8_lossy(&message.body);
     text.split(|c: char| !c.is_ascii_digit()).filter_map(|digits| digits.parse().ok()).next_back()
@@ -59,7 +60,7 @@
     }
 }
 
-/// Calls, notes all of it, and gives the answer.
+/// Sends a request, records it in the facts, and returns the answer if one arrived in time.
 pub async fn call(world: &World, call_request: CallRequest) -> Option<Answer> {
     let began = world.now();
     let number = world.record_call_start(Call {
--- a/crates/sim/src/fleet/command.rs
+++ b/crates/sim/src/fleet/command.rs
@@ -1,4 +1,5 @@
-//! The program's verb for the control plane: play a seed, search many, make one small, and find planted errors.
+//! The `fleet` command of `runtrack-sim`: runs, replays, searches and shrinks simulations of the control
+//! plane, and measures how soon planted errors are found.
 
 use crate::campaign::{self, Pairs, Seeds, Starts};
 use crate::fleet::oracle::Rule;
@@ -14,20 +15,20 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// The real controllers and agents, in place of the sidecar.
+/// Simulate the controllers and agents instead of the sidecar.
 #[derive(Subcommand)]
 pub enum Command {
     /// Run one seed.
     Play {
         /// The seed.
         seed: u64,
-        /// The world is around this theme.
+        /// Generate the script around this theme.
         #[arg(long)]
         theme: Option<draw::Theme>,
-        /// Print all that happened, a line an event.
+        /// Print the timeline, one line per event.
         #[arg(long)]
         timeline: bool,
-        /// Write its script here.
+        /// Write the generated script to this file.
         #[arg(long, value_name = "FILE")]
         script: Option<PathBuf>,
     },
@@ -35,39 +36,39 @@
     Replay {
         /// The script.
         script: PathBuf,
-        /// Print all that happened, a line an event.
+        /// Print the timeline, one line per event.
         #[arg(long)]
         timeline: bool,
     },
-    /// Run many seeds and say which break a rule.
+    /// Run many seeds and report those that break a rule.
     Search {
-        /// Which seeds.
+        /// The seeds to run.
         #[command(flatten)]
         which: Seeds,
-        /// Only worlds around this theme.
+        /// Generate only scripts around this theme.
         #[arg(long)]
         theme: Option<draw::Theme>,
     },
-    /// Make a seed that breaks a rule small; write its script to this file.
+    /// Shrink the script of a seed that breaks a rule and write it to a file.
     Shrink {
         /// The seed.
         seed: u64,
-        /// The world is around this theme.
+        /// Generate the script around this theme.
         #[arg(long)]
         theme: Option<draw::Theme>,
-        /// Where the script goes.
+        /// File for the shrunk script.
         #[arg(long, value_name = "FILE")]
         to: PathBuf,
     },
-    /// Plant each error in turn, and count the seeds until it is found.
+    /// Plant each error in turn and count the seeds until it is found.
     Mutants {
-        /// How long they are searched for.
+        /// The searches to make for each error.
         #[command(flatten)]
         starts: Starts,
-        /// Only errors whose name holds this.
+        /// Only errors whose name contains this text.
         #[arg(long)]
         only: Option<String>,
-        /// So many errors at once.
+        /// Number of errors to search for in parallel.
         #[arg(long, default_value_t = 1)]
         jobs: usize,
     },
@@ -91,7 +92,7 @@
     if outcome.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Carries the verb out.
+/// Executes a command, with an optional planted error, and returns the process's exit code.
 pub fn execute(command: Command, mutant: Option<&str>) -> Result<ExitCode, String> {
     let play = |script: &Script, with_timeline: bool| {
         let outcome = mutants::with(mutant, || run(script, with_timeline));
@@ -150,7 +151,8 @@
     if violating == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Seeds until an error is found, from each start; none where none of the seeds shows it.
+/// For each start, the number of seeds until a planted error was found and the rule that showed it; `None`
+/// if no seed of that search showed it.
 fn seeds_until_found(name: &str, starts: &Starts) -> Vec<Option<(u64, Rule)>> {
     let violated_rule = |seed: u64| {
         let outcome = mutants::with(Some(name), || run(&draw::script(seed), false));
--- a/crates/sim/src/fleet/config_body.rs
+++ b/crates/sim/src/fleet/config_body.rs
@@ -1,10 +1,11 @@
-//! Bodies of configurations: what operators send, and what of it can be told from a body that is read.
+//! Builds the configuration bodies that operators send, and parses those that callers and agents receive.
 
 use crate::fleet::facts::ConfigChange;
 use serde_json::Value;
 
-/// The body of an order. Its route bears its marker; a service bears its version, and an amendment leaves those of the
-/// versions before.
+/// The body of a configuration change. The host of its only route carries the change's marker. Each change
+/// adds a service named after its version, and an amendment keeps those of earlier versions, so that a body
+/// shows which changes it is made of.
 pub fn config_body(change: &ConfigChange) -> String {
     let timeout = if change.valid { 1000 } else { 0 };
     let ConfigChange { version, marker, .. } = change;
@@ -21,7 +22,7 @@
     )
 }
 
-/// The versions that a configuration was made of, in the order in which they were put into it.
+/// The versions that a configuration is made of, in the order in which they were applied.
 pub fn parse_lineage(body: &[u8]) -> Vec<u64> {
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     let services = value.get("services").and_then(Value::as_array).into_iter().flatten();
--- a/crates/sim/src/fleet/disk.rs
+++ b/crates/sim/src/fleet/disk.rs
@@ -1,4 +1,5 @@
-//! The disk of a simulated core machine: files that survive the process, with what a disk can do to them.
+//! The simulated disk of a core machine: its files outlive the process, and its faults come from the
+//! script.
 
 use crate::fleet::script::DiskFault;
 use rand_core::{RngCore, SeedableRng};
@@ -16,34 +17,35 @@
 use tokio::sync::Mutex;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// A write with its sync takes this long at least and at most, in microseconds.
+/// Shortest and longest duration of a write with its sync, in microseconds.
 const WRITE_LATENCY_US: (u32, u32) = (300, 3_000);
-/// Copies that are kept of a disk's past.
+/// Number of past states of a disk that are kept for rollbacks.
 const MAX_SAVED_COPIES: usize = 400;
-/// What a disk has held for so long, others have heard of: controllers probe each other every 250 ms.
+/// Time after which other members know what a disk holds: controllers probe each other every 250 ms.
 const PROPAGATION_TIME: Duration = Duration::from_millis(1_000);
 
 type Content = BTreeMap<String, Vec<u8>>;
-/// Is told what a disk holds, whenever that changes: the member's incarnation and its value.
+/// Called with the member's incarnation and value whenever the content of a disk changes.
 pub type DiskObserver = Box<dyn Fn(u64, Option<&Value>)>;
 
-/// A copy of a disk's past that was put back.
+/// A past state that was restored onto a disk.
 pub struct RestoredCopy {
-    /// The incarnation of the member on it.
+    /// Incarnation of the member in the restored state.
     pub incarnation: u64,
-    /// Sequence number of its value.
+    /// Sequence number of the member's value in the restored state.
     pub sequence: u64,
-    /// The disk had held a newer value of that member for long enough to be known of elsewhere.
+    /// Whether the disk had held a newer value of the same member for long enough that other members knew
+    /// of it.
     pub is_stale: bool,
 }
 
-/// The files.
+/// In-memory files.
 #[derive(Clone, Default)]
 struct SimFiles {
     content: Rc<RefCell<Content>>,
-    /// The next write stops after so many bytes.
+    /// If set, the next write stops after this many bytes.
     torn_after_bytes: Rc<Cell<Option<usize>>>,
-    /// Writes reach the files, and are said to have failed.
+    /// Whether writes reach the files but report that their sync failed.
     is_sync_failing: Rc<Cell<bool>>,
 }
 
@@ -64,20 +66,20 @@
     }
 }
 
-/// A disk and its troubles.
+/// A disk and its faults.
 pub struct SimDisk {
     files: SimFiles,
     rng: RefCell<Pcg32>,
     faults: RefCell<Vec<(DiskFault, Instant, Instant)>>,
-    /// The record that is being written, and the rings that write it.
+    /// The record that is being written, if any.
     write_in_progress: RefCell<Option<Record>>,
-    /// What the disk held, from time to time.
+    /// Past states of the disk, oldest first.
     saved_copies: RefCell<VecDeque<(Instant, Content)>>,
     observer: DiskObserver,
 }
 
 impl SimDisk {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub fn new(seed: u64, observer: DiskObserver) -> Rc<Self> {
         Rc::new(SimDisk {
             files: SimFiles::default(),
@@ -89,12 +91,13 @@
         })
     }
 
-    /// Has something go wrong from one moment to another.
+    /// Schedules a fault for a span of time.
     pub fn add_fault(&self, what: DiskFault, from: Instant, until: Instant) {
         self.faults.borrow_mut().push((what, from, until));
     }
 
-    /// Mounts it for a process: what is on it, and a way to write.
+    /// Mounts the disk for a process: returns a handle for writing, and the acceptor stored on the disk or
+    /// a new one with the given incarnation.
     pub fn mount(
         self: &Rc<Self>,
         incarnation: impl FnOnce() -> u64,
@@ -110,17 +113,17 @@
         Ok((Rc::new(mounted), acceptor))
     }
 
-    /// The member that is on it.
+    /// The acceptor stored on the disk, if there is one.
     pub fn stored_acceptor(&self) -> Option<Acceptor> {
         acceptor_in_files(self.files.clone())
     }
 
-    /// Tells who watches what is on it.
+    /// Reports a stored acceptor to the observer.
     fn notify(&self, acceptor: &Acceptor) {
         (self.observer)(acceptor.incarnation(), acceptor.accepted().map(|accepted| &*accepted.value));
     }
 
-    /// Tells who watches what was just written.
+    /// Reports a written record to the observer, if it holds a value.
     fn notify_written(&self, record: &Record) {
         match record {
             Record::Value(record) => (self.observer)(record.incarnation, Some(&record.value)),
@@ -128,7 +131,8 @@
         }
     }
 
-    /// The process that wrote has ended: what was being written is there, or not; after a loss of power perhaps in part.
+    /// Handles the end of the writing process: the write in progress is lost or complete, or, after a loss
+    /// of power, possibly torn.
     pub fn process_stopped(&self, power_lost: bool) {
         let Some(record) = self.write_in_progress.take() else { return };
         let draw = self.rng.borrow_mut().next_u32();
@@ -140,20 +144,20 @@
         };
         if let Ok((mut rings, _)) = Rings::open(self.files.clone(), || 0) {
             self.files.torn_after_bytes.set(torn);
-            let _ = rings.write(&record); // what it says goes to nobody: the process is gone
+            let _ = rings.write(&record); // the process is gone, so nobody needs the result
             self.files.torn_after_bytes.set(None);
         }
         self.stored_acceptor().iter().for_each(|acceptor| self.notify(acceptor));
     }
 
-    /// Loses everything.
+    /// Erases the disk.
     pub fn wipe(&self) {
         self.files.content.borrow_mut().clear();
         self.saved_copies.borrow_mut().clear();
         (self.observer)(0, None);
     }
 
-    /// Puts what was on it some time ago back; nothing where there is no copy that old.
+    /// Restores the state of the disk from `age` ago; returns `None` if no state that old was kept.
     pub fn restore_copy(&self, age: Duration) -> Option<RestoredCopy> {
         let known = self.content_before(PROPAGATION_TIME).and_then(acceptor_in_content);
         *self.files.content.borrow_mut() = self.content_before(age)?;
@@ -169,7 +173,7 @@
         })
     }
 
-    /// What was on it some time ago.
+    /// The content of the disk `age` ago.
     fn content_before(&self, age: Duration) -> Option<Content> {
         let then = Instant::now() - age;
         let saved_copies = self.saved_copies.borrow();
@@ -177,7 +181,7 @@
         copy.map(|(_, content)| content.clone())
     }
 
-    /// Waits as long as a write takes; whether the disk takes it.
+    /// Waits as long as a write takes; returns whether the disk accepts the write.
     async fn wait_for_write(&self) -> bool {
         let drawn = WRITE_LATENCY_US.0
             + self.rng.borrow_mut().next_u32() % (WRITE_LATENCY_US.1 - WRITE_LATENCY_US.0);
@@ -225,7 +229,7 @@
     }
 }
 
-/// The member that is in these files.
+/// The acceptor stored in the given files.
 fn acceptor_in_files(files: SimFiles) -> Option<Acceptor> {
     let (_, acceptor) = Rings::open(files, || 0).ok()?;
     Some(acceptor)
@@ -239,7 +243,7 @@
     acceptor.accepted().map_or(0, |accepted| accepted.value.sequence)
 }
 
-/// A disk as a process has it.
+/// A disk as mounted by a process.
 struct MountedDisk {
     disk: Rc<SimDisk>,
     rings: Rc<Mutex<Rings<SimFiles>>>,
--- a/crates/sim/src/fleet/disruption.rs
+++ b/crates/sim/src/fleet/disruption.rs
@@ -1,12 +1,14 @@
-//! What faults do to machines, for the oracle: when a machine was harmed, slowed or cut off from all others of the core.
+//! Derives the effects of faults on machines for the oracle: when a machine was disrupted, slowed or cut
+//! off from all other core machines.
 
 use crate::fleet::facts::Disruption;
 use crate::fleet::script::{Fault, Script};
 use std::time::Duration;
 
-/// After a loss of power a machine takes a moment more than the fault lasts.
+/// A machine counts as affected for this long after its fault ends, since it has to restart after a loss of
+/// power; milliseconds.
 const RESTART_MS: u32 = 50;
-/// A process that is told to end gets so long before it is killed.
+/// Time that a process has to end after SIGTERM before it is killed, in milliseconds.
 pub const SHUTDOWN_GRACE_MS: u32 = 3_700;
 
 fn ms(time: u32) -> Duration {
@@ -32,7 +34,7 @@
     Disruption { core: None, agent: Some(agent), ..on_core(0, at, lasts) }
 }
 
-/// When a fault resets all connections of which core machine.
+/// The core machine whose connections a fault resets, and when.
 pub fn connection_reset_of(fault: &Fault) -> Option<(u32, Duration)> {
     match fault {
         Fault::Cut { core, resets: true, at, .. } | Fault::Reset { core, at } => Some((*core, ms(*at))),
@@ -40,7 +42,7 @@
     }
 }
 
-/// What a fault does to which machines.
+/// The effects of a fault on machines.
 pub fn disruptions_of(script: &Script, fault: &Fault) -> Vec<Disruption> {
     let (at, lasts) = fault.span();
     match fault {
@@ -48,7 +50,7 @@
             let until = ms(at + lasts);
             let mut disruptions = vec![Disruption { isolates: true, until, ..on_core(*core, at, lasts) }];
             if *resets {
-                // Its connections to agents break as well.
+                // The connections to agents are reset as well.
                 disruptions.extend((0..script.agents).map(|agent| on_agent(agent, at, 0)));
             }
             disruptions
@@ -75,7 +77,7 @@
             let restart_of = |core: u32| on_core(core, at + core * gap, *gap);
             (0..script.cores).map(restart_of).collect()
         }
-        // Each of the two is in touch with all others.
+        // Each of the two machines of a pair cut can still reach all others.
         Fault::PairCut { .. } | Fault::Spare { .. } | Fault::Seeds { .. } => {
             vec![on_core(u32::MAX, at, lasts)]
         }
--- a/crates/sim/src/fleet/draw/contact.rs
+++ b/crates/sim/src/fleet/draw/contact.rs
@@ -1,4 +1,5 @@
-//! Themes about contact: a member that is cut off or stands still, and what calls it, leaves there or starts beside it.
+//! Scenarios around loss of contact: a member is cut off or frozen while endpoints and operators call it,
+//! endpoints leave, or agents start.
 
 use super::READY_MS;
 use super::failure_budget::FailureBudget;
@@ -7,12 +8,12 @@
     CutScope, Departure, Direction, EndpointPlan, Fault, Request, RequestKind, Script, SendMode,
 };
 
-/// Situations that there are here.
+/// Number of scenario kinds that can be drawn.
 const SCENARIOS: u32 = 11;
-/// Moments of a world that are drawn alike.
+/// A script repeats its scenario at most this many times.
 const MAX_REPETITIONS: u32 = 3;
 
-/// What is drawn around one weak moment.
+/// State for generating one scenario.
 struct Scenario<'a> {
     draws: &'a mut Draws,
     script: &'a mut Script,
@@ -21,7 +22,7 @@
     core: u32,
 }
 
-/// Draws a theme, once or a few times in a row.
+/// Draws a kind of scenario and adds it to the script one or more times in a row.
 pub fn draw(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget) {
     let core = draws.of(0, script.cores - 1);
     let kind = draws.of(0, SCENARIOS - 1);
@@ -42,12 +43,13 @@
 }
 
 impl Scenario<'_> {
-    /// Between two moments, both included, whichever is first.
+    /// Draws a time between two times, in either order, both inclusive.
     fn between(&mut self, one: u32, other: u32) -> u32 {
         self.draws.of(one.min(other), one.max(other))
     }
 
-    /// Takes a fault of the member, if it may be; when it is over.
+    /// Adds a fault of the member if the failure budget allows it; returns the time at which the fault
+    /// ends.
     fn add_fault(&mut self, fault: Fault) -> u32 {
         let (at, lasts) = fault.span();
         if self.budget.reserve(self.core, at, at + lasts) {
@@ -66,7 +68,7 @@
         [CutScope::All, CutScope::All, CutScope::Cores, CutScope::Near][self.draws.of(0, 3) as usize]
     }
 
-    /// Endpoints that call a member since before a moment.
+    /// Adds endpoints that have called a member since before the given time.
     fn add_endpoints(&mut self, member: u32, count: u32, before: u32) {
         for _ in 0..count {
             let at = self.draws.of(READY_MS, before.saturating_sub(300).max(READY_MS));
@@ -74,14 +76,14 @@
         }
     }
 
-    /// The newest endpoint leaves.
+    /// Lets the endpoint that was added last leave.
     fn set_departure(&mut self, at: u32, how: Departure) {
         if let Some(endpoint) = self.script.endpoints.last_mut() {
             endpoint.leaves = Some((at, how));
         }
     }
 
-    /// Operators ask a member, some for a change.
+    /// Adds operators' requests to a member, most of them changes.
     fn add_requests(&mut self, member: u32, count: u32, from: u32, until: u32) {
         for _ in 0..count {
             let at = self.between(from, until);
@@ -97,7 +99,7 @@
         (self.core + self.draws.of(1, self.script.cores - 1)) % self.script.cores
     }
 
-    /// It is killed, loses its disk or power, or stands still.
+    /// Kills the member, wipes its disk, cuts its power or freezes it.
     fn add_loss(&mut self, at: u32) {
         let (core, lasts) = (self.core, self.draws.of(100, 2_000));
         let fault = match self.draws.of(0, 3) {
@@ -109,7 +111,7 @@
         self.add_fault(fault);
     }
 
-    /// A member is cut off, mostly in one direction, and endpoints and operators call it.
+    /// A member is cut off, often in one direction only, while endpoints and operators call it.
     fn calls_to_cut_off_member(&mut self, at: u32) -> u32 {
         let (count, from, lasts) = (self.draws.of(2, 4), self.cut_scope(), self.draws.of(1_200, 6_000));
         self.add_endpoints(self.core, count, at);
@@ -120,7 +122,7 @@
         until
     }
 
-    /// Endpoints leave at a member right when it loses contact; then it may be lost.
+    /// Endpoints leave through a member just as it loses contact; the member may then be lost.
     fn departures_at_cut_off(&mut self, at: u32) -> u32 {
         let from = if self.draws.one_in(4) { self.cut_scope() } else { CutScope::All };
         let lasts = self.draws.of(1_000, 10_000);
@@ -138,7 +140,7 @@
         until
     }
 
-    /// A member with slow links stands still, and is cut off about then.
+    /// A member with slow links freezes, and is cut off at about the same time.
     fn freeze_around_cut_off(&mut self, at: u32) -> u32 {
         let core = self.core;
         let count = self.draws.of(2, 4);
@@ -155,8 +157,8 @@
         self.add_cut(from, cut, lasts)
     }
 
-    /// An agent starts, or goes on, beside a member that was cut off before the last changes. It may be all that the agent
-    /// reaches at first.
+    /// An agent starts or resumes next to a member that was cut off before the latest changes. That member
+    /// may be the only one that the agent can reach at first.
     fn agent_start_during_cut_off(&mut self, at: u32) -> u32 {
         let from = if self.draws.one_in(6) { CutScope::Near } else { CutScope::Cores };
         let lasts = self.draws.of(5_000, 12_000);
@@ -180,8 +182,8 @@
         until
     }
 
-    /// An endpoint falls silent while a member is cut off, and others go on; one of them knows only that member. An agent may
-    /// reach no other one when it is back.
+    /// An endpoint crashes while a member is cut off and others keep sending heartbeats; at least one of
+    /// those calls only that member. An agent may reach only that member when it is back.
     fn endpoint_crash_during_cut_off(&mut self, at: u32) -> u32 {
         let from = if self.draws.one_in(2) { CutScope::Cores } else { self.cut_scope() };
         let lasts = self.draws.of(3_000, 12_000);
@@ -205,7 +207,7 @@
         until
     }
 
-    /// An endpoint stands still, an agent after it, and the agent is cut off meanwhile.
+    /// An endpoint pauses, an agent freezes after it, and the agent is cut off in the meantime.
     fn agent_freeze_during_endpoint_pause(&mut self, at: u32) -> u32 {
         let other = self.other_core();
         self.add_endpoints(other, 3, at);
--- a/crates/sim/src/fleet/draw/disks.rs
+++ b/crates/sim/src/fleet/draw/disks.rs
@@ -1,21 +1,22 @@
-//! Trouble of disks: those that refuse, stall or are slow right as values are accepted or endpoints leave, with a loss of power
-//! soon after, and older copies that are put back.
+//! Disk faults: disks that refuse, stall or are slow just as values are accepted or endpoints leave,
+//! followed by a loss of power; and disks that are rolled back to an older state.
 
 use super::READY_MS;
 use super::failure_budget::{FailureBudget, REPAIR_MS};
 use crate::draw::Draws;
 use crate::fleet::script::{Departure, DiskFault, EndpointPlan, Fault, Script};
 
-/// Nothing else is harmed for so long before an older copy is put back, and the other members hold the newest value.
+/// Before a disk is rolled back, no other fault occurs for this long, so that the other members hold the
+/// newest value; milliseconds.
 const QUIET_MS: u32 = 5_000;
-/// Endpoints that start when members have come together are known everywhere this much later.
+/// Time after which endpoints that start once the members are up are known everywhere, in milliseconds.
 const PROPAGATION_MS: u32 = 1_500;
-/// Agents are cut off, and disks are slow, since so long before endpoints leave.
+/// Agents are cut off, and disks are slow, from this long before endpoints leave, in milliseconds.
 const LEAD_MS: u32 = 300;
-/// Disks that stall together begin to within so much of each other.
+/// Stalls of several disks start within this time of each other, in milliseconds.
 const STALL_SPREAD_MS: u32 = 400;
 
-/// Draws one kind of this trouble.
+/// Draws one kind of disk fault and adds it to the script.
 pub fn draw(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, length: u32) {
     let at = draws.of(READY_MS, length);
     match draws.of(0, 7) {
@@ -35,7 +36,8 @@
     }
 }
 
-/// Disks of as many machines as may be lost refuse or are late, once or again, and power is lost at one or all.
+/// The disk of one machine refuses writes or is late, and power may be lost at that machine or at all of
+/// them.
 fn disk_fault_with_power_loss(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, at: u32) {
     let core = draws.of(0, script.cores - 1);
     let lasts = draws.of(150, 4_500);
@@ -58,8 +60,8 @@
     }
 }
 
-/// Endpoints end while disks are slow and all agents are cut off, and all power is lost about when they are acknowledged: what
-/// the agents hear when they are back is what the disks hold, since nobody else knows.
+/// Endpoints leave while disks are slow and all agents are cut off, and power is lost everywhere at about
+/// the time of the acknowledgements. After that only the disks hold what the agents must learn.
 fn departures_before_power_loss(
     draws: &mut Draws,
     script: &mut Script,
@@ -88,8 +90,8 @@
     script.faults.push(Fault::PowerAll { at: off_at, lasts: off });
 }
 
-/// Takes out lost packets around older copies of disks: members hear of each other's disks by probes every 250 ms, and of one that
-/// is put back nobody may know where these take seconds.
+/// Removes packet loss around disk rollbacks: members learn of each other's disks by probes every 250 ms,
+/// and if these take seconds no other member may know that a disk was rolled back.
 pub fn remove_loss_around_disk_rollbacks(script: &mut Script) {
     let rollbacks = script.faults.iter().filter(|fault| matches!(fault, Fault::OlderDisk { .. }));
     let spans: Vec<(u32, u32)> = rollbacks.map(Fault::span).collect();
@@ -116,7 +118,7 @@
     }
 }
 
-/// A machine comes back with its disk as it was some time ago.
+/// A machine comes back with an older state of its disk.
 fn disk_rollback(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, at: u32) {
     let at = at.max(READY_MS + QUIET_MS);
     let core = draws.of(0, script.cores - 1);
--- a/crates/sim/src/fleet/draw/failure_budget.rs
+++ b/crates/sim/src/fleet/draw/failure_budget.rs
@@ -1,23 +1,23 @@
-//! Losses of core machines, so that no more are lost at once than the tolerance bears.
+//! Limits how many core machines fail at the same time to what the cluster tolerates.
 
 use crate::fleet::script::{Fault, Script};
 
-/// A machine that was lost counts as lost for so long after it is back.
+/// A failed machine counts as failed for this long after it is back, in milliseconds.
 pub const REPAIR_MS: u32 = 4_000;
 
-/// Losses of core machines, so that never more are lost at once than may be.
+/// The times during which core machines are reserved for failures.
 pub struct FailureBudget {
     tolerance: u32,
     reserved: Vec<(u32, u32, u32)>,
 }
 
 impl FailureBudget {
-    /// Nothing is lost yet.
+    /// Creates a budget without reservations that allows `tolerance` machines to fail at once.
     pub fn new(tolerance: u32) -> Self {
         FailureBudget { tolerance, reserved: Vec::new() }
     }
 
-    /// Takes a loss in, if it may be.
+    /// Reserves a machine for a failure; returns `false` if too many others fail at that time.
     pub fn reserve(&mut self, core: u32, at: u32, until: u32) -> bool {
         let until = until + REPAIR_MS;
         let overlaps = self.reserved.iter().filter(|(_, from, to)| *from < until && at < *to);
@@ -32,7 +32,7 @@
         is_allowed
     }
 
-    /// Nothing is lost in that time, and this is all of them.
+    /// Reserves all machines for a failure; returns `false` if any machine fails at that time.
     pub fn reserve_all(&mut self, cores: u32, at: u32, until: u32) -> bool {
         let until = until + REPAIR_MS;
         let free = self.reserved.iter().all(|(_, from, to)| *from >= until || at >= *to);
@@ -43,12 +43,12 @@
     }
 }
 
-/// Whether a core machine loses what was on its disk.
+/// Whether a fault makes a core machine lose the content of its disk.
 fn loses_disk(fault: &Fault) -> bool {
     matches!(fault, Fault::Wipe { .. } | Fault::Replace { .. } | Fault::OlderDisk { .. })
 }
 
-/// Until when a lost disk is made up for: trouble at any machine may hold its repair up.
+/// Time by which a lost disk is repaired. Faults of any machine may delay the repair.
 fn repair_end(faults: &[Fault], lost: &Fault) -> u32 {
     let (at, lasts) = lost.span();
     let mut until = at + lasts + REPAIR_MS;
@@ -63,7 +63,7 @@
     until
 }
 
-/// Takes out losses of disks that come before as many others as may be lost have been made up for.
+/// Removes disk losses that exceed the tolerance because earlier ones have not been repaired by then.
 pub fn remove_early_disk_losses(script: &mut Script) {
     let mut faults = script.faults.clone();
     faults.sort_by_key(|fault| fault.span().0);
--- a/crates/sim/src/fleet/draw/faults.rs
+++ b/crates/sim/src/fleet/draw/faults.rs
@@ -1,17 +1,17 @@
-//! What goes wrong: faults of a few kinds, several at once.
+//! Mixed faults: a few kinds per script, several at once.
 
 use super::READY_MS;
 use super::failure_budget::FailureBudget;
 use crate::draw::Draws;
 use crate::fleet::script::{CutScope, Direction, DiskFault, Fault, Script};
 
-/// Kinds of fault that can be drawn.
+/// Number of fault kinds that can be drawn.
 const FAULT_KINDS: u32 = 20;
 
-/// Draws the faults.
+/// Draws faults and adds those that the failure budget allows to the script.
 pub fn draw(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, length: u32) {
     let kinds: Vec<u32> = (0..draws.of(1, 5)).map(|_| draws.of(0, FAULT_KINDS - 1)).collect();
-    // One machine is struck more than others: faults meet on it.
+    // One machine is hit more often than others, so that its faults overlap.
     let preferred_core = draws.of(0, script.cores - 1);
     let replaced_by = |fault: &Fault| match fault {
         Fault::Replace { core, .. } => Some(*core),
--- a/crates/sim/src/fleet/draw/membership.rs
+++ b/crates/sim/src/fleet/draw/membership.rs
@@ -1,24 +1,26 @@
-//! Trouble around changes of members: several close together while copies are slow, members that one other cannot reach,
-//! who leaves while others missed what it holds, and a second loss as soon as the first one is repaired.
+//! Faults around membership changes: several changes close together while copies are slow, two members that
+//! cannot reach each other, a member that leaves while others lack what it holds, and a second loss as soon
+//! as the first is repaired.
 
 use super::READY_MS;
 use super::failure_budget::{FailureBudget, REPAIR_MS};
 use crate::draw::Draws;
 use crate::fleet::script::{Direction, DiskFault, Fault, Request, RequestKind, Script, SendMode};
 
-/// Machines that come later have the numbers after those of the first boot; so many of them are drawn as the victims of
-/// slow disks and links.
+/// Machines added during the run are numbered after those of the first boot. Slow disks and links are drawn
+/// for this many of them.
 const LATER_MACHINES: u32 = 2;
-/// Changes that are close together begin within this at most.
+/// Longest time between changes that are close together, in milliseconds.
 const MAX_SPACING_MS: u32 = 3_000;
-/// A machine that loses its disk is down for so long at most.
+/// Longest downtime of a machine that loses its disk, in milliseconds.
 const MAX_DOWN_MS: u32 = 2_000;
 
-/// Draws one kind of this trouble.
+/// Draws one kind of fault around membership changes and adds it to the script.
 pub fn draw(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, length: u32) {
     let mut at = draws.of(READY_MS, length);
     if script.tolerance > 1 {
-        // Members are added once there is a configuration. By then they are as many as bear two losses.
+        // Members are added only once there is a configuration. After this delay there are enough of them
+        // to tolerate two losses.
         let what = RequestKind::Replace { step: 1, manner: SendMode::Patient };
         script.requests.push(Request {
             at: draws.of(100, READY_MS),
@@ -36,7 +38,7 @@
     }
 }
 
-/// A disk that takes long, or links that do.
+/// A slow, full or stalled disk, or slow links.
 fn slow_fault(draws: &mut Draws, core: u32, at: u32) -> Fault {
     let lasts = draws.of(300, 4_500);
     match draws.of(0, 5) {
@@ -47,7 +49,7 @@
     }
 }
 
-/// Machines come, or come back empty, within a moment, while disks or links are slow at some.
+/// Machines are added, or come back empty, within a short time while some disks or links are slow.
 fn changes_close_together(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, at: u32) {
     let max_spacing = draws.of(200, MAX_SPACING_MS);
     let spacing = draws.of(100, max_spacing);
@@ -57,7 +59,7 @@
         let (core, from) = (draws.of(0, machine_count - 1), at + draws.of(0, 2 * spacing));
         script.faults.push(slow_fault(draws, core, from - spacing));
     }
-    // What was wiped is repaired only once the slow copies are there.
+    // A wiped disk is repaired only once the slow copies have arrived.
     let slow = script.faults.iter().map(|fault| fault.span()).map(|(at, lasts)| at + lasts).max();
     for _ in 0..draws.of(2, 4) {
         let added_at = at + draws.of(0, spacing);
@@ -70,7 +72,7 @@
     }
 }
 
-/// A machine loses its disk, and it or another one comes with an empty one at that moment.
+/// A machine loses its disk: it comes back empty, or an empty machine replaces it.
 fn add_disk_loss(
     draws: &mut Draws,
     script: &mut Script,
@@ -92,14 +94,14 @@
     });
 }
 
-/// Two machines that can't reach each other, beside one that would take a place, and perhaps a loss.
+/// Two machines cannot reach each other while a spare joins; a loss may follow.
 fn pair_cut_with_spare(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, at: u32) {
     let machine_count = script.cores + 1;
     let core = draws.of(0, machine_count - 1);
     let other = (core + draws.of(1, machine_count - 1)) % machine_count;
     let way = [Direction::Both, Direction::In, Direction::Out][draws.of(0, 2) as usize];
     let lasts = draws.of(500, 6_000);
-    // With one of the two down the other one has a further member less.
+    // If one of the two goes down, the other reaches one member fewer still.
     if !budget.reserve(core, at, at + lasts) {
         return;
     }
@@ -111,7 +113,7 @@
     }
 }
 
-/// One machine misses changes, and another one that holds them is told to end.
+/// One machine misses changes, and another one that holds them is terminated.
 fn departure_with_missed_copies(
     draws: &mut Draws,
     script: &mut Script,
@@ -152,7 +154,7 @@
     add_second_loss(draws, script, budget, from + lasts + REPAIR_MS);
 }
 
-/// A loss as soon as it may be.
+/// Adds a loss at the given time or slightly later.
 fn add_second_loss(draws: &mut Draws, script: &mut Script, budget: &mut FailureBudget, earliest: u32) {
     let core = draws.of(0, script.cores - 1);
     let is_removed =
--- a/crates/sim/src/fleet/draw/mod.rs
+++ b/crates/sim/src/fleet/draw/mod.rs
@@ -1,5 +1,6 @@
-//! Scripts from seeds. A seed draws a part of the kinds of fault (swarm testing), so that rare combinations come about that
-//! a mixture of all would bury; no more core machines are lost at once than the tolerance bears.
+//! Generates scripts from seeds. Each script uses only a few kinds of fault (swarm testing), so that
+//! combinations come up that a uniform mix would hardly ever produce. No more core machines fail at once
+//! than the cluster tolerates.
 
 mod contact;
 mod disks;
@@ -15,23 +16,24 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 
-/// The members have come together by then.
+/// Time by which the members have formed a cluster, in milliseconds.
 const READY_MS: u32 = 1_500;
-/// Sets the draws of themes apart, so that worlds without one stay as they are.
+/// Separates the random draws for themes from all others, so that scripts without a theme do not depend on
+/// them.
 const THEME_SEED: u64 = 0x7e3e_5eed;
 
-/// What a world is drawn around: trouble of one sort, close together in time.
+/// The area in which the faults of a script concentrate, close together in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Theme {
-    /// Contact of members, agents that start, and endpoints that leave.
+    /// Loss of contact between members, starting agents, and leaving endpoints.
     Contact,
-    /// Changes of members.
+    /// Membership changes.
     Membership,
-    /// Disks.
+    /// Disk faults.
     Disks,
 }
 
-/// The theme of a seed; some worlds have none.
+/// Draws a theme; some scripts have none.
 fn theme_of(themes: &mut Draws) -> Option<Theme> {
     match themes.of(0, 19) {
         0..8 => Some(Theme::Contact),
@@ -46,7 +48,7 @@
     script_of(None, seed)
 }
 
-/// The script of a seed, around this theme where one is given.
+/// The script of a seed, with the given theme or, if `None`, the theme that the seed draws.
 pub fn script_of(theme: Option<Theme>, seed: u64) -> Script {
     let mut themes = Draws(Pcg32::seed_from_u64(seed ^ THEME_SEED));
     let of_seed = theme_of(&mut themes);
@@ -55,7 +57,7 @@
 
 fn draw_script(seed: u64, theme: Option<Theme>, mut themes: Draws) -> Script {
     let mut draws = Draws(Pcg32::seed_from_u64(seed ^ 0xf1ee7));
-    // Five members bear slow disks beside a loss.
+    // Five members tolerate slow disks in addition to a loss.
     let has_five_cores = draws.one_in(6) || theme == Some(Theme::Membership) && themes.one_in(3);
     let min_latency = draws.of(1, 3);
     let mut script = Script {
@@ -78,14 +80,15 @@
         Some(Theme::Disks) => disks::draw(&mut themes, &mut script, &mut budget, length),
         None => {}
     }
-    // Five machines are three members until the first configuration is there, which faults of any time may keep off.
+    // A cluster of five machines has only three members until the first configuration is committed, and a
+    // fault at any time may delay that.
     let may_mix = theme == Some(Theme::Contact) || script.tolerance == 1;
     let mixed = may_mix && themes.one_in(3);
     if theme.is_none() || mixed {
         faults::draw(&mut draws, &mut script, &mut budget, length);
     }
     if theme == Some(Theme::Contact) {
-        // A machine that it is about does not go for good.
+        // The machine that a contact scenario is about is not removed for good.
         script.faults.retain(|fault| !matches!(fault, Fault::Replace { .. }));
     }
     failure_budget::remove_early_disk_losses(&mut script);
--- a/crates/sim/src/fleet/draw/requests.rs
+++ b/crates/sim/src/fleet/draw/requests.rs
@@ -1,17 +1,17 @@
-//! What operators and endpoints do.
+//! Generates the requests of operators and the lifetimes of endpoints.
 
 use crate::draw::Draws;
 use crate::fleet::script::{Departure, EndpointPlan, Request, RequestKind, Script, SendMode};
 
-/// Operators.
+/// Number of operators.
 const OPERATORS: u32 = 4;
 
-/// Draws what operators do.
+/// Adds operators' requests to the script.
 pub fn draw(draws: &mut Draws, script: &mut Script, length: u32) {
     let count = draws.of(12, 40);
     for _ in 0..count {
         let mut at = draws.of(100, length);
-        // Right at the beginning or the end of a fault is where things go wrong.
+        // Errors are most likely around the start and the end of a fault.
         if !script.faults.is_empty() && draws.one_in(2) {
             let (starts_at, lasts) =
                 script.faults[draws.of(0, script.faults.len() as u32 - 1) as usize].span();
@@ -22,7 +22,7 @@
         let what = draw_request(draws);
         let request = Request { at, operator, member, what };
         if draws.one_in(4) {
-            // Another operator does the same at the same time, under the same number.
+            // Another operator concurrently sends a change with the same version number.
             let (operator, member) = ((operator + 1) % OPERATORS, draws.of(0, 15));
             let what = RequestKind::Replace { step: 1, manner: SendMode::Patient };
             script.requests.push(Request { at: at + draws.of(0, 12), operator, member, what });
@@ -44,7 +44,7 @@
     }
 }
 
-/// Draws the lives of endpoints.
+/// Adds endpoints and their lifetimes to the script.
 pub fn draw_endpoints(draws: &mut Draws, script: &mut Script, length: u32) {
     for _ in 0..draws.of(1, 5) {
         let at = draws.of(200, length / 2);
--- a/crates/sim/src/fleet/endpoint.rs
+++ b/crates/sim/src/fleet/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints: they beat, drain, deregister or crash.
+//! Simulated endpoints, which send heartbeats and then drain, deregister or crash.
 
 use crate::fleet::call::{CallRequest, call};
 use crate::fleet::facts::CallKind;
@@ -8,16 +8,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Addresses of endpoints come behind those of operators.
+/// Caller numbers of endpoints start here; lower numbers belong to operators.
 const FIRST_ENDPOINT_CALLER: u32 = 100;
-/// From the acknowledgement that it drains to its end.
+/// Time from the acknowledgement of draining until the endpoint deregisters.
 const DRAIN_TIME: Duration = Duration::from_millis(500);
-/// One that leaves asks for so long.
+/// Time for which a leaving endpoint retries its call.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(12_000);
-/// Wait before the next member is asked.
+/// Delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// An endpoint's name.
+/// The instance name of an endpoint.
 pub fn name(endpoint: usize) -> String {
     format!("e{endpoint}")
 }
@@ -26,15 +26,16 @@
     world: Rc<World>,
     number: usize,
     member: u32,
-    /// It calls no other member.
+    /// It always calls the same member.
     stays: bool,
-    /// It says nothing from one moment to another.
+    /// Start and end of a time during which it sends nothing.
     pauses: Option<(Instant, Instant)>,
     call_seq: u64,
 }
 
 impl Endpoint {
-    /// Calls; whether it was acknowledged. After any other outcome the next call goes to the next member.
+    /// Makes a call and returns whether it was acknowledged. If not, the next call goes to the next member,
+    /// unless the endpoint always calls the same one.
     async fn call(&mut self, asked: CallKind, verb: &str, state: &str) -> bool {
         self.call_seq += 1;
         let (number, call_seq) = (self.number, self.call_seq);
@@ -84,7 +85,7 @@
     }
 }
 
-/// Plays an endpoint's life.
+/// Runs an endpoint from its start to its departure.
 pub async fn run(world: Rc<World>, number: usize, plan: EndpointPlan) {
     sleep_until(world.instant_at(plan.at)).await;
     let pauses = plan.pauses.map(|(at, lasts)| (world.instant_at(at), world.instant_at(at + lasts)));
--- a/crates/sim/src/fleet/facts.rs
+++ b/crates/sim/src/fleet/facts.rs
@@ -1,212 +1,213 @@
-//! What operators, endpoints and those who look on at agents have seen, and what was done to the machines. Times are since
-//! the start of the run.
+//! The record of a run that the oracle judges: what operators, endpoints and the observers of agents saw,
+//! and what was done to the machines. Times are since the start of the run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// An order: a configuration on top of a version.
+/// A configuration change that an operator sends, on top of a base version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigChange {
     /// The version that it builds on.
     pub base: u64,
-    /// Its own.
+    /// Its own version.
     pub version: u64,
-    /// What sets its body apart from all others.
+    /// Number that distinguishes its body from all others.
     pub marker: u64,
-    /// Its body is valid.
+    /// Whether its body is a valid configuration.
     pub valid: bool,
 }
 
 impl ConfigChange {
-    /// Whether it is sent as an amendment of its base instead of as a whole configuration: every second one that has a
-    /// base.
+    /// Whether it is sent as an amendment of its base rather than as a whole configuration. This holds for
+    /// every second change that has a base.
     pub fn is_amendment(&self) -> bool {
         self.base > 0 && self.marker % 2 == 1
     }
 }
 
-/// What was asked of a member.
+/// What a call asks of a member. Its `Debug` form is part of a run's hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// To take the order of this number.
+    /// Apply the configuration change with this number.
     Replace(usize),
-    /// The configuration.
+    /// Return the configuration.
     Read,
-    /// To take a heartbeat of a ready endpoint.
+    /// Accept a heartbeat of this ready endpoint.
     Heartbeat(usize),
-    /// To take it that an endpoint drains.
+    /// Record that this endpoint drains.
     Drain(usize),
-    /// To take it that an endpoint has ended.
+    /// Record that this endpoint has ended.
     Deregister(usize),
 }
 
-/// A whole answer.
+/// A complete HTTP answer. Its `Debug` form is part of a run's hash.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// Version and marker of the configuration in it; of a refusal, the version that it names.
+    /// Version and marker of the configuration in the body.
     pub config: Option<(u64, u64)>,
-    /// It names a version in its reason.
+    /// The current version that a refusal (412) names in its reason.
     pub named: Option<u64>,
 }
 
-/// A call to a member.
+/// A call to a member. Its `Debug` form is part of a run's hash.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What was asked.
+    /// What the call asks for.
     pub asked: CallKind,
-    /// The core machine.
+    /// The core machine that was called.
     pub core: u32,
-    /// When it began.
+    /// When the call began.
     pub began: Duration,
-    /// When it was over: by its answer, or given up.
+    /// When the call was answered or given up.
     pub ended: Option<Duration>,
-    /// The caller had a connection.
+    /// Whether the caller's connection was established.
     pub connected: bool,
-    /// The caller goes before an answer can come.
+    /// Whether the caller closes the connection without waiting for an answer.
     pub left: bool,
-    /// The answer.
+    /// The answer, if one arrived.
     pub answer: Option<Answer>,
-    /// More came behind the answer.
+    /// Whether more bytes followed the answer.
     pub surplus: bool,
 }
 
-/// What an agent told.
+/// A message of an agent to its proxy. Its `Debug` form is part of a run's hash.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
-    /// The newest version that it has.
+    /// The newest version that the agent knows of.
     Version(u64),
-    /// A configuration: version and marker.
+    /// Version and marker of a configuration.
     Config(u64, u64),
     /// An endpoint's state: 0 ready, 1 draining, 2 gone.
     Endpoint(usize, u8),
-    /// Endpoints that are silent.
+    /// The endpoints that the agent suspects to have failed.
     Suspects(Vec<usize>),
 }
 
-/// A word of an agent.
+/// A message of an agent, as recorded by its observer.
 #[derive(Clone, Debug)]
 pub struct AgentEvent {
-    /// Which agent.
+    /// The agent.
     pub agent: u32,
-    /// In which of its lives.
+    /// Number of the process start that it belongs to, from 1.
     pub start_number: u32,
-    /// When it came.
+    /// When it arrived.
     pub at: Duration,
-    /// What.
+    /// The message.
     pub report: Report,
 }
 
-/// A time through which something was wrong with a machine, or with its links.
+/// A time during which a fault affected a machine or its links.
 #[derive(Clone, Debug)]
 pub struct Disruption {
-    /// The core machine, or none.
+    /// The affected core machine, if it is one.
     pub core: Option<u32>,
-    /// The agent, or none.
+    /// The affected agent, if it is one.
     pub agent: Option<u32>,
-    /// From when.
+    /// Start of the time.
     pub from: Duration,
-    /// Until when.
+    /// End of the time.
     pub until: Duration,
-    /// The core machine had no way, both ways, to any other core machine all that time, while its process ran.
+    /// The core machine runs, but is cut off from all other core machines in at least one direction for the
+    /// whole time.
     pub isolates: bool,
-    /// It is slower or lossy, all the time.
+    /// The links are slow or lossy for the whole time.
     pub degraded: bool,
-    /// It is the disk's alone.
+    /// Only the disk is affected.
     pub disk_only: bool,
-    /// The process stood still, and went on as if nothing had been.
+    /// The process is frozen and then resumes.
     pub freezes: bool,
-    /// All that it sends and gets takes this much longer, and nothing else is wrong.
+    /// Added latency of everything that the machine sends and receives; zero if anything else is wrong.
     pub delay: Duration,
 }
 
 /// A member of the register: its core machine and its incarnation there.
 pub type MemberId = (u32, u64);
 
-/// What the disk of a core machine holds from a moment on.
+/// What the disk of a core machine holds from a given time on.
 #[derive(Clone, Debug, Default)]
 pub struct DiskState {
     /// The core machine.
     pub core: u32,
-    /// From when.
+    /// When the disk reached this state.
     pub at: Duration,
-    /// The incarnation of the member that is on it.
+    /// Incarnation of the member on the disk.
     pub incarnation: u64,
-    /// Sequence number of its value; 0 for none.
+    /// Sequence number of the member's value; 0 if there is none.
     pub sequence: u64,
-    /// Version of the configuration in that; 0 for none.
+    /// Version of the configuration in the value; 0 if there is none.
     pub version: u64,
-    /// The sets of members that the value names: two while they change.
+    /// The sets of members that the value names; two while the membership changes.
     pub sets: Vec<BTreeSet<MemberId>>,
 }
 
-/// An older copy was put back onto the disk of a core machine.
+/// A rollback of a core machine's disk to an older state.
 #[derive(Clone, Debug)]
 pub struct DiskRollback {
     /// The core machine.
     pub core: u32,
-    /// When.
+    /// When the disk was rolled back.
     pub at: Duration,
-    /// The incarnation of the member that is on the copy.
+    /// Incarnation of the member in the restored state.
     pub incarnation: u64,
-    /// Sequence number of the value on the copy.
+    /// Sequence number of the value in the restored state.
     pub sequence: u64,
-    /// The disk had held a newer value for long enough to be known of elsewhere.
+    /// Whether the disk had held a newer value for long enough that other members knew of it.
     pub is_stale: bool,
 }
 
-/// A controller was told to end.
+/// A request to a controller to terminate.
 #[derive(Clone, Debug)]
 pub struct Termination {
     /// The core machine.
     pub core: u32,
-    /// When it was told.
+    /// When termination was requested.
     pub requested: Duration,
-    /// When it had ended by itself.
+    /// When the process ended by itself, if it did.
     pub ended: Option<Duration>,
 }
 
-/// What happened.
+/// All that was recorded during a run.
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
-    /// Orders, by number.
+    /// Configuration changes; the index is their number.
     pub changes: Vec<ConfigChange>,
-    /// Calls in the order of their beginning.
+    /// Calls, ordered by when they began.
     pub calls: Vec<Call>,
-    /// What agents told, in the order of time.
+    /// Messages of agents, ordered by time.
     pub events: Vec<AgentEvent>,
-    /// What was done to machines.
+    /// Effects of faults on machines.
     pub disruptions: Vec<Disruption>,
     /// When all connections of a core machine were reset.
     pub connection_resets: Vec<(u32, Duration)>,
-    /// When agents' processes started.
+    /// When the processes of agents started.
     pub agent_starts: Vec<(u32, Duration)>,
-    /// All is mended from here on.
+    /// When the last fault has ended.
     pub healed_at: Duration,
-    /// Configurations that were seen: when, and the versions that the newest one was made of, the oldest, which was sent
-    /// whole, first.
+    /// Configurations that were seen: when, and the versions that each is made of, starting with the one
+    /// that was sent as a whole.
     pub lineages: Vec<(Duration, Vec<u64>)>,
-    /// Processes that ended by themselves, and why.
+    /// Processes that ended by themselves: name, time and reason.
     pub exits: Vec<(String, Duration, String)>,
-    /// The last change, after all was mended, was acknowledged.
+    /// Whether the final change, made after all faults ended, was acknowledged.
     pub last_acknowledged: bool,
-    /// Core machines that gave no clear answer to the last read.
+    /// Core machines that gave no definite answer to the final read.
     pub unreadable_cores: Vec<u32>,
-    /// At the end: version on the disk of each controller that runs, and its marker.
+    /// At the end of the run: version and marker on the disk of each running controller.
     pub final_disks: BTreeMap<u32, Option<(u64, u64)>>,
-    /// What disks of core machines held, in the order of time.
+    /// States of the core machines' disks, ordered by time.
     pub disk_states: Vec<DiskState>,
-    /// When controllers' processes started.
+    /// When the processes of controllers started.
     pub core_starts: Vec<(u32, Duration)>,
-    /// Core machines that are gone for good, and since when.
+    /// Core machines that were removed for good, and when.
     pub removed_cores: Vec<(u32, Duration)>,
-    /// Older copies that were put back onto disks.
+    /// Rollbacks of disks to older states.
     pub disk_rollbacks: Vec<DiskRollback>,
-    /// Controllers that were told to end.
+    /// Requests to controllers to terminate.
     pub terminations: Vec<Termination>,
-    /// When each endpoint crashed, of those that did.
+    /// When each endpoint that crashed did so.
     pub silent_since: BTreeMap<usize, Duration>,
-    /// The end.
+    /// End of the run.
     pub end: Duration,
 }
--- a/crates/sim/src/fleet/fault_injector.rs
+++ b/crates/sim/src/fleet/fault_injector.rs
@@ -1,4 +1,4 @@
-//! Carries the faults of a script out.
+//! Starts the machines of a run and injects the faults of its script.
 
 use crate::fleet::disruption::SHUTDOWN_GRACE_MS;
 use crate::fleet::host::{Host, Program};
@@ -13,14 +13,14 @@
 use std::time::Duration;
 use tokio::time::sleep_until;
 
-/// How a machine goes down.
+/// How a core machine is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StopKind {
     Killed,
     Power,
 }
 
-/// What happens to its disk meanwhile.
+/// What happens to a machine's disk while the machine is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DiskChange {
     Unchanged,
@@ -33,7 +33,7 @@
     Stop(u32, StopKind, DiskChange),
     Start(u32),
     Terminate(u32),
-    /// Kills what has not ended by itself, and starts it again.
+    /// Kills the process if it has not ended by itself, and starts it again.
     Restart(u32),
     Freeze(u32, bool),
     Add(u32),
@@ -45,7 +45,7 @@
     FreezeAgent(u32, bool),
 }
 
-/// All machines and what befalls them.
+/// The machines of a run, and the faults that are injected into them.
 pub struct FaultInjector {
     world: Rc<World>,
     cores: RefCell<BTreeMap<u32, Rc<Host>>>,
@@ -53,7 +53,7 @@
 }
 
 impl FaultInjector {
-    /// Makes the machines that there are at the start.
+    /// Creates the machines that exist at the start, without starting them.
     pub fn new(world: Rc<World>) -> Rc<Self> {
         let core = |core| (core, Host::new(world.clone(), Program::Controller(core)));
         let agent = |agent| Host::new(world.clone(), Program::Agent(agent));
@@ -62,25 +62,25 @@
         Rc::new(FaultInjector { world, cores: RefCell::new(cores), agents })
     }
 
-    /// An edge machine.
+    /// The host of an agent.
     pub fn agent_host(&self, agent: u32) -> Rc<Host> {
         self.agents[agent as usize].clone()
     }
 
-    /// A core machine.
+    /// The host of a core machine; created on first use.
     fn core_host(&self, core: u32) -> Rc<Host> {
         let make = || Host::new(self.world.clone(), Program::Controller(core));
         self.cores.borrow_mut().entry(core).or_insert_with(make).clone()
     }
 
-    /// Core machines whose process runs, with their numbers.
+    /// The core machines whose process is running, with their numbers.
     pub fn running_cores(&self) -> Vec<(u32, Rc<Host>)> {
         let cores = self.cores.borrow();
         let running_cores = cores.iter().filter(|(_, host)| host.is_running());
         running_cores.map(|(core, host)| (*core, host.clone())).collect()
     }
 
-    /// Starts all, and carries the faults out to the end.
+    /// Starts all machines and injects every fault of the script at its time.
     pub async fn run(self: Rc<Self>) {
         for host in self.cores.borrow().values() {
             host.start(true);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// What is known beforehand to the network and the disks.
+    /// Registers the part of a fault that the network or a disk applies by itself at the given time.
     fn schedule_fault(&self, fault: &Fault) {
         let span = fault.span();
         match fault {
@@ -186,7 +186,7 @@
                 let now = self.world.now();
                 self.world.facts.borrow_mut().removed_cores.push((core, now));
                 let host = self.core_host(core);
-                host.set_held(true); // for good
+                host.set_held(true); // never released
                 host.kill(true).await;
             }
             Step::ResetConnections(core) => self.world.wires.reset_all(core_ip(core).into()),
@@ -239,7 +239,7 @@
     }
 }
 
-/// What is done when, in order.
+/// The steps of all faults, ordered by time in milliseconds.
 fn steps(script: &Script) -> Vec<(u32, Step)> {
     let mut steps = Vec::new();
     let mut next_core = script.cores;
@@ -304,7 +304,7 @@
     }
 }
 
-/// SIGTERM, and a start once it has ended or its time is up.
+/// Sends SIGTERM, and restarts the process once it has ended or its grace period is over.
 fn restart(core: u32, at: u32, lasts: u32) -> Vec<(u32, Step)> {
     vec![(at, Step::Terminate(core)), (at + lasts.clamp(600, SHUTDOWN_GRACE_MS), Step::Restart(core))]
 }
--- a/crates/sim/src/fleet/host.rs
+++ b/crates/sim/src/fleet/host.rs
@@ -1,5 +1,5 @@
-//! A simulated machine and the process on it: the real program in a task set of its own, which can be killed, stopped
-//! where it is, told to end, and started again.
+//! A simulated machine and its process: the production code in a task set of its own, which can be killed,
+//! frozen, asked to terminate, and restarted.
 
 use crate::fleet::disk::SimDisk;
 use crate::fleet::timeline;
@@ -14,7 +14,7 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::sleep;
 
-/// Which program a machine runs.
+/// The program that a machine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Program {
     /// The controller of a core machine.
@@ -23,31 +23,31 @@
     Agent(u32),
 }
 
-/// A controller that ended by itself is started again after this.
+/// Delay before a controller that ended by itself is restarted.
 const RESTART_DELAY: Duration = Duration::from_millis(100);
 
 struct Process {
     gate: Rc<Gate>,
-    /// Where the process that runs now takes its events.
+    /// Channel for the events of the current process.
     events: Rc<RefCell<UnboundedSender<ProcessEvent>>>,
     task: JoinHandle<()>,
 }
 
-/// A machine.
+/// A simulated machine.
 pub struct Host {
     world: Rc<World>,
     program: Program,
-    /// The disk of a core machine.
+    /// The disk; used by core machines only.
     pub disk: Rc<SimDisk>,
     process: RefCell<Option<Process>>,
     start_number: Cell<u32>,
     frozen: Cell<bool>,
-    /// Faults that hold it down.
+    /// Number of active faults that keep the machine down.
     hold_count: Cell<u32>,
 }
 
 impl Host {
-    /// A machine with nothing running.
+    /// Creates a machine without a running process.
     pub fn new(world: Rc<World>, program: Program) -> Rc<Self> {
         let seed = match program {
             Program::Controller(core) => u64::from(core) + 1,
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Its address.
+    /// The machine's address.
     pub fn ip(&self) -> Ipv4Addr {
         match self.program {
             Program::Controller(core) => core_ip(core),
@@ -81,17 +81,17 @@
         }
     }
 
-    /// How often its program has been started.
+    /// Number of times that the program has been started.
     pub fn start_number(&self) -> u32 {
         self.start_number.get()
     }
 
-    /// Whether a process is there.
+    /// Whether the process is running.
     pub fn is_running(&self) -> bool {
         self.process.borrow().as_ref().is_some_and(|process| !process.task.is_finished())
     }
 
-    /// A fault holds it down, or does no longer; whether none does.
+    /// Adds or removes a fault that keeps the machine down; returns whether none is left.
     pub fn set_held(&self, down: bool) -> bool {
         let hold_count =
             if down { self.hold_count.get() + 1 } else { self.hold_count.get().saturating_sub(1) };
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Starts its program.
+    /// Starts the program unless it is running.
     pub fn start(&self, first_boot: bool) {
         if self.is_running() {
             return;
@@ -138,7 +138,7 @@
         *self.process.borrow_mut() = Some(Process { gate, events, task });
     }
 
-    /// Ends its process at once; with a loss of power nobody hears of it.
+    /// Kills the process at once. After a loss of power its peers are not notified.
     pub async fn kill(&self, power_lost: bool) {
         let process = self.process.borrow_mut().take();
         let Some(process) = process else { return };
@@ -148,21 +148,21 @@
             self.world.wires.died(self.ip().into());
         }
         process.task.abort();
-        let _ = process.task.await; // an error says that it was aborted
+        let _ = process.task.await; // fails with "cancelled", as the task was aborted
         self.disk.process_stopped(power_lost);
     }
 
-    /// Tells its process something.
+    /// Sends an event to the process.
     pub fn send_event(&self, event: ProcessEvent) {
         if let (ProcessEvent::Terminate, Program::Controller(core)) = (&event, self.program) {
             self.world.record_termination_request(core);
         }
         if let Some(process) = &*self.process.borrow() {
-            let _ = process.events.borrow().send(event); // it may just have ended
+            let _ = process.events.borrow().send(event); // fails if the process has just ended
         }
     }
 
-    /// Stops its process where it is, or lets it go on.
+    /// Freezes the process, or lets it resume.
     pub fn set_frozen(&self, frozen: bool) {
         self.frozen.set(frozen);
         if let Some(process) = &*self.process.borrow() {
@@ -171,7 +171,7 @@
     }
 }
 
-/// A program with what starts it again where it is a controller that ends by itself.
+/// A program that is restarted if it is a controller and ends with an error.
 struct Supervised {
     world: Rc<World>,
     name: String,
--- a/crates/sim/src/fleet/mod.rs
+++ b/crates/sim/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! The control plane in virtual time: the real controllers and agents over a network, disks and clocks that come from a
-//! seed, with operators and endpoints that call them, faults, and an oracle that knows only what callers saw.
+//! Simulation of the control plane: the production controllers and agents run in virtual time over a seeded
+//! network, disks and clocks. Operators and endpoints call them, faults are injected, and an oracle judges
+//! the run by what the callers saw.
 
 mod call;
 pub mod command;
@@ -20,18 +21,18 @@
 pub mod timeline;
 mod world;
 
-/// An error that is planted in the code under test, to prove that the search finds what it is for.
+/// An error that can be planted in the code under test, to check that the search finds it.
 #[derive(Clone, Copy, Debug)]
 pub struct Mutant {
-    /// The point of the review that it is about.
+    /// Number of the review point that it belongs to.
     pub point: u8,
-    /// Its name.
+    /// Its name, as `--mutant` takes it.
     pub name: &'static str,
-    /// What it does.
+    /// What the code does with the error planted.
     pub effect: &'static str,
 }
 
-/// All planted errors of the control plane.
+/// All errors that can be planted in the control plane.
 pub const MUTANTS: [Mutant; 32] = [
     Mutant {
         point: 1,
--- a/crates/sim/src/fleet/observer.rs
+++ b/crates/sim/src/fleet/observer.rs
@@ -1,4 +1,5 @@
-//! Looks on at an agent as its proxy does, by the fleet's own messages, and notes each word.
+//! An observer of an agent: connects as the agent's proxy does, speaks the same protocol, and records the
+//! agent's messages.
 
 use crate::fleet::config_body::parse_config;
 use crate::fleet::endpoint;
@@ -18,9 +19,9 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Wait before an agent is dialled again.
+/// Delay before the observer connects again.
 const REDIAL_DELAY: Duration = Duration::from_millis(50);
-/// An agent that says nothing for so long is dialled again.
+/// Time without a message after which the observer connects again.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 type Stream = crate::net::Stream;
@@ -35,7 +36,7 @@
 }
 
 impl Writer {
-    /// Sends; whether the connection is still there.
+    /// Sends a message; returns whether the connection is still open.
     async fn send(&mut self, message: &Message) -> bool {
         let Ok(payload) = encode(message) else { return false };
         let mut buffer = BytesMut::new();
@@ -51,7 +52,7 @@
 }
 
 impl Reader {
-    /// The next message; none at the end.
+    /// The next message; `None` at the end of the stream.
     async fn next(&mut self) -> Option<Message> {
         loop {
             if let Some(frame) = self.codec.decode(&mut self.buffer).ok()? {
@@ -68,13 +69,13 @@
     world: Rc<World>,
     agent: u32,
     start_number: u32,
-    /// The newest version whose configuration has come.
+    /// The newest version whose configuration has been received.
     newest_version: u64,
-    /// Endpoints by their short names.
+    /// Numbers of the endpoints, by the keys that agents use for them.
     endpoints_by_key: BTreeMap<u64, usize>,
 }
 
-/// Looks on at an agent for the whole run.
+/// Observes an agent for the whole run.
 pub async fn run(world: Rc<World>, agent: u32, host: Rc<Host>) {
     let endpoints = 0..world.script.endpoints.len();
     let endpoints_by_key = endpoints.map(|number| (key_of(&endpoint::name(number)), number)).collect();
@@ -104,7 +105,7 @@
         let (reader, writer) = split(stream);
         let mut reader = Reader { stream: reader, codec: codec(), buffer: BytesMut::new() };
         let mut writer = Writer { stream: writer, codec: codec() };
-        // Nothing is there yet: the agent answers with what it has.
+        // An empty digest makes the agent send everything that it has.
         let empty = Message::Digest(Digest { version: 0, digest: 0 });
         if !writer.send(&self.hello()).await || !writer.send(&empty).await {
             return;
@@ -135,7 +136,7 @@
         self.world.record_report(self.agent, self.start_number, report);
     }
 
-    /// Notes a word; what it is answered with.
+    /// Records a message; returns the reply to it, if any.
     fn handle(&mut self, message: Message) -> Option<Message> {
         match message {
             Message::StateSummary(summary) => {
--- a/crates/sim/src/fleet/operator.rs
+++ b/crates/sim/src/fleet/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: requests of a script, several under way at a time.
+//! Operators, which send the requests of a script; several may be in progress at once.
 
 use crate::fleet::call::{CallRequest, call};
 use crate::fleet::config_body::config_body;
@@ -9,14 +9,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// A patient operator asks for so long.
+/// Time for which a request is retried.
 const RETRY_TIMEOUT: Duration = Duration::from_millis(7_000);
 const REPLACE_PATH: &str = "/runtrack/config/replace";
 const AMEND_PATH: &str = "/runtrack/config/amend";
-/// Wait before the next member is asked.
+/// Delay before the next member is asked.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Carries a request of the script out.
+/// Sends a request of the script at its time.
 pub async fn run(world: Rc<World>, request: Request) {
     sleep_until(world.instant_at(request.at)).await;
     match request.what {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reads from a member; whether there was a clear answer.
+/// Reads the configuration from a member; returns whether the answer was definite (200 or 404).
 pub async fn read(world: &World, operator: u32, core: u32) -> bool {
     let call_request = CallRequest {
         caller: operator,
@@ -118,7 +118,8 @@
     }
 }
 
-/// A patient replacement on top of what is known at the end of a run; whether it was acknowledged.
+/// Makes a change at the end of a run, on top of the newest known version, and retries it until it is
+/// acknowledged; returns whether it was.
 pub async fn final_replace(world: &World, member: u32) -> bool {
     let until = Instant::now() + RETRY_TIMEOUT;
     let mut member = member;
--- a/crates/sim/src/fleet/oracle/agents.rs
+++ b/crates/sim/src/fleet/oracle/agents.rs
@@ -1,4 +1,5 @@
-//! What agents tell: never back, and in time where they are in touch with a stable core.
+//! Rules about what agents report: versions and endpoint states never go back, and agents that are
+//! connected to a stable core are up to date within a bound.
 
 use super::{Rule, Violation};
 use crate::fleet::facts::{AgentEvent, CallKind, Facts, Report};
@@ -6,14 +7,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Where nothing has befallen machine and core for so long, the machine is in touch.
+/// An agent counts as connected once neither it nor the core has been disrupted for this long.
 pub(super) const STABLE_PERIOD: Duration = Duration::from_millis(4_000);
-/// From an acknowledgement until it is heard or in force.
+/// Longest time from an acknowledgement until agents report the change.
 pub(super) const MAX_LATENCY: Duration = Duration::from_millis(2_000);
-/// How often it is looked at whether an agent is in touch.
+/// Interval at which the connection of an agent is sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Judges the words of all agents.
+/// Checks the reports of all agents.
 pub fn check(script: &Script, facts: &Facts) -> Vec<Violation> {
     let mut violations = Vec::new();
     for agent in 0..script.agents {
@@ -29,12 +30,12 @@
     violations
 }
 
-/// What one agent told, beside all else that was seen.
+/// The reports of one agent, together with the rest of the record.
 pub(super) struct AgentView<'a> {
     pub(super) script: &'a Script,
     pub(super) facts: &'a Facts,
     pub(super) agent: u32,
-    /// What this agent told.
+    /// The reports of this agent.
     pub(super) events: Vec<&'a AgentEvent>,
 }
 
@@ -50,7 +51,7 @@
             let (back, what) = match &event.report {
                 Report::Version(version) | Report::Config(version, _) => {
                     let newest = versions.entry(event.start_number).or_default();
-                    // A configuration that was asked for comes after word of a newer one.
+                    // A configuration that was fetched may arrive after the announcement of a newer one.
                     let back = matches!(event.report, Report::Version(_)) && version < newest;
                     *newest = (*newest).max(*version);
                     (back, format!("version {version}"))
@@ -71,7 +72,7 @@
         None
     }
 
-    /// Whether the agent is in touch with a stable core.
+    /// Whether the agent is connected to a stable core.
     pub(super) fn is_connected(&self, at: Duration) -> bool {
         let before = at.saturating_sub(STABLE_PERIOD);
         let started = self.facts.agent_starts.iter().filter(|(agent, _)| *agent == self.agent);
@@ -95,7 +96,7 @@
         runs && lost <= self.script.tolerance && at <= self.facts.end
     }
 
-    /// The first moment from which on an agent in touch must know.
+    /// The first time from which on an agent that is connected must know of the change.
     fn due_time(&self, acknowledged: Duration) -> Option<Duration> {
         let first = acknowledged + MAX_LATENCY;
         let steps = (0..).map(|step| first + SAMPLE_INTERVAL * step);
@@ -122,7 +123,7 @@
     fn check_leaver_reported(&self, endpoint: usize, acknowledged: Duration) -> Option<Violation> {
         let due = self.due_time(acknowledged)?;
         let start_number = self.start_number_at(due);
-        // An agent that has never heard of it sends nothing there either.
+        // An agent that never knew of the endpoint does not report its departure either.
         let mut states =
             self.events.iter().filter(|event| event.start_number == start_number && event.at <= due);
         let ready =
--- a/crates/sim/src/fleet/oracle/contact.rs
+++ b/crates/sim/src/fleet/oracle/contact.rs
@@ -1,20 +1,22 @@
-//! What a member that is cut off from all others of the core may say, and one answer to each caller.
+//! Rules about the answers of a member that is cut off from all other core machines, and about one answer
+//! per call.
 
 use super::{Rule, Violation};
 use crate::fleet::facts::{Call, CallKind, Disruption, Facts};
 use crate::fleet::script::Script;
 use std::time::Duration;
 
-/// From the cut on, until the member must know of it.
+/// Time after which a member must have noticed that it is cut off.
 pub(super) const CUT_DETECTION_BOUND: Duration = Duration::from_millis(1_100);
-/// What was proven before a cut counts for so long, on a clock that runs on while the process stands still.
+/// Contact that was proven before a cut counts for this long, on a clock that keeps running while the
+/// process is frozen.
 const CONTACT_LEASE: Duration = Duration::from_millis(800);
-/// Timers, and what was on its way when the cut began.
+/// Allowance for timers and for messages that were in transit when the cut began.
 const SLACK: Duration = Duration::from_millis(10);
-/// A caller waits so long for a clear answer.
+/// Time within which a caller must get a definite answer.
 const ANSWER_DEADLINE: Duration = Duration::from_millis(1_000);
 
-/// Judges calls to members that are cut off, and surplus answers.
+/// Checks calls to members that are cut off, and calls with more than one answer.
 pub fn check(script: &Script, facts: &Facts) -> Vec<Violation> {
     let mut violations = Vec::new();
     for disruption in facts
@@ -36,7 +38,7 @@
     violations
 }
 
-/// Whether something else was wrong with the machine while it was cut off.
+/// Whether the machine had another disruption while it was cut off.
 fn has_other_disruption(facts: &Facts, cut: &Disruption) -> bool {
     facts.disruptions.iter().any(|disruption| {
         let same = disruption.core == cut.core && !disruption.isolates && !disruption.disk_only;
@@ -44,8 +46,8 @@
     })
 }
 
-/// A heartbeat that a member acknowledges after all its contact has become old. It may have stood still meanwhile, with
-/// whatever was in its buffers, and its links may have been slow.
+/// Finds a heartbeat that a member acknowledged after its contact had expired. The member may have been
+/// frozen in between, with requests in its buffers, and its links may have been slow.
 fn check_stale_acknowledgement(script: &Script, facts: &Facts, cut: &Disruption) -> Option<Violation> {
     let mut delay = Duration::from_millis(script.latency_ms.1.into()) + SLACK;
     for other in facts
@@ -75,7 +77,8 @@
     cut.core == Some(call.core) && in_time && call.connected && !call.left
 }
 
-/// Whether the caller's connection was reset on its way: then nothing that the member said could come.
+/// Whether the caller's connection was reset during the call, in which case no answer of the member could
+/// arrive.
 fn was_reset(facts: &Facts, call: &Call) -> bool {
     let until = call.ended.unwrap_or(call.began + ANSWER_DEADLINE);
     facts.connection_resets.iter().any(|(core, at)| *core == call.core && call.began <= *at && *at <= until)
--- a/crates/sim/src/fleet/oracle/disks.rs
+++ b/crates/sim/src/fleet/oracle/disks.rs
@@ -1,19 +1,20 @@
-//! What must be on the disks of core machines, and when: copies that were missed, older copies that were put back, and
-//! who is told to end.
+//! Rules about the content of core machines' disks: missed copies are repaired, disks that were rolled back
+//! are not used again, and terminating members hand over.
 
 use super::{Rule, Violation};
 use crate::fleet::facts::{CallKind, DiskRollback, DiskState, Facts, Termination};
 use crate::fleet::script::{RECOVERY_TIME, Script};
 use std::time::Duration;
 
-/// A leaving member waits so long for the copies of the others: a quarter of `graceS`, and a little less.
+/// A terminating member waits this long for the copies of the others: slightly less than a quarter of
+/// `graceS`.
 const HAND_OVER_WAIT: Duration = Duration::from_millis(1_950);
-/// What was acknowledged so long ago is known to all that are in touch.
+/// What was acknowledged this long ago is known to all connected members.
 const PROPAGATION_TIME: Duration = Duration::from_millis(1_000);
-/// Machines that nothing has befallen for so long are in touch.
+/// A machine that has not been disrupted for this long is connected.
 const STABLE_PERIOD: Duration = Duration::from_millis(4_000);
 
-/// Judges what was on the disks.
+/// Checks the content of the disks.
 pub fn check(script: &Script, facts: &Facts) -> Vec<Violation> {
     let mut violations: Vec<Violation> =
         facts.disk_rollbacks.iter().filter_map(|rollback| check_stale_disk(facts, rollback)).collect();
@@ -23,12 +24,12 @@
     violations
 }
 
-/// What a disk held at a moment.
+/// What a disk held at a given time.
 pub(super) fn disk_state_at(facts: &Facts, core: u32, at: Duration) -> Option<&DiskState> {
     facts.disk_states.iter().rev().find(|state| state.core == core && state.at <= at)
 }
 
-/// The newest version that was acknowledged by then.
+/// The newest version that was acknowledged by the given time.
 pub(super) fn newest_acknowledged(facts: &Facts, by: Duration) -> u64 {
     let versions = facts.calls.iter().filter_map(|call| {
         let CallKind::Replace(change) = call.asked else { return None };
@@ -38,7 +39,8 @@
     versions.max().unwrap_or(0)
 }
 
-/// Whether a machine and its links were well for a while up to a moment, whatever its disk did.
+/// Whether a machine and its links had no disruption for a while before the given time, whatever its disk
+/// did.
 pub(super) fn is_connected(facts: &Facts, core: u32, until: Duration) -> bool {
     let from = until.saturating_sub(STABLE_PERIOD);
     let mut disruptions = facts
@@ -52,7 +54,7 @@
         && disruptions.all(|disruption| disruption.until < from || disruption.from > until)
 }
 
-/// A member that goes on with an older disk has forgotten what it owes.
+/// A member that resumes from an older state of its disk has lost promises that it made.
 fn check_stale_disk(facts: &Facts, rollback: &DiskRollback) -> Option<Violation> {
     let resumed = facts.disk_states.iter().find(|state| {
         let same = state.core == rollback.core && state.incarnation == rollback.incarnation;
@@ -63,11 +65,11 @@
     Some(Violation::new(Rule::OlderDisk, state.at, what))
 }
 
-/// Who ends before its time for that is up leaves no machine in touch without what was acknowledged.
+/// A member that ends before its wait is over leaves no connected machine without what was acknowledged.
 fn check_hand_over(facts: &Facts, termination: &Termination) -> Option<Violation> {
     let ended = termination.ended.filter(|ended| *ended < termination.requested + HAND_OVER_WAIT)?;
     let least = newest_acknowledged(facts, termination.requested.saturating_sub(PROPAGATION_TIME));
-    // It must itself have been in touch, up to the moment at which it was told to end.
+    // The member itself must have been connected up to the request to terminate.
     let members = &disk_state_at(facts, termination.core, termination.requested)
         .filter(|_| was_connected_before(facts, termination))?
         .sets;
@@ -86,7 +88,7 @@
     is_connected(facts, termination.core, termination.requested.saturating_sub(Duration::from_millis(1)))
 }
 
-/// Once all is mended, copies that were missed are made up for, though nothing changes any more.
+/// After the last fault, missed copies are repaired even if no further change is made.
 fn check_missed_copies(script: &Script, facts: &Facts) -> Option<Violation> {
     let at = facts.healed_at + RECOVERY_TIME;
     let newest = newest_acknowledged(facts, facts.healed_at);
--- a/crates/sim/src/fleet/oracle/healing.rs
+++ b/crates/sim/src/fleet/oracle/healing.rs
@@ -1,11 +1,11 @@
-//! Once all is mended: changes and reads come through, and the copies are whole.
+//! Rules for the time after the last fault: changes and reads succeed, and there are enough copies.
 
 use super::{Rule, Violation};
 use crate::fleet::facts::{CallKind, Facts};
 use crate::fleet::script::Script;
 use std::time::Duration;
 
-/// Judges the end of a run.
+/// Checks the end of a run.
 pub fn check(script: &Script, facts: &Facts) -> Vec<Violation> {
     let mut violations = Vec::new();
     if !facts.last_acknowledged {
@@ -28,7 +28,7 @@
     violations
 }
 
-/// Whether the process of an older disk has ended: it comes back as another member.
+/// Whether the process ended because its disk had been rolled back; it returns as another member.
 fn is_stale_disk_exit(facts: &Facts, name: &str, at: Duration) -> bool {
     facts
         .disk_rollbacks
--- a/crates/sim/src/fleet/oracle/membership.rs
+++ b/crates/sim/src/fleet/oracle/membership.rs
@@ -1,4 +1,5 @@
-//! How the members change, as their disks show it: one at a time, the copies first, and nobody who can be reached.
+//! Rules about membership changes, as the members' disks show them: one at a time, only after the previous
+//! change has been copied, and without removing members that can be reached.
 
 use super::disks::{disk_state_at, is_connected, newest_acknowledged};
 use super::{Rule, Violation};
@@ -6,26 +7,28 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A missing copy is waited for so long before the next change: a quarter of `settleS`, and a little less.
+/// A change waits this long for missing copies of the previous one: slightly less than a quarter of
+/// `settleS`.
 const COPY_WAIT: Duration = Duration::from_millis(950);
-/// A joining member may lack what was acknowledged so shortly before: it must hold what has been known for a second, and
-/// who has the duty may hear of a change a moment after its acknowledgement.
+/// A joining member may lack changes acknowledged this shortly before. It must hold what has been known for
+/// a second, and the coordinator may learn of a change slightly after its acknowledgement.
 const JOIN_LAG: Duration = Duration::from_millis(2_000);
-/// What a disk holds is heard of this late: controllers probe each other every 250 ms and look at it every 200 ms.
+/// Delay until others learn what a disk holds: controllers probe each other every 250 ms and check the
+/// results every 200 ms.
 const PROBE_DELAY: Duration = Duration::from_millis(500);
-/// By then a process that started has found what is committed.
+/// Time within which a started process has learned the committed value.
 const STARTUP: Duration = Duration::from_millis(1_000);
 
-/// A change of members, as it was first seen on a disk.
+/// A membership change, as first seen on a disk.
 struct Change<'a> {
     at: Duration,
     old: &'a BTreeSet<MemberId>,
     new: &'a BTreeSet<MemberId>,
-    /// When the old set was first seen alone, and the sequence number of that value.
+    /// When the old set was first seen as the only one, and the sequence number of that value.
     previous: Option<(Duration, u64)>,
 }
 
-/// Judges all changes of members.
+/// Checks all membership changes.
 pub fn check(facts: &Facts) -> Vec<Violation> {
     let mut violations = Vec::new();
     for change in changes(&facts.disk_states) {
@@ -37,7 +40,7 @@
     violations
 }
 
-/// The changes that were begun, each one once.
+/// All membership changes that were started, each once.
 fn changes(states: &[DiskState]) -> Vec<Change<'_>> {
     let mut changes: Vec<Change> = Vec::new();
     for (index, state) in states.iter().enumerate() {
@@ -51,7 +54,8 @@
     changes
 }
 
-/// When a set was first seen to be in force alone, since the last change to it below this sequence number.
+/// When a set was first seen as the only one since the last change to it, considering values below the
+/// given sequence number.
 fn first_in_force(states: &[DiskState], set: &BTreeSet<MemberId>, below: u64) -> Option<(Duration, u64)> {
     let to_it = states.iter().filter(|state| state.sets.len() == 2 && state.sets[1] == *set);
     let begun = to_it.map(|state| state.sequence).filter(|sequence| *sequence < below).max().unwrap_or(0);
@@ -61,8 +65,9 @@
     states.iter().find(alone).map(|state| (state.at, state.sequence))
 }
 
-/// Since when a copy may have been missed that changes wait for: of the first value, of one with other members than the
-/// value before it, and of whatever a process has found at its start.
+/// Since when a copy that changes wait for may have been missing. Changes wait for the first value, for a
+/// value whose members differ from those of the value before it, and for any value that a process finds at
+/// its start.
 fn missing_since(facts: &Facts, held: &DiskState) -> Duration {
     let newer = || facts.disk_states.iter().filter(|state| state.sequence > held.sequence);
     let changed = newer().find(|state| {
@@ -85,13 +90,14 @@
         })
     }
 
-    /// Members that stay and can be reached hold the value of the change before, or have lacked it for long.
+    /// Members that stay and can be reached hold the value of the previous change, or have lacked it for
+    /// long.
     fn check_copies_first(&self, facts: &Facts) -> Option<Violation> {
         let (since, sequence) = self.previous.filter(|(since, _)| self.at < *since + COPY_WAIT)?;
         let lacks = |(core, incarnation): &&MemberId| {
             let Some(state) = disk_state_at(facts, *core, self.at) else { return false };
             let lacks = state.incarnation == *incarnation && state.sequence < sequence;
-            // It may not have been heard of any better before the change came into force.
+            // The others may not have learned of its current state before the previous change took effect.
             let heard = disk_state_at(facts, *core, since.saturating_sub(PROBE_DELAY)).unwrap_or(state);
             let overdue = lacks && missing_since(facts, heard) + COPY_WAIT <= self.at;
             lacks && !overdue && is_connected(facts, *core, self.at)
@@ -101,7 +107,8 @@
         Some(Violation::new(Rule::CopiesFirst, self.at, what))
     }
 
-    /// Who becomes a member holds what has been acknowledged. What its disk has lost right before the change nobody can know.
+    /// A member that joins holds what has been acknowledged. What its disk lost just before the change
+    /// cannot be known to the others.
     fn check_joiner_copy(&self, facts: &Facts) -> Option<Violation> {
         let least = newest_acknowledged(facts, self.at.saturating_sub(JOIN_LAG));
         let lacks_at = |(core, incarnation): &MemberId, at: Duration| {
@@ -121,7 +128,8 @@
         Some(Violation::new(Rule::JoinsWhole, self.at, what))
     }
 
-    /// A member on a machine that is well stays, unless it was told to end or its disk holds another member by now.
+    /// A member on a healthy machine is not removed, unless it was terminated or its disk holds another
+    /// member by now.
     fn check_member_stays(&self, facts: &Facts) -> Option<Violation> {
         let is_healthy = |(core, incarnation): &&MemberId| {
             disk_state_at(facts, *core, self.at).is_some_and(|state| state.incarnation == *incarnation)
--- a/crates/sim/src/fleet/oracle/mod.rs
+++ b/crates/sim/src/fleet/oracle/mod.rs
@@ -1,4 +1,5 @@
-//! What must hold, judged from what callers and agents' observers saw alone. It knows nothing of the code under test.
+//! The oracle: the rules of the control plane, judged only by what callers and the observers of agents saw.
+//! It does not use the code under test.
 
 mod agents;
 mod contact;
@@ -14,69 +15,71 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What must hold.
+/// A rule that a run must not break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One version is one configuration.
+    /// Each version stands for a single configuration.
     OneConfiguration,
-    /// What is in force was sent by an operator, and is valid.
+    /// A configuration that took effect was sent by an operator and is valid.
     Sent,
-    /// An amendment is applied to the version that it builds on, once, and keeps the rest of it.
+    /// An amendment is applied once, to the version that it builds on, and keeps the rest of it.
     Amended,
-    /// What was refused never comes into force, and what came into force is never refused.
+    /// A refused change never takes effect, and a change that took effect is never refused.
     Refused,
-    /// What was acknowledged or seen in force is part of one history.
+    /// All changes that were acknowledged or seen in effect form a single history.
     Durable,
-    /// Reads and refusals show what was acknowledged before they were asked for.
+    /// Reads and refusals reflect everything that was acknowledged before the call began.
     Current,
-    /// A member that is cut off acknowledges, serves and refuses nothing.
+    /// A member that is cut off does not acknowledge, serve or refuse anything.
     CutOffSilent,
-    /// It gives a clear answer within a second.
+    /// A member that is cut off gives a definite answer within a second.
     CutOffAnswers,
-    /// One answer to each caller.
+    /// Each call gets at most one answer.
     OneAnswer,
-    /// An agent never goes back within a life.
+    /// The versions and endpoint states that an agent reports do not go back between two starts of its
+    /// process.
     AgentMonotone,
-    /// An agent in touch hears of an acknowledged leaver in time.
+    /// A connected agent learns of an acknowledged departure in time.
     LeaverHeard,
-    /// A leaver never becomes ready again.
+    /// An endpoint that left never becomes ready again.
     LeaverStays,
-    /// An agent in touch has an acknowledged configuration in time.
+    /// A connected agent has an acknowledged configuration in time.
     AgentCurrent,
-    /// Nobody whose heartbeats are acknowledged is named silent.
+    /// No endpoint whose heartbeats are acknowledged is suspected.
     NotSilent,
-    /// An endpoint that crashed is named silent by agents in touch, while others beat.
+    /// Connected agents suspect an endpoint that crashed, provided that others send heartbeats.
     SilentNamed,
-    /// An agent that starts takes nothing from a member that is cut off while it may wait for others.
+    /// A starting agent takes nothing from a member that is cut off as long as it may wait for others.
     StartsCurrent,
-    /// Once all is mended, changes and reads come through at each member.
+    /// After the last fault, changes and reads succeed at every member.
     Heals,
-    /// Once all is mended, the newest value is on as many disks as are wanted.
+    /// After the last fault, the newest value is on as many disks as the tolerance requires.
     Copies,
-    /// No process ends by itself, but one that finds its disk to be an older copy.
+    /// No process ends by itself, except one that finds that its disk was rolled back.
     Runs,
-    /// A member whose disk was put back from an older copy does not go on as the same member.
+    /// A member whose disk was rolled back does not resume as the same member.
     OlderDisk,
-    /// A member that is told to end waits, for a while, until the others hold what is committed.
+    /// A member that is asked to terminate waits for a limited time until the others hold what is
+    /// committed.
     HandsOver,
-    /// One member is added, replaced or removed at a time.
+    /// Only one member is added, replaced or removed at a time.
     OneChange,
-    /// A change of members waits until the members that can be reached hold the value of the one before.
+    /// A membership change waits until the members that can be reached hold the value of the previous one.
     CopiesFirst,
-    /// A member that joins holds the committed configuration by then.
+    /// A member that joins holds the committed configuration.
     JoinsWhole,
-    /// A member that a majority can reach stays a member.
+    /// A member that a majority can reach is not removed.
     MemberStays,
 }
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When it showed.
+    /// When the violation showed.
     pub at: Duration,
-    /// What showed it.
+    /// What showed the violation.
     pub what: String,
 }
 
@@ -92,7 +95,7 @@
     }
 }
 
-/// The broken rules, in the order of time.
+/// All violations in a run, ordered by time.
 pub fn check(script: &Script, facts: &Facts) -> Vec<Violation> {
     let mut violations = register::check(facts);
     violations.extend(contact::check(script, facts));
--- a/crates/sim/src/fleet/oracle/register.rs
+++ b/crates/sim/src/fleet/oracle/register.rs
@@ -1,11 +1,12 @@
-//! The configuration as one register: a linearizable compare-and-set with repeats.
+//! Rules about the configuration, which is a linearizable compare-and-set register whose changes may be
+//! repeated.
 
 use super::{Rule, Violation};
 use crate::fleet::facts::{Call, CallKind, ConfigChange, Facts, Report};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A configuration was seen in force, at the latest at this time.
+/// A configuration was seen in effect, at the given time at the latest.
 struct Observation {
     version: u64,
     marker: u64,
@@ -13,7 +14,7 @@
     source: String,
 }
 
-/// Judges all calls and words about configurations.
+/// Checks all calls and agents' reports about configurations.
 pub fn check(facts: &Facts) -> Vec<Violation> {
     let register = Register::new(facts);
     let mut violations = register.check_one_configuration();
@@ -29,13 +30,13 @@
 
 struct Register<'a> {
     facts: &'a Facts,
-    /// In the order of time.
+    /// Ordered by time.
     observations: Vec<Observation>,
-    /// The marker that was seen first of each version.
+    /// The marker that was first seen for each version.
     markers: BTreeMap<u64, u64>,
-    /// Orders that were refused, and when.
+    /// The changes that were refused, and when.
     refused: BTreeMap<usize, Duration>,
-    /// When each order was sent first.
+    /// When each change was first sent.
     sent: BTreeMap<usize, Duration>,
 }
 
@@ -107,7 +108,8 @@
         violations
     }
 
-    /// Each configuration was made of one that was sent whole and of amendments, each on top of the one before.
+    /// Each configuration is made of one that was sent as a whole, followed by amendments that each build
+    /// on the one before.
     fn check_amendments(&self) -> Vec<Violation> {
         let broken = self.facts.lineages.iter().find(|(_, lineage)| !self.is_valid_lineage(lineage));
         let violation = broken.map(|(at, lineage)| {
@@ -127,7 +129,7 @@
             && lineage.windows(2).all(|pair| builds_on(pair[0], pair[1]))
     }
 
-    /// What each answer shows must not be older than what was known before it was asked for.
+    /// No answer shows an older version than was known before its call began.
     fn check_current(&self) -> Vec<Violation> {
         let mut known: Vec<(Duration, u64)> = self.observations.iter().map(|s| (s.at, s.version)).collect();
         for event in &self.facts.events {
@@ -140,7 +142,7 @@
             known.extend(named.zip(call.ended).map(|(version, at)| (at, version)));
         }
         known.sort_unstable();
-        // The highest version up to each moment.
+        // Replaces each version by the highest one up to that time.
         let mut highest = 0;
         for (_, version) in &mut known {
             highest = highest.max(*version);
@@ -162,7 +164,7 @@
         stale.take(1).collect()
     }
 
-    /// Orders from the newest to the first, each on top of the next one.
+    /// The changes from the newest to the first, each followed by the one that it builds on.
     fn find_history(&self) -> Result<Vec<usize>, Violation> {
         let Some((newest, marker)) = self.markers.last_key_value() else { return Ok(Vec::new()) };
         let mut found = None;
@@ -199,7 +201,8 @@
         } else if let Some(marker) = self.markers.get(&base) {
             self.search(*marker as usize, path, found, deepest);
         } else {
-            // Nobody has seen it in force: whatever was sent under that number and not refused may be it.
+            // No caller saw this version in effect, so it may be any change that was sent with that number
+            // and not refused.
             let changes = self.facts.changes.iter().enumerate();
             let below = changes.filter(|(number, below)| {
                 below.version == base && below.valid && !self.refused.contains_key(number)
@@ -215,7 +218,7 @@
 
     fn check_history(&self, history: &[usize]) -> Vec<Violation> {
         let mut violations = Vec::new();
-        // The earliest moment at which something above was in force.
+        // The earliest time at which a newer version was seen in effect.
         let mut newer_seen_at = Duration::MAX;
         for change in history {
             let version = self.facts.changes[*change].version;
@@ -236,7 +239,7 @@
     }
 }
 
-/// The version that an answer shows to be current.
+/// The version that an answer shows as the current one.
 fn shown_version(call: &Call) -> Option<u64> {
     let answer = call.answer.as_ref()?;
     match (call.asked, answer.status) {
--- a/crates/sim/src/fleet/oracle/silence.rs
+++ b/crates/sim/src/fleet/oracle/silence.rs
@@ -1,25 +1,28 @@
-//! Who is named silent: nobody who beats, and whoever crashed.
+//! Rules about failure suspicion: endpoints with acknowledged heartbeats are not suspected, and crashed
+//! ones are.
 
 use super::agents::{AgentView, STABLE_PERIOD};
 use super::{Rule, Violation};
 use crate::fleet::facts::{CallKind, Disruption, Report};
 use std::time::Duration;
 
-/// An endpoint whose heartbeats were acknowledged with no greater gap is not silent.
+/// An endpoint whose acknowledged heartbeats are no further apart than this is alive.
 const MAX_HEARTBEAT_GAP: Duration = Duration::from_millis(700);
-/// For so long before it is named.
+/// Time for which an endpoint must have sent heartbeats before a suspicion counts as wrong.
 const STEADY_PERIOD: Duration = Duration::from_millis(3_000);
-/// From an endpoint's last heartbeat until agents in touch name it: three heartbeats are missed, and that is told on.
+/// Longest time from an endpoint's last heartbeat until connected agents suspect it: three missed
+/// heartbeats and the propagation of the suspicion.
 const SUSPICION_BOUND: Duration = Duration::from_millis(3_000);
-/// What is taken back so soon was never heeded: a process that goes on after a stand-still sorts its links out first.
+/// A suspicion that is withdrawn within this time has no effect: a process that resumes after a freeze
+/// first closes its stale links.
 const RETRACTION_WINDOW: Duration = Duration::from_millis(100);
-/// A link on which nothing comes any more is given up by then: 1.4 s, looked at every 0.4 s.
+/// A link without traffic is closed within this time: 1.4 s, checked every 0.4 s.
 const LINK_TIMEOUT: Duration = Duration::from_millis(1_850);
-/// How often it is looked at whether an agent is in touch.
+/// Interval at which the connection of an agent is sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
 impl AgentView<'_> {
-    /// The first word that names an endpoint silent though it beats.
+    /// The first report that suspects an endpoint which sends heartbeats.
     pub(super) fn check_live_endpoints(&self) -> Option<Violation> {
         for (number, event) in self.events.iter().enumerate() {
             let Report::Suspects(suspects) = &event.report else { continue };
@@ -37,9 +40,10 @@
         None
     }
 
-    /// Whether nothing was wrong for a while but that members were cut off, no more of them than the tolerance bears: then
-    /// nobody may be named for what such a member has missed, whatever befell the agent some time ago. Where it is losing
-    /// links right now, the word of a single member may be the last that it heeds.
+    /// Whether, for a while, the only disruptions of the core were members being cut off, and no more of
+    /// them than the tolerance allows. Then no endpoint may be suspected for heartbeats that such a member
+    /// missed, whatever happened to the agent some time ago. While the agent is losing links, however, a
+    /// single member's suspicions may be the last that it accepts.
     fn only_members_cut_off(&self, at: Duration) -> bool {
         let before = at.saturating_sub(STABLE_PERIOD);
         let agent = self.facts.disruptions.iter().filter(|disruption| disruption.agent == Some(self.agent));
@@ -57,7 +61,7 @@
         cores.iter().all(|disruption| disruption.isolates) && cores.len() as u32 <= self.script.tolerance
     }
 
-    /// Whether the agent names others, and no more that endpoint, right after this word.
+    /// Whether the agent withdraws the suspicion of the endpoint right after this report.
     fn is_retracted(&self, number: usize, endpoint: usize) -> bool {
         let at = self.events[number].at;
         let later = self.events[number + 1..].iter().take_while(|event| event.at <= at + RETRACTION_WINDOW);
@@ -78,14 +82,14 @@
         cuts.any(|cut| (cut.from..cut.until).contains(&at))
     }
 
-    /// Whether an endpoint's heartbeats were acknowledged without a gap until then.
+    /// Whether the endpoint's heartbeats were acknowledged without a gap until the given time.
     fn has_heartbeats(&self, endpoint: usize, at: Duration) -> bool {
         let Some(mut last) = at.checked_sub(STEADY_PERIOD) else { return false };
         for call in self.facts.calls.iter().filter(|call| call.asked == CallKind::Heartbeat(endpoint)) {
             let acknowledged = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
             let Some(ended) = call.ended.filter(|ended| acknowledged && *ended <= at) else { continue };
             if self.is_cut_off(call.core, ended) {
-                continue; // it acts as in contact for a moment more, and nobody else hears of that beat
+                continue; // it still takes itself to be in contact, but no other member learns of this heartbeat
             }
             if ended < last {
                 continue;
@@ -98,7 +102,7 @@
         at - last <= MAX_HEARTBEAT_GAP
     }
 
-    /// An endpoint that crashed and is not named, though others beat all the time.
+    /// An endpoint that crashed and is not suspected, though others kept sending heartbeats.
     pub(super) fn check_crashed_endpoints(&self) -> Option<Violation> {
         self.facts.silent_since.iter().find_map(|(endpoint, since)| {
             let due = self.suspicion_due(*endpoint, *since)?;
@@ -112,7 +116,7 @@
         })
     }
 
-    /// The first moment by which an agent that knows an endpoint, and is in touch, must name it.
+    /// The first time by which a connected agent that knows the endpoint must suspect it.
     fn suspicion_due(&self, endpoint: usize, since: Duration) -> Option<Duration> {
         let steps = (0..).map(|step| since + SUSPICION_BOUND + SAMPLE_INTERVAL * step);
         steps.take_while(|at| *at <= self.facts.end).find(|at| {
--- a/crates/sim/src/fleet/oracle/starts.rs
+++ b/crates/sim/src/fleet/oracle/starts.rs
@@ -1,4 +1,4 @@
-//! What an agent takes right after its start: nothing older than what those know who are in contact.
+//! Rule about starting agents: they take no older configuration than the members in contact have.
 
 use super::agents::{AgentView, MAX_LATENCY, STABLE_PERIOD};
 use super::contact::CUT_DETECTION_BOUND;
@@ -6,12 +6,12 @@
 use crate::fleet::facts::{CallKind, Report};
 use std::time::Duration;
 
-/// From its start on, for so long, an agent takes a configuration only from members in contact.
+/// After its start, an agent takes configurations only from members in contact for this long.
 const STARTUP_WINDOW: Duration = Duration::from_millis(1_450);
 
 impl AgentView<'_> {
-    /// A version that an agent takes right after its start though a newer one was acknowledged long before, and only a
-    /// member that was cut off could lack it.
+    /// Finds a version that an agent takes right after its start although a newer one was acknowledged long
+    /// before and only a member that was cut off could lack it.
     pub(super) fn check_start_version(&self) -> Option<Violation> {
         let starts = self.facts.agent_starts.iter().filter(|(agent, _)| *agent == self.agent);
         for (number, (_, start)) in starts.enumerate() {
@@ -34,7 +34,7 @@
         None
     }
 
-    /// The newest version that was acknowledged by then.
+    /// The newest version that was acknowledged by the given time.
     fn acknowledged_by(&self, by: Duration) -> Option<u64> {
         let versions = self.facts.calls.iter().filter_map(|call| {
             let CallKind::Replace(change) = call.asked else { return None };
@@ -45,8 +45,8 @@
         versions.max()
     }
 
-    /// Whether all that has befallen the core for a while is that members were cut off, knew of it, and still are; no more of
-    /// them than the tolerance bears.
+    /// Whether the only recent disruptions of the core are members that are cut off, have noticed it and
+    /// still are cut off, and no more of them than the tolerance allows.
     fn only_steady_cuts(&self, start: Duration, at: Duration) -> bool {
         let before = start.saturating_sub(STABLE_PERIOD);
         let disruptions = self
--- a/crates/sim/src/fleet/run.rs
+++ b/crates/sim/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! A run: the machines and callers of a script, and what the oracle says of what they saw.
+//! Runs a script: sets up its machines and callers, and has the oracle judge what they saw.
 
 use crate::fleet::facts::{Facts, Report};
 use crate::fleet::fault_injector::FaultInjector;
@@ -12,22 +12,22 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// From the last acknowledged change until all agents and disks have it.
+/// Time from the final acknowledged change until all agents and disks have it.
 const PROPAGATION_WAIT: Duration = Duration::from_millis(2_500);
 
-/// What came of a run.
+/// The result of a run.
 pub struct Outcome {
-    /// Broken rules, in the order of time.
+    /// The rules that were broken, ordered by time.
     pub violations: Vec<Violation>,
-    /// What was seen.
+    /// What was recorded.
     pub facts: Facts,
-    /// All that went over the network, and all that was seen.
+    /// Hash of all network traffic, calls and agents' reports; equal for equal runs.
     pub hash: u64,
-    /// Log lines of the processes, where they were wanted.
+    /// Log lines of the processes, if the run was traced.
     pub log: Vec<(Duration, String)>,
 }
 
-/// Runs a script; with `traced` the log of each process is kept.
+/// Runs a script; if `traced` is set, the log of each process is kept.
 pub fn run(script: &Script, traced: bool) -> Outcome {
     fastrand::seed(script.seed);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
@@ -68,7 +68,8 @@
     Outcome { violations, facts, hash, log }
 }
 
-/// One more change, which all must have; a read at each member; what is on the disks.
+/// Makes a final change that every machine must receive, reads from each member, and records the content of
+/// the disks.
 async fn finish(world: &Rc<World>, fault_injector: &FaultInjector) {
     let acknowledged = operator::final_replace(world, world.random()).await;
     world.facts.borrow_mut().last_acknowledged = acknowledged;
--- a/crates/sim/src/fleet/script.rs
+++ b/crates/sim/src/fleet/script.rs
@@ -1,107 +1,107 @@
-//! What happens in a run, as data: the machines, what operators and endpoints do, and what goes wrong.
+//! The script of a run, stored as JSON: the machines, the actions of operators and endpoints, and the
+//! faults.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// From the mending of the last fault until all must be well again.
+/// Time from the end of the last fault until everything must have recovered.
 pub const RECOVERY_TIME: Duration = Duration::from_millis(5_000);
 
 /// A run of the control plane.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Script {
-    /// Everything that is drawn while it runs comes from this.
+    /// Seed of all random draws during the run.
     pub seed: u64,
-    /// Core machines of the first boot, each with a controller; three of them are the seeds.
+    /// Number of core machines at first boot, each with a controller; three of them are the seeds.
     pub cores: u32,
-    /// Edge machines, each with an agent.
+    /// Number of edge machines, each with an agent.
     pub agents: u32,
-    /// Core machines that may be lost at once.
+    /// Number of core machines that may fail at once.
     pub tolerance: u32,
-    /// One way between two machines, least and most, in milliseconds.
+    /// Shortest and longest one-way latency between two machines, in milliseconds.
     pub latency_ms: (u32, u32),
-    /// Of 100 reads and writes, how many are short.
+    /// Percentage of reads and writes that are short.
     pub split: u32,
-    /// When the last fault has been mended.
+    /// When the last fault has ended, in milliseconds.
     pub healed_ms: u32,
-    /// What operators do.
+    /// Requests of operators.
     pub requests: Vec<Request>,
-    /// Endpoints.
+    /// Lifetimes of endpoints.
     pub endpoints: Vec<EndpointPlan>,
-    /// What goes wrong.
+    /// The faults.
     pub faults: Vec<Fault>,
 }
 
-/// What an operator does.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// When, in milliseconds.
+    /// When it is sent, in milliseconds.
     pub at: u32,
-    /// Which operator.
+    /// Number of the operator.
     pub operator: u32,
-    /// The member that is asked first, by its number among those that there are.
+    /// Number of the member that is asked first, modulo the number of members at that time.
     pub member: u32,
-    /// What.
+    /// What is requested.
     pub what: RequestKind,
 }
 
-/// What an operator asks for.
+/// What an operator requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RequestKind {
-    /// The configuration.
+    /// Reads the configuration.
     Read,
-    /// A configuration on top of the newest version that operators know of, this much above it. With `marker` the body
-    /// is another one under the same number.
+    /// Sends a configuration on top of the newest version that operators know of.
     Replace {
         /// How far its version is above the one that it builds on.
         step: u32,
         /// How it is sent.
         manner: SendMode,
     },
-    /// A configuration on top of a version that is not current.
+    /// Sends a configuration on top of a version that is not current.
     ReplaceStale {
-        /// How far the base is behind; negative: ahead.
+        /// How far the base is behind the current version; negative if it is ahead.
         behind: i32,
     },
-    /// A configuration that is not valid.
+    /// Sends an invalid configuration.
     ReplaceInvalid,
-    /// An earlier replacement again, this many back.
+    /// Sends an earlier change again.
     Repeat {
-        /// How many replacements back.
+        /// How many changes back; 0 is the latest.
         back: u32,
     },
 }
 
-/// How a replacement is sent.
+/// How a change is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SendMode {
-    /// Until it is answered clearly: after silence or 503 to the next member.
+    /// Retries at the next member after a timeout or 503, until there is a definite answer.
     Patient,
-    /// Once.
+    /// Sends it once.
     Once,
-    /// The first answer is lost: the connection is closed this many milliseconds after the request was sent; then
-    /// patiently.
+    /// Loses the first answer: closes the connection this many milliseconds after the request was sent,
+    /// then retries as `Patient` does.
     AnswerLost(u32),
 }
 
-/// The life of an endpoint.
+/// The lifetime of an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointPlan {
     /// When it starts, in milliseconds.
     pub at: u32,
-    /// When it leaves, and how.
+    /// When it leaves, in milliseconds, and how; `None` if it stays.
     pub leaves: Option<(u32, Departure)>,
-    /// The member that it reports to first.
+    /// Number of the member that it calls first.
     pub member: u32,
-    /// It stands still from a moment on, for so long, and then goes on.
+    /// Start and duration of a pause in which it sends nothing, in milliseconds.
     #[serde(default)]
     pub pauses: Option<(u32, u32)>,
-    /// It knows no other member: after a call that failed it calls the same one again.
+    /// Whether it knows only one member, and retries a failed call there.
     #[serde(default)]
     pub stays: bool,
 }
 
 impl EndpointPlan {
-    /// One that beats from a moment on, and does no more.
+    /// An endpoint that sends heartbeats from the given time to the end of the run.
     pub fn steady(member: u32, at: u32) -> Self {
         EndpointPlan { at, leaves: None, member, pauses: None, stays: false }
     }
@@ -114,22 +114,22 @@
     Drains,
     /// It deregisters at once.
     Deregisters,
-    /// It says nothing more.
+    /// It sends nothing more.
     Crashes,
 }
 
-/// Which way a cut goes.
+/// The direction in which a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Direction {
-    /// Both.
+    /// Both directions.
     Both,
     /// What the machine sends is held up.
     Out,
-    /// What is sent to it is held up.
+    /// What is sent to the machine is held up.
     In,
 }
 
-/// From whom a core machine is cut off.
+/// The machines from which a core machine is cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CutScope {
     /// The other core machines.
@@ -140,69 +140,70 @@
     Near,
 }
 
-/// What a disk does.
+/// A fault of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskFault {
-    /// It takes this many times as long.
+    /// Writes take this many times as long.
     Slow(u32),
-    /// It answers nothing.
+    /// Writes do not complete.
     Stall,
-    /// It takes no more bytes.
+    /// Writes are refused.
     Full,
-    /// It takes the bytes of a value, and says that their sync has failed.
+    /// Writes of values reach the disk, but their sync reports an error.
     FailingSync,
 }
 
-/// What goes wrong; `at` and `lasts` in milliseconds.
+/// A fault. `at` is its start and `lasts` its duration, both in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "the fields are named alike: when, how long, and which machine")]
 pub enum Fault {
     /// A core machine is cut off.
     Cut { core: u32, way: Direction, from: CutScope, resets: bool, at: u32, lasts: u32 },
-    /// Two core machines are cut off from each other, and from nobody else.
+    /// Two core machines are cut off from each other only.
     PairCut { core: u32, other: u32, way: Direction, at: u32, lasts: u32 },
-    /// An agent is cut off from all core machines but, perhaps, one.
+    /// An agent is cut off from all core machines, or from all but one.
     AgentCut { agent: u32, but: Option<u32>, at: u32, lasts: u32 },
-    /// All that a core machine sends and gets takes longer.
+    /// Everything that a core machine sends or receives is delayed by `by` milliseconds.
     SlowLinks { core: u32, by: u32, at: u32, lasts: u32 },
-    /// Packets of a core machine are lost and sent again.
+    /// Packets of a core machine are lost and retransmitted.
     Loss { core: u32, percent: u32, at: u32, lasts: u32 },
     /// All connections of a core machine are reset.
     Reset { core: u32, at: u32 },
-    /// A controller is killed, and started again.
+    /// A controller is killed and restarted.
     Kill { core: u32, at: u32, lasts: u32 },
-    /// All controllers are killed, and started again.
+    /// All controllers are killed and restarted.
     KillAll { at: u32, lasts: u32 },
-    /// A core machine stands still.
+    /// A core machine is frozen.
     Freeze { core: u32, at: u32, lasts: u32 },
-    /// Power of a core machine is lost, and what its disk was writing.
+    /// A core machine loses power, along with the write in progress.
     Power { core: u32, at: u32, lasts: u32 },
-    /// Power of all core machines is lost.
+    /// All core machines lose power.
     PowerAll { at: u32, lasts: u32 },
-    /// A disk misbehaves.
+    /// A disk fails in the given way.
     Disk { core: u32, what: DiskFault, at: u32, lasts: u32 },
-    /// A controller is killed and comes back with an empty disk.
+    /// A controller is killed and restarted with an empty disk.
     Wipe { core: u32, at: u32, lasts: u32 },
-    /// A core machine is gone for good; an empty one comes at another address, before or after.
+    /// A core machine is removed for good and replaced by an empty one at another address, which starts
+    /// before the removal if it is planned and after it otherwise.
     Replace { core: u32, planned: bool, at: u32, lasts: u32 },
-    /// Another core machine.
+    /// A core machine is added.
     Spare { at: u32 },
-    /// A controller gets SIGTERM and starts again.
+    /// A controller gets SIGTERM and is restarted.
     Term { core: u32, at: u32, lasts: u32 },
-    /// Each controller gets SIGTERM and starts again, one after another.
+    /// Each controller in turn gets SIGTERM and is restarted, `gap` milliseconds apart.
     Roll { at: u32, gap: u32 },
     /// The settings name other seeds.
     Seeds { first: u32, at: u32 },
-    /// An agent is killed, and started again.
+    /// An agent is killed and restarted.
     AgentKill { agent: u32, at: u32, lasts: u32 },
-    /// An agent stands still.
+    /// An agent is frozen.
     AgentFreeze { agent: u32, at: u32, lasts: u32 },
-    /// A controller is killed and comes back with the disk as it was some time ago.
+    /// A controller is killed and restarted with the state that its disk had `age` milliseconds before.
     OlderDisk { core: u32, age: u32, at: u32, lasts: u32 },
 }
 
 impl Fault {
-    /// Its kind, by name.
+    /// Name of the kind of fault.
     pub fn kind(&self) -> &'static str {
         match self {
             Fault::Cut { way: Direction::Both, .. } => "cut",
@@ -233,7 +234,7 @@
         }
     }
 
-    /// When it begins, and how long it lasts.
+    /// Start and duration, in milliseconds.
     pub fn span(&self) -> (u32, u32) {
         match self {
             Fault::Cut { at, lasts, .. }
@@ -260,7 +261,7 @@
 }
 
 impl Script {
-    /// Core machines that there are in the course of the run.
+    /// Number of core machines over the whole run, including those added by faults.
     pub fn machine_count(&self) -> u32 {
         let new = |fault: &&Fault| matches!(fault, Fault::Replace { .. } | Fault::Spare { .. });
         self.cores + self.faults.iter().filter(new).count() as u32
--- a/crates/sim/src/fleet/shrink.rs
+++ b/crates/sim/src/fleet/shrink.rs
@@ -1,14 +1,15 @@
-//! Makes a script that breaks a rule small: fewer faults, requests and endpoints, with the same rule still broken.
+//! Shrinks a script that breaks a rule: removes faults, requests and endpoints as long as the same rule is
+//! still broken.
 
 use crate::fleet::oracle::Rule;
 use crate::fleet::run::run;
 use crate::fleet::script::Script;
 use crate::shrink::fewer;
 
-/// Runs that are enough for a script of this size, in most cases.
+/// Number of runs that usually suffices to shrink a script.
 pub const DEFAULT_MAX_RUNS: usize = 600;
 
-/// The smaller script, after so many runs at most, and how many it took.
+/// Shrinks a script with at most `max_runs` runs; returns the smaller script and the number of runs made.
 pub fn shrink(script: &Script, rule: Rule, max_runs: usize) -> (Script, usize) {
     let mut runs = 0;
     let mut still_violates = |candidate: &Script| {
@@ -32,7 +33,7 @@
     }
 }
 
-/// Scripts that differ in one setting, each simpler.
+/// Variants of the script with one setting simplified.
 fn simplifications(script: &Script) -> Vec<Script> {
     let with = |change: &dyn Fn(&mut Script)| {
         let mut changed = script.clone();
--- a/crates/sim/src/fleet/timeline.rs
+++ b/crates/sim/src/fleet/timeline.rs
@@ -1,4 +1,4 @@
-//! What happened, for a person: the log of each process and what callers saw, in the order of time.
+//! A readable timeline of a run: the log lines of the processes and what callers saw, ordered by time.
 
 use crate::fleet::facts::{CallKind, Facts, Report};
 use crate::fleet::oracle::Violation;
@@ -13,7 +13,7 @@
     static LINES: RefCell<Vec<(Instant, String)>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Log events of this thread's run, as lines.
+/// A log drain that collects the records of the current thread's run as lines.
 struct LineDrain {
     node: String,
 }
@@ -33,13 +33,13 @@
 
     fn log(&self, record: &Record<'_>, _: &OwnedKVList) -> Result<(), slog::Never> {
         let mut key_values = KeyValues(format!("{:<9} {}", self.node, record.msg()));
-        let _ = slog::KV::serialize(&record.kv(), record, &mut key_values); // text can always be written
+        let _ = slog::KV::serialize(&record.kv(), record, &mut key_values); // writing to a string cannot fail
         LINES.with_borrow_mut(|lines| lines.push((Instant::now(), key_values.0)));
         Ok(())
     }
 }
 
-/// A logger for a process of the run; it keeps lines where they are wanted.
+/// A logger for a process of the run; discards its records unless the run is traced.
 pub fn logger(node: &str, traced: bool) -> Logger {
     if traced {
         Logger::root(LineDrain { node: node.to_owned() }, o!())
@@ -48,7 +48,7 @@
     }
 }
 
-/// The lines of the run that has just ended on this thread.
+/// Takes the log lines of the run that has just ended on this thread, with times since its start.
 pub fn take_lines(start: Instant) -> Vec<(Duration, String)> {
     let lines = LINES.take();
     lines.into_iter().map(|(at, line)| (at.saturating_duration_since(start), line)).collect()
@@ -96,7 +96,7 @@
     for event in &facts.events {
         let (agent, told) = (event.agent, &event.report);
         let reported = (agent, told.clone());
-        // Words that only repeat what was said say nothing.
+        // Skips versions that repeat the agent's previous report.
         if matches!(told, Report::Version(_))
             && last.iter().rev().find(|(a, _)| *a == agent) == Some(&reported)
         {
@@ -108,7 +108,7 @@
     lines
 }
 
-/// All that happened.
+/// Renders the whole timeline, one line per event.
 pub fn render(
     script: &Script,
     facts: &Facts,
--- a/crates/sim/src/fleet/world.rs
+++ b/crates/sim/src/fleet/world.rs
@@ -1,4 +1,5 @@
-//! What all parts of a run share: the network, the facts, and who is where.
+//! State that all parts of a run share: the network, the record of the run, and the addresses and settings
+//! of the machines.
 
 use crate::fleet::config_body::parse_lineage;
 use crate::fleet::disk::RestoredCopy;
@@ -18,70 +19,70 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Where operators and endpoints call.
+/// Port on which controllers serve operators and endpoints.
 const CONTROL_PORT: u16 = 8146;
-/// Where controllers listen for other processes.
+/// First port on which controllers listen for other processes.
 const FIRST_PEER_PORT: u16 = 7660;
-/// Where an agent's proxy comes in.
+/// Port on which an agent serves its proxy.
 const FEED_PORT: u16 = 7661;
-/// How often endpoints tell that they are there.
+/// Interval between heartbeats of an endpoint.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// Seeds that the settings name.
+/// Number of seeds in the settings.
 const SEED_COUNT: u32 = 3;
 
-/// The world of one run.
+/// The shared state of a run.
 pub struct World {
-    /// What is to happen.
+    /// The script of the run.
     pub script: Script,
-    /// The network.
+    /// The simulated network.
     pub wires: Wires,
-    /// What was seen.
+    /// What was recorded.
     pub facts: RefCell<Facts>,
     /// The newest version that operators know of.
     pub newest_known: Cell<u64>,
-    /// Core machines that there are now.
+    /// The core machines that currently exist.
     pub cores: RefCell<Vec<u32>>,
-    /// Core machines that the settings name.
+    /// The core machines that the settings name as seeds.
     pub seeds: RefCell<Vec<u32>>,
-    /// Log lines, where they are wanted.
+    /// Whether log lines are kept.
     pub traced: bool,
     start: Instant,
     rng: RefCell<Pcg32>,
 }
 
-/// A core machine's address.
+/// Address of a core machine.
 pub fn core_ip(core: u32) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 0, core as u8 + 1)
 }
 
-/// An edge machine's address.
+/// Address of an edge machine.
 pub fn agent_ip(agent: u32) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 1, agent as u8 + 1)
 }
 
-/// A member of the register, by its core machine.
+/// Converts a member of the register to its core machine and incarnation.
 fn member_id(member: &Member) -> MemberId {
     let [.., last] = member.address().ip().octets();
     (u32::from(last).saturating_sub(1), member.incarnation)
 }
 
-/// Where an operator or an endpoint calls from.
+/// Address of an operator or an endpoint.
 pub fn caller_ip(caller: u32) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 2, caller as u8 + 1)
 }
 
-/// Where a core machine takes calls.
+/// Address on which a core machine serves calls.
 pub fn control_address(core: u32) -> SocketAddr {
     SocketAddrV4::new(core_ip(core), CONTROL_PORT).into()
 }
 
-/// Where an agent takes its proxy.
+/// Address on which an agent serves its proxy.
 pub fn feed_address(agent: u32) -> SocketAddr {
     SocketAddrV4::new(agent_ip(agent), FEED_PORT).into()
 }
 
 impl World {
-    /// The world at its start.
+    /// Creates the state at the start of a run.
     pub fn new(script: Script, traced: bool) -> Rc<Self> {
         let ms = |time: u32| Duration::from_millis(time.into());
         let latency = (ms(script.latency_ms.0), ms(script.latency_ms.1));
@@ -100,28 +101,28 @@
         })
     }
 
-    /// Time since the start.
+    /// Time since the start of the run.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// A moment of the script.
+    /// The instant that is this many milliseconds after the start.
     pub fn instant_at(&self, ms: u32) -> Instant {
         self.start + Duration::from_millis(ms.into())
     }
 
-    /// A draw of its own.
+    /// The next random number of the run.
     pub fn random(&self) -> u32 {
         self.rng.borrow_mut().next_u32()
     }
 
-    /// The core machine of this number among those that there are.
+    /// The core machine at this index, modulo the number of machines that currently exist.
     pub fn nth_core(&self, number: u32) -> u32 {
         let cores = self.cores.borrow();
         cores[number as usize % cores.len()]
     }
 
-    /// The settings of a core machine.
+    /// Settings of a core machine.
     pub fn core_settings(&self, core: u32, first_boot: bool) -> Result<Node, String> {
         let (ip, control) = (core_ip(core), control_address(core));
         self.settings(&format!(
@@ -129,7 +130,7 @@
         ))
     }
 
-    /// The settings of an edge machine.
+    /// Settings of an edge machine.
     pub fn agent_settings(&self, agent: u32) -> Result<Node, String> {
         let (ip, feed) = (agent_ip(agent), feed_address(agent));
         self.settings(&format!("node=edge-{agent}\nip={ip}\nlisten.feed={feed}\n"))
@@ -148,26 +149,26 @@
         Node::read(&format!("{own}{common}")).map_err(|error| error.to_string())
     }
 
-    /// The network as a machine sees it.
+    /// The network as seen from a machine.
     pub fn network(&self, ip: Ipv4Addr) -> Rc<dyn runtrack_net::Network> {
         self.wires.host(IpAddr::V4(ip))
     }
 
-    /// Notes the beginning of a call; its number.
+    /// Records the start of a call; returns the call's number.
     pub fn record_call_start(&self, call: Call) -> usize {
         let calls = &mut self.facts.borrow_mut().calls;
         calls.push(call);
         calls.len() - 1
     }
 
-    /// Notes what came of a call.
+    /// Updates the record of a call.
     pub fn update_call(&self, number: usize, update: impl FnOnce(&mut Call)) {
         if let Some(call) = self.facts.borrow_mut().calls.get_mut(number) {
             update(call);
         }
     }
 
-    /// Notes what the disk of a core machine holds now.
+    /// Records what the disk of a core machine now holds.
     pub fn record_disk_state(&self, core: u32, incarnation: u64, value: Option<&Value>) {
         let sets = value.map(sets_of).unwrap_or_default();
         let state = DiskState {
@@ -181,20 +182,20 @@
         self.facts.borrow_mut().disk_states.push(state);
     }
 
-    /// Notes that an older copy was put back.
+    /// Records a rollback of a disk.
     pub fn record_disk_rollback(&self, core: u32, copy: &RestoredCopy) {
         let RestoredCopy { incarnation, sequence, is_stale } = *copy;
         let rollback = DiskRollback { core, at: self.now(), incarnation, sequence, is_stale };
         self.facts.borrow_mut().disk_rollbacks.push(rollback);
     }
 
-    /// Notes that a controller was told to end.
+    /// Records a request to a controller to terminate.
     pub fn record_termination_request(&self, core: u32) {
         let termination = Termination { core, requested: self.now(), ended: None };
         self.facts.borrow_mut().terminations.push(termination);
     }
 
-    /// Notes that a controller that was told to end has ended.
+    /// Records that a terminating controller has ended.
     pub fn record_termination(&self, core: u32) {
         let now = self.now();
         let terminations = &mut self.facts.borrow_mut().terminations;
@@ -203,13 +204,13 @@
         }
     }
 
-    /// Notes of which versions a configuration was made.
+    /// Records which versions a configuration is made of.
     pub fn record_lineage(&self, body: &[u8]) {
         let seen = (self.now(), parse_lineage(body));
         self.facts.borrow_mut().lineages.push(seen);
     }
 
-    /// Notes what an agent told.
+    /// Records a message of an agent.
     pub fn record_report(&self, agent: u32, start_number: u32, report: Report) {
         let at = self.now();
         self.facts.borrow_mut().events.push(AgentEvent { agent, start_number, at, report });
--- a/crates/sim/tests/fleet.rs
+++ b/crates/sim/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The control plane in virtual time: fixed seeds, the same run for the same seed, and planted errors.
+//! Tests of the control plane's simulator: fixed seeds break no rule, runs are reproducible, and planted
+//! errors are found.
 
 mod support;
 
@@ -19,7 +20,7 @@
     });
 }
 
-/// The last line of `fleet play`, which has the hash of all that went over the network and all that was seen.
+/// The last line printed by `fleet play`, which contains the hash of the run.
 fn report_of_process(seed: u64) -> String {
     last_line_of(&["fleet", "play", &seed.to_string()])
 }
@@ -34,10 +35,10 @@
     assert_ne!(report_of_process(1), report_of_process(2));
 }
 
-/// Seeds in which several tasks of a controller wait for one write of leaves.
+/// Seeds in which several tasks of a controller wait for the same write of leaves.
 const CONCURRENT_LEAVE_SEEDS: [u64; 4] = [12, 20, 22, 24];
-/// Where such waiters woke in random order, each of these seeds had two hashes or more, the rarer one in 3 of 8 runs at
-/// least: with this many runs the first three alone miss that once in some 8,000 times.
+/// When such waiters woke in random order, each of these seeds gave two hashes or more, the rarer one in at
+/// least 3 of 8 runs. With this many runs, the first three seeds alone miss that once in some 8,000 times.
 const REPEATS: usize = 6;
 
 #[test]
@@ -58,12 +59,12 @@
     }
 }
 
-/// A lost disk counts as lost for so long after its machine is back.
+/// A lost disk counts as lost for this long after its machine is back, in milliseconds.
 const REPAIR_MS: u32 = 4_000;
-/// Nothing else is harmed for so long before an older disk is put back.
+/// No other fault occurs for this long before a disk is rolled back, in milliseconds.
 const QUIET_MS: u32 = 5_000;
 
-/// Losses of disks: when, and until when they count.
+/// Start of each loss of a disk, and the time until which it counts, in milliseconds.
 fn lost_disks(script: &Script) -> Vec<(u32, u32)> {
     let lost = script.faults.iter().filter(|fault| {
         matches!(fault, Fault::Wipe { .. } | Fault::Replace { .. } | Fault::OlderDisk { .. })
@@ -134,7 +135,7 @@
     assert!(outcome.violations.iter().any(|violation| violation.rule == Rule::LeaverHeard));
 }
 
-/// Seeds that show a planted error; `runtrack-sim fleet mutants` measures how many it takes.
+/// Seeds that find a planted error; `runtrack-sim fleet mutants` measures how many seeds that takes.
 const MUTANT_SEEDS: [(&str, u64); 30] = [
     ("amendment-loses-items", 6),
     ("heartbeats-out-of-contact", 14),
@@ -167,7 +168,7 @@
     ("leave-confirmed-before-durable", 58),
     ("leaves-not-read", 2),
 ];
-/// Runs that the test of shrinking may take.
+/// Most runs that shrinking may take in the test.
 const SHRINK_RUNS: usize = 40;
 
 #[test]
--- a/crates/sim/tests/fleet_oracle.rs
+++ b/crates/sim/tests/fleet_oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle of the control plane, shown histories that break each rule, and a sound one.
+//! Tests of the control plane's oracle: for each rule, records that break it, and similar ones that do not.
 
 use runtrack_sim::fleet::draw;
 use runtrack_sim::fleet::facts::{
@@ -40,7 +40,7 @@
     AgentEvent { agent: 0, start_number: 1, at: ms(at), report }
 }
 
-/// Two orders one on top of the other, acknowledged, read, and told to the one agent.
+/// Two changes, one on top of the other, acknowledged, read, and reported by the only agent.
 fn sound() -> Facts {
     let mut facts = Facts {
         changes: vec![config_change(0, 1, 0), config_change(1, 2, 1)],
@@ -142,7 +142,7 @@
     });
 }
 
-/// A harm of core 0, of no kind yet.
+/// A disruption of core 0 without further properties.
 fn disruption(from: u64, until: u64) -> Disruption {
     Disruption {
         core: Some(0),
@@ -162,7 +162,7 @@
     Disruption { isolates: true, ..disruption(8_000, 14_000) }
 }
 
-/// Core 0 is cut off, while this call is made to it.
+/// Core 0 is cut off, and this call is made to it.
 fn cut_off(facts: &mut Facts, call: Call) {
     facts.disruptions.push(cut());
     facts.calls.push(call);
@@ -184,7 +184,7 @@
 
 #[test]
 fn a_member_that_stood_still_and_acknowledges_on_old_contact_is_found() {
-    // The call waited in its buffers since before the member can have known of the cut.
+    // The call waited in the member's buffers from before the member could have noticed the cut.
     let waited = |facts: &mut Facts, ended: u64| {
         facts.disruptions.push(Disruption { freezes: true, ..disruption(8_000, ended) });
         let mut beat = call(CallKind::Heartbeat(0), 8_400, 200);
@@ -236,7 +236,7 @@
         facts.events.extend([report(6_000, Report::Endpoint(0, 1)), report(6_100, Report::Endpoint(0, 0))]);
     });
     let another_life = violated_rules(|facts| {
-        // A member was lost and may be behind, and the agent may start with what that one has.
+        // A member was disrupted and may be behind, and the agent may start with what that member has.
         facts.disruptions.push(disruption(13_000, 14_000));
         facts.agent_starts.push((0, ms(16_000)));
         facts.events.push(AgentEvent {
@@ -291,7 +291,7 @@
     assert_eq!(later, [], "it has fallen silent by then");
 }
 
-/// An endpoint beats until 14 s, at core 1.
+/// Adds heartbeats of an endpoint from 6 s to 14 s, acknowledged by core 1.
 fn add_heartbeats(facts: &mut Facts, endpoint: usize) {
     let beats = (0..20).map(|beat| call(CallKind::Heartbeat(endpoint), 6_000 + beat * 400, 200));
     facts.calls.extend(beats.map(|beat| Call { core: 1, ..beat }));
--- a/crates/sim/tests/fleet_oracle_disks.rs
+++ b/crates/sim/tests/fleet_oracle_disks.rs
@@ -1,5 +1,5 @@
-//! The oracle of the control plane, shown what disks of members held: histories that break a promise about copies and
-//! changes of members, each beside a sound one.
+//! Tests of the control plane's oracle on what members' disks held: for each rule about copies and
+//! membership changes, a record that breaks it and one that does not.
 
 use runtrack_sim::fleet::draw;
 use runtrack_sim::fleet::facts::{
@@ -17,13 +17,13 @@
     members.iter().map(|core| (*core, 0)).collect()
 }
 
-/// What a disk holds: a value of this sequence number and version, with the first members.
+/// A disk holds a value with this sequence number and version, with the initial members.
 fn state(core: u32, at: u64, sequence: u64, version: u64) -> DiskState {
     let sets = vec![set(&[0, 1, 2])];
     DiskState { core, at: ms(at), incarnation: 0, sequence, version, sets }
 }
 
-/// A change of members as a disk shows it.
+/// A membership change as a disk shows it.
 fn change(core: u32, at: u64, sequence: u64, sets: &[&[u32]]) -> DiskState {
     let sets = sets.iter().map(|members| set(members)).collect();
     DiskState { sets, ..state(core, at, sequence, 2) }
@@ -69,7 +69,7 @@
     check(&script, &facts).into_iter().map(|violation| violation.rule).collect()
 }
 
-/// One history breaks the rule, and the other one does not.
+/// Asserts that the first record breaks the rule and the second does not.
 #[track_caller]
 fn assert_distinguishes(rule: Rule, bad: impl Fn(&mut Facts), good: impl Fn(&mut Facts)) {
     let (bad, good) = (violated_rules(bad), violated_rules(good));
@@ -77,7 +77,7 @@
     assert!(!good.contains(&rule), "{good:?}");
 }
 
-/// This disk has missed the second version.
+/// Makes a disk lack the second version.
 fn lose_second_version(facts: &mut Facts, core: u32) {
     facts.disk_states.retain(|state| state.core != core || state.sequence < 2);
 }
@@ -162,7 +162,8 @@
 
 #[test]
 fn a_change_before_the_copies_of_the_one_before_is_found() {
-    // Members are four from 9.1 s on, which core 2 does not hold; the next change begins at this time.
+    // There are four members from 9.1 s on, which core 2 does not know; the next change begins at the given
+    // time.
     let changes = |facts: &mut Facts, at: u64| {
         for core in [0, 1, 3] {
             facts.disk_states.push(change(core, 9_000, 3, &[&[0, 1, 2], &[0, 1, 2, 3]]));
@@ -189,7 +190,7 @@
 
 #[test]
 fn a_member_that_is_wiped_before_it_joins_is_found_where_that_could_be_known() {
-    // It holds the newest version, and its disk is empty from this time on.
+    // Core 3 holds the newest version until its disk becomes empty at the given time.
     let wiped = |facts: &mut Facts, at: u64| {
         facts.disk_states.push(state(3, 8_000, 2, 2));
         facts.disk_states.push(DiskState { incarnation: 0, ..state(3, at, 0, 0) });
