--- a/crates/sim/src/fleet/command.rs
+++ b/crates/sim/src/fleet/command.rs
@@ -81,7 +81,7 @@
     outcome.violations.iter().for_each(|violation| println!("{violation}"));
     let facts = &outcome.facts;
     println!(
-        "{} calls, {} orders, {} words of agents; {:.1} s of the world's time; hash {:016x}; {} broken rules",
+        "{} calls, {} changes, {} agent reports; {:.1} s of virtual time; hash {:016x}; {} broken rules",
         facts.calls.len(),
         facts.changes.len(),
         facts.events.len(),
@@ -110,7 +110,7 @@
             let script = draw::script_of(theme, seed);
             let outcome = mutants::with(mutant, || run(&script, false));
             let Some(violation) = outcome.violations.first() else {
-                return Err("it breaks no rule".to_owned());
+                return Err("the script breaks no rule".to_owned());
             };
             let (small, runs) =
                 mutants::with(mutant, || shrink::shrink(&script, violation.rule, shrink::DEFAULT_MAX_RUNS));
@@ -143,7 +143,7 @@
     let (pairs, calls, violating, virtual_s) = sums.into_inner().unwrap_or_else(PoisonError::into_inner);
     let elapsed_s = began.elapsed().as_secs_f64();
     println!(
-        "{done} seeds in {elapsed_s:.1} s: {:.1} a second, {:.0} s of the world's time a second; {calls} calls; {pairs}; \
+        "{done} seeds in {elapsed_s:.1} s: {:.1} a second, {:.0} s of virtual time a second; {calls} calls; {pairs}; \
          {violating} seeds break a rule",
         done as f64 / elapsed_s,
         virtual_s / elapsed_s
--- a/crates/sim/src/fleet/oracle/agents.rs
+++ b/crates/sim/src/fleet/oracle/agents.rs
@@ -131,7 +131,7 @@
         let has_left =
             states.any(|event| matches!(event.report, Report::Endpoint(e, 1..) if e == endpoint));
         (ready && !has_left).then(|| {
-            let what = format!("{} has not heard that e{endpoint} leaves", self.name());
+            let what = format!("{} has not learned that e{endpoint} leaves", self.name());
             Violation::new(Rule::LeaverHeard, due, what)
         })
     }
@@ -141,7 +141,7 @@
             let ready = matches!(event.report, Report::Endpoint(e, 0) if e == endpoint);
             ready && event.at >= acknowledged + MAX_LATENCY && self.is_connected(event.at)
         })?;
-        let what = format!("{} has e{endpoint} ready again", self.name());
+        let what = format!("{} reports e{endpoint} as ready again", self.name());
         Some(Violation::new(Rule::LeaverStays, again.at, what))
     }
 
@@ -160,7 +160,7 @@
                 known && event.start_number == start_number && event.at <= due
             });
             if !has {
-                let what = format!("{} has not got version {version}", self.name());
+                let what = format!("{} does not have version {version}", self.name());
                 return Some(Violation::new(Rule::AgentCurrent, due, what));
             }
         }
--- a/crates/sim/src/fleet/oracle/contact.rs
+++ b/crates/sim/src/fleet/oracle/contact.rs
@@ -33,7 +33,7 @@
     }
     let surplus = facts.calls.iter().enumerate().filter(|(_, call)| call.surplus);
     violations.extend(surplus.map(|(number, call)| {
-        Violation::new(Rule::OneAnswer, call.began, format!("call {number} has got more than an answer"))
+        Violation::new(Rule::OneAnswer, call.began, format!("call {number} got more than one answer"))
     }));
     violations
 }
@@ -67,7 +67,8 @@
         let at = call.ended.filter(|at| (old..cut.until).contains(at))?;
         let acknowledged = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
         let heartbeat = matches!(call.asked, CallKind::Heartbeat(_));
-        let what = format!("call {number} to core-{}: {:?}: 200 on old contact", call.core, call.asked);
+        let what =
+            format!("call {number} to core-{}: {:?}: 200 after its contact expired", call.core, call.asked);
         (heartbeat && acknowledged).then(|| Violation::new(Rule::CutOffSilent, at, what))
     })
 }
--- a/crates/sim/src/fleet/oracle/disks.rs
+++ b/crates/sim/src/fleet/oracle/disks.rs
@@ -61,7 +61,7 @@
         same && state.at > rollback.at && state.sequence > rollback.sequence
     });
     let state = resumed.filter(|_| rollback.is_stale)?;
-    let what = format!("core-{} goes on as the same member with an older disk", rollback.core);
+    let what = format!("core-{} resumes as the same member with an older disk", rollback.core);
     Some(Violation::new(Rule::OlderDisk, state.at, what))
 }
 
@@ -80,7 +80,7 @@
             && is_connected(facts, *core, ended)
     };
     let (core, _) = others.clone().find(lacks)?;
-    let what = format!("core-{} ends while core-{core} lacks version {least}", termination.core);
+    let what = format!("core-{} terminates while core-{core} lacks version {least}", termination.core);
     Some(Violation::new(Rule::HandsOver, ended, what))
 }
 
@@ -96,7 +96,7 @@
     let (whole, lacking): (Vec<_>, Vec<_>) = states.partition(|state| state.version >= newest);
     let wanted = (2 * script.tolerance as usize + 1).min(whole.len() + lacking.len());
     (whole.len() < wanted).then(|| {
-        let what = format!("version {newest} is on {} disks, not on {wanted}", whole.len());
+        let what = format!("version {newest} is on {} disks instead of {wanted}", whole.len());
         Violation::new(Rule::Copies, at, what)
     })
 }
--- a/crates/sim/src/fleet/oracle/healing.rs
+++ b/crates/sim/src/fleet/oracle/healing.rs
@@ -9,14 +9,14 @@
 pub fn check(script: &Script, facts: &Facts) -> Vec<Violation> {
     let mut violations = Vec::new();
     if !facts.last_acknowledged {
-        let what = "no change is acknowledged after all was mended";
+        let what = "no change is acknowledged after the last fault";
         violations.push(Violation::new(Rule::Heals, facts.end, what));
     }
     for core in &facts.unreadable_cores {
         violations.push(Violation::new(
             Rule::Heals,
             facts.end,
-            format!("core-{core} gives no clear answer"),
+            format!("core-{core} gives no definite answer"),
         ));
     }
     for (name, at, problem) in
@@ -47,7 +47,7 @@
         facts.final_disks.values().filter(|disk| disk.is_some_and(|(version, _)| version >= newest));
     let (whole, wanted) = (whole.count(), (2 * script.tolerance as usize + 1).min(facts.final_disks.len()));
     (whole < wanted).then(|| {
-        let what = format!("version {newest} is on {whole} disks, not on {wanted}");
+        let what = format!("version {newest} is on {whole} disks instead of {wanted}");
         Violation::new(Rule::Copies, facts.end, what)
     })
 }
--- a/crates/sim/src/fleet/oracle/membership.rs
+++ b/crates/sim/src/fleet/oracle/membership.rs
@@ -85,7 +85,7 @@
     fn check_one_at_a_time(&self) -> Option<Violation> {
         let (gone, come) = (self.old.difference(self.new).count(), self.new.difference(self.old).count());
         (gone > 1 || come > 1).then(|| {
-            let what = format!("{gone} members go and {come} come at once");
+            let what = format!("{gone} members are removed and {come} added at once");
             Violation::new(Rule::OneChange, self.at, what)
         })
     }
@@ -103,7 +103,7 @@
             lacks && !overdue && is_connected(facts, *core, self.at)
         };
         let (core, _) = self.old.intersection(self.new).find(lacks)?;
-        let what = format!("members change while core-{core} lacks the change of {since:?}");
+        let what = format!("membership changes while core-{core} lacks the change of {since:?}");
         Some(Violation::new(Rule::CopiesFirst, self.at, what))
     }
 
@@ -136,10 +136,6 @@
                 && is_connected(facts, *core, self.at)
         };
         let (core, _) = self.old.difference(self.new).find(is_healthy)?;
-        Some(Violation::new(
-            Rule::MemberStays,
-            self.at,
-            format!("core-{core} is well and no member any more"),
-        ))
+        Some(Violation::new(Rule::MemberStays, self.at, format!("core-{core} is healthy but was removed")))
     }
 }
--- a/crates/sim/src/fleet/oracle/register.rs
+++ b/crates/sim/src/fleet/oracle/register.rs
@@ -86,7 +86,8 @@
     fn check_one_configuration(&self) -> Vec<Violation> {
         let other = self.observations.iter().find(|s| self.markers.get(&s.version) != Some(&s.marker));
         let violation = other.map(|s| {
-            let what = format!("version {} is #{} and #{}", s.version, self.markers[&s.version], s.marker);
+            let what =
+                format!("version {} is both #{} and #{}", s.version, self.markers[&s.version], s.marker);
             Violation::new(Rule::OneConfiguration, s.at, format!("{what} ({})", s.source))
         });
         violation.into_iter().collect()
@@ -99,8 +100,7 @@
             let known = change.is_some_and(|change| change.valid && change.version == *version);
             let in_time = self.sent.get(&(*marker as usize)).is_some_and(|sent| sent <= at);
             if !known || !in_time {
-                let what =
-                    format!("version {version} of #{marker} was not sent, or is not valid ({source})");
+                let what = format!("version {version} of #{marker} was not sent or is invalid ({source})");
                 violations.push(Violation::new(Rule::Sent, *at, what));
             }
         }
@@ -113,7 +113,11 @@
     fn check_amendments(&self) -> Vec<Violation> {
         let broken = self.facts.lineages.iter().find(|(_, lineage)| !self.is_valid_lineage(lineage));
         let violation = broken.map(|(at, lineage)| {
-            Violation::new(Rule::Amended, *at, format!("a configuration was made of versions {lineage:?}"))
+            Violation::new(
+                Rule::Amended,
+                *at,
+                format!("no sequence of changes gives a configuration made of versions {lineage:?}"),
+            )
         });
         violation.into_iter().collect()
     }
@@ -157,7 +161,8 @@
             let shown = shown_version(call)?;
             let least = floor(call.began);
             (shown < least).then(|| {
-                let what = format!("call {number} to core-{} shows {shown}, {least} was known", call.core);
+                let what =
+                    format!("call {number} to core-{} shows {shown} though {least} was known", call.core);
                 Violation::new(Rule::Current, call.ended.unwrap_or(call.began), what)
             })
         });
@@ -177,7 +182,7 @@
             let (at, what) = lost.map_or((self.facts.end, "nothing".to_owned()), |observation| {
                 (observation.at, format!("version {} ({})", observation.version, observation.source))
             });
-            Violation::new(Rule::Durable, at, format!("{what} is not below version {newest}"))
+            Violation::new(Rule::Durable, at, format!("{what} is not in the history of version {newest}"))
         })
     }
 
@@ -223,13 +228,12 @@
         for change in history {
             let version = self.facts.changes[*change].version;
             if let Some(at) = self.refused.get(change) {
-                let what = format!("#{change} (version {version}) came into force and was refused");
+                let what = format!("#{change} (version {version}) took effect and was refused");
                 violations.push(Violation::new(Rule::Refused, *at, what));
             }
             let sent = self.sent.get(change).copied().unwrap_or(Duration::MAX);
             if sent > newer_seen_at {
-                let what =
-                    format!("#{change} (version {version}) was sent after something above it was seen");
+                let what = format!("#{change} (version {version}) was sent after a newer version was seen");
                 violations.push(Violation::new(Rule::Current, newer_seen_at, what));
             }
             let seen = self.observations.iter().find(|observation| observation.version == version);
--- a/crates/sim/src/fleet/oracle/silence.rs
+++ b/crates/sim/src/fleet/oracle/silence.rs
@@ -33,7 +33,7 @@
                 self.has_heartbeats(**endpoint, event.at) && !self.is_retracted(number, **endpoint)
             });
             if let Some(endpoint) = beating {
-                let what = format!("{} takes e{endpoint} for silent", self.name());
+                let what = format!("{} suspects e{endpoint}, which sends heartbeats", self.name());
                 return Some(Violation::new(Rule::NotSilent, event.at, what));
             }
         }
@@ -111,7 +111,7 @@
                     Report::Suspects(suspects) => Some(suspects.contains(endpoint)),
                     _ => None,
                 });
-            let what = format!("{} does not take e{endpoint} for silent, which crashed", self.name());
+            let what = format!("{} does not suspect e{endpoint}, which crashed", self.name());
             (suspected != Some(true)).then(|| Violation::new(Rule::SilentNamed, due, what))
         })
     }
--- a/crates/sim/src/fleet/oracle/starts.rs
+++ b/crates/sim/src/fleet/oracle/starts.rs
@@ -27,7 +27,7 @@
             });
             let mut behind = behind.filter(|(_, version)| (1..newest).contains(version));
             if let Some((at, version)) = behind.find(|(at, _)| self.only_steady_cuts(*start, *at)) {
-                let what = format!("{} starts with version {version}, not {newest}", self.name());
+                let what = format!("{} starts with version {version} instead of {newest}", self.name());
                 return Some(Violation::new(Rule::StartsCurrent, at, what));
             }
         }
--- a/crates/sim/src/fleet/run.rs
+++ b/crates/sim/src/fleet/run.rs
@@ -31,7 +31,7 @@
 pub fn run(script: &Script, traced: bool) -> Outcome {
     fastrand::seed(script.seed);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    let runtime = runtime.expect("a runtime needs no more than memory");
+    let runtime = runtime.expect("a current-thread runtime without I/O needs only memory");
     LocalSet::new().block_on(&runtime, run_script(script.clone(), traced))
 }
 
--- a/crates/sim/src/fleet/script.rs
+++ b/crates/sim/src/fleet/script.rs
@@ -155,7 +155,10 @@
 
 /// A fault. `at` is its start and `lasts` its duration, both in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[allow(missing_docs, reason = "the fields are named alike: when, how long, and which machine")]
+#[allow(
+    missing_docs,
+    reason = "the fields of all variants have the same meaning: start, duration and machine"
+)]
 pub enum Fault {
     /// A core machine is cut off.
     Cut { core: u32, way: Direction, from: CutScope, resets: bool, at: u32, lasts: u32 },
--- a/crates/sim/src/fleet/timeline.rs
+++ b/crates/sim/src/fleet/timeline.rs
@@ -102,7 +102,7 @@
         {
             continue;
         }
-        lines.push((event.at, format!("edge-{agent}    tells (life {}): {told:?}", event.start_number)));
+        lines.push((event.at, format!("edge-{agent}    reports (start {}): {told:?}", event.start_number)));
         last.push(reported);
     }
     lines
@@ -123,7 +123,7 @@
         let text = serde_json::to_string(fault).unwrap_or_default();
         lines.push((Duration::from_millis(at.into()), format!("fault     {text}")));
         let until = Duration::from_millis((at + lasts).into());
-        lines.push((until, format!("mended    {text}")));
+        lines.push((until, format!("ended     {text}")));
     }
     for violation in violations {
         lines.push((violation.at, format!("BROKEN    {violation}")));
