--- a/crates/sim/tests/fleet.rs
+++ b/crates/sim/tests/fleet.rs
@@ -12,27 +12,27 @@
 use support::{each, last_line_of, scripts_in};
 
 #[test]
-fn no_seed_of_the_fixed_set_breaks_a_rule() {
+fn fixed_seeds_break_no_rule() {
     each(0..100, |seed| {
         let outcome = run(&draw::script(seed), false);
         assert!(outcome.violations.is_empty(), "seed {seed}: {}", outcome.violations[0]);
-        assert!(outcome.facts.last_acknowledged, "seed {seed}: nothing was acknowledged at the end");
+        assert!(outcome.facts.last_acknowledged, "seed {seed}: the final change was not acknowledged");
     });
 }
 
 /// The last line printed by `fleet play`, which contains the hash of the run.
-fn report_of_process(seed: u64) -> String {
+fn last_line_of_play(seed: u64) -> String {
     last_line_of(&["fleet", "play", &seed.to_string()])
 }
 
 #[test]
-fn the_same_seed_is_the_same_run_in_another_process() {
+fn a_seed_gives_the_same_run_in_another_process() {
     each(0..16, |seed| {
-        let there = report_of_process(seed);
+        let there = last_line_of_play(seed);
         let here = format!("hash {:016x};", run(&draw::script(seed), false).hash);
         assert!(there.contains(&here), "seed {seed}: {there}, here {here}");
     });
-    assert_ne!(report_of_process(1), report_of_process(2));
+    assert_ne!(last_line_of_play(1), last_line_of_play(2));
 }
 
 /// Seeds in which several tasks of a controller wait for the same write of leaves.
@@ -42,7 +42,7 @@
 const REPEATS: usize = 6;
 
 #[test]
-fn a_run_is_the_same_each_time_though_leaves_wait_for_a_disk_together() {
+fn concurrent_waits_for_a_disk_do_not_change_a_run() {
     each(0..CONCURRENT_LEAVE_SEEDS.len() as u64, |number| {
         let script = draw::script(CONCURRENT_LEAVE_SEEDS[number as usize]);
         let hashes: BTreeSet<u64> = (0..REPEATS).map(|_| run(&script, false).hash).collect();
@@ -51,11 +51,11 @@
 }
 
 #[test]
-fn what_is_written_down_is_what_was_drawn() {
+fn scripts_survive_serialization() {
     for seed in 0..100 {
         let script = draw::script(seed);
-        let text = serde_json::to_string(&script).expect("a script is data");
-        assert_eq!(serde_json::from_str::<Script>(&text).expect("the same"), script);
+        let text = serde_json::to_string(&script).expect("scripts can be serialized");
+        assert_eq!(serde_json::from_str::<Script>(&text).expect("the script is valid JSON"), script);
     }
 }
 
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn no_more_disks_are_lost_at_once_than_the_tolerance_bears() {
+fn concurrent_disk_losses_stay_within_the_tolerance() {
     let mut most = 0;
     for seed in 0..3_000 {
         let script = draw::script(seed);
@@ -84,11 +84,11 @@
             most = most.max(at_once);
         }
     }
-    assert_eq!(most, 2, "two at once where five machines bear that");
+    assert_eq!(most, 2, "five machines tolerate two losses at once");
 }
 
 #[test]
-fn older_disks_are_drawn_and_nothing_else_is_harmed_shortly_before() {
+fn disk_rollbacks_are_generated_without_other_faults_nearby() {
     let mut drawn = 0;
     for seed in 0..1_000 {
         let script = draw::script(seed);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn scripts_of_what_was_found_and_mended_break_no_rule() {
+fn scripts_of_fixed_faults_break_no_rule() {
     for (path, script) in scripts_in::<Script>("fleet_scripts") {
         let outcome = run(&script, false);
         assert!(outcome.violations.is_empty(), "{}: {}", path.display(), outcome.violations[0]);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_leave_that_is_not_read_at_the_start_is_found() {
+fn leaves_not_read_at_start_are_found() {
     let text = include_str!("fleet_scripts/frozen_agent_and_all_killed.json");
     let script: Script = serde_json::from_str(text).expect("a script");
     let outcome = mutants::with(Some("leaves-not-read"), || run(&script, false));
@@ -178,12 +178,12 @@
         let (name, seed) = MUTANT_SEEDS[number as usize];
         assert!(names.contains(&name), "{name}");
         let outcome = mutants::with(Some(name), || run(&draw::script(seed), false));
-        assert!(!outcome.violations.is_empty(), "{name}: seed {seed} breaks nothing");
+        assert!(!outcome.violations.is_empty(), "{name}: seed {seed} breaks no rule");
     });
 }
 
 #[test]
-fn a_script_that_breaks_a_rule_becomes_a_small_one_with_a_timeline() {
+fn a_failing_script_is_shrunk_and_has_a_timeline() {
     let (name, seed) = MUTANT_SEEDS[0];
     let script = draw::script(seed);
     let (small, again) = mutants::with(Some(name), || {
@@ -196,5 +196,5 @@
     assert!(small.faults.len() + small.requests.len() < script.faults.len() + script.requests.len());
     let text = timeline::render(&small, &again.facts, &again.log, &again.violations);
     assert!(text.contains("controller.start") && text.contains("BROKEN"), "{text}");
-    assert!(run(&small, false).violations.is_empty(), "without the error it breaks nothing");
+    assert!(run(&small, false).violations.is_empty(), "without the planted error it breaks no rule");
 }
--- a/crates/sim/tests/fleet_oracle.rs
+++ b/crates/sim/tests/fleet_oracle.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_sound_history_breaks_nothing() {
+fn a_valid_record_breaks_no_rule() {
     assert_eq!(violated_rules(|_| {}), []);
 }
 
@@ -95,19 +95,19 @@
 }
 
 #[test]
-fn what_nobody_sent_is_found() {
+fn a_configuration_that_nobody_sent_is_found() {
     assert_violates(Rule::Sent, |facts| facts.calls.push(read(6_000, 3, 7)));
     assert_violates(Rule::Sent, |facts| facts.changes[1].valid = false);
 }
 
 #[test]
-fn a_refusal_of_what_came_into_force_is_found_before_and_after() {
+fn a_refusal_before_or_after_a_change_took_effect_is_found() {
     assert_violates(Rule::Refused, |facts| facts.calls.push(call(CallKind::Replace(0), 6_000, 412)));
     assert_violates(Rule::Refused, |facts| facts.calls.insert(0, call(CallKind::Replace(1), 50, 409)));
 }
 
 #[test]
-fn what_was_acknowledged_and_is_not_below_the_newest_is_found() {
+fn an_acknowledged_change_missing_from_the_history_is_found() {
     assert_violates(Rule::Durable, |facts| {
         facts.changes.push(config_change(1, 3, 2));
         facts.calls.push(call(CallKind::Replace(2), 6_000, 200));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn unseen_orders_may_lie_between_and_refused_ones_may_not() {
+fn the_history_may_contain_unseen_but_not_refused_changes() {
     let between = |facts: &mut Facts| {
         facts.changes.extend([config_change(2, 3, 2), config_change(3, 4, 3)]);
         facts.calls.push(call(CallKind::Replace(2), 6_000, 503));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn an_old_read_or_refusal_is_found() {
+fn a_stale_read_or_refusal_is_found() {
     assert_violates(Rule::Current, |facts| facts.calls.push(read(6_000, 1, 0)));
     assert_violates(Rule::Current, |facts| facts.calls.push(call(CallKind::Read, 6_000, 404)));
     assert_violates(Rule::Current, |facts| {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_member_that_is_cut_off_and_says_something_is_found() {
+fn a_definite_answer_of_a_cut_off_member_is_found() {
     assert_violates(Rule::CutOffSilent, |facts| cut_off(facts, call(CallKind::Heartbeat(0), 10_000, 200)));
     assert_violates(Rule::CutOffSilent, |facts| cut_off(facts, call(CallKind::Drain(0), 10_000, 200)));
     assert_violates(Rule::CutOffSilent, |facts| cut_off(facts, read(10_000, 2, 1)));
@@ -178,12 +178,12 @@
     assert_eq!(
         violated_rules(|facts| cut_off(facts, read(8_500, 2, 1))),
         [],
-        "it can't know of the cut yet"
+        "it can't have noticed the cut yet"
     );
 }
 
 #[test]
-fn a_member_that_stood_still_and_acknowledges_on_old_contact_is_found() {
+fn an_acknowledgement_on_expired_contact_after_a_freeze_is_found() {
     // The call waited in the member's buffers from before the member could have noticed the cut.
     let waited = |facts: &mut Facts, ended: u64| {
         facts.disruptions.push(Disruption { freezes: true, ..disruption(8_000, ended) });
@@ -196,16 +196,16 @@
         waited(facts, 9_200);
         facts.disruptions.push(Disruption { degraded: true, delay: ms(200), ..disruption(7_000, 9_000) });
     });
-    assert_eq!(violated_rules(|facts| waited(facts, 8_700)), [], "its contact was not old by then");
+    assert_eq!(violated_rules(|facts| waited(facts, 8_700)), [], "its contact had not expired by then");
     let killed = |facts: &mut Facts| {
         waited(facts, 9_200);
         facts.disruptions.push(disruption(8_100, 8_200));
     };
-    assert_eq!(violated_rules(killed), [], "what a process that was killed answered is judged elsewhere");
+    assert_eq!(violated_rules(killed), [], "answers of a killed process are not judged by this rule");
 }
 
 #[test]
-fn a_member_that_is_cut_off_and_says_nothing_at_all_is_found() {
+fn a_cut_off_member_that_gives_no_answer_is_found() {
     assert_violates(Rule::CutOffAnswers, |facts| {
         let mut hangs = call(CallKind::Read, 10_000, 503);
         (hangs.answer, hangs.ended) = (None, Some(ms(11_200)));
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_caller_whose_connection_was_reset_is_owed_nothing() {
+fn a_caller_whose_connection_was_reset_needs_no_answer() {
     let rules = violated_rules(|facts| {
         let mut breaks_off = call(CallKind::Read, 10_000, 503);
         breaks_off.answer = None;
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn an_agent_that_goes_back_is_found_within_a_life_and_not_beyond() {
+fn an_agent_may_go_back_only_after_a_restart() {
     assert_violates(Rule::AgentMonotone, |facts| facts.events.push(report(6_000, Report::Version(1))));
     assert_violates(Rule::AgentMonotone, |facts| {
         facts.events.extend([report(6_000, Report::Endpoint(0, 1)), report(6_100, Report::Endpoint(0, 0))]);
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn a_leaver_that_is_not_heard_or_comes_back_is_found() {
+fn an_unreported_or_reverted_departure_is_found() {
     assert_violates(Rule::LeaverHeard, |facts| {
         facts.events.push(report(6_000, Report::Endpoint(0, 0)));
         facts.calls.push(call(CallKind::Drain(0), 7_000, 200));
@@ -274,12 +274,12 @@
 }
 
 #[test]
-fn an_agent_that_lacks_an_acknowledged_configuration_is_found() {
+fn an_agent_without_an_acknowledged_configuration_is_found() {
     assert_violates(Rule::AgentCurrent, |facts| facts.events.truncate(2));
 }
 
 #[test]
-fn an_endpoint_that_beats_and_is_named_silent_is_found() {
+fn a_suspected_endpoint_with_heartbeats_is_found() {
     assert_violates(Rule::NotSilent, |facts| {
         add_heartbeats(facts, 0);
         facts.events.push(report(10_300, Report::Suspects(vec![0])));
@@ -288,7 +288,7 @@
         add_heartbeats(facts, 0);
         facts.events.push(report(16_000, Report::Suspects(vec![0])));
     });
-    assert_eq!(later, [], "it has fallen silent by then");
+    assert_eq!(later, [], "its heartbeats have stopped by then");
 }
 
 /// Adds heartbeats of an endpoint from 6 s to 14 s, acknowledged by core 1.
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn an_endpoint_that_beats_is_not_named_to_an_agent_that_reaches_few_members_either() {
+fn a_poorly_connected_agent_does_not_suspect_endpoints_with_heartbeats() {
     let named = |facts: &mut Facts, disruption: Disruption| {
         add_heartbeats(facts, 0);
         facts.disruptions.push(Disruption {
@@ -310,7 +310,7 @@
         facts.events.push(report(12_000, Report::Suspects(vec![0])));
     };
     assert_violates(Rule::NotSilent, |facts| named(facts, Disruption { until: ms(11_500), ..cut() }));
-    assert_eq!(violated_rules(|facts| named(facts, disruption(8_000, 11_500))), [], "a machine was lost");
+    assert_eq!(violated_rules(|facts| named(facts, disruption(8_000, 11_500))), [], "a machine failed");
     let losing = |facts: &mut Facts| {
         named(facts, Disruption { until: ms(11_500), ..cut() });
         facts.disruptions[0].from = ms(10_500);
@@ -320,11 +320,11 @@
         named(facts, cut());
         facts.events.push(report(12_020, Report::Suspects(vec![])));
     };
-    assert_eq!(violated_rules(taken_back), [], "nobody heeds what is taken back at once");
+    assert_eq!(violated_rules(taken_back), [], "a suspicion that is withdrawn at once has no effect");
 }
 
 #[test]
-fn an_endpoint_that_crashed_and_is_not_named_is_found() {
+fn a_crashed_endpoint_that_is_not_suspected_is_found() {
     let mut script = draw::script(0);
     (script.cores, script.tolerance, script.agents) = (3, 1, 1);
     script.endpoints = vec![EndpointPlan::steady(0, 0), EndpointPlan::steady(1, 0)];
@@ -338,19 +338,23 @@
     };
     assert!(rules(&|_| {}).contains(&Rule::SilentNamed));
     let cut_off = rules(&|facts| facts.disruptions.push(Disruption { from: ms(6_000), ..cut() }));
-    assert!(cut_off.contains(&Rule::SilentNamed), "{cut_off:?}: the others' word counts");
+    assert!(cut_off.contains(&Rule::SilentNamed), "{cut_off:?}: the reports of the other members count");
     assert_eq!(rules(&|facts| facts.events.push(report(9_500, Report::Suspects(vec![1])))), []);
-    assert_eq!(rules(&|facts| facts.calls.truncate(4)), [], "nobody else beats");
+    assert_eq!(rules(&|facts| facts.calls.truncate(4)), [], "no other endpoint sends heartbeats");
     assert_eq!(
         rules(&|facts| facts.events.retain(|event| event.at != ms(6_000))),
         [],
-        "it was never heard of"
+        "the agent never knew of it"
+    );
+    assert_eq!(
+        rules(&|facts| facts.disruptions.push(disruption(9_000, 13_000))),
+        [],
+        "the agent is not connected"
     );
-    assert_eq!(rules(&|facts| facts.disruptions.push(disruption(9_000, 13_000))), [], "not in touch");
 }
 
 #[test]
-fn an_agent_that_starts_with_what_a_cut_off_member_has_is_found() {
+fn an_agent_that_starts_with_a_cut_off_members_version_is_found() {
     let starts = |facts: &mut Facts, at: u64, version: u64| {
         facts.disruptions.push(Disruption { core: Some(2), from: ms(2_000), until: ms(19_000), ..cut() });
         facts.disruptions.push(Disruption { core: None, agent: Some(0), ..disruption(9_000, 12_000) });
@@ -369,7 +373,7 @@
         });
     };
     assert_violates(Rule::StartsCurrent, |facts| starts(facts, 10_100, 1));
-    assert_eq!(violated_rules(|facts| starts(facts, 10_100, 0)), [], "it knows nothing yet");
+    assert_eq!(violated_rules(|facts| starts(facts, 10_100, 0)), [], "the agent has no version yet");
     assert_eq!(violated_rules(|facts| starts(facts, 10_100, 2)), []);
     assert_eq!(violated_rules(|facts| starts(facts, 11_600, 1)), [], "it has waited for others");
     let back = |facts: &mut Facts| {
@@ -380,7 +384,7 @@
 }
 
 #[test]
-fn what_does_not_heal_is_found() {
+fn missing_recovery_after_the_last_fault_is_found() {
     assert_violates(Rule::Heals, |facts| facts.last_acknowledged = false);
     assert_violates(Rule::Heals, |facts| facts.unreadable_cores.push(1));
     assert_violates(Rule::Runs, |facts| facts.exits.push(("core-0".to_owned(), ms(1), "why".to_owned())));
--- a/crates/sim/tests/fleet_oracle_disks.rs
+++ b/crates/sim/tests/fleet_oracle_disks.rs
@@ -83,12 +83,12 @@
 }
 
 #[test]
-fn a_sound_history_breaks_nothing() {
+fn a_valid_record_breaks_no_rule() {
     assert_eq!(violated_rules(|_| {}), []);
 }
 
 #[test]
-fn a_member_that_goes_on_with_an_older_disk_is_found_and_another_one_there_is_not() {
+fn a_member_that_resumes_from_an_older_disk_is_found() {
     let goes_on = |facts: &mut Facts, incarnation: u64| {
         let back = DiskRollback { core: 0, at: ms(6_000), incarnation: 0, sequence: 1, is_stale: true };
         facts.disk_rollbacks.push(back);
@@ -101,11 +101,11 @@
         goes_on(facts, 0);
         facts.disk_rollbacks[0].is_stale = false;
     };
-    assert_eq!(violated_rules(current), [], "nothing was missing on the copy");
+    assert_eq!(violated_rules(current), [], "the restored state was current");
 }
 
 #[test]
-fn only_an_older_disk_ends_a_process() {
+fn a_process_may_end_only_after_a_disk_rollback() {
     let ends = |facts: &mut Facts| facts.exits.push(("core-0".to_owned(), ms(6_100), "why".to_owned()));
     let older = |facts: &mut Facts| {
         ends(facts);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_member_that_ends_before_the_others_hold_its_value_is_found() {
+fn termination_before_the_others_hold_the_value_is_found() {
     let ends = |facts: &mut Facts, ended: u64| {
         lose_second_version(facts, 1);
         facts.terminations.push(Termination { core: 0, requested: ms(8_000), ended: Some(ms(ended)) });
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_copy_that_is_not_made_up_for_is_found_though_nothing_changes_any_more() {
+fn a_missed_copy_that_is_not_repaired_is_found() {
     let late = |facts: &mut Facts, at: u64| {
         lose_second_version(facts, 2);
         facts.disk_states.push(state(2, at, 2, 2));
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn two_changes_at_once_are_found() {
+fn two_membership_changes_at_once_are_found() {
     let changes = |facts: &mut Facts, next: &[u32]| {
         facts.disk_states.push(change(0, 9_000, 3, &[&[0, 1, 2], next]));
     };
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_change_before_the_copies_of_the_one_before_is_found() {
+fn a_change_before_the_previous_one_is_copied_is_found() {
     // There are four members from 9.1 s on, which core 2 does not know; the next change begins at the given
     // time.
     let changes = |facts: &mut Facts, at: u64| {
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_member_that_is_wiped_before_it_joins_is_found_where_that_could_be_known() {
+fn a_member_wiped_before_it_joins_is_found_if_that_was_knowable() {
     // Core 3 holds the newest version until its disk becomes empty at the given time.
     let wiped = |facts: &mut Facts, at: u64| {
         facts.disk_states.push(state(3, 8_000, 2, 2));
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_member_that_is_replaced_though_it_is_well_is_found() {
+fn removal_of_a_healthy_member_is_found() {
     let replaced = |facts: &mut Facts| {
         facts.disk_states.push(state(3, 8_900, 2, 2));
         facts.disk_states.push(change(0, 9_000, 3, &[&[0, 1, 2], &[0, 1, 3]]));
