--- a/crates/sim/src/fleet/draw/contact.rs
+++ b/crates/sim/src/fleet/draw/contact.rs
@@ -129,8 +129,8 @@
         for _ in 0..self.draws.of(3, 5) {
             self.add_endpoints(self.core, 1, at);
             let how = if self.draws.one_in(3) { Departure::Drains } else { Departure::Deregisters };
-            let leaves = self.between(at - 800, at + 900);
-            self.set_departure(leaves, how);
+            let leaves_at = self.between(at - 800, at + 900);
+            self.set_departure(leaves_at, how);
         }
         let until = self.add_cut(from, at, lasts);
         if !self.draws.one_in(3) {
@@ -190,8 +190,8 @@
         let until = self.add_cut(from, at, lasts);
         let other = self.other_core();
         self.add_endpoints(other, 3, at);
-        let crashes = self.between(at, until);
-        self.set_departure(crashes, Departure::Crashes);
+        let crashed_at = self.between(at, until);
+        self.set_departure(crashed_at, Departure::Crashes);
         for _ in 0..self.draws.of(1, 2) {
             self.add_endpoints(self.core, 1, at);
             if let Some(endpoint) = self.script.endpoints.last_mut() {
@@ -216,11 +216,11 @@
             endpoint.pauses = Some((at, pause));
         }
         let agent = self.draws.of(0, self.script.agents - 1);
-        let stops = self.between(at + 500, at + pause + 500);
+        let frozen_at = self.between(at + 500, at + pause + 500);
         let lasts = self.draws.of(1_000, 8_000);
-        self.script.faults.push(Fault::AgentFreeze { agent, at: stops, lasts });
-        let cut = self.between(stops, stops + lasts.min(1_500));
-        let until = stops + lasts + self.draws.of(100, 3_000);
+        self.script.faults.push(Fault::AgentFreeze { agent, at: frozen_at, lasts });
+        let cut = self.between(frozen_at, frozen_at + lasts.min(1_500));
+        let until = frozen_at + lasts + self.draws.of(100, 3_000);
         let but = if self.draws.one_in(3) { Some(self.core) } else { None };
         self.script.faults.push(Fault::AgentCut { agent, but, at: cut, lasts: until - cut });
         until
--- a/crates/sim/src/fleet/draw/disks.rs
+++ b/crates/sim/src/fleet/draw/disks.rs
@@ -42,20 +42,20 @@
     let core = draws.of(0, script.cores - 1);
     let lasts = draws.of(150, 4_500);
     let power = draws.of(0, 2);
-    let off = draws.of(100, 1_500);
-    let off_at = at + draws.of(0, lasts + 1_000);
-    let until = (at + lasts).max(off_at + off);
-    let may = match power {
+    let power_loss_lasts = draws.of(100, 1_500);
+    let power_loss_at = at + draws.of(0, lasts + 1_000);
+    let until = (at + lasts).max(power_loss_at + power_loss_lasts);
+    let is_allowed = match power {
         0 => budget.reserve_all(script.cores, at, until),
         _ => budget.reserve(core, at, until),
     };
-    if !may {
+    if !is_allowed {
         return;
     }
     script.faults.push(Fault::Disk { core, what: disk_fault(draws), at, lasts });
     match power {
-        0 => script.faults.push(Fault::PowerAll { at: off_at, lasts: off }),
-        1 => script.faults.push(Fault::Power { core, at: off_at, lasts: off }),
+        0 => script.faults.push(Fault::PowerAll { at: power_loss_at, lasts: power_loss_lasts }),
+        1 => script.faults.push(Fault::Power { core, at: power_loss_at, lasts: power_loss_lasts }),
         _ => {}
     }
 }
@@ -69,25 +69,30 @@
     at: u32,
 ) {
     let at = at.max(READY_MS + PROPAGATION_MS);
-    let off_at = at + draws.of(2, 700);
-    let off = draws.of(150, 1_500);
-    if !budget.reserve_all(script.cores, at, off_at + off) {
+    let power_loss_at = at + draws.of(2, 700);
+    let power_loss_lasts = draws.of(150, 1_500);
+    if !budget.reserve_all(script.cores, at, power_loss_at + power_loss_lasts) {
         return;
     }
     for core in 0..script.cores {
         let what = DiskFault::Slow(draws.of(10, 150));
-        script.faults.push(Fault::Disk { core, what, at: at - LEAD_MS, lasts: off_at - at + LEAD_MS });
+        script.faults.push(Fault::Disk {
+            core,
+            what,
+            at: at - LEAD_MS,
+            lasts: power_loss_at - at + LEAD_MS,
+        });
     }
     for _ in 0..draws.of(2, 5) {
         let plan = EndpointPlan::steady(draws.of(0, script.cores - 1), READY_MS);
-        let leaves = Some((draws.of(at, off_at), Departure::Deregisters));
+        let leaves = Some((draws.of(at, power_loss_at), Departure::Deregisters));
         script.endpoints.push(EndpointPlan { leaves, ..plan });
     }
     for agent in 0..script.agents {
-        let lasts = off_at + off - at + LEAD_MS + draws.of(0, 2_000);
+        let lasts = power_loss_at + power_loss_lasts - at + LEAD_MS + draws.of(0, 2_000);
         script.faults.push(Fault::AgentCut { agent, but: None, at: at - LEAD_MS, lasts });
     }
-    script.faults.push(Fault::PowerAll { at: off_at, lasts: off });
+    script.faults.push(Fault::PowerAll { at: power_loss_at, lasts: power_loss_lasts });
 }
 
 /// Removes packet loss around disk rollbacks: members learn of each other's disks by probes every 250 ms,
@@ -128,9 +133,9 @@
         script.faults.push(Fault::OlderDisk { core, age, at, lasts });
         let second = at + lasts + REPAIR_MS + draws.of(0, 200);
         let other = (core + draws.of(1, script.cores - 1)) % script.cores;
-        let off = draws.of(150, 3_000);
-        if draws.one_in(2) && budget.reserve(other, second, second + off) {
-            script.faults.push(Fault::Kill { core: other, at: second, lasts: off });
+        let down_lasts = draws.of(150, 3_000);
+        if draws.one_in(2) && budget.reserve(other, second, second + down_lasts) {
+            script.faults.push(Fault::Kill { core: other, at: second, lasts: down_lasts });
         }
     }
 }
--- a/crates/sim/src/fleet/draw/membership.rs
+++ b/crates/sim/src/fleet/draw/membership.rs
@@ -87,8 +87,8 @@
     if !budget.reserve(core, at, repaired.max(at + lasts)) {
         return;
     }
-    let replace = planned || !replaced && draws.one_in(4);
-    script.faults.push(match replace {
+    let is_replaced = planned || !replaced && draws.one_in(4);
+    script.faults.push(match is_replaced {
         true => Fault::Replace { core, planned, at, lasts },
         false => Fault::Wipe { core, at, lasts },
     });
--- a/crates/sim/src/fleet/operator.rs
+++ b/crates/sim/src/fleet/operator.rs
@@ -120,7 +120,7 @@
 
 /// Makes a change at the end of a run, on top of the newest known version, and retries it until it is
 /// acknowledged; returns whether it was.
-pub async fn final_replace(world: &World, member: u32) -> bool {
+pub async fn final_change(world: &World, member: u32) -> bool {
     let until = Instant::now() + RETRY_TIMEOUT;
     let mut member = member;
     while Instant::now() < until {
--- a/crates/sim/src/fleet/oracle/agents.rs
+++ b/crates/sim/src/fleet/oracle/agents.rs
@@ -48,23 +48,23 @@
         let mut versions: BTreeMap<u32, u64> = BTreeMap::new();
         let mut states: BTreeMap<(u32, usize), u8> = BTreeMap::new();
         for event in &self.events {
-            let (back, what) = match &event.report {
+            let (is_older, what) = match &event.report {
                 Report::Version(version) | Report::Config(version, _) => {
                     let newest = versions.entry(event.start_number).or_default();
                     // A configuration that was fetched may arrive after the announcement of a newer one.
-                    let back = matches!(event.report, Report::Version(_)) && version < newest;
+                    let is_older = matches!(event.report, Report::Version(_)) && version < newest;
                     *newest = (*newest).max(*version);
-                    (back, format!("version {version}"))
+                    (is_older, format!("version {version}"))
                 }
                 Report::Endpoint(endpoint, state) => {
                     let highest = states.entry((event.start_number, *endpoint)).or_default();
-                    let back = state < highest;
+                    let is_older = state < highest;
                     *highest = (*highest).max(*state);
-                    (back, format!("e{endpoint} in state {state}"))
+                    (is_older, format!("e{endpoint} in state {state}"))
                 }
                 Report::Suspects(_) => continue,
             };
-            if back {
+            if is_older {
                 let what = format!("{} goes back to {what}", self.name());
                 return Some(Violation::new(Rule::AgentMonotone, event.at, what));
             }
@@ -76,8 +76,8 @@
     pub(super) fn is_connected(&self, at: Duration) -> bool {
         let before = at.saturating_sub(STABLE_PERIOD);
         let started = self.facts.agent_starts.iter().filter(|(agent, _)| *agent == self.agent);
-        let runs = started.map(|(_, start)| *start).max().is_some_and(|start| start <= before);
-        let mut lost = 0;
+        let is_running = started.map(|(_, start)| *start).max().is_some_and(|start| start <= before);
+        let mut lost_cores = 0;
         for disruption in self
             .facts
             .disruptions
@@ -91,9 +91,9 @@
             if disruption.core.is_some() && !disruption.disk_only && (!steady || disruption.degraded) {
                 return false;
             }
-            lost += u32::from(disruption.core.is_some());
+            lost_cores += u32::from(disruption.core.is_some());
         }
-        runs && lost <= self.script.tolerance && at <= self.facts.end
+        is_running && lost_cores <= self.script.tolerance && at <= self.facts.end
     }
 
     /// The first time from which on an agent that is connected must know of the change.
@@ -137,29 +137,29 @@
     }
 
     fn check_leaver_not_ready(&self, endpoint: usize, acknowledged: Duration) -> Option<Violation> {
-        let again = self.events.iter().find(|event| {
+        let ready_again = self.events.iter().find(|event| {
             let ready = matches!(event.report, Report::Endpoint(e, 0) if e == endpoint);
             ready && event.at >= acknowledged + MAX_LATENCY && self.is_connected(event.at)
         })?;
         let what = format!("{} reports e{endpoint} as ready again", self.name());
-        Some(Violation::new(Rule::LeaverStays, again.at, what))
+        Some(Violation::new(Rule::LeaverStays, ready_again.at, what))
     }
 
     fn check_configurations(&self) -> Option<Violation> {
         let calls = self.facts.calls.iter();
         let acknowledged = calls.filter_map(|call| {
             let CallKind::Replace(change) = call.asked else { return None };
-            let taken = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
-            Some((call.ended.filter(|_| taken)?, self.facts.changes[change].version))
+            let accepted = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
+            Some((call.ended.filter(|_| accepted)?, self.facts.changes[change].version))
         });
         for (at, version) in acknowledged {
             let Some(due) = self.due_time(at) else { continue };
             let start_number = self.start_number_at(due);
-            let has = self.events.iter().any(|event| {
+            let is_known = self.events.iter().any(|event| {
                 let known = matches!(event.report, Report::Version(reported) if reported >= version);
                 known && event.start_number == start_number && event.at <= due
             });
-            if !has {
+            if !is_known {
                 let what = format!("{} does not have version {version}", self.name());
                 return Some(Violation::new(Rule::AgentCurrent, due, what));
             }
--- a/crates/sim/src/fleet/oracle/contact.rs
+++ b/crates/sim/src/fleet/oracle/contact.rs
@@ -41,8 +41,8 @@
 /// Whether the machine had another disruption while it was cut off.
 fn has_other_disruption(facts: &Facts, cut: &Disruption) -> bool {
     facts.disruptions.iter().any(|disruption| {
-        let same = disruption.core == cut.core && !disruption.isolates && !disruption.disk_only;
-        same && disruption.from <= cut.until && cut.from <= disruption.until + ANSWER_DEADLINE
+        let is_same_core = disruption.core == cut.core && !disruption.isolates && !disruption.disk_only;
+        is_same_core && disruption.from <= cut.until && cut.from <= disruption.until + ANSWER_DEADLINE
     })
 }
 
@@ -55,21 +55,21 @@
         .iter()
         .filter(|disruption| disruption.core == cut.core && !disruption.isolates && !disruption.disk_only)
     {
-        let meets = other.from <= cut.until && other.until + ANSWER_DEADLINE >= cut.from;
-        if meets && !other.freezes && other.delay.is_zero() {
+        let overlaps = other.from <= cut.until && other.until + ANSWER_DEADLINE >= cut.from;
+        if overlaps && !other.freezes && other.delay.is_zero() {
             return None;
         }
         delay += other.delay;
     }
-    let old = cut.from + CONTACT_LEASE + delay;
+    let expired_at = cut.from + CONTACT_LEASE + delay;
     let mut calls = facts.calls.iter().enumerate().filter(|(_, call)| cut.core == Some(call.core));
     calls.find_map(|(number, call)| {
-        let at = call.ended.filter(|at| (old..cut.until).contains(at))?;
+        let at = call.ended.filter(|at| (expired_at..cut.until).contains(at))?;
         let acknowledged = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
-        let heartbeat = matches!(call.asked, CallKind::Heartbeat(_));
+        let is_heartbeat = matches!(call.asked, CallKind::Heartbeat(_));
         let what =
             format!("call {number} to core-{}: {:?}: 200 after its contact expired", call.core, call.asked);
-        (heartbeat && acknowledged).then(|| Violation::new(Rule::CutOffSilent, at, what))
+        (is_heartbeat && acknowledged).then(|| Violation::new(Rule::CutOffSilent, at, what))
     })
 }
 
--- a/crates/sim/src/fleet/oracle/disks.rs
+++ b/crates/sim/src/fleet/oracle/disks.rs
@@ -33,8 +33,8 @@
 pub(super) fn newest_acknowledged(facts: &Facts, by: Duration) -> u64 {
     let versions = facts.calls.iter().filter_map(|call| {
         let CallKind::Replace(change) = call.asked else { return None };
-        let taken = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
-        (taken && call.ended? <= by).then(|| facts.changes[change].version)
+        let accepted = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
+        (accepted && call.ended? <= by).then(|| facts.changes[change].version)
     });
     versions.max().unwrap_or(0)
 }
@@ -48,8 +48,8 @@
         .iter()
         .filter(|disruption| disruption.core == Some(core) && !disruption.disk_only);
     let started = facts.disk_states.iter().find(|state| state.core == core);
-    let gone = facts.removed_cores.iter().any(|(gone, at)| *gone == core && *at <= until);
-    !gone
+    let is_removed = facts.removed_cores.iter().any(|(removed, at)| *removed == core && *at <= until);
+    !is_removed
         && started.is_some_and(|first| first.at <= from)
         && disruptions.all(|disruption| disruption.until < from || disruption.from > until)
 }
@@ -93,10 +93,10 @@
     let at = facts.healed_at + RECOVERY_TIME;
     let newest = newest_acknowledged(facts, facts.healed_at);
     let states = facts.final_disks.keys().filter_map(|core| disk_state_at(facts, *core, at));
-    let (whole, lacking): (Vec<_>, Vec<_>) = states.partition(|state| state.version >= newest);
-    let wanted = (2 * script.tolerance as usize + 1).min(whole.len() + lacking.len());
-    (whole.len() < wanted).then(|| {
-        let what = format!("version {newest} is on {} disks instead of {wanted}", whole.len());
+    let (complete, lacking): (Vec<_>, Vec<_>) = states.partition(|state| state.version >= newest);
+    let required = (2 * script.tolerance as usize + 1).min(complete.len() + lacking.len());
+    (complete.len() < required).then(|| {
+        let what = format!("version {newest} is on {} disks instead of {required}", complete.len());
         Violation::new(Rule::Copies, at, what)
     })
 }
--- a/crates/sim/src/fleet/oracle/healing.rs
+++ b/crates/sim/src/fleet/oracle/healing.rs
@@ -39,15 +39,16 @@
 fn check_copies(script: &Script, facts: &Facts) -> Option<Violation> {
     let versions = facts.calls.iter().filter_map(|call| {
         let CallKind::Replace(change) = call.asked else { return None };
-        let taken = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
-        taken.then(|| facts.changes[change].version)
+        let accepted = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
+        accepted.then(|| facts.changes[change].version)
     });
     let newest = versions.max()?;
-    let whole =
+    let complete =
         facts.final_disks.values().filter(|disk| disk.is_some_and(|(version, _)| version >= newest));
-    let (whole, wanted) = (whole.count(), (2 * script.tolerance as usize + 1).min(facts.final_disks.len()));
-    (whole < wanted).then(|| {
-        let what = format!("version {newest} is on {whole} disks instead of {wanted}");
+    let (complete, required) =
+        (complete.count(), (2 * script.tolerance as usize + 1).min(facts.final_disks.len()));
+    (complete < required).then(|| {
+        let what = format!("version {newest} is on {complete} disks instead of {required}");
         Violation::new(Rule::Copies, facts.end, what)
     })
 }
--- a/crates/sim/src/fleet/oracle/membership.rs
+++ b/crates/sim/src/fleet/oracle/membership.rs
@@ -83,9 +83,10 @@
 
 impl Change<'_> {
     fn check_one_at_a_time(&self) -> Option<Violation> {
-        let (gone, come) = (self.old.difference(self.new).count(), self.new.difference(self.old).count());
-        (gone > 1 || come > 1).then(|| {
-            let what = format!("{gone} members are removed and {come} added at once");
+        let (removed, added) =
+            (self.old.difference(self.new).count(), self.new.difference(self.old).count());
+        (removed > 1 || added > 1).then(|| {
+            let what = format!("{removed} members are removed and {added} added at once");
             Violation::new(Rule::OneChange, self.at, what)
         })
     }
@@ -111,17 +112,17 @@
     /// cannot be known to the others.
     fn check_joiner_copy(&self, facts: &Facts) -> Option<Violation> {
         let least = newest_acknowledged(facts, self.at.saturating_sub(JOIN_LAG));
-        let lacks_at = |(core, incarnation): &MemberId, at: Duration| {
+        let lacks_version_at = |(core, incarnation): &MemberId, at: Duration| {
             let state = disk_state_at(facts, *core, at);
             state.is_none_or(|state| state.incarnation != *incarnation || state.version < least)
         };
         let lacks = |member: &&MemberId| {
-            let had_it = facts.disk_states.iter().any(|state| {
+            let held_before = facts.disk_states.iter().any(|state| {
                 let heard = state.at + PROBE_DELAY >= self.at && state.at <= self.at;
-                state.core == member.0 && heard && !lacks_at(member, state.at)
+                state.core == member.0 && heard && !lacks_version_at(member, state.at)
             });
-            let had_it = had_it || !lacks_at(member, self.at.saturating_sub(PROBE_DELAY));
-            lacks_at(member, self.at) && !had_it
+            let held_before = held_before || !lacks_version_at(member, self.at.saturating_sub(PROBE_DELAY));
+            lacks_version_at(member, self.at) && !held_before
         };
         let (core, _) = self.new.difference(self.old).find(lacks).filter(|_| least > 0)?;
         let what = format!("core-{core} becomes a member without version {least}");
--- a/crates/sim/src/fleet/oracle/register.rs
+++ b/crates/sim/src/fleet/oracle/register.rs
@@ -176,9 +176,10 @@
         let mut deepest = Vec::new();
         self.search(*marker as usize, &mut Vec::new(), &mut found, &mut deepest);
         found.ok_or_else(|| {
-            let on: BTreeSet<u64> =
+            let versions: BTreeSet<u64> =
                 deepest.iter().map(|change| self.facts.changes[*change].version).collect();
-            let lost = self.observations.iter().find(|observation| !on.contains(&observation.version));
+            let lost =
+                self.observations.iter().find(|observation| !versions.contains(&observation.version));
             let (at, what) = lost.map_or((self.facts.end, "nothing".to_owned()), |observation| {
                 (observation.at, format!("version {} ({})", observation.version, observation.source))
             });
@@ -199,8 +200,9 @@
             deepest.clone_from(path);
         }
         if base == 0 {
-            let on: BTreeSet<u64> = path.iter().map(|change| self.facts.changes[*change].version).collect();
-            if self.markers.keys().all(|version| on.contains(version)) {
+            let versions: BTreeSet<u64> =
+                path.iter().map(|change| self.facts.changes[*change].version).collect();
+            if self.markers.keys().all(|version| versions.contains(version)) {
                 *found = Some(path.clone());
             }
         } else if let Some(marker) = self.markers.get(&base) {
@@ -209,10 +211,10 @@
             // No caller saw this version in effect, so it may be any change that was sent with that number
             // and not refused.
             let changes = self.facts.changes.iter().enumerate();
-            let below = changes.filter(|(number, below)| {
-                below.version == base && below.valid && !self.refused.contains_key(number)
+            let candidates = changes.filter(|(number, candidate)| {
+                candidate.version == base && candidate.valid && !self.refused.contains_key(number)
             });
-            for (number, _) in below {
+            for (number, _) in candidates {
                 if found.is_none() {
                     self.search(number, path, found, deepest);
                 }
--- a/crates/sim/src/fleet/oracle/silence.rs
+++ b/crates/sim/src/fleet/oracle/silence.rs
@@ -29,10 +29,10 @@
             if !self.is_connected(event.at) && !self.only_members_cut_off(event.at) {
                 continue;
             }
-            let beating = suspects.iter().find(|endpoint| {
+            let live = suspects.iter().find(|endpoint| {
                 self.has_heartbeats(**endpoint, event.at) && !self.is_retracted(number, **endpoint)
             });
-            if let Some(endpoint) = beating {
+            if let Some(endpoint) = live {
                 let what = format!("{} suspects e{endpoint}, which sends heartbeats", self.name());
                 return Some(Violation::new(Rule::NotSilent, event.at, what));
             }
@@ -89,7 +89,7 @@
             let acknowledged = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
             let Some(ended) = call.ended.filter(|ended| acknowledged && *ended <= at) else { continue };
             if self.is_cut_off(call.core, ended) {
-                continue; // it still takes itself to be in contact, but no other member learns of this heartbeat
+                continue; // it still acts as in contact, but no other member learns of it
             }
             if ended < last {
                 continue;
@@ -129,11 +129,11 @@
             };
             let endpoints = 0..self.script.endpoints.len();
             let others = endpoints.filter(|other| *other != endpoint);
-            let mut beating = others.filter(|other| self.has_heartbeats(*other, *at));
+            let mut live = others.filter(|other| self.has_heartbeats(*other, *at));
             knows(SUSPICION_BOUND)
                 && self.is_connected(*at)
                 && self.only_members_cut_off(*at)
-                && beating.next().is_some()
+                && live.next().is_some()
         })
     }
 }
--- a/crates/sim/src/fleet/oracle/starts.rs
+++ b/crates/sim/src/fleet/oracle/starts.rs
@@ -21,12 +21,12 @@
                 .events
                 .iter()
                 .filter(|event| event.start_number == start_number && event.at < *start + STARTUP_WINDOW);
-            let behind = reported_early.filter_map(|event| match event.report {
+            let stale = reported_early.filter_map(|event| match event.report {
                 Report::Version(version) | Report::Config(version, _) => Some((event.at, version)),
                 _ => None,
             });
-            let mut behind = behind.filter(|(_, version)| (1..newest).contains(version));
-            if let Some((at, version)) = behind.find(|(at, _)| self.only_steady_cuts(*start, *at)) {
+            let mut stale = stale.filter(|(_, version)| (1..newest).contains(version));
+            if let Some((at, version)) = stale.find(|(at, _)| self.only_steady_cuts(*start, *at)) {
                 let what = format!("{} starts with version {version} instead of {newest}", self.name());
                 return Some(Violation::new(Rule::StartsCurrent, at, what));
             }
@@ -38,8 +38,8 @@
     fn acknowledged_by(&self, by: Duration) -> Option<u64> {
         let versions = self.facts.calls.iter().filter_map(|call| {
             let CallKind::Replace(change) = call.asked else { return None };
-            let taken = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
-            (taken && call.ended.is_some_and(|ended| ended <= by))
+            let accepted = call.answer.as_ref().is_some_and(|answer| answer.status == 200);
+            (accepted && call.ended.is_some_and(|ended| ended <= by))
                 .then(|| self.facts.changes[change].version)
         });
         versions.max()
@@ -56,13 +56,13 @@
             .filter(|disruption| disruption.from <= at && disruption.until >= before);
         let cores = disruptions.filter(|disruption| disruption.core.is_some());
         let steady = |from: Duration, until: Duration| from + CUT_DETECTION_BOUND <= start && until > at;
-        let mut lost = 0;
+        let mut lost_cores = 0;
         for disruption in cores {
             if !disruption.isolates || !steady(disruption.from, disruption.until) {
                 return false;
             }
-            lost += 1;
+            lost_cores += 1;
         }
-        lost <= self.script.tolerance
+        lost_cores <= self.script.tolerance
     }
 }
--- a/crates/sim/src/fleet/run.rs
+++ b/crates/sim/src/fleet/run.rs
@@ -71,7 +71,7 @@
 /// Makes a final change that every machine must receive, reads from each member, and records the content of
 /// the disks.
 async fn finish(world: &Rc<World>, fault_injector: &FaultInjector) {
-    let acknowledged = operator::final_replace(world, world.random()).await;
+    let acknowledged = operator::final_change(world, world.random()).await;
     world.facts.borrow_mut().last_acknowledged = acknowledged;
     sleep(PROPAGATION_WAIT).await;
     let cores = world.cores.borrow().clone();
--- a/crates/sim/tests/fleet_oracle.rs
+++ b/crates/sim/tests/fleet_oracle.rs
@@ -41,7 +41,7 @@
 }
 
 /// Two changes, one on top of the other, acknowledged, read, and reported by the only agent.
-fn sound() -> Facts {
+fn valid_facts() -> Facts {
     let mut facts = Facts {
         changes: vec![config_change(0, 1, 0), config_change(1, 2, 1)],
         calls: vec![
@@ -70,7 +70,7 @@
 fn violated_rules(change: impl Fn(&mut Facts)) -> Vec<Rule> {
     let mut script = draw::script(0);
     (script.cores, script.tolerance, script.agents) = (3, 1, 1);
-    let mut facts = sound();
+    let mut facts = valid_facts();
     change(&mut facts);
     check(&script, &facts).into_iter().map(|violation| violation.rule).collect()
 }
@@ -185,20 +185,24 @@
 #[test]
 fn an_acknowledgement_on_expired_contact_after_a_freeze_is_found() {
     // The call waited in the member's buffers from before the member could have noticed the cut.
-    let waited = |facts: &mut Facts, ended: u64| {
+    let answers_after_freeze = |facts: &mut Facts, ended: u64| {
         facts.disruptions.push(Disruption { freezes: true, ..disruption(8_000, ended) });
         let mut beat = call(CallKind::Heartbeat(0), 8_400, 200);
         beat.ended = Some(ms(ended));
         cut_off(facts, beat);
     };
-    assert_violates(Rule::CutOffSilent, |facts| waited(facts, 9_200));
+    assert_violates(Rule::CutOffSilent, |facts| answers_after_freeze(facts, 9_200));
     assert_violates(Rule::CutOffSilent, |facts| {
-        waited(facts, 9_200);
+        answers_after_freeze(facts, 9_200);
         facts.disruptions.push(Disruption { degraded: true, delay: ms(200), ..disruption(7_000, 9_000) });
     });
-    assert_eq!(violated_rules(|facts| waited(facts, 8_700)), [], "its contact had not expired by then");
+    assert_eq!(
+        violated_rules(|facts| answers_after_freeze(facts, 8_700)),
+        [],
+        "its contact had not expired by then"
+    );
     let killed = |facts: &mut Facts| {
-        waited(facts, 9_200);
+        answers_after_freeze(facts, 9_200);
         facts.disruptions.push(disruption(8_100, 8_200));
     };
     assert_eq!(violated_rules(killed), [], "answers of a killed process are not judged by this rule");
@@ -207,18 +211,18 @@
 #[test]
 fn a_cut_off_member_that_gives_no_answer_is_found() {
     assert_violates(Rule::CutOffAnswers, |facts| {
-        let mut hangs = call(CallKind::Read, 10_000, 503);
-        (hangs.answer, hangs.ended) = (None, Some(ms(11_200)));
-        cut_off(facts, hangs);
+        let mut unanswered = call(CallKind::Read, 10_000, 503);
+        (unanswered.answer, unanswered.ended) = (None, Some(ms(11_200)));
+        cut_off(facts, unanswered);
     });
 }
 
 #[test]
 fn a_caller_whose_connection_was_reset_needs_no_answer() {
     let rules = violated_rules(|facts| {
-        let mut breaks_off = call(CallKind::Read, 10_000, 503);
-        breaks_off.answer = None;
-        cut_off(facts, breaks_off);
+        let mut unanswered = call(CallKind::Read, 10_000, 503);
+        unanswered.answer = None;
+        cut_off(facts, unanswered);
         facts.connection_resets.push((0, ms(10_005)));
     });
     assert_eq!(rules, []);
@@ -261,14 +265,14 @@
         facts.events.push(report(6_000, Report::Endpoint(0, 0)));
         facts.calls.push(call(CallKind::Drain(0), 7_000, 200));
     });
-    let heard = |facts: &mut Facts| {
+    let departure_reported = |facts: &mut Facts| {
         facts.events.push(report(6_000, Report::Endpoint(0, 0)));
         facts.calls.push(call(CallKind::Drain(0), 7_000, 200));
         facts.events.push(report(7_100, Report::Endpoint(0, 1)));
     };
-    assert_eq!(violated_rules(heard), []);
+    assert_eq!(violated_rules(departure_reported), []);
     assert_violates(Rule::LeaverStays, |facts| {
-        heard(facts);
+        departure_reported(facts);
         facts.events.push(report(10_000, Report::Endpoint(0, 0)));
     });
 }
@@ -299,7 +303,7 @@
 
 #[test]
 fn a_poorly_connected_agent_does_not_suspect_endpoints_with_heartbeats() {
-    let named = |facts: &mut Facts, disruption: Disruption| {
+    let suspects_live = |facts: &mut Facts, disruption: Disruption| {
         add_heartbeats(facts, 0);
         facts.disruptions.push(Disruption {
             core: None,
@@ -309,18 +313,24 @@
         facts.disruptions.push(disruption);
         facts.events.push(report(12_000, Report::Suspects(vec![0])));
     };
-    assert_violates(Rule::NotSilent, |facts| named(facts, Disruption { until: ms(11_500), ..cut() }));
-    assert_eq!(violated_rules(|facts| named(facts, disruption(8_000, 11_500))), [], "a machine failed");
-    let losing = |facts: &mut Facts| {
-        named(facts, Disruption { until: ms(11_500), ..cut() });
+    assert_violates(Rule::NotSilent, |facts| {
+        suspects_live(facts, Disruption { until: ms(11_500), ..cut() })
+    });
+    assert_eq!(
+        violated_rules(|facts| suspects_live(facts, disruption(8_000, 11_500))),
+        [],
+        "a machine failed"
+    );
+    let while_losing_links = |facts: &mut Facts| {
+        suspects_live(facts, Disruption { until: ms(11_500), ..cut() });
         facts.disruptions[0].from = ms(10_500);
     };
-    assert_eq!(violated_rules(losing), [], "the agent was losing its links");
-    let taken_back = |facts: &mut Facts| {
-        named(facts, cut());
+    assert_eq!(violated_rules(while_losing_links), [], "the agent was losing its links");
+    let retracted = |facts: &mut Facts| {
+        suspects_live(facts, cut());
         facts.events.push(report(12_020, Report::Suspects(vec![])));
     };
-    assert_eq!(violated_rules(taken_back), [], "a suspicion that is withdrawn at once has no effect");
+    assert_eq!(violated_rules(retracted), [], "a suspicion that is withdrawn at once has no effect");
 }
 
 #[test]
@@ -329,7 +339,7 @@
     (script.cores, script.tolerance, script.agents) = (3, 1, 1);
     script.endpoints = vec![EndpointPlan::steady(0, 0), EndpointPlan::steady(1, 0)];
     let rules = |change: &dyn Fn(&mut Facts)| -> Vec<Rule> {
-        let mut facts = sound();
+        let mut facts = valid_facts();
         add_heartbeats(&mut facts, 0);
         facts.events.push(report(6_000, Report::Endpoint(1, 0)));
         facts.silent_since.insert(1, ms(8_000));
@@ -355,7 +365,7 @@
 
 #[test]
 fn an_agent_that_starts_with_a_cut_off_members_version_is_found() {
-    let starts = |facts: &mut Facts, at: u64, version: u64| {
+    let starts_beside_cut = |facts: &mut Facts, at: u64, version: u64| {
         facts.disruptions.push(Disruption { core: Some(2), from: ms(2_000), until: ms(19_000), ..cut() });
         facts.disruptions.push(Disruption { core: None, agent: Some(0), ..disruption(9_000, 12_000) });
         facts.agent_starts.push((0, ms(10_000)));
@@ -372,12 +382,16 @@
             report: Report::Version(2),
         });
     };
-    assert_violates(Rule::StartsCurrent, |facts| starts(facts, 10_100, 1));
-    assert_eq!(violated_rules(|facts| starts(facts, 10_100, 0)), [], "the agent has no version yet");
-    assert_eq!(violated_rules(|facts| starts(facts, 10_100, 2)), []);
-    assert_eq!(violated_rules(|facts| starts(facts, 11_600, 1)), [], "it has waited for others");
+    assert_violates(Rule::StartsCurrent, |facts| starts_beside_cut(facts, 10_100, 1));
+    assert_eq!(
+        violated_rules(|facts| starts_beside_cut(facts, 10_100, 0)),
+        [],
+        "the agent has no version yet"
+    );
+    assert_eq!(violated_rules(|facts| starts_beside_cut(facts, 10_100, 2)), []);
+    assert_eq!(violated_rules(|facts| starts_beside_cut(facts, 11_600, 1)), [], "it has waited for others");
     let back = |facts: &mut Facts| {
-        starts(facts, 10_100, 1);
+        starts_beside_cut(facts, 10_100, 1);
         facts.disruptions[0].until = ms(10_050);
     };
     assert_eq!(violated_rules(back), [], "the member has just come back");
--- a/crates/sim/tests/fleet_oracle_disks.rs
+++ b/crates/sim/tests/fleet_oracle_disks.rs
@@ -43,7 +43,7 @@
 }
 
 /// Two acknowledged versions, on all disks.
-fn sound() -> Facts {
+fn valid_facts() -> Facts {
     let config_change = |base, marker| ConfigChange { base, version: base + 1, marker, valid: true };
     let mut facts = Facts {
         changes: vec![config_change(0, 0), config_change(1, 1)],
@@ -64,7 +64,7 @@
 fn violated_rules(change: impl Fn(&mut Facts)) -> Vec<Rule> {
     let mut script = draw::script(0);
     (script.cores, script.tolerance, script.agents) = (3, 1, 0);
-    let mut facts = sound();
+    let mut facts = valid_facts();
     change(&mut facts);
     check(&script, &facts).into_iter().map(|violation| violation.rule).collect()
 }
@@ -89,16 +89,16 @@
 
 #[test]
 fn a_member_that_resumes_from_an_older_disk_is_found() {
-    let goes_on = |facts: &mut Facts, incarnation: u64| {
+    let resumes = |facts: &mut Facts, incarnation: u64| {
         let back = DiskRollback { core: 0, at: ms(6_000), incarnation: 0, sequence: 1, is_stale: true };
         facts.disk_rollbacks.push(back);
         facts
             .disk_states
             .extend([state(0, 6_000, 1, 1), DiskState { incarnation, ..state(0, 6_500, 3, 2) }]);
     };
-    assert_distinguishes(Rule::OlderDisk, |facts| goes_on(facts, 0), |facts| goes_on(facts, 7));
+    assert_distinguishes(Rule::OlderDisk, |facts| resumes(facts, 0), |facts| resumes(facts, 7));
     let current = |facts: &mut Facts| {
-        goes_on(facts, 0);
+        resumes(facts, 0);
         facts.disk_rollbacks[0].is_stale = false;
     };
     assert_eq!(violated_rules(current), [], "the restored state was current");
