--- a/crates/control/src/pool.rs
+++ b/crates/control/src/pool.rs
@@ -1,6 +1,6 @@
-//! Membership of one pool: what its source says, doubted where a fault is likelier, as the module sees it.
+//! Endpoints of one pool, from the lists of its discovery server; implausible lists are held back for a while.
 //!
-//! No I/O. Time is Unix time, so that endpoints' start times compare with it.
+//! No I/O. Times are Unix time, so that they compare with endpoints' start times.
 
 use runtrack_balancer::{
     Balancer, EndpointId, EndpointInfo, EndpointState, Event, Membership, Rules, Settings, ZoneId, wire,
@@ -11,49 +11,49 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A cold endpoint's part is told in so many steps: each is a push to all proxies of the pool.
-const PART_STEPS: f64 = 20.0;
+/// Number of steps in which a cold endpoint's share rises; each is a push to all proxies of the pool.
+const WARMUP_STEPS: f64 = 20.0;
 
-/// Why a pool's list may be old.
+/// Why a pool's list may be stale.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stale {
     /// Since when.
     pub since: Duration,
-    /// Why.
+    /// The reason.
     pub why: String,
 }
 
-/// A whole list that is not believed yet.
+/// An implausible full list that has not been accepted yet.
 #[derive(Clone, Debug)]
-struct Doubt {
+struct UnconfirmedList {
     list: List,
     since: Duration,
 }
 
-/// A pool's endpoints.
-pub struct Members {
+/// The endpoints of a pool.
+pub struct PoolMembers {
     balancer: Balancer,
     ids: wire::EndpointNames,
     /// By uid.
     targets: BTreeMap<String, Target>,
-    /// Uids of endpoints whose part still rises, and the step last told.
+    /// Uids of endpoints that are warming up, with the step last published.
     cold: BTreeMap<String, u32>,
     rev: u64,
     known: bool,
     stale: Option<Stale>,
-    doubt: Option<Doubt>,
+    unconfirmed: Option<UnconfirmedList>,
     panic_threshold: f64,
     panic_hold: Duration,
-    /// Changes since they were last taken, for the journal.
+    /// Changes since the last [`take_changes`](Self::take_changes), for the journal.
     changes: BTreeMap<String, Target>,
-    /// Endpoints that are to get nothing new, whatever the list says.
+    /// Endpoints that must get no new requests, whatever the list says.
     held_back: BTreeSet<String>,
-    /// The list that is believed was doubted for being older, and stood: the source counts anew.
-    anew: bool,
+    /// The accepted list was an older one that persisted: the version numbers of the server have restarted.
+    numbering_restarted: bool,
 }
 
-impl Members {
-    /// A pool that knows nothing yet.
+impl PoolMembers {
+    /// Creates a pool without a list; a static pool has its endpoints at once.
     pub fn new(pool: &Pool, fleet: &Fleet, seed: u64, now: Duration) -> Self {
         let settings = Settings {
             rules: Rules {
@@ -66,21 +66,21 @@
             ..Settings::default()
         };
         let balancer = Balancer::new(settings, seed, now);
-        let mut members = Members {
-            // The model has checked these figures; the module's own defaults are sound.
-            balancer: balancer.unwrap_or_else(|_| by_default(seed, now)),
+        let mut members = PoolMembers {
+            // The model has validated these settings; the balancer's defaults are valid.
+            balancer: balancer.unwrap_or_else(|_| default_balancer(seed, now)),
             ids: wire::EndpointNames::default(),
             targets: BTreeMap::new(),
             cold: BTreeMap::new(),
             rev: 0,
             known: false,
             stale: None,
-            doubt: None,
+            unconfirmed: None,
             panic_threshold: pool.panic_threshold,
             panic_hold: pool.panic_hold,
             changes: BTreeMap::new(),
             held_back: BTreeSet::new(),
-            anew: false,
+            numbering_restarted: false,
         };
         if let Source::Static(endpoints) = &pool.source {
             let target = |(uid, e): (&String, &runtrack_model::Endpoint)| Target {
@@ -96,43 +96,42 @@
                 capacity_hint: e.weight,
                 boot_ms: e.started_ms as f64,
             };
-            members
-                .believe(now, List { rev: 1, all: true, targets: endpoints.iter().map(target).collect() });
+            members.apply(now, List { rev: 1, all: true, targets: endpoints.iter().map(target).collect() });
         }
         members
     }
 
-    /// A list from before: it stands until the source answers.
-    pub fn remember(&mut self, now: Duration, list: List, why: &str) {
-        self.believe(now, List { all: true, ..list });
+    /// Restores a saved list, which is marked stale until the source answers.
+    pub fn restore(&mut self, now: Duration, list: List, why: &str) {
+        self.apply(now, List { all: true, ..list });
         self.changes.clear();
         self.stale = Some(Stale { since: now, why: why.to_owned() });
     }
 
-    /// Takes the list that is agreed with the other instances, whole; tells whether the endpoints may differ.
-    pub fn agreed(&mut self, now: Duration, list: List) -> bool {
-        (self.stale, self.doubt) = (None, None);
-        self.believe(now, List { all: true, ..list })
+    /// Replaces the list by the one that the cluster has committed; returns whether endpoints may have changed.
+    pub fn set_committed_list(&mut self, now: Duration, list: List) -> bool {
+        (self.stale, self.unconfirmed) = (None, None);
+        self.apply(now, List { all: true, ..list })
     }
 
-    /// From now on these endpoints and no others get nothing new, whatever the list says; tells whether that differs.
-    pub fn hold_back(&mut self, uids: BTreeSet<String>) -> bool {
+    /// Sets the endpoints that must get no new requests, whatever the list says; returns whether the set has changed.
+    pub fn set_held_back(&mut self, uids: BTreeSet<String>) -> bool {
         std::mem::replace(&mut self.held_back, uids) != self.held_back
     }
 
-    /// Whether the source counts its lists anew, as far as is believed.
-    pub fn counts_anew(&self) -> bool {
-        self.anew
+    /// Whether the version numbers of the accepted list have restarted.
+    pub fn numbering_restarted(&self) -> bool {
+        self.numbering_restarted
     }
 
-    /// Takes the pool's other settings, while its source and its endpoints stay.
-    pub fn retune(&mut self, pool: &Pool) {
+    /// Updates the panic settings; the source and the endpoints stay.
+    pub fn update_panic_settings(&mut self, pool: &Pool) {
         (self.panic_threshold, self.panic_hold) = (pool.panic_threshold, pool.panic_hold);
     }
 
-    /// Takes what the source told; tells whether the endpoints may differ.
-    pub fn told(&mut self, now: Duration, told: Update) -> bool {
-        let list = match told {
+    /// Handles an update from the source; returns whether endpoints may have changed.
+    pub fn handle_update(&mut self, now: Duration, update: Update) -> bool {
+        let list = match update {
             Update::Failed(why) => {
                 let since = self.stale.as_ref().map_or(now, |stale| stale.since);
                 self.stale = Some(Stale { since, why });
@@ -143,81 +142,86 @@
         };
         self.stale = None;
         if !list.all {
-            if let Some(doubt) = &mut self.doubt {
-                doubt.list.targets.extend(list.targets.iter().cloned());
-                doubt.list.rev = list.rev;
+            if let Some(unconfirmed) = &mut self.unconfirmed {
+                unconfirmed.list.targets.extend(list.targets.iter().cloned());
+                unconfirmed.list.rev = list.rev;
             }
-            return self.believe(now, list);
+            return self.apply(now, list);
         }
-        let Some(why) = self.doubtful(&list) else {
-            self.doubt = None;
-            return self.believe(now, list);
+        let Some(why) = self.reason_to_distrust(&list) else {
+            self.unconfirmed = None;
+            return self.apply(now, list);
         };
-        // What it says of those that it names is believed, drains above all; not that the others are gone.
-        let since = self.doubt.as_ref().map_or(now, |doubt| doubt.since);
+        // Its entries are accepted, drains above all; but endpoints missing from it are kept.
+        let since = self.unconfirmed.as_ref().map_or(now, |unconfirmed| unconfirmed.since);
         self.stale = Some(Stale { since, why });
-        self.doubt = Some(Doubt { list: list.clone(), since });
+        self.unconfirmed = Some(UnconfirmedList { list: list.clone(), since });
         let rev = self.rev;
-        let drains = list.targets.into_iter().filter(|t| !self.undrains(t)).collect();
-        let changed = self.believe(now, List { rev, all: false, targets: drains });
+        let drains = list.targets.into_iter().filter(|t| !self.reverts_drain(t)).collect();
+        let changed = self.apply(now, List { rev, all: false, targets: drains });
         changed | self.tick(now)
     }
 
-    /// Whether an entry would take a drain back.
-    fn undrains(&self, target: &Target) -> bool {
+    /// Whether an entry would revert a drain of the same process.
+    fn reverts_drain(&self, target: &Target) -> bool {
         let old = self.targets.get(&target.uid);
         target.state == State::Up
             && old.is_some_and(|t| t.state == State::Draining && t.boot_ms >= target.boot_ms)
     }
 
-    /// Why a whole list is taken for a fault first.
-    fn doubtful(&self, list: &List) -> Option<String> {
+    /// Why a full list is implausible, if so: it is older, or too many endpoints are missing.
+    fn reason_to_distrust(&self, list: &List) -> Option<String> {
         if !self.known || self.panic_threshold >= 1.0 {
             return None;
         }
         if list.rev < self.rev {
             return Some(format!(
-                "the source's list {} is older than list {}: believed later",
+                "the source's list {} is older than list {}: accepted after the hold time",
                 list.rev, self.rev
             ));
         }
         let listed: BTreeSet<&str> = list.targets.iter().map(|t| t.uid.as_str()).collect();
         let lost = self.targets.keys().filter(|uid| !listed.contains(uid.as_str())).count();
         (lost as f64 > self.panic_threshold * self.targets.len() as f64).then(|| {
-            format!("the source's list lacks {lost} of {} endpoints: believed later", self.targets.len())
+            format!(
+                "the source's list lacks {lost} of {} endpoints: accepted after the hold time",
+                self.targets.len()
+            )
         })
     }
 
-    /// Looks at the clock: believes a doubted list that has stood long enough, lets cold endpoints warm; tells
-    /// whether the endpoints may differ.
+    /// Accepts an unconfirmed list after the hold time, and updates warming endpoints; returns whether endpoints may
+    /// have changed.
     pub fn tick(&mut self, now: Duration) -> bool {
         let mut changed = false;
-        if let Some(doubt) = self.doubt.take_if(|doubt| doubt.since + self.panic_hold <= now) {
+        if let Some(unconfirmed) =
+            self.unconfirmed.take_if(|unconfirmed| unconfirmed.since + self.panic_hold <= now)
+        {
             self.stale = None;
-            self.anew = doubt.list.rev < self.rev;
-            changed = self.believe(now, doubt.list);
+            self.numbering_restarted = unconfirmed.list.rev < self.rev;
+            changed = self.apply(now, unconfirmed.list);
         }
         let uids: Vec<String> = self.cold.keys().cloned().collect();
         for uid in uids {
-            let step = self.step(now, &uid);
-            changed |= self.cold.get(&uid) != Some(&step);
-            match step >= PART_STEPS as u32 {
+            let warmup_step = self.warmup_step(now, &uid);
+            changed |= self.cold.get(&uid) != Some(&warmup_step);
+            match warmup_step >= WARMUP_STEPS as u32 {
                 true => drop(self.cold.remove(&uid)),
-                false => drop(self.cold.insert(uid, step)),
+                false => drop(self.cold.insert(uid, warmup_step)),
             }
         }
         changed
     }
 
-    /// Whether [`tick`](Self::tick) has anything to wait for.
-    pub fn waits(&self) -> bool {
-        self.doubt.is_some() || !self.cold.is_empty()
+    /// Whether [`tick`](Self::tick) is needed.
+    pub fn needs_tick(&self) -> bool {
+        self.unconfirmed.is_some() || !self.cold.is_empty()
     }
 
-    fn believe(&mut self, now: Duration, list: List) -> bool {
+    fn apply(&mut self, now: Duration, list: List) -> bool {
         let mut entries: BTreeMap<String, Target> = BTreeMap::new();
         for target in list.targets {
-            entries.insert(target.uid.clone(), target); // of an endpoint named twice the last word counts
+            entries.insert(target.uid.clone(), target); // the last entry of a uid counts
         }
         if list.all {
             for (uid, old) in &self.targets {
@@ -229,7 +233,7 @@
             Some(old) => old != new,
             None => new.state != State::Removed,
         });
-        let news = entries.values().map(|target| self.info(target)).collect();
+        let news = entries.values().map(|target| self.endpoint_info(target)).collect();
         let membership = Event::Membership(Membership::Delta(news));
         self.balancer.handle(now, membership, &mut Vec::new());
         let changed = !entries.is_empty() || !self.known;
@@ -243,8 +247,8 @@
                 }
                 _ => {
                     self.targets.insert(uid.clone(), target);
-                    match self.step(now, &uid) {
-                        step if step < PART_STEPS as u32 => drop(self.cold.insert(uid, step)),
+                    match self.warmup_step(now, &uid) {
+                        step if step < WARMUP_STEPS as u32 => drop(self.cold.insert(uid, step)),
                         _ => drop(self.cold.remove(&uid)),
                     }
                 }
@@ -257,10 +261,10 @@
         changed
     }
 
-    fn info(&mut self, target: &Target) -> EndpointInfo {
+    fn endpoint_info(&mut self, target: &Target) -> EndpointInfo {
         EndpointInfo {
             id: self.ids.id(&target.uid),
-            // The service has no zone of its own, and sends to none: all are alike to this balancer.
+            // The service has no zone and sends no requests; this balancer treats all zones alike.
             zone: ZoneId(0),
             state: match target.state {
                 State::Up => EndpointState::Ready,
@@ -274,15 +278,14 @@
         }
     }
 
-    /// The part of its capacity that an endpoint has, in whole steps.
-    fn step(&mut self, now: Duration, uid: &str) -> u32 {
+    /// The share of an endpoint's capacity that is warmed up, in whole steps.
+    fn warmup_step(&mut self, now: Duration, uid: &str) -> u32 {
         let id = self.ids.id(uid);
-        let part =
-            self.balancer.endpoint_status(now, id).map_or(1.0, |standing| standing.capacity_fraction);
-        (part * PART_STEPS).floor() as u32
+        let part = self.balancer.endpoint_status(now, id).map_or(1.0, |status| status.capacity_fraction);
+        (part * WARMUP_STEPS).floor() as u32
     }
 
-    /// The endpoints as proxies are told of them, by zone and name; none while nothing is known.
+    /// The endpoints as published to proxies, by name; none before the first list.
     pub fn members(&mut self, now: Duration) -> Option<Vec<Member>> {
         if !self.known {
             return None;
@@ -290,47 +293,47 @@
         let mut members = Vec::with_capacity(self.targets.len());
         for (uid, target) in &self.targets {
             let id = self.ids.id(uid);
-            let Some(standing) = self.balancer.endpoint_status(now, id) else { continue };
+            let Some(status) = self.balancer.endpoint_status(now, id) else { continue };
             members.push(Member {
                 name: uid.clone(),
                 address: target.endpoint,
                 zone: target.az.clone(),
                 weight: target.capacity_hint,
-                draining: standing.info.state != EndpointState::Ready || self.held_back.contains(uid),
-                part: (standing.capacity_fraction * PART_STEPS).floor().max(1.0) / PART_STEPS,
-                heat: standing.failure_penalty,
+                draining: status.info.state != EndpointState::Ready || self.held_back.contains(uid),
+                part: (status.capacity_fraction * WARMUP_STEPS).floor().max(1.0) / WARMUP_STEPS,
+                heat: status.failure_penalty,
             });
         }
         Some(members)
     }
 
-    /// The changes since they were last taken, as the source would word them; none if there are none.
+    /// Takes the changes since the last call, in discovery's format; none if there are none.
     pub fn take_changes(&mut self) -> Option<List> {
         let targets: Vec<Target> = std::mem::take(&mut self.changes).into_values().collect();
         (!targets.is_empty()).then_some(List { rev: self.rev, all: false, targets })
     }
 
-    /// The whole list, as the source would word it.
+    /// The full list, in discovery's format.
     pub fn list(&self) -> List {
         List { rev: self.rev, all: true, targets: self.targets.values().cloned().collect() }
     }
 
-    /// Whether any list has come.
+    /// Whether any list has been received.
     pub fn known(&self) -> bool {
         self.known
     }
 
-    /// Whether the source has answered, and what it says lately is believed or looked into.
-    pub fn hears(&self) -> bool {
-        self.known && (self.stale.is_none() || self.doubt.is_some())
+    /// Whether a list is known and the last update of the source was one too, even if it is not confirmed yet.
+    pub fn has_source_list(&self) -> bool {
+        self.known && (self.stale.is_none() || self.unconfirmed.is_some())
     }
 
-    /// Why the list may be old.
+    /// Why the list may be stale, if so.
     pub fn stale(&self) -> Option<&Stale> {
         self.stale.as_ref()
     }
 
-    /// How many endpoints are ready, draining and cold.
+    /// The number of ready, draining and warming endpoints.
     pub fn counts(&self) -> (usize, usize, usize) {
         let drains =
             |(uid, t): &(&String, &Target)| t.state == State::Draining || self.held_back.contains(*uid);
@@ -339,10 +342,10 @@
     }
 }
 
-fn by_default(seed: u64, now: Duration) -> Balancer {
+fn default_balancer(seed: u64, now: Duration) -> Balancer {
     match Balancer::new(Settings::default(), seed, now) {
         Ok(balancer) => balancer,
-        Err(problem) => panic!("the module refuses its own defaults: {problem}"),
+        Err(problem) => panic!("the balancer rejects its default settings: {problem}"),
     }
 }
 
@@ -361,127 +364,132 @@
         Target { state: State::Draining, ..up(uid) }
     }
 
-    fn whole(rev: u64, targets: Vec<Target>) -> Update {
+    fn full_list(rev: u64, targets: Vec<Target>) -> Update {
         Update::List(List { rev, all: true, targets })
     }
 
-    fn pool() -> Members {
+    fn pool() -> PoolMembers {
         let text = "[[pool]]\nname = \"p\"\nplatform = \"127.0.0.1:1\"\npanic_hold = \"10s\"\n";
         let fleet = Fleet::read(text).expect("sound");
-        Members::new(&fleet.pools["p"], &fleet, 7, NOW)
+        PoolMembers::new(&fleet.pools["p"], &fleet, 7, NOW)
     }
 
-    fn with(targets: Vec<Target>) -> Members {
+    fn with(targets: Vec<Target>) -> PoolMembers {
         let mut members = pool();
-        assert!(members.told(NOW, whole(10, targets)));
+        assert!(members.handle_update(NOW, full_list(10, targets)));
         members
     }
 
-    /// Names that may be sent to, and all names.
-    fn names(members: &mut Members, now: Duration) -> (Vec<String>, usize) {
+    /// The names of ready endpoints, and the number of all.
+    fn names(members: &mut PoolMembers, now: Duration) -> (Vec<String>, usize) {
         let all = members.members(now).expect("known");
         let ready = all.iter().filter(|m| !m.draining).map(|m| m.name.clone());
         (ready.collect(), all.len())
     }
 
     #[test]
-    fn nothing_is_known_before_the_first_list_and_an_empty_one_is_knowledge() {
+    fn members_are_unknown_before_the_first_list_even_an_empty_one() {
         let mut members = pool();
         assert_eq!(members.members(NOW), None);
-        members.told(NOW, Update::Failed("refused".to_owned()));
+        members.handle_update(NOW, Update::Failed("refused".to_owned()));
         assert_eq!(members.members(NOW), None);
-        assert!(members.told(NOW, whole(1, Vec::new())));
+        assert!(members.handle_update(NOW, full_list(1, Vec::new())));
         assert_eq!(members.members(NOW), Some(Vec::new()));
     }
 
     #[test]
-    fn a_source_that_fails_leaves_the_list_and_marks_it() {
+    fn a_failing_source_keeps_the_list_and_marks_it_stale() {
         let mut members = with(vec![up("a"), draining("b")]);
-        assert!(!members.told(NOW, Update::Failed("silent".to_owned())));
-        members.told(NOW + Duration::from_secs(5), Update::Failed("refused".to_owned()));
+        assert!(!members.handle_update(NOW, Update::Failed("silent".to_owned())));
+        members.handle_update(NOW + Duration::from_secs(5), Update::Failed("refused".to_owned()));
         let stale = members.stale().cloned().expect("marked");
         assert_eq!((stale.since, stale.why.as_str()), (NOW, "refused"), "since the first failure");
         assert_eq!(names(&mut members, NOW), (vec!["a".to_owned()], 2));
-        members.told(NOW, Update::List(List { rev: 11, all: false, targets: vec![draining("a")] }));
+        members
+            .handle_update(NOW, Update::List(List { rev: 11, all: false, targets: vec![draining("a")] }));
         assert!(members.stale().is_none());
         assert_eq!(names(&mut members, NOW).0, Vec::<String>::new());
     }
 
     #[test]
-    fn an_empty_list_after_a_full_one_is_doubted_until_it_has_stood() {
+    fn an_empty_list_is_accepted_only_after_the_hold_time() {
         let mut members = with(vec![up("a"), up("b")]);
-        assert!(!members.told(NOW, whole(11, Vec::new())));
+        assert!(!members.handle_update(NOW, full_list(11, Vec::new())));
         assert_eq!(names(&mut members, NOW).1, 2);
         let later = NOW + Duration::from_secs(6);
         assert!(
-            !members.told(later, whole(12, Vec::new())),
-            "said again, it has stood since the first time"
+            !members.handle_update(later, full_list(12, Vec::new())),
+            "the hold time counts from the first such list"
         );
         assert!(!members.tick(NOW + Duration::from_millis(9999)));
         assert!(members.tick(NOW + Duration::from_secs(10)));
         assert_eq!(names(&mut members, NOW).1, 0);
-        assert!(members.stale().is_none() && !members.waits());
+        assert!(members.stale().is_none() && !members.needs_tick());
     }
 
     #[test]
-    fn a_good_list_ends_the_doubt() {
+    fn a_plausible_list_discards_the_unconfirmed_one() {
         let mut members = with(vec![up("a"), up("b")]);
-        members.told(NOW, whole(11, Vec::new()));
-        assert!(!members.told(NOW, whole(12, vec![up("a"), up("b")])));
+        members.handle_update(NOW, full_list(11, Vec::new()));
+        assert!(!members.handle_update(NOW, full_list(12, vec![up("a"), up("b")])));
         assert!(!members.tick(NOW + Duration::from_secs(60)));
         assert_eq!(names(&mut members, NOW).1, 2);
     }
 
     #[test]
-    fn changes_that_come_while_a_list_is_doubted_outlive_the_doubt() {
+    fn changes_are_merged_into_an_unconfirmed_list() {
         let mut members = with(vec![up("a"), up("b"), up("c")]);
-        members.told(NOW, whole(11, vec![up("a")]));
-        members
-            .told(NOW, Update::List(List { rev: 12, all: false, targets: vec![up("d"), draining("a")] }));
+        members.handle_update(NOW, full_list(11, vec![up("a")]));
+        members.handle_update(
+            NOW,
+            Update::List(List { rev: 12, all: false, targets: vec![up("d"), draining("a")] }),
+        );
         assert_eq!(names(&mut members, NOW), (["b", "c", "d"].map(str::to_owned).to_vec(), 4));
         members.tick(NOW + Duration::from_secs(10));
         assert_eq!(names(&mut members, NOW), (vec!["d".to_owned()], 2));
     }
 
     #[test]
-    fn a_list_from_the_past_takes_no_drain_back_but_its_drains_count() {
+    fn an_older_list_reverts_no_drain_but_its_drains_apply() {
         let mut members = with(vec![draining("a"), up("b"), up("c")]);
-        members.told(NOW, whole(3, vec![up("a"), draining("b"), up("c")]));
+        members.handle_update(NOW, full_list(3, vec![up("a"), draining("b"), up("c")]));
         assert_eq!(names(&mut members, NOW), (vec!["c".to_owned()], 3));
         assert!(members.stale().is_some_and(|stale| stale.why.contains("older than list 10")));
-        // A server that was set back for good is believed in the end.
+        // A server that was reset permanently is accepted after the hold time.
         members.tick(NOW + Duration::from_secs(10));
         assert_eq!(names(&mut members, NOW).0, ["a", "c"]);
     }
 
     #[test]
-    fn explicit_removals_are_never_doubted() {
+    fn explicit_removals_apply_at_once() {
         let mut members = with(vec![up("a"), up("b")]);
         let gone = ["a", "b"].map(|uid| Target { state: State::Removed, ..up(uid) });
-        assert!(members.told(NOW, Update::List(List { rev: 11, all: false, targets: gone.to_vec() })));
+        assert!(
+            members.handle_update(NOW, Update::List(List { rev: 11, all: false, targets: gone.to_vec() }))
+        );
         assert_eq!(names(&mut members, NOW).1, 0);
     }
 
     #[test]
-    fn what_is_remembered_stands_and_is_no_change_for_the_journal() {
+    fn a_restored_list_is_no_change_for_the_journal() {
         let mut members = pool();
-        members.remember(
+        members.restore(
             NOW,
             List { rev: 4, all: true, targets: vec![draining("a"), up("b")] },
             "from before",
         );
         assert_eq!(names(&mut members, NOW), (vec!["b".to_owned()], 2));
         assert_eq!(members.take_changes(), None);
-        members.told(NOW, whole(5, vec![draining("a"), draining("b")]));
+        members.handle_update(NOW, full_list(5, vec![draining("a"), draining("b")]));
         let changes = members.take_changes().expect("one");
         assert_eq!((changes.rev, changes.all, changes.targets), (5, false, vec![draining("b")]));
     }
 
     #[test]
-    fn a_cold_endpoint_warms_in_steps_and_then_rests() {
+    fn a_cold_endpoint_warms_up_in_steps() {
         let cold = Target { boot_ms: NOW.as_millis() as f64, ..up("cold") };
         let mut members = with(vec![up("warm"), cold]);
-        let part = |members: &mut Members, now| members.members(now).expect("known")[0].part;
+        let part = |members: &mut PoolMembers, now| members.members(now).expect("known")[0].part;
         assert_eq!(part(&mut members, NOW), 0.25);
         let mut steps = Vec::new();
         for second in 1..=40 {
@@ -492,17 +500,20 @@
         }
         assert!(steps.is_sorted() && steps.len() <= 20, "{steps:?}");
         assert_eq!(steps.last(), Some(&1.0));
-        assert!(!members.waits(), "nothing left to wait for");
+        assert!(!members.needs_tick(), "nothing left to wait for");
     }
 
     #[test]
-    fn names_of_gone_endpoints_are_forgotten() {
+    fn ids_of_removed_endpoints_are_released() {
         let mut members = with(vec![up("stays")]);
         for n in 0..1000 {
             let uid = format!("e{n}");
-            members.told(NOW, Update::List(List { rev: 11 + n, all: false, targets: vec![up(&uid)] }));
+            members.handle_update(
+                NOW,
+                Update::List(List { rev: 11 + n, all: false, targets: vec![up(&uid)] }),
+            );
             let gone = Target { state: State::Removed, ..up(&uid) };
-            members.told(NOW, Update::List(List { rev: 11 + n, all: false, targets: vec![gone] }));
+            members.handle_update(NOW, Update::List(List { rev: 11 + n, all: false, targets: vec![gone] }));
         }
         assert!(members.ids.len() < 40, "{} names", members.ids.len());
     }
--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -1,7 +1,7 @@
-//! What is served: the newest state, and while a version is rolled out the one before it too.
+//! The served state: the newest version, and during a roll-out the previous one too.
 
-use crate::core::{Core, Due};
-use crate::errors::{Tolerance, failing};
+use crate::error_rate::{Tolerance, failing};
+use crate::fleet_state::{FleetState, PendingChanges};
 use crate::rollout::{Cohort, Rollout};
 use crate::shared::Shared;
 use crate::source::Sources;
@@ -12,109 +12,115 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Looks at what is shared.
-pub fn locked<T, R>(of: &Mutex<T>, with: impl FnOnce(&mut T) -> R) -> R {
+/// Calls `with` with the locked value.
+pub fn with_lock<T, R>(of: &Mutex<T>, with: impl FnOnce(&mut T) -> R) -> R {
     with(&mut of.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// What is served.
+/// The served state.
 pub struct ServingState {
-    /// What all parts know.
+    /// State shared by the parts of the service.
     pub shared: Arc<Shared>,
     seed: u64,
-    /// While a version is rolled out: the one before it, for the proxies that do not have the new one yet. It hears
-    /// of drains like the other.
-    before: Option<Core>,
+    /// During a roll-out, the previous version, for the proxies that do not have the new one yet. It gets the same
+    /// updates, drains above all.
+    previous: Option<FleetState>,
 }
 
 impl ServingState {
-    /// Nothing is served yet.
+    /// Creates the state; nothing is served yet.
     pub fn new(shared: Arc<Shared>, seed: u64) -> ServingState {
-        ServingState { shared, seed, before: None }
+        ServingState { shared, seed, previous: None }
     }
 
-    /// Looks at the newest state.
-    pub fn core<T>(&self, with: impl FnOnce(&mut Core) -> T) -> T {
-        locked(&self.shared.core, with)
+    /// Calls `with` with the newest state.
+    pub fn fleet_state<T>(&self, with: impl FnOnce(&mut FleetState) -> T) -> T {
+        with_lock(&self.shared.fleet_state, with)
     }
 
-    /// Serves a fleet from the beginning, with the lists that were held before.
-    pub fn begin(&self, fleet: Fleet, held: BTreeMap<String, List>) {
+    /// Starts serving a fleet, with the lists that were saved before a restart.
+    pub fn start(&self, fleet: Fleet, lists: BTreeMap<String, List>) {
         let now = self.shared.clock.now();
-        self.core(|core| *core = Core::new(fleet, held, self.seed, now));
+        self.fleet_state(|fleet_state| *fleet_state = FleetState::new(fleet, lists, self.seed, now));
     }
 
-    /// Whether two states are served.
-    pub fn is_parted(&self) -> bool {
-        self.before.is_some()
+    /// Whether two versions are served.
+    pub fn is_split(&self) -> bool {
+        self.previous.is_some()
     }
 
-    /// Parts a new state from the one that is served, for nobody yet.
-    pub fn part(&mut self, fleet: Fleet) {
+    /// Adds a new version beside the served one; no proxy gets it yet.
+    pub fn split(&mut self, fleet: Fleet) {
         let now = self.shared.clock.now();
-        let before = self.core(|core| {
-            let held: BTreeMap<String, List> = core.lists().into_iter().collect();
-            Core::new(core.fleet().clone(), held, self.seed, now)
+        let previous = self.fleet_state(|fleet_state| {
+            let lists: BTreeMap<String, List> = fleet_state.lists().into_iter().collect();
+            FleetState::new(fleet_state.fleet().clone(), lists, self.seed, now)
         });
-        self.before = Some(before);
+        self.previous = Some(previous);
         self.shared.hub.fork();
-        self.core(|core| core.replace(now, fleet));
+        self.fleet_state(|fleet_state| fleet_state.replace(now, fleet));
     }
 
-    /// Gives the newest state to all.
-    pub fn settle(&mut self) {
+    /// Serves the newest version to all proxies.
+    pub fn finish_rollout(&mut self) {
         self.shared.hub.settle();
-        self.before = None;
-        locked(&self.shared.rollout, |rollout| *rollout = None);
+        self.previous = None;
+        with_lock(&self.shared.rollout, |rollout| *rollout = None);
     }
 
-    /// The sources to follow.
+    /// The discovery servers to watch.
     pub fn sources(&self) -> Sources {
-        let before = self.before.as_ref().map(Core::sources).unwrap_or_default();
-        self.core(|core| core.sources()).into_iter().chain(before).collect()
+        let previous = self.previous.as_ref().map(FleetState::sources).unwrap_or_default();
+        self.fleet_state(|fleet_state| fleet_state.sources()).into_iter().chain(previous).collect()
     }
 
-    /// Whether there is anything to publish.
+    /// Whether there are changes to publish.
     pub fn is_dirty(&self) -> bool {
-        self.core(|core| core.is_dirty()) || self.before.as_ref().is_some_and(Core::is_dirty)
+        self.fleet_state(|fleet_state| fleet_state.is_dirty())
+            || self.previous.as_ref().is_some_and(FleetState::is_dirty)
     }
 
-    /// Has both states take something.
-    pub fn both(&mut self, take: impl Fn(&mut Core)) {
-        self.before.as_mut().into_iter().for_each(&take);
-        self.core(take);
+    /// Applies a change to both versions.
+    pub fn for_each_state(&mut self, take: impl Fn(&mut FleetState)) {
+        self.previous.as_mut().into_iter().for_each(&take);
+        self.fleet_state(take);
     }
 
-    /// Tells proxies what has changed, or all; first the lists are kept.
-    pub fn publish(&mut self, whole: bool, keep: impl FnOnce(Vec<(String, List)>)) {
+    /// Publishes the changes, or all resources if `full`; first passes the changed lists to `persist`.
+    pub fn publish(&mut self, full: bool, persist: impl FnOnce(Vec<(String, List)>)) {
         let (now, hub) = (self.shared.clock.now(), self.shared.hub.clone());
-        let Due { mut lists, changes } = match whole {
-            true => hub.cache(|cache| self.core(|core| core.whole(now, cache))),
-            false => self.core(|core| core.take(now)),
+        let PendingChanges { mut lists, changes } = match full {
+            true => hub.cache(|cache| self.fleet_state(|fleet_state| fleet_state.full_update(now, cache))),
+            false => self.fleet_state(|fleet_state| fleet_state.take_pending(now)),
         };
-        let before = self.before.as_mut().map(|before| match whole {
-            true => hub.cache_before(|cache| before.whole(now, cache)),
-            false => before.take(now),
+        let previous = self.previous.as_mut().map(|previous| match full {
+            true => hub.cache_before(|cache| previous.full_update(now, cache)),
+            false => previous.take_pending(now),
         });
-        let before = before.unwrap_or_default();
-        // A pool of both is kept as the newer one has it.
-        let newer: BTreeSet<String> =
-            self.core(|core| core.sources()).into_iter().map(|(pool, _)| pool).collect();
-        lists.extend(before.lists.into_iter().filter(|(pool, _)| !newer.contains(pool)));
-        keep(lists);
-        self.show();
+        let previous = previous.unwrap_or_default();
+        // For a pool in both versions, the list of the newer one is persisted.
+        let newest_pools: BTreeSet<String> = self
+            .fleet_state(|fleet_state| fleet_state.sources())
+            .into_iter()
+            .map(|(pool, _)| pool)
+            .collect();
+        lists.extend(previous.lists.into_iter().filter(|(pool, _)| !newest_pools.contains(pool)));
+        persist(lists);
+        self.update_pool_status();
         hub.publish(changes);
-        hub.publish_before(before.changes);
+        hub.publish_before(previous.changes);
     }
 
-    /// Shows how the pools stand, unless there is something to commit first.
-    pub fn show(&self) {
-        if let Some(pools) = self.core(|core| (!core.is_dirty()).then(|| core.status())) {
-            locked(&self.shared.pools, |shown| *shown = pools);
+    /// Updates the status of the pools, unless there are changes to commit first.
+    pub fn update_pool_status(&self) {
+        if let Some(pools) =
+            self.fleet_state(|fleet_state| (!fleet_state.is_dirty()).then(|| fleet_state.status()))
+        {
+            with_lock(&self.shared.pools, |shown| *shown = pools);
         }
     }
 
-    /// How the proxies here that are to have the new version stand, if rejections count from this time on.
+    /// The status of this instance's proxies in the current stage; rejections before `since` are ignored.
     pub fn cohort(&self, rollout: &Rollout, since: Duration, tolerance: Tolerance) -> Cohort {
         let (newest, mut cohort) = (self.shared.hub.newest_line(), Cohort::default());
         for stream in self.shared.hub.streams() {
@@ -125,15 +131,15 @@
                 cohort.behind.push(stream.node.clone());
             }
             let rejected = stream.standings.iter().filter_map(|standing| standing.rejected.as_ref());
-            let late = rejected.filter(|rejected| rejected.at >= since);
-            cohort.rejected.extend(late.map(|rejected| (stream.node.clone(), rejected.detail.clone())));
+            let counted = rejected.filter(|rejected| rejected.at >= since);
+            cohort.rejected.extend(counted.map(|rejected| (stream.node.clone(), rejected.detail.clone())));
         }
         cohort.failing = self.shared.hub.loads(|loads| failing(loads.compared(), tolerance));
         cohort
     }
 }
 
-/// What is said of a version that goes no further.
-pub fn halted(serial: u64, why: &str) -> String {
+/// The message about a halted roll-out.
+pub fn halt_message(serial: u64, why: &str) -> String {
     format!("serial {serial} goes no further: {why}. Resume it, or abort it: runtrackctl rollout")
 }
