--- a/crates/rig/src/fleet_verbs.rs
+++ b/crates/rig/src/fleet_verbs.rs
@@ -6,7 +6,7 @@
 use runtrack_rig::fleet::script::Script;
 use runtrack_rig::fleet::{draw, play};
 use runtrack_rig::history;
-use runtrack_sim::campaign::{self, Pairs, Seeds, named, read, write};
+use runtrack_sim::campaign::{self, FaultPairs, SeedArgs, read_script, with_path, write_script};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 
 #[derive(Default)]
 struct Totals {
-    pairs: Pairs,
+    pairs: FaultPairs,
     events: usize,
     broken: u64,
     unplayed: u64,
@@ -31,11 +31,11 @@
 }
 
 /// Plays the rounds of many seeds, and says which break a rule.
-pub fn search(which: &Seeds, out: &Path) -> Result<ExitCode, String> {
-    std::fs::create_dir_all(out).map_err(named(out))?;
+pub fn search(which: &SeedArgs, out: &Path) -> Result<ExitCode, String> {
+    std::fs::create_dir_all(out).map_err(with_path(out))?;
     let began = Instant::now();
     let totals: Mutex<Totals> = Mutex::default();
-    let done = campaign::search(which, "{bar:32} {pos}/{len} rounds {eta} {msg}", |seed, bar| {
+    let done = campaign::search_seeds(which, "{bar:32} {pos}/{len} rounds {eta} {msg}", |seed, bar| {
         let script = draw::script(seed);
         let played = play_round(&script);
         let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
@@ -79,8 +79,8 @@
             }
         }
         let path = out.join(format!("fleet-{}.history", script.seed));
-        write(&out.join(format!("fleet-{}.json", script.seed)), script)?;
-        history::write(&path, events).map_err(named(&path))?;
+        write_script(&out.join(format!("fleet-{}.json", script.seed)), script)?;
+        history::write(&path, events).map_err(with_path(&path))?;
         println!("  script and history: {}", path.with_extension("{json,history}").display());
         Ok(())
     }
@@ -103,15 +103,15 @@
 
 /// Plays a script.
 pub fn replay(script: &Path, history: Option<&Path>) -> Result<ExitCode, String> {
-    let (events, judgement) = play_round(&read(script)?)?;
+    let (events, judgement) = play_round(&read_script(script)?)?;
     if let Some(path) = history {
-        history::write(path, &events).map_err(named(path))?;
+        history::write(path, &events).map_err(with_path(path))?;
     }
     Ok(report(&judgement))
 }
 
 /// Judges a history again.
 pub fn judge_again(path: &Path) -> Result<ExitCode, String> {
-    let events: Vec<Event> = history::read(path).map_err(named(path))?;
+    let events: Vec<Event> = history::read(path).map_err(with_path(path))?;
     Ok(report(&judge(&events)))
 }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -7,8 +7,8 @@
 use runtrack_rig::history::{self, Event};
 use runtrack_rig::script::Script;
 use runtrack_rig::{draw, measure, world};
-use runtrack_sim::campaign::{self, Pairs, Seeds, named, read, write};
-use runtrack_sim::shrink::fewer;
+use runtrack_sim::campaign::{self, FaultPairs, SeedArgs, read_script, with_path, write_script};
+use runtrack_sim::shrink::minimize_list;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
@@ -47,7 +47,7 @@
     /// Play the rounds of many seeds, and say which break a rule.
     Search {
         #[command(flatten)]
-        which: Seeds,
+        which: SeedArgs,
         /// Where scripts and histories of rounds that break a rule go.
         #[arg(long, default_value = "found", value_name = "FOLDER")]
         out: PathBuf,
@@ -72,7 +72,7 @@
     /// Play rounds of the fleet's controllers and agents, and say which break a rule.
     Fleet {
         #[command(flatten)]
-        which: Seeds,
+        which: SeedArgs,
         /// Where scripts and histories of rounds that break a rule go.
         #[arg(long, default_value = "found", value_name = "FOLDER")]
         out: PathBuf,
@@ -135,13 +135,13 @@
 fn one(script: &Script, history: Option<&Path>, mutant: Option<&str>) -> Result<ExitCode, String> {
     let (events, judgement) = play(script, mutant)?;
     if let Some(path) = history {
-        history::write(path, &events).map_err(named(path))?;
+        history::write(path, &events).map_err(with_path(path))?;
     }
     Ok(report(&judgement))
 }
 
 fn main() -> ExitCode {
-    let cli: Cli = match campaign::parse() {
+    let cli: Cli = match campaign::parse_args() {
         Ok(cli) => cli,
         Err(code) => return code,
     };
@@ -149,19 +149,19 @@
     let done = match cli.command {
         Command::Run { seed, script, history } => {
             let drawn = draw::script(seed);
-            let kept = script.map_or(Ok(()), |path| write(&path, &drawn));
+            let kept = script.map_or(Ok(()), |path| write_script(&path, &drawn));
             kept.and_then(|()| one(&drawn, history.as_deref(), mutant))
         }
         Command::Search { which, out } => search(&which, &out, mutant),
         Command::Replay { script, history } => {
-            read(&script).and_then(|script| one(&script, history.as_deref(), mutant))
+            read_script(&script).and_then(|script| one(&script, history.as_deref(), mutant))
         }
         Command::Fleet { which, out } => fleet_verbs::search(&which, &out),
         Command::FleetReplay { script, history } => fleet_verbs::replay(&script, history.as_deref()),
         Command::FleetJudge { history } => fleet_verbs::judge_again(&history),
         Command::Measure { kills, pools } => figures(kills, pools),
         Command::Judge { history } => {
-            history::read(&history).map_err(named(&history)).map(|events| report(&judge(&events)))
+            history::read(&history).map_err(with_path(&history)).map(|events| report(&judge(&events)))
         }
         Command::Shrink { script, rounds } => shrink(&script, rounds, mutant),
     };
@@ -173,17 +173,17 @@
 
 #[derive(Default)]
 struct Sums {
-    pairs: Pairs,
+    pairs: FaultPairs,
     events: usize,
     broken: u64,
     unplayed: u64,
 }
 
-fn search(which: &Seeds, out: &Path, mutant: Option<&str>) -> Result<ExitCode, String> {
-    std::fs::create_dir_all(out).map_err(named(out))?;
+fn search(which: &SeedArgs, out: &Path, mutant: Option<&str>) -> Result<ExitCode, String> {
+    std::fs::create_dir_all(out).map_err(with_path(out))?;
     let began = Instant::now();
     let sums: Mutex<Sums> = Mutex::default();
-    let done = campaign::search(which, "{bar:32} {pos}/{len} rounds {eta} {msg}", |seed, bar| {
+    let done = campaign::search_seeds(which, "{bar:32} {pos}/{len} rounds {eta} {msg}", |seed, bar| {
         let script = draw::script(seed);
         let played = play(&script, mutant);
         let mut sums = sums.lock().unwrap_or_else(PoisonError::into_inner);
@@ -201,8 +201,8 @@
             sums.broken += 1;
             bar.suspend(|| println!("seed {seed}: {breach}"));
             let path = out.join(format!("rig-{seed}.history"));
-            let kept = write(&out.join(format!("rig-{seed}.json")), &script);
-            let kept = kept.and_then(|()| history::write(&path, &events).map_err(named(&path)));
+            let kept = write_script(&out.join(format!("rig-{seed}.json")), &script);
+            let kept = kept.and_then(|()| history::write(&path, &events).map_err(with_path(&path)));
             if let Err(problem) = kept {
                 bar.suspend(|| eprintln!("{problem}"));
             }
@@ -223,7 +223,7 @@
 /// Real processes are no virtual world: a round that broke a rule may not do so again. What is left out is what the rule
 /// broke without, at least once.
 fn shrink(path: &Path, rounds: usize, mutant: Option<&str>) -> Result<ExitCode, String> {
-    let script = read(path)?;
+    let script = read_script(path)?;
     let (_, judgement) = play(&script, mutant)?;
     let Some(rule) = judgement.breaches.first().map(|breach| breach.rule) else {
         return Err("it breaks no rule, this time".to_owned());
@@ -236,9 +236,9 @@
         };
         played <= rounds && play(candidate, mutant).is_ok_and(broken)
     };
-    let small = fewer(script, |script: &mut Script| &mut script.faults, &mut breaks);
+    let small = minimize_list(script, |script: &mut Script| &mut script.faults, &mut breaks);
     let to = PathBuf::from(format!("{}.small", path.display()));
-    write(&to, &small)?;
+    write_script(&to, &small)?;
     println!(
         "{}: {} faults, after {played} rounds, and {rule:?} still breaks",
         to.display(),
--- a/crates/sim/src/agreement/applied.rs
+++ b/crates/sim/src/agreement/applied.rs
@@ -14,7 +14,7 @@
         let drained: Vec<(String, bool)> =
             endpoints.map(|(uid, endpoint)| (uid.clone(), endpoint.draining)).collect();
         // Equal indices, equal states, to the byte; now and then, since it costs.
-        let hash = index.is_multiple_of(8).then(|| fnv(0, state.snapshot().as_bytes()));
+        let hash = index.is_multiple_of(8).then(|| fnv1a(0, state.snapshot().as_bytes()));
         if let Some(hash) = hash
             && *self.observed.snapshots.entry(index).or_insert(hash) != hash
         {
--- a/crates/sim/src/agreement/mod.rs
+++ b/crates/sim/src/agreement/mod.rs
@@ -35,7 +35,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
-use world::{World, fnv, identity};
+use world::{World, fnv1a, identity};
 
 const TUNING: Tuning = Tuning { heartbeat_ticks: 1, election_ticks: 10, log_bytes: 6_000 };
 /// Ticks in which all must be back after everything was healed.
@@ -82,6 +82,7 @@
     let World { mut outcomes, observed, .. } = world;
     let applied = observed.applied;
     outcomes.index = applied.last_key_value().map_or(0, |(index, _)| *index);
-    outcomes.hash = applied.values().fold(0, |hash, applied| fnv(hash, format!("{applied:?}").as_bytes()));
+    outcomes.hash =
+        applied.values().fold(0, |hash, applied| fnv1a(hash, format!("{applied:?}").as_bytes()));
     outcomes
 }
--- a/crates/sim/src/agreement/world.rs
+++ b/crates/sim/src/agreement/world.rs
@@ -53,7 +53,7 @@
     Identity { lineage: "l".to_owned(), member, ticket: text("t"), folder: text("f"), others: Vec::new() }
 }
 
-pub(super) fn fnv(hash: u64, bytes: &[u8]) -> u64 {
+pub(super) fn fnv1a(hash: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(hash ^ 0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
     })
--- a/crates/sim/src/campaign.rs
+++ b/crates/sim/src/campaign.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// The command line; the exit code of one that makes no sense, or that asks for help, is given as an error.
-pub fn parse<C: Parser>() -> Result<C, ExitCode> {
+pub fn parse_args<C: Parser>() -> Result<C, ExitCode> {
     C::try_parse().map_err(|problem| {
         let _ = problem.print();
         if problem.use_stderr() { ExitCode::from(2) } else { ExitCode::SUCCESS }
@@ -22,7 +22,7 @@
 
 /// Which seeds, and how many at once.
 #[derive(Args)]
-pub struct Seeds {
+pub struct SeedArgs {
     /// From, and up to without: A..B.
     #[arg(long, value_parser = range)]
     pub seeds: Range<u64>,
@@ -33,7 +33,7 @@
 
 /// How long planted errors are searched for.
 #[derive(Args)]
-pub struct Starts {
+pub struct MutantArgs {
     /// Starts, from which the median is taken.
     #[arg(long, default_value_t = 5)]
     pub starts: u64,
@@ -48,26 +48,30 @@
 }
 
 /// `map_err` for what goes wrong with a file.
-pub fn named<E: std::fmt::Display>(path: &Path) -> impl Fn(E) -> String {
+pub fn with_path<E: std::fmt::Display>(path: &Path) -> impl Fn(E) -> String {
     let path = path.display().to_string();
     move |problem| format!("{path}: {problem}")
 }
 
 /// Reads a script (JSON).
-pub fn read<S: DeserializeOwned>(path: &Path) -> Result<S, String> {
-    let text = std::fs::read_to_string(path).map_err(named(path))?;
-    serde_json::from_str(&text).map_err(named(path))
+pub fn read_script<S: DeserializeOwned>(path: &Path) -> Result<S, String> {
+    let text = std::fs::read_to_string(path).map_err(with_path(path))?;
+    serde_json::from_str(&text).map_err(with_path(path))
 }
 
 /// Writes a script (JSON).
-pub fn write(path: &Path, script: &impl Serialize) -> Result<(), String> {
+pub fn write_script(path: &Path, script: &impl Serialize) -> Result<(), String> {
     let text = serde_json::to_string_pretty(script).unwrap_or_default(); // fails only for maps with odd keys
-    std::fs::write(path, text + "\n").map_err(named(path))
+    std::fs::write(path, text + "\n").map_err(with_path(path))
 }
 
 /// Runs each seed, several at once, under a bar of this template, until one says that it is enough; gives how many were
 /// run.
-pub fn search(which: &Seeds, template: &str, each: impl Fn(u64, &ProgressBar) -> bool + Sync) -> u64 {
+pub fn search_seeds(
+    which: &SeedArgs,
+    template: &str,
+    each: impl Fn(u64, &ProgressBar) -> bool + Sync,
+) -> u64 {
     let Range { start, end } = which.seeds;
     let (next, last) = (AtomicU64::new(start), AtomicU64::new(end));
     let style = ProgressStyle::with_template(template);
@@ -95,9 +99,9 @@
 
 /// Pairs of kinds of fault that came together, and how often.
 #[derive(Debug, Default)]
-pub struct Pairs(BTreeMap<(&'static str, &'static str), u64>);
+pub struct FaultPairs(BTreeMap<(&'static str, &'static str), u64>);
 
-impl Pairs {
+impl FaultPairs {
     /// Takes the kinds of one run.
     pub fn add(&mut self, kinds: impl Iterator<Item = &'static str>) {
         let mut kinds: Vec<&str> = kinds.collect();
@@ -109,7 +113,7 @@
     }
 }
 
-impl std::fmt::Display for Pairs {
+impl std::fmt::Display for FaultPairs {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let rarest = self.0.values().min().unwrap_or(&0);
         write!(f, "{} pairs of kinds of fault seen, the rarest {rarest} times", self.0.len())
@@ -118,10 +122,10 @@
 
 /// Plants each error in turn and prints a line for it: `find` gives what a seed breaks with it, `shrink` what is left of the
 /// script that shows it. Says whether one was missed.
-pub fn plant<S, R: Copy + Debug>(
+pub fn measure_mutants<S, R: Copy + Debug>(
     names: impl IntoIterator<Item = &'static str>,
     left: &str,
-    Starts { starts, most }: Starts,
+    MutantArgs { starts, most }: MutantArgs,
     find: impl Fn(&str, u64) -> Option<(S, R)>,
     shrink: impl Fn(&str, S, R) -> String,
 ) -> ExitCode {
--- a/crates/sim/src/client.rs
+++ b/crates/sim/src/client.rs
@@ -133,7 +133,7 @@
         Manner::Slowly(after) => vec![(&text[..text.len() / 2], after), (&text[text.len() / 2..], 0)],
         _ => vec![(&text[..], 0)],
     };
-    let answered_from = world.wires.read_of(stream.link(), 1);
+    let answered_from = world.wires.bytes_read(stream.link(), 1);
     for (part, after) in parts {
         if stream.write_all(part.as_bytes()).await.is_err() {
             return End::Broke;
@@ -144,7 +144,7 @@
     let link = stream.link();
     let sent = world.now();
     {
-        let arrives = world.wires.times(link, 0, end).map(|(_, arrives)| world.since(arrives));
+        let arrives = world.wires.write_times(link, 0, end).map(|(_, arrives)| world.since(arrives));
         let asked = &mut world.facts.borrow_mut().asked[fact];
         (asked.sent, asked.taken, asked.on) = (Some(sent), arrives, Some((link, answered_from)));
     }
@@ -157,7 +157,7 @@
     let until = Instant::now() + patience;
     let (mut reader, mut bytes) = (Reader::default(), [0; 4096]);
     let ended = loop {
-        match reader.take() {
+        match reader.next_message() {
             Ok(Some(message)) => {
                 let close = message.header("connection").is_some_and(|value| value.contains("close"));
                 break End::Answered { close };
@@ -174,7 +174,7 @@
             Err(_) => break End::Broke,
         }
     };
-    let read = world.wires.read_of(link, 0) >= end;
+    let read = world.wires.bytes_read(link, 0) >= end;
     world.facts.borrow_mut().asked[fact].read = read;
     ended
 }
@@ -217,7 +217,7 @@
     let (mut reader, mut bytes) = (Reader::default(), [0; 4096]);
     let until = Instant::now() + BAD_WAIT;
     loop {
-        if let Ok(Some(message)) = reader.take() {
+        if let Ok(Some(message)) = reader.next_message() {
             let body = String::from_utf8_lossy(&message.body).into_owned();
             let answer = Answered { wrote: world.now(), status: message.status(), body };
             world.facts.borrow_mut().asked[fact].answers.push(answer);
--- a/crates/sim/src/discovery.rs
+++ b/crates/sim/src/discovery.rs
@@ -211,7 +211,7 @@
     async fn connection(self: Rc<Self>, server: u32, mut stream: Stream) {
         let (mut reader, mut bytes) = (Reader::default(), [0; 2048]);
         let message = loop {
-            match reader.take() {
+            match reader.next_message() {
                 Ok(Some(message)) => break message,
                 Ok(None) => match stream.read(&mut bytes).await {
                     Ok(count) if count > 0 => reader.feed(&bytes[..count]),
@@ -281,7 +281,9 @@
     /// Notes what has just been written to a sidecar.
     fn told(&self, stream: &Stream, named: &[(u32, bool)]) {
         let Some((0, sidecar)) = stream.peer().map(number_of) else { return };
-        let Some((_, at)) = self.world.wires.times(stream.link(), 1, stream.written()) else { return };
+        let Some((_, at)) = self.world.wires.write_times(stream.link(), 1, stream.written()) else {
+            return;
+        };
         let at = self.world.since(at);
         let told =
             named.iter().map(|(endpoint, ready)| Told { sidecar, endpoint: *endpoint, at, ready: *ready });
--- a/crates/sim/src/endpoint.rs
+++ b/crates/sim/src/endpoint.rs
@@ -53,7 +53,7 @@
     async fn connection(self: Rc<Self>, mut stream: Stream) {
         let (mut reader, mut bytes) = (Reader::default(), [0; 4096]);
         loop {
-            let message = match reader.take() {
+            let message = match reader.next_message() {
                 Ok(Some(message)) => message,
                 Err(_) => return,
                 Ok(None) => match timeout(world::IDLE, stream.read(&mut bytes)).await {
@@ -203,7 +203,7 @@
                 }
                 true => {}
                 false => {
-                    world.wires.died(endpoint_ip(number));
+                    world.wires.process_died(endpoint_ip(number));
                     process.abort_all();
                     while process.join_next().await.is_some() {}
                 }
--- a/crates/sim/src/fleet/call.rs
+++ b/crates/sim/src/fleet/call.rs
@@ -94,7 +94,7 @@
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         reader.feed(&buffer[..count]);
-        if let Ok(Some(message)) = reader.take() {
+        if let Ok(Some(message)) = reader.next_message() {
             let answer = answer_of(&message);
             if answer.config.is_some() {
                 world.saw_config(&message.body);
@@ -102,7 +102,7 @@
             let (now, told) = (world.now(), answer.clone());
             world.call(number, |call| (call.ended, call.answer) = (Some(now), Some(told)));
             let more = timeout(SURPLUS, stream.read(&mut buffer)).await;
-            if reader.begun() || matches!(more, Ok(Ok(1..))) {
+            if reader.has_partial_message() || matches!(more, Ok(Ok(1..))) {
                 world.call(number, |call| call.surplus = true);
             }
             return Ok(Some(answer));
--- a/crates/sim/src/fleet/command.rs
+++ b/crates/sim/src/fleet/command.rs
@@ -1,6 +1,6 @@
 //! The program's verb for the control plane: play a seed, search many, make one small, and find planted errors.
 
-use crate::campaign::{self, Pairs, Seeds, Starts};
+use crate::campaign::{self, FaultPairs, MutantArgs, SeedArgs};
 use crate::fleet::oracle::Rule;
 use crate::fleet::run::{Outcome, run};
 use crate::fleet::script::Script;
@@ -43,7 +43,7 @@
     Search {
         /// Which seeds.
         #[command(flatten)]
-        which: Seeds,
+        which: SeedArgs,
         /// Only worlds around this theme.
         #[arg(long)]
         theme: Option<draw::Theme>,
@@ -63,7 +63,7 @@
     Mutants {
         /// How long they are searched for.
         #[command(flatten)]
-        starts: Starts,
+        starts: MutantArgs,
         /// Only errors whose name holds this.
         #[arg(long)]
         only: Option<String>,
@@ -100,10 +100,12 @@
     match verb {
         Fleet::Play { seed, theme, timeline, script } => {
             let drawn = draw::script_of(theme, seed);
-            let kept = script.map_or(Ok(()), |path| campaign::write(&path, &drawn));
+            let kept = script.map_or(Ok(()), |path| campaign::write_script(&path, &drawn));
             kept.map(|()| play(&drawn, timeline))
         }
-        Fleet::Replay { script, timeline } => campaign::read(&script).map(|script| play(&script, timeline)),
+        Fleet::Replay { script, timeline } => {
+            campaign::read_script(&script).map(|script| play(&script, timeline))
+        }
         Fleet::Search { which, theme } => Ok(search(&which, theme, mutant)),
         Fleet::Shrink { seed, theme, to } => {
             let script = draw::script_of(theme, seed);
@@ -113,7 +115,7 @@
             };
             let (small, runs) =
                 mutants::with(mutant, || shrink::shrink(&script, breach.rule, shrink::RUNS));
-            campaign::write(&to, &small)?;
+            campaign::write_script(&to, &small)?;
             println!("{}: {} faults, {runs} runs", to.display(), small.faults.len());
             Ok(play(&small, false))
         }
@@ -121,11 +123,11 @@
     }
 }
 
-fn search(which: &Seeds, theme: Option<draw::Theme>, mutant: Option<&str>) -> ExitCode {
+fn search(which: &SeedArgs, theme: Option<draw::Theme>, mutant: Option<&str>) -> ExitCode {
     let began = Instant::now();
-    let sums: Mutex<(Pairs, u64, u64, f64)> = Mutex::default();
+    let sums: Mutex<(FaultPairs, u64, u64, f64)> = Mutex::default();
     let bar = "{bar:32} {pos}/{len} seeds {per_sec} {eta} {msg}";
-    let done = campaign::search(which, bar, |seed, bar| {
+    let done = campaign::search_seeds(which, bar, |seed, bar| {
         let script = draw::script_of(theme, seed);
         let outcome = mutants::with(mutant, || run(&script, false));
         let (pairs, calls, broken, lasted) = &mut *sums.lock().unwrap_or_else(PoisonError::into_inner);
@@ -150,7 +152,7 @@
 }
 
 /// Seeds until an error is found, from each start; none where none of the seeds shows it.
-fn seeds_until_found(name: &str, starts: &Starts) -> Vec<Option<(u64, Rule)>> {
+fn seeds_until_found(name: &str, starts: &MutantArgs) -> Vec<Option<(u64, Rule)>> {
     let breaks = |seed: u64| {
         let outcome = mutants::with(Some(name), || run(&draw::script(seed), false));
         outcome.breaches.first().map(|breach| breach.rule)
@@ -161,13 +163,13 @@
     (0..starts.starts).map(|start| from(start * 100_000)).collect()
 }
 
-fn plant(starts: &Starts, jobs: usize, only: Option<&str>) -> ExitCode {
+fn plant(starts: &MutantArgs, jobs: usize, only: Option<&str>) -> ExitCode {
     let wanted: Vec<_> =
         MUTANTS.iter().filter(|mutant| only.is_none_or(|only| mutant.name.contains(only))).collect();
     let rows: Mutex<BTreeMap<u64, String>> = Mutex::default();
     let missed = AtomicBool::new(false);
-    let seeds = Seeds { seeds: 0..wanted.len() as u64, jobs };
-    campaign::search(&seeds, "{pos}/{len} planted errors", |number, _| {
+    let seeds = SeedArgs { seeds: 0..wanted.len() as u64, jobs };
+    campaign::search_seeds(&seeds, "{pos}/{len} planted errors", |number, _| {
         let mutant = wanted[number as usize];
         let found = seeds_until_found(mutant.name, starts);
         if found.contains(&None) {
@@ -184,7 +186,7 @@
     if missed.into_inner() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
-fn row(mutant: &Mutant, starts: &Starts, found: &[Option<(u64, Rule)>]) -> String {
+fn row(mutant: &Mutant, starts: &MutantArgs, found: &[Option<(u64, Rule)>]) -> String {
     let text =
         |count: Option<u64>| count.map_or(format!("over {}", starts.most), |count| count.to_string());
     let counts: Vec<Option<u64>> = found.iter().map(|found| found.map(|(count, _)| count)).collect();
--- a/crates/sim/src/fleet/director.rs
+++ b/crates/sim/src/fleet/director.rs
@@ -4,7 +4,7 @@
 use crate::fleet::host::{Host, Program};
 use crate::fleet::script::{Fault, From, Script, Way};
 use crate::fleet::world::{World, agent_ip, core_ip};
-use crate::net::Trouble;
+use crate::net::NetFault;
 use runtrack_link::ProcessEvent;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -98,17 +98,17 @@
         (0..self.world.script.machines()).map(|core| core_ip(core).into()).collect()
     }
 
-    fn trouble(&self, trouble: Trouble, (at, lasts): (u32, u32)) {
-        self.world.wires.trouble(trouble, self.world.at(at), self.world.at(at + lasts));
+    fn trouble(&self, trouble: NetFault, (at, lasts): (u32, u32)) {
+        self.world.wires.add_fault(trouble, self.world.at(at), self.world.at(at + lasts));
     }
 
     fn stall(&self, from: Ipv4Addr, to: IpAddr, way: Way, span: (u32, u32)) {
         let from = IpAddr::from(from);
         if way != Way::In {
-            self.trouble(Trouble::Stalled(from, to), span);
+            self.trouble(NetFault::Stalled(from, to), span);
         }
         if way != Way::Out {
-            self.trouble(Trouble::Stalled(to, from), span);
+            self.trouble(NetFault::Stalled(to, from), span);
         }
     }
 
@@ -128,15 +128,15 @@
             }
             Fault::SlowLinks { core, by, .. } => {
                 let by = Duration::from_millis((*by).into());
-                self.trouble(Trouble::Slow(core_ip(*core).into(), by), span);
+                self.trouble(NetFault::Slow(core_ip(*core).into(), by), span);
             }
             Fault::Loss { core, percent, .. } => {
-                self.trouble(Trouble::Lossy(core_ip(*core).into(), *percent), span);
+                self.trouble(NetFault::Lossy(core_ip(*core).into(), *percent), span);
             }
-            Fault::Power { core, .. } => self.trouble(Trouble::Silent(core_ip(*core).into()), span),
+            Fault::Power { core, .. } => self.trouble(NetFault::Silent(core_ip(*core).into()), span),
             Fault::PowerAll { .. } => {
                 for core in self.every_core() {
-                    self.trouble(Trouble::Silent(core), span);
+                    self.trouble(NetFault::Silent(core), span);
                 }
             }
             Fault::Disk { core, what, .. } => {
@@ -185,7 +185,7 @@
                 host.hold(true); // for good
                 host.kill(true).await;
             }
-            Step::ResetConnections(core) => self.world.wires.reset_all(core_ip(core).into()),
+            Step::ResetConnections(core) => self.world.wires.reset_connections(core_ip(core).into()),
             Step::Seeds(first) => self.change_seeds(first),
             Step::AgentDown(agent) => {
                 let host = self.agent(agent);
--- a/crates/sim/src/fleet/host.rs
+++ b/crates/sim/src/fleet/host.rs
@@ -144,7 +144,7 @@
         if power {
             self.world.wires.lost_power(self.ip().into());
         } else {
-            self.world.wires.died(self.ip().into());
+            self.world.wires.process_died(self.ip().into());
         }
         process.task.abort();
         let _ = process.task.await; // an error says that it was aborted
--- a/crates/sim/src/fleet/run.rs
+++ b/crates/sim/src/fleet/run.rs
@@ -6,7 +6,7 @@
 use crate::fleet::script::{SETTLE, Script};
 use crate::fleet::world::World;
 use crate::fleet::{config_body, endpoint, harm, observer, operator, timeline};
-use crate::net::fnv;
+use crate::net::fnv1a;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::{LocalSet, spawn_local};
@@ -89,14 +89,14 @@
 }
 
 fn hash(wires: u64, facts: &Facts) -> u64 {
-    let mut hash = fnv(wires, &[]);
+    let mut hash = fnv1a(wires, &[]);
     for call in &facts.calls {
-        hash = fnv(hash, format!("{call:?}").as_bytes());
+        hash = fnv1a(hash, format!("{call:?}").as_bytes());
     }
     let version = |told: &Told| format!("{told:?}");
     for word in &facts.words {
         let at = word.at.as_micros().to_le_bytes();
-        hash = fnv(fnv(hash, &at), version(&word.told).as_bytes());
+        hash = fnv1a(fnv1a(hash, &at), version(&word.told).as_bytes());
     }
     hash
 }
--- a/crates/sim/src/fleet/shrink.rs
+++ b/crates/sim/src/fleet/shrink.rs
@@ -3,7 +3,7 @@
 use crate::fleet::oracle::Rule;
 use crate::fleet::run::run;
 use crate::fleet::script::Script;
-use crate::shrink::fewer;
+use crate::shrink::minimize_list;
 
 /// Runs that are enough for a script of this size, in most cases.
 pub const RUNS: usize = 600;
@@ -18,9 +18,9 @@
     let mut best = script.clone();
     loop {
         let before = best.clone();
-        best = fewer(best, |script| &mut script.faults, &mut breaks);
-        best = fewer(best, |script| &mut script.requests, &mut breaks);
-        best = fewer(best, |script| &mut script.endpoints, &mut breaks);
+        best = minimize_list(best, |script| &mut script.faults, &mut breaks);
+        best = minimize_list(best, |script| &mut script.requests, &mut breaks);
+        best = minimize_list(best, |script| &mut script.endpoints, &mut breaks);
         for simpler in simpler(&best) {
             if breaks(&simpler) {
                 best = simpler;
--- a/crates/sim/src/fleet/world.rs
+++ b/crates/sim/src/fleet/world.rs
@@ -4,7 +4,7 @@
 use crate::fleet::disk::OlderCopy;
 use crate::fleet::facts::{Call, DiskState, Ending, Facts, MemberId, PutBack, Told, Word};
 use crate::fleet::script::Script;
-use crate::net::Wires;
+use crate::net::VirtualNetwork;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use runtrack_fleetconfig::Node;
@@ -32,7 +32,7 @@
     /// What is to happen.
     pub script: Script,
     /// The network.
-    pub wires: Wires,
+    pub wires: VirtualNetwork,
     /// What was seen.
     pub facts: RefCell<Facts>,
     /// The newest version that operators know of.
@@ -83,7 +83,7 @@
     pub fn new(script: Script, traced: bool) -> Rc<Self> {
         let ms = |time: u32| Duration::from_millis(time.into());
         let latency = (ms(script.latency_ms.0), ms(script.latency_ms.1));
-        let wires = Wires::new(script.seed, latency, script.split, false);
+        let wires = VirtualNetwork::new(script.seed, latency, script.split, false);
         let seeds = (0..script.cores.min(SEEDS)).collect();
         Rc::new(World {
             wires,
--- a/crates/sim/src/http.rs
+++ b/crates/sim/src/http.rs
@@ -35,7 +35,7 @@
 
 /// What came is no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoMessage;
+pub struct MalformedMessage;
 
 impl Reader {
     /// More bytes have come.
@@ -44,18 +44,18 @@
     }
 
     /// Whether a message has begun.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         !self.bytes.is_empty()
     }
 
     /// The head of the message that has begun, if that is there; its body is empty.
-    pub fn head(&self) -> Result<Option<(Message, usize)>, NoMessage> {
+    pub fn peek_head(&self) -> Result<Option<(Message, usize)>, MalformedMessage> {
         let Some(end) = self.bytes.windows(4).position(|four| four == b"\r\n\r\n") else { return Ok(None) };
-        let text = std::str::from_utf8(&self.bytes[..end]).map_err(|_| NoMessage)?;
+        let text = std::str::from_utf8(&self.bytes[..end]).map_err(|_| MalformedMessage)?;
         let mut lines = text.split("\r\n");
         let first = lines.next().unwrap_or_default().to_owned();
         let pair = |line: &str| {
-            let (name, value) = line.split_once(':').ok_or(NoMessage)?;
+            let (name, value) = line.split_once(':').ok_or(MalformedMessage)?;
             Ok((name.to_ascii_lowercase(), value.trim().to_owned()))
         };
         let headers = lines.map(pair).collect::<Result<Vec<_>, _>>()?;
@@ -64,10 +64,10 @@
     }
 
     /// The next message, if it is whole.
-    pub fn take(&mut self) -> Result<Option<Message>, NoMessage> {
-        let Some((mut message, head)) = self.head()? else { return Ok(None) };
+    pub fn next_message(&mut self) -> Result<Option<Message>, MalformedMessage> {
+        let Some((mut message, head)) = self.peek_head()? else { return Ok(None) };
         let length = message.header("content-length").map_or(Ok(0), |text| text.parse::<usize>());
-        let end = head + length.map_err(|_| NoMessage)?;
+        let end = head + length.map_err(|_| MalformedMessage)?;
         if self.bytes.len() < end {
             return Ok(None);
         }
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -1,7 +1,7 @@
 //! `runtrack-sim`: runs scripts and seeds, searches for broken rules, makes them small, and explains them.
 
 use clap::{Parser, Subcommand};
-use runtrack_sim::campaign::{Pairs, Seeds, Starts, named, read};
+use runtrack_sim::campaign::{FaultPairs, MutantArgs, SeedArgs, read_script, with_path};
 use runtrack_sim::run::{Outcome, run};
 use runtrack_sim::script::Script;
 use runtrack_sim::{agreement, campaign, draw, fleet, mutants, shrink, timeline};
@@ -40,7 +40,7 @@
     /// Run many seeds and say which break a rule.
     Search {
         #[command(flatten)]
-        which: Seeds,
+        which: SeedArgs,
         /// Stop at the first that breaks a rule.
         #[arg(long)]
         first: bool,
@@ -70,7 +70,7 @@
     #[command(subcommand)]
     Fleet(fleet::command::Fleet),
     /// Plant each error in turn, and count the seeds until it is found and the lines of its smallest script.
-    Mutants(Starts),
+    Mutants(MutantArgs),
 }
 
 #[derive(Subcommand)]
@@ -85,18 +85,18 @@
         script: Option<PathBuf>,
     },
     /// Run many seeds and say which break a rule.
-    Search(Seeds),
+    Search(SeedArgs),
     /// Run a script.
     Replay {
         /// The script (JSON).
         script: PathBuf,
     },
     /// Plant each error in turn, and count the seeds until it is found and the faults of its smallest script.
-    Mutants(Starts),
+    Mutants(MutantArgs),
 }
 
 fn write(path: &Path, script: &Script) -> Result<(), String> {
-    std::fs::write(path, short(script)).map_err(named(path))
+    std::fs::write(path, short(script)).map_err(with_path(path))
 }
 
 /// A script with a line for each request and each fault.
@@ -137,7 +137,7 @@
 }
 
 fn main() -> ExitCode {
-    let cli: Cli = match campaign::parse() {
+    let cli: Cli = match campaign::parse_args() {
         Ok(cli) => cli,
         Err(code) => return code,
     };
@@ -157,14 +157,14 @@
         }
         Command::Search { which, first } => Ok(search(&which, first, mutant)),
         Command::Shrink { script: path } => shrink_file(&path, mutant),
-        Command::Replay { script, trace } => read(&script).map(|script| {
+        Command::Replay { script, trace } => read_script(&script).map(|script| {
             let outcome = mutants::with(mutant, || run(&script, trace));
             if trace {
                 print!("{}", timeline::whole(&outcome));
             }
             report(&outcome)
         }),
-        Command::Explain { script } => read(&script).map(|script| {
+        Command::Explain { script } => read_script(&script).map(|script| {
             let outcome = mutants::with(mutant, || run(&script, false));
             for breach in &outcome.breaches {
                 println!("{}", timeline::explain(&script, &outcome, breach));
@@ -182,7 +182,7 @@
 }
 
 fn shrink_file(path: &Path, mutant: Option<&str>) -> Result<ExitCode, String> {
-    let script = read(path)?;
+    let script = read_script(path)?;
     let outcome = mutants::with(mutant, || run(&script, false));
     let Some(breach) = outcome.breaches.first() else { return Err("it breaks no rule".to_owned()) };
     let (small, runs) = mutants::with(mutant, || {
@@ -199,11 +199,11 @@
     Ok(report(&mutants::with(mutant, || run(&small, false))))
 }
 
-fn search(which: &Seeds, first: bool, mutant: Option<&str>) -> ExitCode {
+fn search(which: &SeedArgs, first: bool, mutant: Option<&str>) -> ExitCode {
     let began = Instant::now();
-    let sums: Mutex<(Pairs, Duration, u64)> = Mutex::default();
+    let sums: Mutex<(FaultPairs, Duration, u64)> = Mutex::default();
     let bar = "{bar:32} {pos}/{len} seeds {per_sec} {eta} {msg}";
-    let done = campaign::search(which, bar, |seed, bar| {
+    let done = campaign::search_seeds(which, bar, |seed, bar| {
         let script = draw::script(seed);
         let outcome = mutants::with(mutant, || run(&script, false));
         let (pairs, lasted, broken) = &mut *sums.lock().unwrap_or_else(PoisonError::into_inner);
@@ -225,7 +225,7 @@
     if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn plant_all(starts: Starts) -> ExitCode {
+fn plant_all(starts: MutantArgs) -> ExitCode {
     let find = |name: &str, seed: u64| {
         let script = draw::script(seed);
         let outcome = mutants::with(Some(name), || run(&script, false));
@@ -235,7 +235,13 @@
         let (small, _) = mutants::with(Some(name), || shrink::shrink(&script, rule, |_| {}));
         format!("{} and {}", small.asks.len(), small.faults.len())
     };
-    campaign::plant(mutants::ALL.map(|(name, _)| name), "requests and faults", starts, find, shrink)
+    campaign::measure_mutants(
+        mutants::ALL.map(|(name, _)| name),
+        "requests and faults",
+        starts,
+        find,
+        shrink,
+    )
 }
 
 // ---- several control instances ----
@@ -255,20 +261,20 @@
     match ask {
         Cluster::Run { seed, script } => {
             let drawn = agreement::script(seed);
-            let kept = script.map_or(Ok(()), |path| campaign::write(&path, &drawn));
+            let kept = script.map_or(Ok(()), |path| campaign::write_script(&path, &drawn));
             kept.map(|()| report(&drawn))
         }
-        Cluster::Replay { script } => read(&script).map(|script| report(&script)),
+        Cluster::Replay { script } => read_script(&script).map(|script| report(&script)),
         Cluster::Search(which) => Ok(search_cluster(&which, mutant)),
         Cluster::Mutants(starts) => Ok(plant_cluster(starts)),
     }
 }
 
-fn search_cluster(which: &Seeds, mutant: Option<&str>) -> ExitCode {
+fn search_cluster(which: &SeedArgs, mutant: Option<&str>) -> ExitCode {
     let began = Instant::now();
-    let sums: Mutex<(Pairs, u64, u64)> = Mutex::default();
+    let sums: Mutex<(FaultPairs, u64, u64)> = Mutex::default();
     let bar = "{bar:32} {pos}/{len} seeds {per_sec} {eta} {msg}";
-    let done = campaign::search(which, bar, |seed, bar| {
+    let done = campaign::search_seeds(which, bar, |seed, bar| {
         let script = agreement::script(seed);
         let done = mutants::with(mutant, || agreement::run(&script));
         let (pairs, answers, broken) = &mut *sums.lock().unwrap_or_else(PoisonError::into_inner);
@@ -289,7 +295,7 @@
     if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn plant_cluster(starts: Starts) -> ExitCode {
+fn plant_cluster(starts: MutantArgs) -> ExitCode {
     let find = |name: &str, seed: u64| {
         let script = agreement::script(seed);
         let done = mutants::with(Some(name), || agreement::run(&script));
@@ -300,8 +306,8 @@
             let done = mutants::with(Some(name), || agreement::run(candidate));
             done.breaches.iter().any(|breach| breach.rule == rule)
         };
-        let small = shrink::fewer(script, |s: &mut agreement::Script| &mut s.faults, &mut breaks);
+        let small = shrink::minimize_list(script, |s: &mut agreement::Script| &mut s.faults, &mut breaks);
         small.faults.len().to_string()
     };
-    campaign::plant(agreement::MUTANTS.map(|(name, _)| name), "faults", starts, find, shrink)
+    campaign::measure_mutants(agreement::MUTANTS.map(|(name, _)| name), "faults", starts, find, shrink)
 }
--- a/crates/sim/src/net.rs
+++ b/crates/sim/src/net.rs
@@ -27,7 +27,7 @@
 
 /// What is wrong with the network between two moments.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum NetFault {
     /// What one host sends to the other arrives after the window.
     Stalled(IpAddr, IpAddr),
     /// The machine is gone: what is sent to it or by it is lost, and its connections are reset when it is back.
@@ -44,7 +44,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Window {
-    trouble: Trouble,
+    trouble: NetFault,
     from: Instant,
     until: Instant,
 }
@@ -105,9 +105,9 @@
 }
 
 /// What is noted of bytes by those who look on.
-pub trait Tap {
+pub trait WriteObserver {
     /// A host that is looked on wrote these bytes to another one on a connection.
-    fn wrote(&mut self, link: u64, from: IpAddr, to: IpAddr, bytes: &[u8], now: Instant);
+    fn on_write(&mut self, link: u64, from: IpAddr, to: IpAddr, bytes: &[u8], now: Instant);
 }
 
 struct State {
@@ -121,7 +121,7 @@
     next: u64,
     ports: BTreeMap<SocketAddr, Port>,
     windows: Vec<Window>,
-    tapped: Option<(Vec<IpAddr>, Box<dyn Tap>)>,
+    tapped: Option<(Vec<IpAddr>, Box<dyn WriteObserver>)>,
     /// Every write, arrival of an end and reset, hashed in order.
     hash: u64,
     /// What happened, in words, if wanted.
@@ -130,21 +130,21 @@
 
 /// The network.
 #[derive(Clone)]
-pub struct Wires(Rc<RefCell<State>>);
+pub struct VirtualNetwork(Rc<RefCell<State>>);
 
 /// FNV-1a, going on from a hash.
-pub(crate) fn fnv(hash: u64, bytes: &[u8]) -> u64 {
+pub(crate) fn fnv1a(hash: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 impl State {
     fn note(&mut self, link: u64, side: usize, what: &str, count: usize) {
         let now = Instant::now();
-        self.hash = fnv(self.hash, &now.duration_since(self.start).as_micros().to_le_bytes());
-        self.hash = fnv(self.hash, &link.to_le_bytes());
-        self.hash = fnv(self.hash, &[side as u8]);
-        self.hash = fnv(self.hash, what.as_bytes());
-        self.hash = fnv(self.hash, &(count as u64).to_le_bytes());
+        self.hash = fnv1a(self.hash, &now.duration_since(self.start).as_micros().to_le_bytes());
+        self.hash = fnv1a(self.hash, &link.to_le_bytes());
+        self.hash = fnv1a(self.hash, &[side as u8]);
+        self.hash = fnv1a(self.hash, what.as_bytes());
+        self.hash = fnv1a(self.hash, &(count as u64).to_le_bytes());
         if let Some(lines) = &mut self.lines
             && let Some(Link { hosts, .. }) = self.links.get(&link)
         {
@@ -158,14 +158,14 @@
         let now = Instant::now();
         let silent = |at: Instant| {
             self.windows.iter().any(|window| {
-                let gone = matches!(window.trouble, Trouble::Silent(host) if host == from || host == to);
+                let gone = matches!(window.trouble, NetFault::Silent(host) if host == from || host == to);
                 gone && window.from <= at && at < window.until
             })
         };
         if silent(now) {
             return None;
         }
-        let stalls = self.windows.iter().filter(|window| window.trouble == Trouble::Stalled(from, to));
+        let stalls = self.windows.iter().filter(|window| window.trouble == NetFault::Stalled(from, to));
         let begin =
             stalls.filter(|window| window.from <= now).map(|window| window.until).fold(now, Instant::max);
         let (least, most) = self.latency;
@@ -179,8 +179,8 @@
         let now = Instant::now();
         let running = self.windows.iter().filter(|window| window.from <= now && now < window.until);
         let delays = running.map(|window| match window.trouble {
-            Trouble::Slow(host, by) if host == from || host == to => by,
-            Trouble::Lossy(host, percent) if host == from || host == to => {
+            NetFault::Slow(host, by) if host == from || host == to => by,
+            NetFault::Lossy(host, percent) if host == from || host == to => {
                 // The timer for sending again doubles each time.
                 let lost = [draw >> 3, draw >> 11, draw >> 19].map(|draw| draw % 100 < percent);
                 match lost {
@@ -199,7 +199,7 @@
     fn back(&self, hosts: [IpAddr; 2]) -> Option<Instant> {
         let now = Instant::now();
         let silent = self.windows.iter().filter(|window| {
-            matches!(window.trouble, Trouble::Silent(host) if hosts.contains(&host))
+            matches!(window.trouble, NetFault::Silent(host) if hosts.contains(&host))
                 && window.from <= now
                 && now < window.until
         });
@@ -256,10 +256,10 @@
     }
 }
 
-impl Wires {
+impl VirtualNetwork {
     /// A network of this latency one way, with so many of 100 reads and writes short.
-    pub fn new(seed: u64, latency: (Duration, Duration), split: u32, lines: bool) -> Wires {
-        Wires(Rc::new(RefCell::new(State {
+    pub fn new(seed: u64, latency: (Duration, Duration), split: u32, lines: bool) -> VirtualNetwork {
+        VirtualNetwork(Rc::new(RefCell::new(State {
             start: Instant::now(),
             seed,
             latency,
@@ -275,12 +275,12 @@
     }
 
     /// Has something go wrong from one moment to another.
-    pub fn trouble(&self, trouble: Trouble, from: Instant, until: Instant) {
+    pub fn add_fault(&self, trouble: NetFault, from: Instant, until: Instant) {
         self.0.borrow_mut().windows.push(Window { trouble, from, until });
     }
 
     /// Looks on at what these hosts write.
-    pub fn tap(&self, hosts: Vec<IpAddr>, tap: Box<dyn Tap>) {
+    pub fn observe_writes(&self, hosts: Vec<IpAddr>, tap: Box<dyn WriteObserver>) {
         self.0.borrow_mut().tapped = Some((hosts, tap));
     }
 
@@ -290,7 +290,7 @@
     }
 
     /// Resets all connections of a host: its process has died. Its ports no longer listen.
-    pub fn died(&self, host: IpAddr) {
+    pub fn process_died(&self, host: IpAddr) {
         let mut state = self.0.borrow_mut();
         state.ports.retain(|at, _| at.ip() != host);
         for number in state.links_of(host) {
@@ -313,7 +313,7 @@
     }
 
     /// Resets the connections of a host, which goes on.
-    pub fn reset_all(&self, host: IpAddr) {
+    pub fn reset_connections(&self, host: IpAddr) {
         let mut state = self.0.borrow_mut();
         for number in state.links_of(host) {
             state.reset(number);
@@ -321,7 +321,7 @@
     }
 
     /// When the byte before an offset was written by a side, and when it arrives at the other machine.
-    pub fn times(&self, link: u64, side: usize, offset: u64) -> Option<(Instant, Instant)> {
+    pub fn write_times(&self, link: u64, side: usize, offset: u64) -> Option<(Instant, Instant)> {
         let state = self.0.borrow();
         let times = &state.links.get(&link)?.pipes[side].times;
         times.iter().find(|(end, ..)| *end >= offset).map(|(_, wrote, arrives)| (*wrote, *arrives))
@@ -329,12 +329,12 @@
 
     /// How much of what a side wrote the other one has read before it ended its own side: what is read after that is
     /// thrown away (lingering close), and a client may send it again.
-    pub fn read_of(&self, link: u64, side: usize) -> u64 {
+    pub fn bytes_read(&self, link: u64, side: usize) -> u64 {
         self.0.borrow().links.get(&link).map_or(0, |link| link.pipes[side].read)
     }
 
     /// Connections of a host that it has not closed.
-    pub fn open_of(&self, host: IpAddr) -> usize {
+    pub fn open_connections(&self, host: IpAddr) -> usize {
         let state = self.0.borrow();
         let open = |link: &&Link| (0..2).any(|side| link.hosts[side] == host && !link.gone[side]);
         state.links.values().filter(open).count()
@@ -352,7 +352,7 @@
 
     /// Connects, as a stream that tells more than a connection does.
     pub async fn connect(&self, from: IpAddr, to: SocketAddr) -> io::Result<Stream> {
-        let (hosts, hangs) = ([from, to.ip()], Trouble::Hangs(to.ip()));
+        let (hosts, hangs) = ([from, to.ip()], NetFault::Hangs(to.ip()));
         let (asked, number) = {
             let mut state = self.0.borrow_mut();
             let number = state.next;
@@ -384,7 +384,7 @@
             let state = self.0.borrow();
             let late = state.windows.iter().filter(|w| w.from <= asked && asked < w.until);
             late.filter_map(|w| match w.trouble {
-                Trouble::Late(host, by) if host == to.ip() => Some(by),
+                NetFault::Late(host, by) if host == to.ip() => Some(by),
                 _ => None,
             })
             .max()
@@ -433,7 +433,7 @@
 
 /// One end of a connection.
 pub struct Stream {
-    wires: Wires,
+    wires: VirtualNetwork,
     link: u64,
     /// 0: it connected.
     side: usize,
@@ -571,7 +571,7 @@
         if let Some((tapped, tap)) = &mut state.tapped
             && tapped.contains(&hosts[self.side])
         {
-            tap.wrote(self.link, hosts[self.side], hosts[1 - self.side], &bytes[..count], now);
+            tap.on_write(self.link, hosts[self.side], hosts[1 - self.side], &bytes[..count], now);
         }
         state.send(self.link, self.side, Segment::Data(bytes[..count].to_vec()));
         Poll::Ready(Ok(count))
@@ -610,7 +610,7 @@
 
 /// A port that listens.
 pub struct Accepts {
-    wires: Wires,
+    wires: VirtualNetwork,
     at: SocketAddr,
 }
 
@@ -656,7 +656,7 @@
 }
 
 struct Host {
-    wires: Wires,
+    wires: VirtualNetwork,
     host: IpAddr,
 }
 
--- a/crates/sim/src/run.rs
+++ b/crates/sim/src/run.rs
@@ -120,7 +120,7 @@
 
     async fn kill(&self, process: Process, killed: bool) {
         if !process.task.is_finished() {
-            self.world.wires.died(sidecar_ip(self.number));
+            self.world.wires.process_died(sidecar_ip(self.number));
             process.task.abort();
             let _ = process.task.await;
             let life = &mut self.world.facts.borrow_mut().lives[process.life];
@@ -211,13 +211,13 @@
         let most = world.script.all_endpoints() as usize * REMEMBERED_OF_ENDPOINT + REMEMBERED_MORE;
         left("things that the module remembers", gauges.remembered, most);
         // The watch, and what asks for a list now and then.
-        left("connections open", world.wires.open_of(sidecar_ip(self.number)), 2);
+        left("connections open", world.wires.open_connections(sidecar_ip(self.number)), 2);
         world.facts.borrow_mut().open.extend(open);
     }
 }
 
 fn troubles(world: &World) {
-    use crate::net::Trouble::{Hangs, Late, Silent, Stalled};
+    use crate::net::NetFault::{Hangs, Late, Silent, Stalled};
     use crate::world::{client_ip, endpoint_ip};
     for fault in &world.script.faults {
         let (trouble, at, lasts) = match fault {
@@ -238,7 +238,7 @@
             }
             _ => continue,
         };
-        world.wires.trouble(trouble, world.at(*at), world.at(at + lasts));
+        world.wires.add_fault(trouble, world.at(*at), world.at(at + lasts));
     }
 }
 
@@ -255,7 +255,7 @@
                 let host = crate::world::endpoint_ip(*endpoint);
                 spawn_local(async move {
                     sleep_until(at).await;
-                    world.wires.reset_all(host);
+                    world.wires.reset_connections(host);
                 });
             }
             _ => {}
--- a/crates/sim/src/shrink.rs
+++ b/crates/sim/src/shrink.rs
@@ -18,8 +18,8 @@
     let mut best = script.clone();
     loop {
         let before = best.clone();
-        best = fewer(best, |s| &mut s.faults, &mut breaks);
-        best = fewer(best, |s| &mut s.asks, &mut breaks);
+        best = minimize_list(best, |s| &mut s.faults, &mut breaks);
+        best = minimize_list(best, |s| &mut s.asks, &mut breaks);
         for simpler in simpler(&best) {
             if breaks(&simpler) {
                 best = simpler;
@@ -34,7 +34,7 @@
 }
 
 /// Leaves out parts of a script's list, large ones first, for as long as what is left still breaks the rule.
-pub fn fewer<S: Clone, T>(
+pub fn minimize_list<S: Clone, T>(
     mut best: S,
     list: impl Fn(&mut S) -> &mut Vec<T>,
     breaks: &mut impl FnMut(&S) -> bool,
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -2,7 +2,7 @@
 
 use crate::facts::{Answered, Attempt, Facts, Written};
 use crate::http::Reader;
-use crate::net::{Tap, Wires, fnv};
+use crate::net::{VirtualNetwork, WriteObserver, fnv1a};
 use crate::script::{Class, Script};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
@@ -82,7 +82,7 @@
 /// What all players share.
 pub struct World {
     /// The network.
-    pub wires: Wires,
+    pub wires: VirtualNetwork,
     /// The script.
     pub script: Script,
     /// When the run began.
@@ -95,11 +95,11 @@
     /// A world that begins now.
     pub fn new(script: Script, lines: bool) -> Rc<World> {
         let (least, most) = script.latency_ms;
-        let wires = Wires::new(script.seed, (ms(least), ms(most.max(least))), script.split, lines);
+        let wires = VirtualNetwork::new(script.seed, (ms(least), ms(most.max(least))), script.split, lines);
         let facts: Rc<RefCell<Facts>> = Rc::default();
         let start = Instant::now();
         let onlooker = Onlooker { facts: facts.clone(), start, links: BTreeMap::new() };
-        wires.tap((0..script.sidecars).map(sidecar_ip).collect(), Box::new(onlooker));
+        wires.observe_writes((0..script.sidecars).map(sidecar_ip).collect(), Box::new(onlooker));
         Rc::new(World { wires, script, start, facts })
     }
 
@@ -120,7 +120,7 @@
 
     /// Draws that depend on the seed and a name alone, and not on who drew before.
     pub fn draws(&self, name: &str) -> Pcg32 {
-        let hash = fnv(self.script.seed ^ 0x51_7c_c1_b7_27_22_0a_95, name.as_bytes());
+        let hash = fnv1a(self.script.seed ^ 0x51_7c_c1_b7_27_22_0a_95, name.as_bytes());
         Pcg32::seed_from_u64(hash)
     }
 
@@ -171,8 +171,8 @@
     attempt: Option<usize>,
 }
 
-impl Tap for Onlooker {
-    fn wrote(&mut self, link: u64, from: IpAddr, to: IpAddr, bytes: &[u8], now: Instant) {
+impl WriteObserver for Onlooker {
+    fn on_write(&mut self, link: u64, from: IpAddr, to: IpAddr, bytes: &[u8], now: Instant) {
         let ((kind, other), (_, sidecar)) = (number_of(to), number_of(from));
         let now = now.duration_since(self.start);
         let seen = self.links.entry(link).or_default();
@@ -180,7 +180,7 @@
             1 => other,
             3 => {
                 seen.reader.feed(bytes);
-                while let Ok(Some(message)) = seen.reader.take() {
+                while let Ok(Some(message)) = seen.reader.next_message() {
                     let body = String::from_utf8_lossy(&message.body).into_owned();
                     let answer = Answered { wrote: now, status: message.status(), body };
                     self.facts.borrow_mut().written.push(Written { at: (link, message.at.0), answer });
@@ -194,12 +194,12 @@
         let facts = &mut self.facts.borrow_mut();
         loop {
             // The head is there before the message is whole, and says whose attempt it is.
-            let Ok(Some((head, _))) = seen.reader.head() else { return };
+            let Ok(Some((head, _))) = seen.reader.peek_head() else { return };
             if head.first.contains(" /-/") {
-                if !matches!(seen.reader.take(), Ok(Some(_))) {
+                if !matches!(seen.reader.next_message(), Ok(Some(_))) {
                     return;
                 }
-                (seen.began, seen.attempt) = (seen.reader.begun().then_some(now), None);
+                (seen.began, seen.attempt) = (seen.reader.has_partial_message().then_some(now), None);
                 continue;
             }
             let first = seen.began.unwrap_or(now);
@@ -216,9 +216,9 @@
                 facts.attempts.push(attempt);
                 facts.attempts.len() - 1
             });
-            let Ok(Some(_)) = seen.reader.take() else { return };
+            let Ok(Some(_)) = seen.reader.next_message() else { return };
             facts.attempts[place].whole = Some(now);
-            (seen.began, seen.attempt) = (seen.reader.begun().then_some(now), None);
+            (seen.began, seen.attempt) = (seen.reader.has_partial_message().then_some(now), None);
         }
     }
 }
--- a/crates/sim/tests/http.rs
+++ b/crates/sim/tests/http.rs
@@ -1,6 +1,6 @@
 //! The stand-ins' reader of HTTP messages.
 
-use runtrack_sim::http::{NoMessage, Reader};
+use runtrack_sim::http::{MalformedMessage, Reader};
 
 #[test]
 fn messages_come_whole_with_their_places_whatever_the_pieces() {
@@ -9,14 +9,14 @@
         let (mut reader, mut found) = (Reader::default(), Vec::new());
         for bytes in text.chunks(piece) {
             reader.feed(bytes);
-            while let Some(message) = reader.take().expect("messages") {
+            while let Some(message) = reader.next_message().expect("messages") {
                 found.push(message);
             }
         }
         assert_eq!(found.len(), 2, "in pieces of {piece}");
         assert_eq!((found[0].header("x-id"), &found[0].body[..]), (Some("7"), &b"abc"[..]));
         assert_eq!((found[0].at.1, found[1].at), (found[1].at.0, (found[1].at.0, text.len() as u64)));
-        assert!(!reader.begun());
+        assert!(!reader.has_partial_message());
     }
 }
 
@@ -25,6 +25,6 @@
     for bad in [&b"x\r\nno colon\r\n\r\n"[..], b"\xff\r\n\r\n", b"a b\r\nContent-Length: -1\r\n\r\n"] {
         let mut reader = Reader::default();
         reader.feed(bad);
-        assert_eq!(reader.take(), Err(NoMessage));
+        assert_eq!(reader.next_message(), Err(MalformedMessage));
     }
 }
