--- a/crates/sim/src/fleet/call.rs
+++ b/crates/sim/src/fleet/call.rs
@@ -85,7 +85,7 @@
 
 async fn exchange(world: &World, number: usize, call_request: &CallRequest) -> io::Result<Option<Answer>> {
     let mut stream = world
-        .wires
+        .network
         .connect(caller_ip(call_request.caller).into(), control_address(call_request.core))
         .await?;
     world.update_call(number, |call| call.connected = true);
@@ -102,7 +102,7 @@
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         reader.feed(&buffer[..count]);
-        if let Ok(Some(message)) = reader.take() {
+        if let Ok(Some(message)) = reader.next_message() {
             let answer = parse_answer(&message);
             if answer.config.is_some() {
                 world.record_lineage(&message.body);
@@ -110,7 +110,7 @@
             let (now, received) = (world.now(), answer.clone());
             world.update_call(number, |call| (call.ended, call.answer) = (Some(now), Some(received)));
             let more = timeout(SURPLUS_WAIT, stream.read(&mut buffer)).await;
-            if reader.begun() || matches!(more, Ok(Ok(1..))) {
+            if reader.has_partial_message() || matches!(more, Ok(Ok(1..))) {
                 world.update_call(number, |call| call.surplus = true);
             }
             return Ok(Some(answer));
--- a/crates/sim/src/fleet/command.rs
+++ b/crates/sim/src/fleet/command.rs
@@ -1,7 +1,7 @@
 //! The `fleet` command of `runtrack-sim`: runs, replays, searches and shrinks simulations of the control
 //! plane, and measures how soon planted errors are found.
 
-use crate::campaign::{self, Pairs, Seeds, Starts};
+use crate::campaign::{self, FaultPairs, MutantArgs, SeedArgs};
 use crate::fleet::oracle::Rule;
 use crate::fleet::run::{Outcome, run};
 use crate::fleet::script::Script;
@@ -44,7 +44,7 @@
     Search {
         /// The seeds to run.
         #[command(flatten)]
-        which: Seeds,
+        which: SeedArgs,
         /// Generate only scripts around this theme.
         #[arg(long)]
         theme: Option<draw::Theme>,
@@ -64,7 +64,7 @@
     Mutants {
         /// The searches to make for each error.
         #[command(flatten)]
-        starts: Starts,
+        starts: MutantArgs,
         /// Only errors whose name contains this text.
         #[arg(long)]
         only: Option<String>,
@@ -101,10 +101,10 @@
     match command {
         Command::Play { seed, theme, timeline, script } => {
             let script_of_seed = draw::script_of(theme, seed);
-            let saved = script.map_or(Ok(()), |path| campaign::write(&path, &script_of_seed));
+            let saved = script.map_or(Ok(()), |path| campaign::write_script(&path, &script_of_seed));
             saved.map(|()| play(&script_of_seed, timeline))
         }
-        Command::Replay { script, timeline } => campaign::read(&script).map(|s| play(&s, timeline)),
+        Command::Replay { script, timeline } => campaign::read_script(&script).map(|s| play(&s, timeline)),
         Command::Search { which, theme } => Ok(search(&which, theme, mutant)),
         Command::Shrink { seed, theme, to } => {
             let script = draw::script_of(theme, seed);
@@ -114,7 +114,7 @@
             };
             let (small, runs) =
                 mutants::with(mutant, || shrink::shrink(&script, violation.rule, shrink::DEFAULT_MAX_RUNS));
-            campaign::write(&to, &small)?;
+            campaign::write_script(&to, &small)?;
             println!("{}: {} faults, {runs} runs", to.display(), small.faults.len());
             Ok(play(&small, false))
         }
@@ -122,11 +122,11 @@
     }
 }
 
-fn search(which: &Seeds, theme: Option<draw::Theme>, mutant: Option<&str>) -> ExitCode {
+fn search(which: &SeedArgs, theme: Option<draw::Theme>, mutant: Option<&str>) -> ExitCode {
     let began = Instant::now();
-    let sums: Mutex<(Pairs, u64, u64, f64)> = Mutex::default();
+    let sums: Mutex<(FaultPairs, u64, u64, f64)> = Mutex::default();
     let bar = "{bar:32} {pos}/{len} seeds {per_sec} {eta} {msg}";
-    let done = campaign::search(which, bar, |seed, bar| {
+    let done = campaign::search_seeds(which, bar, |seed, bar| {
         let script = draw::script_of(theme, seed);
         let outcome = mutants::with(mutant, || run(&script, false));
         let (pairs, calls, violating, virtual_s) =
@@ -153,7 +153,7 @@
 
 /// For each start, the number of seeds until a planted error was found and the rule that showed it; `None`
 /// if no seed of that search showed it.
-fn seeds_until_found(name: &str, starts: &Starts) -> Vec<Option<(u64, Rule)>> {
+fn seeds_until_found(name: &str, starts: &MutantArgs) -> Vec<Option<(u64, Rule)>> {
     let violated_rule = |seed: u64| {
         let outcome = mutants::with(Some(name), || run(&draw::script(seed), false));
         outcome.violations.first().map(|violation| violation.rule)
@@ -165,13 +165,13 @@
     (0..starts.starts).map(|start| from(start * 100_000)).collect()
 }
 
-fn measure_mutants(starts: &Starts, jobs: usize, only: Option<&str>) -> ExitCode {
+fn measure_mutants(starts: &MutantArgs, jobs: usize, only: Option<&str>) -> ExitCode {
     let selected: Vec<_> =
         MUTANTS.iter().filter(|mutant| only.is_none_or(|only| mutant.name.contains(only))).collect();
     let rows: Mutex<BTreeMap<u64, String>> = Mutex::default();
     let any_missed = AtomicBool::new(false);
-    let seeds = Seeds { seeds: 0..selected.len() as u64, jobs };
-    campaign::search(&seeds, "{pos}/{len} planted errors", |number, _| {
+    let seeds = SeedArgs { seeds: 0..selected.len() as u64, jobs };
+    campaign::search_seeds(&seeds, "{pos}/{len} planted errors", |number, _| {
         let mutant = selected[number as usize];
         let found = seeds_until_found(mutant.name, starts);
         if found.contains(&None) {
@@ -188,7 +188,7 @@
     if any_missed.into_inner() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
-fn row(mutant: &Mutant, starts: &Starts, found: &[Option<(u64, Rule)>]) -> String {
+fn row(mutant: &Mutant, starts: &MutantArgs, found: &[Option<(u64, Rule)>]) -> String {
     let format_count =
         |count: Option<u64>| count.map_or(format!("over {}", starts.most), |count| count.to_string());
     let counts: Vec<Option<u64>> = found.iter().map(|found| found.map(|(count, _)| count)).collect();
--- a/crates/sim/src/fleet/fault_injector.rs
+++ b/crates/sim/src/fleet/fault_injector.rs
@@ -4,7 +4,7 @@
 use crate::fleet::host::{Host, Program};
 use crate::fleet::script::{CutScope, Direction, Fault, Script};
 use crate::fleet::world::{World, agent_ip, core_ip};
-use crate::net::Trouble;
+use crate::net::NetFault;
 use runtrack_link::ProcessEvent;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -98,17 +98,17 @@
         (0..self.world.script.machine_count()).map(|core| core_ip(core).into()).collect()
     }
 
-    fn network_fault(&self, trouble: Trouble, (at, lasts): (u32, u32)) {
-        self.world.wires.trouble(trouble, self.world.instant_at(at), self.world.instant_at(at + lasts));
+    fn network_fault(&self, fault: NetFault, (at, lasts): (u32, u32)) {
+        self.world.network.add_fault(fault, self.world.instant_at(at), self.world.instant_at(at + lasts));
     }
 
     fn stall_link(&self, from: Ipv4Addr, to: IpAddr, way: Direction, span: (u32, u32)) {
         let from = IpAddr::from(from);
         if way != Direction::In {
-            self.network_fault(Trouble::Stalled(from, to), span);
+            self.network_fault(NetFault::Stalled(from, to), span);
         }
         if way != Direction::Out {
-            self.network_fault(Trouble::Stalled(to, from), span);
+            self.network_fault(NetFault::Stalled(to, from), span);
         }
     }
 
@@ -128,15 +128,15 @@
             }
             Fault::SlowLinks { core, by, .. } => {
                 let by = Duration::from_millis((*by).into());
-                self.network_fault(Trouble::Slow(core_ip(*core).into(), by), span);
+                self.network_fault(NetFault::Slow(core_ip(*core).into(), by), span);
             }
             Fault::Loss { core, percent, .. } => {
-                self.network_fault(Trouble::Lossy(core_ip(*core).into(), *percent), span);
+                self.network_fault(NetFault::Lossy(core_ip(*core).into(), *percent), span);
             }
-            Fault::Power { core, .. } => self.network_fault(Trouble::Silent(core_ip(*core).into()), span),
+            Fault::Power { core, .. } => self.network_fault(NetFault::Silent(core_ip(*core).into()), span),
             Fault::PowerAll { .. } => {
                 for core in self.all_core_ips() {
-                    self.network_fault(Trouble::Silent(core), span);
+                    self.network_fault(NetFault::Silent(core), span);
                 }
             }
             Fault::Disk { core, what, .. } => {
@@ -189,7 +189,7 @@
                 host.set_held(true); // never released
                 host.kill(true).await;
             }
-            Step::ResetConnections(core) => self.world.wires.reset_all(core_ip(core).into()),
+            Step::ResetConnections(core) => self.world.network.reset_connections(core_ip(core).into()),
             Step::ChangeSeeds(first) => self.change_seeds(first),
             Step::StopAgent(agent) => {
                 let host = self.agent_host(agent);
--- a/crates/sim/src/fleet/host.rs
+++ b/crates/sim/src/fleet/host.rs
@@ -143,9 +143,9 @@
         let process = self.process.borrow_mut().take();
         let Some(process) = process else { return };
         if power_lost {
-            self.world.wires.lost_power(self.ip().into());
+            self.world.network.lost_power(self.ip().into());
         } else {
-            self.world.wires.died(self.ip().into());
+            self.world.network.process_died(self.ip().into());
         }
         process.task.abort();
         let _ = process.task.await; // fails with "cancelled", as the task was aborted
--- a/crates/sim/src/fleet/observer.rs
+++ b/crates/sim/src/fleet/observer.rs
@@ -82,7 +82,7 @@
     let mut observer =
         Observer { world: world.clone(), agent, start_number: 0, newest_version: 0, endpoints_by_key };
     loop {
-        if let Ok(stream) = world.wires.connect(agent_ip(agent).into(), feed_address(agent)).await {
+        if let Ok(stream) = world.network.connect(agent_ip(agent).into(), feed_address(agent)).await {
             observer.start_number = host.start_number();
             observer.newest_version = 0;
             observer.observe(stream).await;
--- a/crates/sim/src/fleet/run.rs
+++ b/crates/sim/src/fleet/run.rs
@@ -6,7 +6,7 @@
 use crate::fleet::script::{RECOVERY_TIME, Script};
 use crate::fleet::world::World;
 use crate::fleet::{config_body, disruption, endpoint, observer, operator, timeline};
-use crate::net::fnv;
+use crate::net::fnv1a;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::{LocalSet, spawn_local};
@@ -63,7 +63,7 @@
     finish(&world, &fault_injector).await;
     let facts = world.facts.borrow().clone();
     let violations = oracle::check(script, &facts);
-    let hash = hash(world.wires.hash(), &facts);
+    let hash = hash(world.network.hash(), &facts);
     let log = if traced { timeline::take_lines(start) } else { Vec::new() };
     Outcome { violations, facts, hash, log }
 }
@@ -91,15 +91,15 @@
     (facts.unreadable_cores, facts.final_disks, facts.end) = (unread, disks, world.now());
 }
 
-fn hash(wires: u64, facts: &Facts) -> u64 {
-    let mut hash = fnv(wires, &[]);
+fn hash(network_hash: u64, facts: &Facts) -> u64 {
+    let mut hash = fnv1a(network_hash, &[]);
     for call in &facts.calls {
-        hash = fnv(hash, format!("{call:?}").as_bytes());
+        hash = fnv1a(hash, format!("{call:?}").as_bytes());
     }
     let report_text = |told: &Report| format!("{told:?}");
     for event in &facts.events {
         let at = event.at.as_micros().to_le_bytes();
-        hash = fnv(fnv(hash, &at), report_text(&event.report).as_bytes());
+        hash = fnv1a(fnv1a(hash, &at), report_text(&event.report).as_bytes());
     }
     hash
 }
--- a/crates/sim/src/fleet/shrink.rs
+++ b/crates/sim/src/fleet/shrink.rs
@@ -4,7 +4,7 @@
 use crate::fleet::oracle::Rule;
 use crate::fleet::run::run;
 use crate::fleet::script::Script;
-use crate::shrink::fewer;
+use crate::shrink::minimize_list;
 
 /// Number of runs that usually suffices to shrink a script.
 pub const DEFAULT_MAX_RUNS: usize = 600;
@@ -19,9 +19,9 @@
     let mut best = script.clone();
     loop {
         let before = best.clone();
-        best = fewer(best, |script| &mut script.faults, &mut still_violates);
-        best = fewer(best, |script| &mut script.requests, &mut still_violates);
-        best = fewer(best, |script| &mut script.endpoints, &mut still_violates);
+        best = minimize_list(best, |script| &mut script.faults, &mut still_violates);
+        best = minimize_list(best, |script| &mut script.requests, &mut still_violates);
+        best = minimize_list(best, |script| &mut script.endpoints, &mut still_violates);
         for simpler in simplifications(&best) {
             if still_violates(&simpler) {
                 best = simpler;
--- a/crates/sim/src/fleet/world.rs
+++ b/crates/sim/src/fleet/world.rs
@@ -7,7 +7,7 @@
     AgentEvent, Call, DiskRollback, DiskState, Facts, MemberId, Report, Termination,
 };
 use crate::fleet::script::Script;
-use crate::net::Wires;
+use crate::net::VirtualNetwork;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use runtrack_fleetconfig::Node;
@@ -35,7 +35,7 @@
     /// The script of the run.
     pub script: Script,
     /// The simulated network.
-    pub wires: Wires,
+    pub network: VirtualNetwork,
     /// What was recorded.
     pub facts: RefCell<Facts>,
     /// The newest version that operators know of.
@@ -86,10 +86,10 @@
     pub fn new(script: Script, traced: bool) -> Rc<Self> {
         let ms = |time: u32| Duration::from_millis(time.into());
         let latency = (ms(script.latency_ms.0), ms(script.latency_ms.1));
-        let wires = Wires::new(script.seed, latency, script.split, false);
+        let network = VirtualNetwork::new(script.seed, latency, script.split, false);
         let seeds = (0..script.cores.min(SEED_COUNT)).collect();
         Rc::new(World {
-            wires,
+            network,
             facts: RefCell::default(),
             newest_known: Cell::new(0),
             cores: RefCell::new((0..script.cores).collect()),
@@ -151,7 +151,7 @@
 
     /// The network as seen from a machine.
     pub fn network(&self, ip: Ipv4Addr) -> Rc<dyn runtrack_net::Network> {
-        self.wires.host(IpAddr::V4(ip))
+        self.network.host(IpAddr::V4(ip))
     }
 
     /// Records the start of a call; returns the call's number.
