--- a/crates/agree/tests/disks.rs
+++ b/crates/agree/tests/disks.rs
@@ -51,23 +51,23 @@
     let steps = {
         let disk = new_disk();
         let mut node = single_member(&disk);
-        let before = disk.done();
+        let before = disk.operations();
         let (all, _) = write_until_failure(&mut node, count, size);
         assert!(
             all.len() as u64 + 1 >= count && node.snapshot().index > 1,
             "no snapshot was made during the run"
         );
-        disk.done() - before
+        disk.operations() - before
     };
     let mut kept = 0;
     for cut in 0..steps {
         for seed in 0..4 {
             let disk = new_disk();
             let mut node = single_member(&disk);
-            disk.fail(Some((disk.done() + cut, true)));
+            disk.fail_at(Some((disk.operations() + cut, true)));
             let (acknowledged, _) = write_until_failure(&mut node, count, size);
             drop(node);
-            let disk_after_cut = disk.after_cut(&mut Pcg32::seed_from_u64(seed));
+            let disk_after_cut = disk.after_power_loss(&mut Pcg32::seed_from_u64(seed));
             let node = single_member(&disk_after_cut);
             let state = node.state().expect("it has a state");
             for id in &acknowledged {
@@ -88,8 +88,8 @@
             let victim = 1 + u64::from(cluster.rng.next_u32() % 3);
             // The power fails in the middle of an iteration, at one of the disk's next operations.
             let disk = cluster.disks[&victim].clone();
-            let at = disk.done() + cluster.rng.next_u32() as usize % 6;
-            disk.fail(Some((at, true)));
+            let at = disk.operations() + cluster.rng.next_u32() as usize % 6;
+            disk.fail_at(Some((at, true)));
             if n % 4 == 3 {
                 (1..=3).for_each(|member| cluster.power_off(member));
                 (1..=3).for_each(|member| cluster.start(member));
@@ -125,7 +125,7 @@
         for at in 0..good.len() {
             let mut bad = good.clone();
             bad[at] ^= 0x04;
-            disk.spoil(&name, &bad);
+            disk.overwrite(&name, &bad);
             match Node::open(disk.clone(), TUNING, 1) {
                 Err(NodeError::Disk(_)) => refused += 1,
                 Err(other) => panic!("{name}, byte {at}: {other}"),
@@ -136,7 +136,7 @@
                     harmless += 1;
                 }
             }
-            disk.spoil(&name, &good);
+            disk.overwrite(&name, &good);
         }
     }
     assert!(refused > 20 * harmless, "{refused} refused, {harmless} harmless");
@@ -150,7 +150,7 @@
     }
     let leader = cluster.leader().expect("somebody");
     let disk = cluster.disks[&leader].clone();
-    disk.fail(Some((disk.done(), false)));
+    disk.fail_at(Some((disk.operations(), false)));
     cluster.write("", hold(5));
     assert!(matches!(&cluster.errors[..], [(member, NodeError::Disk(_))] if *member == leader));
     let index = cluster.write("", hold(6));
--- a/crates/agree/tests/host.rs
+++ b/crates/agree/tests/host.rs
@@ -6,7 +6,7 @@
 use runtrack_agree::host::{self, Handle, RequestError, Settings};
 use runtrack_agree::{Command, Identity, MemberChange, Node, Outcome, State, Tuning};
 use runtrack_store::Folder;
-use runtrack_testkit::{Folder as TempFolder, free_port, until};
+use runtrack_testkit::{TempDir, free_port, until};
 use std::net::SocketAddr;
 use std::time::Duration;
 use support::hold;
@@ -16,7 +16,7 @@
 
 /// A running member and the address that it listens on.
 struct Member {
-    _folder: TempFolder,
+    _folder: TempDir,
     address: SocketAddr,
     handle: Handle,
     server: JoinHandle<()>,
@@ -27,7 +27,7 @@
     Settings { tick: Duration::from_millis(20), tuning, ..Settings::default() }
 }
 
-fn run(folder: &TempFolder, address: SocketAddr) -> (Handle, JoinHandle<()>) {
+fn run(folder: &TempDir, address: SocketAddr) -> (Handle, JoinHandle<()>) {
     let folder = Folder::new(folder.path()).expect("a folder");
     let (handle, peers) = host::start(folder, settings()).expect("a member");
     let server = tonic::transport::Server::builder().add_service(peers).serve(address);
@@ -36,7 +36,7 @@
 
 impl Member {
     fn first() -> Member {
-        let (folder, address) = (TempFolder::new(), SocketAddr::from(([127, 0, 0, 1], free_port())));
+        let (folder, address) = (TempDir::new(), SocketAddr::from(([127, 0, 0, 1], free_port())));
         let state = State::new("lineage-1", 7, "m1", &address.to_string(), "folder-1");
         Node::bootstrap(Folder::new(folder.path()).expect("a folder"), support::identity(1), &state)
             .expect("made");
@@ -46,7 +46,7 @@
 
     /// Adds a member to the cluster, by an invitation from this member.
     async fn invite(&self, member: u64) -> Member {
-        let (folder, address) = (TempFolder::new(), SocketAddr::from(([127, 0, 0, 1], free_port())));
+        let (folder, address) = (TempDir::new(), SocketAddr::from(([127, 0, 0, 1], free_port())));
         let (name, ticket) = (format!("m{member}"), format!("ticket-{member}"));
         let change = MemberChange::Add { member, name, address: address.to_string(), ticket };
         self.handle.change(&format!("add-{member}"), change, TIMEOUT).await.expect("added");
@@ -171,13 +171,13 @@
         let view = handle.view();
         view.links.get(&1).and_then(|link| link.problem.clone()).unwrap_or_default()
     };
-    let (folder, address) = (TempFolder::new(), SocketAddr::from(([127, 0, 0, 1], free_port())));
+    let (folder, address) = (TempDir::new(), SocketAddr::from(([127, 0, 0, 1], free_port())));
     let others = vec![(1, members[0].address.to_string())];
     let again = Identity { folder: "another".to_owned(), others: others.clone(), ..support::identity(3) };
     Node::join(Folder::new(folder.path()).expect("a folder"), again).expect("made");
     let (handle, _server) = run(&folder, address);
     until("it is refused", || problem_of(&handle).contains("belongs to another folder")).await;
-    let folder = TempFolder::new();
+    let folder = TempDir::new();
     let foreign = Identity { lineage: "lineage-2".to_owned(), others, ..support::identity(5) };
     Node::join(Folder::new(folder.path()).expect("a folder"), foreign).expect("made");
     let address = SocketAddr::from(([127, 0, 0, 1], free_port()));
--- a/crates/agree/tests/support/mod.rs
+++ b/crates/agree/tests/support/mod.rs
@@ -103,7 +103,7 @@
     /// Cuts a member's power: unsynced data may be lost.
     pub fn power_off(&mut self, member: MemberId) {
         self.nodes.remove(&member);
-        let left = self.disks[&member].after_cut(&mut self.rng);
+        let left = self.disks[&member].after_power_loss(&mut self.rng);
         self.disks.insert(member, left);
         self.in_flight.retain(|message| message.to != member);
     }
--- a/crates/cli/benches/kills.rs
+++ b/crates/cli/benches/kills.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use runtrack_store::{Files, Folder as Files_, Store};
-use runtrack_testkit::Folder;
+use runtrack_testkit::TempDir;
 use std::path::Path;
 use std::time::Instant;
 
@@ -17,7 +17,7 @@
         "pools", "plan ms", "apply ms", "plan bytes", "state bytes"
     );
     for pools in [10, 1000, 10_000] {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         size(folder.path(), pools);
     }
     let (commit, bare) = commits();
@@ -31,7 +31,7 @@
     }
     println!("\nkills, at random times over a whole apply:");
     for (pools, rounds) in [(10, 300), (1000, 200)] {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let (committed, mixes) = common::kills(folder.path(), rounds, pools, 1);
         println!("{pools:>8} pools: {rounds} kills, {committed} had committed, {mixes} mixes");
     }
@@ -73,7 +73,7 @@
 
 /// Medians of a commit and of a bare write and sync of the same bytes, in ms, in turn.
 fn commits() -> (f64, f64) {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let files = || Files_::new(folder.path()).expect("a folder");
     let mut store = Store::open_or_create(files(), "l").expect("a store");
     let text = "x".repeat(100_000);
@@ -101,7 +101,7 @@
 
 /// Median time in which a state with so many versions is open and its current text read, in ms.
 fn opening(versions: u64) -> f64 {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let files = || Files_::new(folder.path()).expect("a folder");
     let mut store = Store::open_or_create(files(), "l").expect("a store");
     let text = "x".repeat(100_000);
--- a/crates/cli/tests/ctl.rs
+++ b/crates/cli/tests/ctl.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use runtrack_store::Lock;
-use runtrack_testkit::Folder;
+use runtrack_testkit::TempDir;
 use std::path::Path;
 use std::process::Stdio;
 
@@ -33,7 +33,7 @@
 "#;
 
 /// A state that holds `SMALL`, in `fleet.toml` as well.
-fn small(folder: &Folder) {
+fn small(folder: &TempDir) {
     folder.write("fleet.toml", SMALL);
     for args in [&["init"][..], &["plan", "fleet.toml", "-o", "first.plan"], &["apply", "first.plan"]] {
         let done = ctl(folder.path(), args);
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_change_from_plan_to_rollback() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     small(&folder);
     let at = folder.path();
     assert_eq!(code(&ctl(at, &["plan", "fleet.toml", "--detailed-exitcode"])), 0, "nothing to change");
@@ -118,7 +118,7 @@
 
 #[test]
 fn what_is_refused_has_an_exit_code_of_its_own_and_one_clear_message() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     small(&folder);
     let at = folder.path();
     let refused = |args: &[&str], wanted: i32, message: &str| {
@@ -162,7 +162,7 @@
 /// Hard case 2: two applies, and an apply and a rollback, at the same time.
 #[test]
 fn of_two_writers_at_once_one_wins_and_the_other_is_told() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     small(&folder);
     let at = folder.path();
     for round in 0..8 {
@@ -195,7 +195,7 @@
 
 #[test]
 fn a_change_in_stages_says_so_and_is_aborted_as_one_commit() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     small(&folder);
     let at = folder.path();
     assert_eq!(code(&ctl(at, &["rollout", "abort"])), 1, "nothing is handed out in stages");
@@ -221,7 +221,7 @@
 /// Hard case 4, as far as the program sees it: a folder that can't be written to.
 #[test]
 fn a_state_that_cannot_be_written_is_left_as_it_is() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     small(&folder);
     let at = folder.path();
     folder.write("a.toml", &SMALL.replace("deadline = \"3s\"", "deadline = \"4s\""));
--- a/crates/control/benches/stages.rs
+++ b/crates/control/benches/stages.rs
@@ -9,7 +9,7 @@
 mod common;
 
 use common::{BINARY, apply_change, apply_staged_change, platform_fleet, proxy};
-use runtrack_testkit::{Control, Discovery, Folder, Proxy, ScriptedLoad, connect, target, url};
+use runtrack_testkit::{Control, Discovery, Proxy, ScriptedLoad, TempDir, connect, target, url};
 use std::time::{Duration, Instant};
 
 const ROUNDS: usize = 7;
@@ -46,7 +46,7 @@
 
 async fn measure(count: usize) {
     let (folder, discovery) =
-        (Folder::new(), Discovery::start(vec![target("e0", ([127, 0, 0, 1], 7000).into(), "")]).await);
+        (TempDir::new(), Discovery::start(vec![target("e0", ([127, 0, 0, 1], 7000).into(), "")]).await);
     apply_change(folder.path(), &fleet(&discovery, 0));
     let control = Control::start_on_store(BINARY, folder.path(), "").await;
     let proxies: Vec<Proxy> = (0..count).map(|n| proxy(&control, &format!("node-{n}"), true)).collect();
--- a/crates/control/src/persistence.rs
+++ b/crates/control/src/persistence.rs
@@ -182,7 +182,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use runtrack_testkit::{Folder, target};
+    use runtrack_testkit::{TempDir, target};
 
     fn at(port: u16) -> std::net::SocketAddr {
         ([127, 0, 0, 1], port).into()
@@ -200,7 +200,7 @@
         ]
     }
 
-    fn write_commits(folder: &Folder) -> Vec<u8> {
+    fn write_commits(folder: &TempDir) -> Vec<u8> {
         let (mut journal, lists) = ListJournal::open(folder.path()).expect("a new folder");
         assert!(lists.is_empty());
         for commit in commits() {
@@ -211,7 +211,7 @@
 
     #[test]
     fn committed_lists_are_read_back() {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         write_commits(&folder);
         let (_, lists) = ListJournal::open(folder.path()).expect("sound");
         let uids: Vec<&str> = lists["p"].targets.iter().map(|t| t.uid.as_str()).collect();
@@ -228,7 +228,7 @@
 
     #[test]
     fn a_journal_truncated_anywhere_reads_as_whole_commits_and_accepts_more() {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let bytes = write_commits(&folder);
         let full = states(&bytes);
         for cut in 0..bytes.len() {
@@ -245,7 +245,7 @@
 
     #[test]
     fn a_corrupted_byte_ends_the_replay_before_it() {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let bytes = write_commits(&folder);
         let full = states(&bytes);
         for place in 0..bytes.len() {
@@ -259,7 +259,7 @@
 
     #[test]
     fn a_rewritten_journal_has_the_same_content_in_less_space() {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let (mut journal, _) = ListJournal::open(folder.path()).expect("a new folder");
         let list = List {
             rev: 1,
@@ -285,7 +285,7 @@
 
     #[test]
     fn a_rewrite_recovers_a_failed_commit() {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let (mut journal, _) = ListJournal::open(folder.path()).expect("a new folder");
         let list = |uid: &str| List { rev: 1, all: false, targets: vec![target(uid, at(1), "")] };
         journal.commit(vec![("p".to_owned(), list("a"))]).expect("written");
@@ -303,7 +303,7 @@
 
     #[test]
     fn epochs_increase_if_the_clock_is_set_back() {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let first = next_epoch(folder.path()).expect("written");
         assert!(first >= 1_600_000_000_000_000, "not below the clock");
         let far = first + 1_000_000_000_000;
--- a/crates/control/tests/common/drain_round.rs
+++ b/crates/control/tests/common/drain_round.rs
@@ -22,7 +22,7 @@
     let mut proxies = [proxy(&control, "whole", false), proxy(&control, "incremental", true)];
     for proxy in &mut proxies {
         until("both proxies know all endpoints", || proxy.with(|s| s.ready("p").len() == 4)).await;
-        proxy.send_without_pause("p", 3);
+        proxy.send_continuously("p", 3);
     }
     until("requests reach all", || endpoints.iter().all(|e| !e.arrivals().is_empty())).await;
 
@@ -37,14 +37,14 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
     };
     tokio::time::sleep(Duration::from_millis(seed * 37 % 150)).await;
-    discovery.go_down();
+    discovery.stop_serving();
     control.kill();
     tokio::time::sleep(Duration::from_millis(seed * 53 % 200)).await;
     control.launch().await;
     // A new proxy can learn of the drain only from the restarted service.
     let mut late = proxy(&control, "late", seed.is_multiple_of(2));
     until("a new proxy knows the rest", || late.with(|s| s.ready("p").len() == 3)).await;
-    late.send_without_pause("p", 2);
+    late.send_continuously("p", 2);
     tokio::time::sleep(
         (drained_at + GRACE_PERIOD + Duration::from_millis(600)).saturating_duration_since(Instant::now()),
     )
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use runtrack_plan::{Applied, Load, Plan, Request, apply, current};
 use runtrack_store::{Folder as Files, Store};
 pub use runtrack_testkit::platform_fleet;
-use runtrack_testkit::{Control, Proxy, ProxyTo};
+use runtrack_testkit::{Control, Proxy, ProxyConfig};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -26,7 +26,7 @@
 }
 
 pub fn proxy(control: &Control, id: &str, incremental: bool) -> Proxy {
-    Proxy::start(ProxyTo { control: control.xds, id: id.to_owned(), zone: String::new(), incremental })
+    Proxy::start(ProxyConfig { control: control.xds, id: id.to_owned(), zone: String::new(), incremental })
 }
 
 fn now_ms() -> u64 {
--- a/crates/control/tests/drains.rs
+++ b/crates/control/tests/drains.rs
@@ -7,7 +7,7 @@
 
 use common::*;
 use runtrack_discovery::State;
-use runtrack_testkit::{Control, Discovery, Folder, Scripted, connect, request, target, until, url};
+use runtrack_testkit::{Control, Discovery, Scripted, TempDir, connect, request, target, until, url};
 use std::time::{Duration, Instant};
 
 /// Time after the service has learned of a drain in which proxies must stop sending new requests.
@@ -68,7 +68,7 @@
     discovery.drain("a");
     until("the drain", || before.with(|s| s.ready("p").len() == 1)).await;
     let epoch = control.status().await["epoch"].as_u64();
-    discovery.go_down();
+    discovery.stop_serving();
     control.kill();
     control.launch().await;
     let status = control.status().await;
@@ -78,7 +78,7 @@
     until("the last list stands", || after.with(|s| s.ready("p").len() == 1)).await;
     // Changes during the outage arrive once discovery is back.
     discovery.drain("b");
-    discovery.come_back().await;
+    discovery.resume_serving().await;
     until("no gap", || after.with(|s| s.endpoints["p"].len() == 2 && s.ready("p").is_empty())).await;
     until("the old proxy, too", || before.with(|s| s.ready("p").is_empty())).await;
 }
@@ -92,7 +92,7 @@
     for proxy in &proxies {
         until("the list", || proxy.with(|s| s.ready("p").len() == 1)).await;
     }
-    discovery.go_down();
+    discovery.stop_serving();
     control.kill();
     control.launch().await;
     for proxy in &proxies {
@@ -118,9 +118,9 @@
     until("the list", || proxy.with(|s| s.ready("p").len() == 4)).await;
     let drains = runtrack_discovery::Target { state: State::Draining, ..all[0].clone() };
     let published_at = Instant::now();
-    discovery.lie(Some(vec![drains]), None);
-    discovery.go_down();
-    discovery.come_back().await;
+    discovery.override_list(Some(vec![drains]), None);
+    discovery.stop_serving();
+    discovery.resume_serving().await;
     until("its drain", || proxy.with(|s| s.ready("p").len() == 3 || s.endpoints["p"].len() < 4)).await;
     assert_eq!(proxy.with(|s| s.endpoints["p"].len()), 4, "the others stand");
     let stale = control.status().await["pools"]["p"]["stale"]["why"].clone();
@@ -132,7 +132,7 @@
 
 #[test]
 fn a_test_folder_is_removed_on_drop() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let path = folder.path().to_owned();
     drop(folder);
     assert!(!path.exists());
--- a/crates/control/tests/misbehaving_proxies.rs
+++ b/crates/control/tests/misbehaving_proxies.rs
@@ -126,7 +126,7 @@
     let mut client =
         csds::client_status_discovery_service_client::ClientStatusDiscoveryServiceClient::new(channel);
     // The proxy has applied the last change, but its acknowledgement may still be in flight.
-    let end = Instant::now() + runtrack_testkit::PATIENCE;
+    let end = Instant::now() + runtrack_testkit::WAIT_TIMEOUT;
     loop {
         let healthy = client.fetch_client_status(of("good")).await.expect("served").into_inner();
         let types: Vec<i32> =
@@ -184,7 +184,7 @@
     let mut garbage = TcpStream::connect(control.xds).await.expect("up");
     garbage.write_all(&[0x5a; 4096]).await.expect("taken");
     let mut rest = Vec::new();
-    let ended = tokio::time::timeout(runtrack_testkit::PATIENCE, garbage.read_to_end(&mut rest)).await;
+    let ended = tokio::time::timeout(runtrack_testkit::WAIT_TIMEOUT, garbage.read_to_end(&mut rest)).await;
     assert!(ended.is_ok(), "it is closed");
 
     // 1008 streams of one node.
@@ -241,7 +241,7 @@
         // An accepted connection receives HTTP/2 SETTINGS; a rejected one is closed or reset.
         stranger.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0").await.expect("sent");
         let mut byte = [0; 1];
-        match tokio::time::timeout(runtrack_testkit::PATIENCE, stranger.read(&mut byte))
+        match tokio::time::timeout(runtrack_testkit::WAIT_TIMEOUT, stranger.read(&mut byte))
             .await
             .expect("an end")
         {
@@ -258,7 +258,7 @@
     assert_eq!(first.next().await.expect("a change").resources.len(), 1);
     // One closes: its slot becomes free once the service has detected that.
     strangers.pop();
-    let end = tokio::time::Instant::now() + runtrack_testkit::PATIENCE;
+    let end = tokio::time::Instant::now() + runtrack_testkit::WAIT_TIMEOUT;
     let mut late = loop {
         match Scripted::try_open(connect(control.xds).await).await {
             Ok(late) => break late,
--- a/crates/control/tests/rollout.rs
+++ b/crates/control/tests/rollout.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use runtrack_testkit::{
-    Control, Discovery, Folder, Proxy, ScriptedDelta, ScriptedLoad, connect, delta_request, target, until,
+    Control, Discovery, Proxy, ScriptedDelta, ScriptedLoad, TempDir, connect, delta_request, target, until,
     url,
 };
 use runtrack_xds::place;
@@ -74,7 +74,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn only_the_stage_gets_the_version_and_all_get_drains_across_a_kill() {
-    let (folder, discovery) = (Folder::new(), discovery().await);
+    let (folder, discovery) = (TempDir::new(), discovery().await);
     apply_change(folder.path(), &fleet(discovery.address, &[]));
     let mut control = Control::start_on_store(BINARY, folder.path(), "").await;
     let (first, others) = proxies(&control);
@@ -133,7 +133,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_acknowledged_version_completes_all_stages_across_a_restart() {
-    let (folder, discovery) = (Folder::new(), discovery().await);
+    let (folder, discovery) = (TempDir::new(), discovery().await);
     apply_change(folder.path(), &fleet(discovery.address, &[]));
     let mut control = Control::start_on_store(BINARY, folder.path(), "").await;
     let (first, others) = proxies(&control);
@@ -158,7 +158,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_rejection_halts_the_rollout_and_resuming_completes_it_and_the_queued_one() {
-    let (folder, discovery) = (Folder::new(), discovery().await);
+    let (folder, discovery) = (TempDir::new(), discovery().await);
     apply_change(folder.path(), &fleet(discovery.address, &[]));
     let mut control = Control::start_on_store(BINARY, folder.path(), "").await;
     let (first, others) = proxies(&control);
@@ -221,7 +221,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_halted_rollout_stays_halted_after_a_kill() {
-    let (folder, discovery) = (Folder::new(), discovery().await);
+    let (folder, discovery) = (TempDir::new(), discovery().await);
     apply_change(folder.path(), &fleet(discovery.address, &[]));
     let mut control = Control::start_on_store(BINARY, folder.path(), "").await;
     let mut stream = ScriptedDelta::open(connect(control.xds).await).await;
@@ -253,7 +253,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn errors_with_the_new_version_halt_it_but_errors_everywhere_do_not() {
-    let (folder, discovery) = (Folder::new(), discovery().await);
+    let (folder, discovery) = (TempDir::new(), discovery().await);
     apply_change(folder.path(), &fleet(discovery.address, &[]));
     let control =
         Control::start_on_store(BINARY, folder.path(), "\n[rollouts]\nreports_every_ms = 200\n").await;
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -12,7 +12,7 @@
 use prost::Message;
 use runtrack_discovery::State;
 use runtrack_testkit::{
-    Control, Discovery, Folder, Proxy, ProxyTo, Scripted, connect, request, target, until,
+    Control, Discovery, Proxy, ProxyConfig, Scripted, TempDir, connect, request, target, until,
 };
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -98,7 +98,7 @@
     let routes = stream.next().await.expect("the new routes");
     assert!(routes.type_url.ends_with("RouteConfiguration"));
     assert!(
-        stream.within(Duration::from_millis(700)).await.is_none(),
+        stream.next_within(Duration::from_millis(700)).await.is_none(),
         "the old one stays until that is taken"
     );
     stream.ack(&both, &[]);
@@ -185,7 +185,7 @@
         "warm_within = \"4s\"\ncold_share = 0.25\n[zones]\na = { b = 1 }\nb = { a = 1 }",
     );
     let control = Control::start(BINARY, &fleet, "", false).await;
-    let to = |zone: &str| ProxyTo {
+    let to = |zone: &str| ProxyConfig {
         control: control.xds,
         id: format!("in-{zone}"),
         zone: zone.to_owned(),
@@ -225,7 +225,7 @@
         ("fleet = \"bad.toml\"\nlisten = \"127.0.0.1:1\"", "bad.toml:1:1: pool.po ol"),
         ("fleet = [", "control.toml:1:"),
     ];
-    let folder = Folder::new();
+    let folder = TempDir::new();
     folder.write("fleet.toml", &static_fleet(&[(7001, "ready")]));
     folder.write(
         "bad.toml",
--- a/crates/control/tests/store.rs
+++ b/crates/control/tests/store.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use runtrack_testkit::{Control, Folder, until};
+use runtrack_testkit::{Control, TempDir, until};
 use std::time::Duration;
 
 async fn serial(control: &Control) -> u64 {
@@ -12,7 +12,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_applied_plan_reaches_all_proxies_without_a_signal_and_again_after_a_kill() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     apply_change(folder.path(), &static_fleet(&[(7001, "ready"), (7002, "ready")]));
     let mut control = Control::start_on_store(BINARY, folder.path(), "").await;
     let proxies = [proxy(&control, "whole", false), proxy(&control, "incremental", true)];
@@ -46,7 +46,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_damaged_store_changes_nothing_and_is_reported_until_it_is_repaired() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     apply_change(folder.path(), &static_fleet(&[(7001, "ready"), (7002, "ready")]));
     let control = Control::start_on_store(BINARY, folder.path(), "").await;
     let proxy = proxy(&control, "whole", false);
@@ -86,7 +86,7 @@
 async fn the_admin_socket_is_private_and_replaces_an_old_one() {
     use std::os::unix::fs::PermissionsExt;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let (folder, sockets) = (Folder::new(), Folder::new());
+    let (folder, sockets) = (TempDir::new(), TempDir::new());
     apply_change(folder.path(), &static_fleet(&[(7001, "ready")]));
     let at = sockets.path().join("control.sock");
     let setting = format!("admin_socket = {:?}\n", at.display().to_string());
@@ -107,7 +107,7 @@
 
 #[test]
 fn settings_name_exactly_one_origin() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let check = |text: &str| {
         let path = folder.write("control.toml", text);
         let run = std::process::Command::new(BINARY).args(["check", "--config"]).arg(path).output();
--- a/crates/control/tests/tls.rs
+++ b/crates/control/tests/tls.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
-use runtrack_testkit::{Control, Folder, Scripted, connect, request};
+use runtrack_testkit::{Control, Scripted, TempDir, connect, request};
 use std::time::Duration;
 use tonic::transport::{Certificate, ClientTlsConfig, Endpoint, Identity};
 
@@ -33,7 +33,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn only_proxies_with_a_certificate_of_the_ca_are_served() {
     let (authority, stranger) = (Authority::new(), Authority::new());
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let (certificate, key) = authority.sign("localhost");
     let files = [("cert.pem", &certificate), ("key.pem", &key), ("ca.pem", &authority.pem())];
     let paths = files.map(|(name, pem)| folder.write(name, pem));
--- a/crates/rig/src/fleet/cluster.rs
+++ b/crates/rig/src/fleet/cluster.rs
@@ -6,7 +6,7 @@
 use crate::link::{Greeting, Links, locked};
 use crate::process::{Process, program};
 use runtrack_message::{Message, decode};
-use runtrack_testkit::Folder;
+use runtrack_testkit::TempDir;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -69,7 +69,7 @@
     pub cuts: Cuts,
     /// What happened so far.
     pub history: History,
-    folder: Folder,
+    folder: TempDir,
     network: u32,
     controller: PathBuf,
     places: Mutex<Vec<Place>>,
@@ -90,7 +90,7 @@
             links: Links::default(),
             cuts: Cuts::default(),
             history: History::default(),
-            folder: Folder::new(),
+            folder: TempDir::new(),
             network: (127 << 24) | (second << 16) | ((round & 0xff) << 8),
             controller: program("runtrack-controller")?,
             places: Mutex::default(),
--- a/crates/rig/src/world/back.rs
+++ b/crates/rig/src/world/back.rs
@@ -38,7 +38,8 @@
             let drained = locked(&self.drained).len().min(ENDPOINTS - 2);
             for (n, proxy) in locked(&self.proxies).iter().enumerate() {
                 let (serial, ready, streams) = proxy.proxy.with(|state| {
-                    let clusters = state.told.last().map(|told| told.clusters.clone()).unwrap_or_default();
+                    let clusters =
+                        state.received.last().map(|told| told.clusters.clone()).unwrap_or_default();
                     let serial = clusters.iter().filter_map(|name| serial_of(name)).max();
                     (serial, state.ready("p").len(), state.streams)
                 });
@@ -86,7 +87,7 @@
         let drained = locked(&self.drained).len().min(ENDPOINTS - 2);
         for (n, proxy) in locked(&self.proxies).iter().enumerate() {
             let (who, state) = (format!("p{n}"), proxy.proxy.state());
-            for told in &state.told {
+            for told in &state.received {
                 let serial = told.clusters.iter().filter_map(|name| serial_of(name)).max().unwrap_or(0);
                 let kind = told.kind.rsplit('.').next().unwrap_or_default().to_owned();
                 let at = self.history.at(told.at);
--- a/crates/rig/src/world/instances.rs
+++ b/crates/rig/src/world/instances.rs
@@ -3,7 +3,7 @@
 use super::{ANSWER, BACK, Instance, TICK_MS, World, at};
 use crate::link::locked;
 use crate::process::Process;
-use runtrack_testkit::{ask, free_port};
+use runtrack_testkit::{free_port, http_request};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
     }
 
     pub(crate) async fn get(&self, place: usize, path: &str) -> Option<Value> {
-        let answer = timeout(ANSWER, ask(self.admin(place), "GET", path, "")).await.ok()?.ok()?;
+        let answer = timeout(ANSWER, http_request(self.admin(place), "GET", path, "")).await.ok()?.ok()?;
         (answer.0 == 200).then(|| serde_json::from_str(&answer.1).ok()).flatten()
     }
 
--- a/crates/rig/src/world/mod.rs
+++ b/crates/rig/src/world/mod.rs
@@ -13,7 +13,7 @@
 use crate::script::Script;
 use runtrack_discovery::Target;
 use runtrack_model::Fleet;
-use runtrack_testkit::{Discovery, Endpoint, Folder, Proxy, free_port, platform_fleet, target};
+use runtrack_testkit::{Discovery, Endpoint, Proxy, TempDir, free_port, platform_fleet, target};
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -63,7 +63,7 @@
 /// What all tasks of a round share.
 pub(crate) struct World {
     pub(crate) script: Script,
-    folder: Folder,
+    folder: TempDir,
     links: Links,
     history: History,
     control: PathBuf,
@@ -168,7 +168,7 @@
         let before = links.stand_before("discovery", discovery_at, discovery.address).await?;
         let world = Arc::new(World {
             script: script.clone(),
-            folder: Folder::new(),
+            folder: TempDir::new(),
             links,
             history: History::default(),
             control: program("runtrack-control")?,
--- a/crates/rig/src/world/people.rs
+++ b/crates/rig/src/world/people.rs
@@ -5,7 +5,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use runtrack_plan::Plan;
-use runtrack_testkit::ask;
+use runtrack_testkit::http_request;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -35,7 +35,7 @@
         let end = Instant::now() + REPEATS;
         for n in 0.. {
             let place = (first + n) % self.script.instances as usize;
-            match timeout(WRITE_ANSWER, ask(self.admin(place), "POST", "/write", &body)).await {
+            match timeout(WRITE_ANSWER, http_request(self.admin(place), "POST", "/write", &body)).await {
                 Ok(Ok((200, body))) => {
                     return serde_json::from_str::<Value>(&body)
                         .ok()
--- a/crates/rig/src/world/proxies.rs
+++ b/crates/rig/src/world/proxies.rs
@@ -3,7 +3,7 @@
 use super::{FINDS, ProxyAt, World, at};
 use crate::history::Did;
 use crate::link::locked;
-use runtrack_testkit::{Proxy, ProxyTo, free_port};
+use runtrack_testkit::{Proxy, ProxyConfig, free_port};
 use std::io;
 use tokio::sync::watch;
 use tokio::time::sleep;
@@ -15,7 +15,8 @@
         let (target, receiver) = watch::channel(xds);
         let (id, from) = (format!("p{n}"), at(50 + n as u8, free_port()));
         let link = self.links.lead(&id, "xds", from, receiver).await?;
-        let to = ProxyTo { control: from, id: id.clone(), zone: String::new(), incremental: n % 2 == 1 };
+        let to =
+            ProxyConfig { control: from, id: id.clone(), zone: String::new(), incremental: n % 2 == 1 };
         self.history.now_that(&id, Did::Fault { what: format!("served by {at_instance}") });
         locked(&self.proxies).push(ProxyAt {
             target,
--- a/crates/runtrack/tests/support/in_process.rs
+++ b/crates/runtrack/tests/support/in_process.rs
@@ -140,7 +140,7 @@
 
     /// Whether it listens, as reported by the kernel: a test connection would be served as one more client.
     pub fn is_listening(&self) -> bool {
-        runtrack_testkit::is_listened_at(self.address)
+        runtrack_testkit::is_listening(self.address)
     }
 
     pub fn client(&self) -> super::Client {
--- a/crates/sim/src/agreement/faults.rs
+++ b/crates/sim/src/agreement/faults.rs
@@ -14,7 +14,7 @@
             What::DiskFull(who, operations) | What::DiskCut(who, operations) => {
                 let (who, dead) = (self.who(who), matches!(fault.what, What::DiskCut(..)));
                 let disk = &self.disks[&who];
-                disk.fail(Some((disk.done() + operations as usize, dead)));
+                disk.fail_at(Some((disk.operations() + operations as usize, dead)));
             }
             What::Stall(who) => drop(self.stalled.insert(self.who(who), until)),
             What::Remove(who) if self.members.len() > 3 => {
--- a/crates/sim/src/agreement/recovery.rs
+++ b/crates/sim/src/agreement/recovery.rs
@@ -28,7 +28,7 @@
         self.cuts.clear();
         self.stalled.clear();
         self.off.values_mut().for_each(|until| *until = 0);
-        self.disks.values().for_each(|disk| disk.fail(None));
+        self.disks.values().for_each(|disk| disk.fail_at(None));
     }
 
     /// Sees writes under way to their ends: how many are left.
--- a/crates/sim/src/agreement/turn.rs
+++ b/crates/sim/src/agreement/turn.rs
@@ -81,7 +81,7 @@
     /// The disk failed, for now or for good.
     fn on_disk_failed(&mut self, member: MemberId) {
         let disk = self.disks[&member].clone();
-        disk.fail(None);
+        disk.fail_at(None);
         if self.below(2) == 0 {
             return self.crash(member, self.now + REOPENS);
         }
--- a/crates/sim/src/agreement/world.rs
+++ b/crates/sim/src/agreement/world.rs
@@ -135,7 +135,7 @@
             }
             Err(NodeError::Disk(DiskError::File { .. })) => {
                 // It is full, or has been cut off while it was opened.
-                self.disks[&member].fail(None);
+                self.disks[&member].fail_at(None);
                 self.crash(member, self.now + REOPENS);
             }
             Err(problem) => self.breach(Rule::Folder, format!("{member}: {problem}")),
@@ -167,7 +167,7 @@
 
     pub(super) fn crash(&mut self, member: MemberId, until: u64) {
         self.nodes.remove(&member);
-        let left = self.disks[&member].after_cut(&mut self.draws);
+        let left = self.disks[&member].after_power_loss(&mut self.draws);
         self.disks.insert(member, left);
         self.wire.retain(|_, message| message.to != member);
         self.accepted.remove(&member);
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -23,9 +23,9 @@
     for cut in 0..=4 {
         for seed in 0..100 {
             let disk = Disk::default();
-            disk.fail(Some((cut, true)));
+            disk.fail_at(Some((cut, true)));
             let _ = Store::open_or_create(disk.clone(), "lineage-1");
-            let left = disk.after_cut(&mut Pcg32::seed_from_u64(seed));
+            let left = disk.after_power_loss(&mut Pcg32::seed_from_u64(seed));
             let store = Store::open_or_create(left, "lineage-1").expect("made or there");
             assert_eq!((store.serial(), store.lineage()), (0, "lineage-1"));
         }
@@ -37,7 +37,7 @@
     for at in 0..6 {
         let disk = disk_with_versions(2);
         let mut store = Store::open(disk.clone()).unwrap().unwrap();
-        disk.fail(Some((disk.done() + at, false)));
+        disk.fail_at(Some((disk.operations() + at, false)));
         let refused = store.commit(2, &text(3), entry("maker"));
         assert!(matches!(refused, Err(StoreError::File { .. })), "step {at}: {refused:?}");
         let serial = check_all_versions(&disk);
@@ -143,18 +143,18 @@
     let steps = {
         let disk = disk_with_versions(2);
         rewrite_head_in_format_1(&disk);
-        let from = disk.done();
+        let from = disk.operations();
         Store::open(disk.clone()).unwrap().unwrap().commit(2, &text(3), entry("maker")).unwrap();
-        disk.done() - from
+        disk.operations() - from
     };
     let (mut before, mut after) = (0, 0);
     for cut in 0..=steps {
         for seed in 0..100 {
             let disk = disk_with_versions(2);
             let old = rewrite_head_in_format_1(&disk);
-            disk.fail(Some((disk.done() + cut, true)));
+            disk.fail_at(Some((disk.operations() + cut, true)));
             let _ = Store::open(disk.clone()).unwrap().unwrap().commit(2, &text(3), entry("maker"));
-            let left = disk.after_cut(&mut Pcg32::seed_from_u64(seed));
+            let left = disk.after_power_loss(&mut Pcg32::seed_from_u64(seed));
             if check_all_versions(&left) == 2 {
                 assert_eq!(left.read("head").unwrap(), old);
                 before += 1;
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -41,18 +41,18 @@
     let (mut old, mut new) = (0, 0);
     let steps = {
         let disk = disk_with_versions(versions);
-        let before = disk.done();
+        let before = disk.operations();
         let mut store = Store::open(disk.clone()).unwrap().unwrap();
         store.commit(versions, &text(versions + 1), entry("maker")).unwrap();
-        disk.done() - before
+        disk.operations() - before
     };
     for cut in 0..=steps {
         for seed in seeds.clone() {
             let disk = disk_with_versions(versions);
             let mut store = Store::open(disk.clone()).unwrap().unwrap();
-            disk.fail(Some((disk.done() + cut, true)));
+            disk.fail_at(Some((disk.operations() + cut, true)));
             let done = store.commit(versions, &text(versions + 1), entry("maker")).is_ok();
-            let left = disk.after_cut(&mut Pcg32::seed_from_u64(seed));
+            let left = disk.after_power_loss(&mut Pcg32::seed_from_u64(seed));
             let serial = check_all_versions(&left);
             assert!(serial == versions || serial == versions + 1, "{serial} of {versions}");
             assert!(!done || serial == versions + 1, "acknowledged commit lost: cut {cut}, seed {seed}");
--- a/crates/testkit/src/control.rs
+++ b/crates/testkit/src/control.rs
@@ -11,17 +11,17 @@
 use tokio::net::TcpStream;
 
 /// A folder of a test's own, removed with its holder.
-pub struct Folder(PathBuf);
+pub struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     /// A new, empty folder.
-    pub fn new() -> Folder {
+    pub fn new() -> TempDir {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("runtrack-test-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder for the test");
-        Folder(folder)
+        TempDir(folder)
     }
 
     /// Its path.
@@ -37,20 +37,25 @@
     }
 }
 
-impl Default for Folder {
+impl Default for TempDir {
     fn default() -> Self {
-        Folder::new()
+        TempDir::new()
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 /// One request over HTTP, with a JSON body or none, and a connection of its own: the code and the body.
-pub async fn ask(at: SocketAddr, method: &str, path: &str, body: &str) -> io::Result<(u16, String)> {
+pub async fn http_request(
+    at: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> io::Result<(u16, String)> {
     let mut stream = TcpStream::connect(at).await?;
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {at}\r\nContent-Type: application/json\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
@@ -106,7 +111,7 @@
 /// A control service.
 pub struct Control {
     binary: PathBuf,
-    folder: Folder,
+    folder: TempDir,
     child: Option<Child>,
     /// Where proxies connect.
     pub xds: SocketAddr,
@@ -117,7 +122,7 @@
 impl Control {
     /// Starts one with this fleet, further settings, and a state folder or none.
     pub async fn start(binary: &str, fleet: &str, settings: &str, disk: bool) -> Control {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         folder.write("fleet.toml", fleet);
         Self::start_in(binary, folder, "fleet = \"fleet.toml\"\n", settings, disk).await
     }
@@ -125,10 +130,10 @@
     /// Starts one that takes its desired state from the store in this folder.
     pub async fn start_on_store(binary: &str, store: &Path, settings: &str) -> Control {
         let from = format!("store = {:?}\n", store.display().to_string());
-        Self::start_in(binary, Folder::new(), &from, settings, true).await
+        Self::start_in(binary, TempDir::new(), &from, settings, true).await
     }
 
-    async fn start_in(binary: &str, folder: Folder, from: &str, settings: &str, disk: bool) -> Control {
+    async fn start_in(binary: &str, folder: TempDir, from: &str, settings: &str, disk: bool) -> Control {
         let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
         let (xds, admin) = (at(free_port()), at(free_port()));
         let state = if disk { "state = \"state\"\n" } else { "" };
@@ -151,7 +156,7 @@
             .stderr(log.expect("a file for the log"))
             .spawn();
         self.child = Some(child.expect("the control service starts"));
-        let end = tokio::time::Instant::now() + crate::PATIENCE;
+        let end = tokio::time::Instant::now() + crate::WAIT_TIMEOUT;
         while TcpStream::connect(self.admin).await.is_err() || TcpStream::connect(self.xds).await.is_err() {
             assert!(tokio::time::Instant::now() < end, "never up:\n{}", self.log());
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -199,7 +204,7 @@
     }
 
     async fn ask(&self, method: &str, path: &str) -> (u16, String) {
-        ask(self.admin, method, path, "").await.expect("the admin port answers")
+        http_request(self.admin, method, path, "").await.expect("the admin port answers")
     }
 
     /// Resident memory, in KiB.
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -20,7 +20,7 @@
     targets: BTreeMap<String, Target>,
     log: VecDeque<(u64, Target)>,
     /// A whole list to give instead of the true one.
-    lie: Option<Vec<Target>>,
+    list_override: Option<Vec<Target>>,
 }
 
 /// A stand-in for discovery; ends with its holder.
@@ -61,7 +61,7 @@
     }
 
     async fn wait_up(&self) {
-        let end = tokio::time::Instant::now() + crate::PATIENCE;
+        let end = tokio::time::Instant::now() + crate::WAIT_TIMEOUT;
         while TcpStream::connect(self.address).await.is_err() {
             assert!(tokio::time::Instant::now() < end, "the stand-in for discovery never came up");
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -69,12 +69,12 @@
     }
 
     /// Goes down: connections break, new ones are refused. Changes go on being made, unheard.
-    pub fn go_down(&self) {
+    pub fn stop_serving(&self) {
         self.up.send_replace(false);
     }
 
     /// Is back, with all that changed meanwhile.
-    pub async fn come_back(&self) {
+    pub async fn resume_serving(&self) {
         self.up.send_replace(true);
         self.wait_up().await;
     }
@@ -111,9 +111,9 @@
 
     /// From now on whole lists say this, and every watch is broken so that a whole list is asked for again; none:
     /// the truth again. With `rev` the version goes to that, even back.
-    pub fn lie(&self, lie: Option<Vec<Target>>, rev: Option<u64>) {
+    pub fn override_list(&self, list_override: Option<Vec<Target>>, rev: Option<u64>) {
         let mut held = self.held.lock().expect("no test panics while it holds this");
-        held.lie = lie;
+        held.list_override = list_override;
         held.rev = rev.unwrap_or(held.rev + 1);
         held.log.clear();
     }
@@ -202,7 +202,8 @@
 
 impl Held {
     fn whole(&self) -> List {
-        let targets = self.lie.clone().unwrap_or_else(|| self.targets.values().cloned().collect());
+        let targets =
+            self.list_override.clone().unwrap_or_else(|| self.targets.values().cloned().collect());
         List { rev: self.rev, all: true, targets }
     }
 
--- a/crates/testkit/src/disk.rs
+++ b/crates/testkit/src/disk.rs
@@ -54,20 +54,20 @@
 #[derive(Clone, Default)]
 pub struct Disk {
     state: Rc<RefCell<State>>,
-    done: Rc<Cell<usize>>,
+    operations: Rc<Cell<usize>>,
     /// The operation that fails, and whether all after it do.
-    fails: Rc<Cell<Option<(usize, bool)>>>,
+    fault: Rc<Cell<Option<(usize, bool)>>>,
 }
 
 impl Disk {
     /// Operations so far that change something.
-    pub fn done(&self) -> usize {
-        self.done.get()
+    pub fn operations(&self) -> usize {
+        self.operations.get()
     }
 
     /// The operation of this number fails, once (the disk is full) or like all after it (it is cut off); none does.
-    pub fn fail(&self, at: Option<(usize, bool)>) {
-        self.fails.set(at);
+    pub fn fail_at(&self, fault: Option<(usize, bool)>) {
+        self.fault.set(fault);
     }
 
     /// The files' names.
@@ -76,7 +76,7 @@
     }
 
     /// Changes a file behind everybody's back, durably.
-    pub fn spoil(&self, name: &str, bytes: &[u8]) {
+    pub fn overwrite(&self, name: &str, bytes: &[u8]) {
         let mut state = self.state.borrow_mut();
         if let Some(content) = state.names.get(name).copied() {
             state.contents[content] =
@@ -85,9 +85,9 @@
     }
 
     fn step(&self) -> io::Result<()> {
-        let number = self.done.get();
-        self.done.set(number + 1);
-        match self.fails.get() {
+        let number = self.operations.get();
+        self.operations.set(number + 1);
+        match self.fault.get() {
             Some((at, false)) if number == at => Err(io::Error::from(io::ErrorKind::StorageFull)),
             Some((at, true)) if number >= at => Err(io::Error::other("cut off")),
             _ => Ok(()),
@@ -118,7 +118,7 @@
     }
 
     /// What a machine finds when it comes up again.
-    pub fn after_cut(&self, draws: &mut Pcg32) -> Disk {
+    pub fn after_power_loss(&self, draws: &mut Pcg32) -> Disk {
         let state = self.state.borrow();
         let mut names = state.synced.clone();
         for change in &state.pending {
--- a/crates/testkit/src/ports.rs
+++ b/crates/testkit/src/ports.rs
@@ -74,7 +74,7 @@
 
 /// Whether somebody listens at an address, by the kernel's word: a connection made to find out would be one more to
 /// serve.
-pub fn is_listened_at(address: SocketAddr) -> bool {
+pub fn is_listening(address: SocketAddr) -> bool {
     let SocketAddr::V4(at) = address else { panic!("{address} is not IPv4") };
     let local = format!("{:08X}:{:04X}", u32::from_ne_bytes(at.ip().octets()), at.port());
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of sockets");
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -20,7 +20,7 @@
 
 /// How a proxy connects.
 #[derive(Clone, Debug)]
-pub struct ProxyTo {
+pub struct ProxyConfig {
     /// The control service.
     pub control: SocketAddr,
     /// The node's id.
@@ -48,13 +48,13 @@
     pub last: Option<Instant>,
     /// When a request was sent to an address last.
     pub sent: BTreeMap<SocketAddr, Instant>,
-    /// What was told: when, the type URL, the version of the whole, the clusters held then.
-    pub told: Vec<Told>,
+    /// What was received: when, the type URL, the version of the whole, the clusters held then.
+    pub received: Vec<ReceivedResponse>,
 }
 
 /// A response as a proxy took it.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ReceivedResponse {
     /// When.
     pub at: Instant,
     /// The type URL.
@@ -81,7 +81,7 @@
 
 impl Proxy {
     /// Starts one.
-    pub fn start(to: ProxyTo) -> Proxy {
+    pub fn start(to: ProxyConfig) -> Proxy {
         let state = Arc::new(Mutex::new(ProxyState::default()));
         let mut tasks = JoinSet::new();
         tasks.spawn(follow(to, state.clone()));
@@ -100,7 +100,7 @@
 
     /// Sends requests to a pool without pause over so many connections, choosing like a proxy would: of two at
     /// random the one with fewer in flight, anew for each request from what the proxy then holds.
-    pub fn send_without_pause(&mut self, pool: &str, lanes: u64) {
+    pub fn send_continuously(&mut self, pool: &str, lanes: u64) {
         self.send(pool, lanes, Duration::ZERO);
     }
 
@@ -164,7 +164,7 @@
     Some(stream)
 }
 
-async fn follow(to: ProxyTo, state: Arc<Mutex<ProxyState>>) {
+async fn follow(to: ProxyConfig, state: Arc<Mutex<ProxyState>>) {
     let endpoint = Endpoint::from_shared(format!("http://{}", to.control)).expect("an address is a URL");
     let endpoint = endpoint.tcp_nodelay(true);
     loop {
@@ -186,7 +186,11 @@
 /// What a proxy asks for, in the order in which it learns that it needs it.
 const TYPES: [&str; 4] = ["cds", "lds", "eds", "rds"];
 
-async fn incremental(mut client: Client, to: &ProxyTo, state: &Mutex<ProxyState>) -> Result<(), Status> {
+async fn incremental(
+    mut client: Client,
+    to: &ProxyConfig,
+    state: &Mutex<ProxyState>,
+) -> Result<(), Status> {
     let (requests, sent) = mpsc::unbounded_channel();
     let send = |request: DeltaDiscoveryRequest| drop(requests.send(request));
     for short in TYPES {
@@ -249,14 +253,14 @@
     Ok(())
 }
 
-async fn whole(mut client: Client, to: &ProxyTo, state: &Mutex<ProxyState>) -> Result<(), Status> {
+async fn whole(mut client: Client, to: &ProxyConfig, state: &Mutex<ProxyState>) -> Result<(), Status> {
     let (requests, sent) = mpsc::unbounded_channel();
     let send = |request: DiscoveryRequest| drop(requests.send(request));
     let mut versions: BTreeMap<String, (String, String)> = BTreeMap::new();
     // On a new stream a proxy says what it holds: the protocol's only word against going back.
     let held = |short: &str| {
         let state = state.lock().expect("unpoisoned");
-        state.told.iter().rev().find(|told| told.kind == url(short)).map(|told| told.version.clone())
+        state.received.iter().rev().find(|told| told.kind == url(short)).map(|told| told.version.clone())
     };
     for short in ["cds", "lds"] {
         send(DiscoveryRequest {
@@ -359,7 +363,7 @@
         let clusters =
             self.versions.get(url("cds")).into_iter().flatten().map(|(name, _)| name.clone()).collect();
         let (kind, version) = (kind.to_owned(), version.to_owned());
-        self.told.push(Told { at: Instant::now(), kind, version, clusters });
+        self.received.push(ReceivedResponse { at: Instant::now(), kind, version, clusters });
     }
 
     fn take(&mut self, kind: &str, name: &str, version: String, value: &[u8]) {
--- a/crates/testkit/src/scripted.rs
+++ b/crates/testkit/src/scripted.rs
@@ -1,6 +1,6 @@
 //! Streams whose every request a test writes itself.
 
-use crate::PATIENCE;
+use crate::WAIT_TIMEOUT;
 use envoy_types::pb::envoy::config::core::v3::{Locality, Node};
 use envoy_types::pb::envoy::config::endpoint::v3::{ClusterStats, UpstreamLocalityStats};
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
@@ -63,7 +63,7 @@
 /// A connection to the service; waits until it is up.
 pub async fn connect(to: SocketAddr) -> Channel {
     let endpoint = Endpoint::from_shared(format!("http://{to}")).expect("an address is a URL");
-    let end = tokio::time::Instant::now() + PATIENCE;
+    let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         match endpoint.connect().await {
             Ok(channel) => return channel,
@@ -91,12 +91,12 @@
 
     /// The next response, which must come.
     pub async fn next(&mut self) -> Result<R, Status> {
-        let next = timeout(PATIENCE, self.responses.message()).await.expect("a response in time")?;
+        let next = timeout(WAIT_TIMEOUT, self.responses.message()).await.expect("a response in time")?;
         next.ok_or_else(|| Status::unknown("the stream ended"))
     }
 
     /// What comes within a time, if anything does.
-    pub async fn within(&mut self, time: Duration) -> Option<R> {
+    pub async fn next_within(&mut self, time: Duration) -> Option<R> {
         timeout(time, self.responses.message()).await.ok()?.ok()?
     }
 }
--- a/crates/testkit/tests/ports.rs
+++ b/crates/testkit/tests/ports.rs
@@ -1,6 +1,6 @@
 //! Ports are given once, and nothing listens there before their owner does.
 
-use runtrack_testkit::{free_address, is_listened_at, listener, reserve_port};
+use runtrack_testkit::{free_address, is_listening, listener, reserve_port};
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -8,10 +8,10 @@
 fn nothing_listens_at_a_reserved_port_while_a_copy_of_its_socket_is_open() {
     // Held, as by a process that is being started and has not run its own program yet.
     let reserved = reserve_port();
-    assert!(!is_listened_at(reserved.address));
+    assert!(!is_listening(reserved.address));
     assert!(TcpStream::connect(reserved.address).is_err(), "nobody is there");
     let owner = TcpListener::bind(reserved.address).expect("its owner can listen");
-    assert!(is_listened_at(reserved.address));
+    assert!(is_listening(reserved.address));
     TcpStream::connect(reserved.address).expect("its owner is there");
     drop(owner);
 }
@@ -22,7 +22,7 @@
     let address = probe.local_addr().expect("its address");
     let copy = probe.try_clone().expect("a copy");
     drop(probe);
-    assert!(is_listened_at(address), "what a listener that looks for a free port leaves behind");
+    assert!(is_listening(address), "what a listener that looks for a free port leaves behind");
     assert!(TcpListener::bind(address).is_err(), "its owner can't listen");
     drop(copy);
 }
