--- a/crates/rig/src/fleet/check.rs
+++ b/crates/rig/src/fleet/check.rs
@@ -1,25 +1,25 @@
 //! Judges the history of a round of the fleet, apart from the code that made it.
 
-use super::history::{Did, Event, State};
+use super::history::{Event, EventKind, State};
 use super::register;
-use crate::check::{Breach, Judgement};
+use crate::check::{Verdict, Violation};
 use std::collections::BTreeMap;
 
-const SECOND: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 /// An acknowledged drain reaches agents in touch within this.
-const DRAIN_LIMIT: u64 = 2 * SECOND;
-/// After trouble an agent counts as in touch again after this.
-const CONTACT: u64 = 3 * SECOND;
+const DRAIN_TIMEOUT_MICROS: u64 = 2 * MICROS_PER_SECOND;
+/// After period an agent counts as in touch again after this.
+const RECONNECT_MICROS: u64 = 3 * MICROS_PER_SECOND;
 /// A member that is cut off for so long knows it.
-const ISOLATED_LIMIT: u64 = 2 * SECOND;
+const ISOLATION_DETECTION_MICROS: u64 = 2 * MICROS_PER_SECOND;
 /// Callers wait for so long.
-const ANSWER_LIMIT: u64 = 3 * SECOND / 2;
-/// A member answers again so long after it was stopped, and after any other trouble of its own.
-const WAKE_LIMIT: u64 = SECOND;
-const START_LIMIT: u64 = 5 * SECOND;
+const RESPONSE_TIMEOUT_MICROS: u64 = 3 * MICROS_PER_SECOND / 2;
+/// A member answers again so long after it was stopped, and after any other period of its own.
+const RESUME_TIMEOUT_MICROS: u64 = MICROS_PER_SECOND;
+const START_TIMEOUT_MICROS: u64 = 5 * MICROS_PER_SECOND;
 
-/// The kind of trouble when a process has ended by itself.
-pub const ENDED: &str = "ended";
+/// The kind of period when a process has ended by itself.
+pub const EXITED_KIND: &str = "ended";
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,28 +41,28 @@
 }
 
 /// Judges a history.
-pub fn judge(events: &[Event]) -> Judgement<Rule> {
-    let mut judgement = Judgement { looked_at: events.len(), ..Judgement::default() };
-    let breaches = &mut judgement.breaches;
-    register::judge(events, breaches);
-    agents(events, breaches);
-    drains(events, breaches);
-    answers(events, breaches);
+pub fn check_history(events: &[Event]) -> Verdict<Rule> {
+    let mut verdict = Verdict { events_checked: events.len(), ..Verdict::default() };
+    let violations = &mut verdict.violations;
+    register::check_register(events, violations);
+    check_agents(events, violations);
+    check_drains(events, violations);
+    check_responses(events, violations);
     for event in events {
-        if let Did::Back { what, well: false } = &event.what {
-            let why = format!("not within its time after healing: {what}");
-            breaches.push(Breach { rule: Rule::Return, at: event.began, why });
+        if let EventKind::Back { what, well: false } = &event.what {
+            let evidence = format!("not within its time after healing: {what}");
+            violations.push(Violation { rule: Rule::Return, at: event.began, evidence });
         }
     }
-    breaches.sort_by_key(|breach| breach.at);
-    judgement
+    violations.sort_by_key(|violation| violation.at);
+    verdict
 }
 
 /// When each endpoint was first acknowledged as draining or gone.
 pub fn acknowledged_drains(events: &[Event]) -> BTreeMap<String, u64> {
     let mut drains = BTreeMap::new();
     for event in events {
-        let Did::Call { endpoint, state, status: Some(200), .. } = &event.what else { continue };
+        let EventKind::Call { endpoint, state, status: Some(200), .. } = &event.what else { continue };
         let Some(ended) = event.ended.filter(|_| *state != State::Ready) else { continue };
         let first = drains.entry(endpoint.clone()).or_insert(ended);
         *first = ended.min(*first);
@@ -70,21 +70,21 @@
     drains
 }
 
-fn agents(events: &[Event], breaches: &mut Vec<Breach<Rule>>) {
+fn check_agents(events: &[Event], violations: &mut Vec<Violation<Rule>>) {
     let mut newest: BTreeMap<(usize, u64), u64> = BTreeMap::new();
     for event in events {
-        let Did::Told { agent, life, version } = &event.what else { continue };
+        let EventKind::Told { agent, life, version } = &event.what else { continue };
         let before = newest.entry((*agent, *life)).or_insert(version.number);
         if version.number < *before {
-            let why = format!("agent {agent} told {before} and then {} within a life", version.number);
-            breaches.push(Breach { rule: Rule::Back, at: event.began, why });
+            let evidence = format!("agent {agent} told {before} and then {} within a life", version.number);
+            violations.push(Violation { rule: Rule::Back, at: event.began, evidence });
         }
         *before = version.number.max(*before);
     }
 }
 
 /// A time in which members or agents were harmed.
-struct Trouble<'a> {
+struct FaultPeriod<'a> {
     began: u64,
     ended: u64,
     kind: &'a str,
@@ -93,13 +93,13 @@
     isolated: Option<usize>,
 }
 
-fn troubles(events: &[Event]) -> Vec<Trouble<'_>> {
-    let trouble =
+fn fault_periods(events: &[Event]) -> Vec<FaultPeriod<'_>> {
+    let period =
         |event: &'_ Event| -> Option<(u64, u64)> { Some((event.began, event.ended.unwrap_or(u64::MAX))) };
     let all = events.iter().filter_map(|event| match &event.what {
-        Did::Trouble { kind, members, agents, isolated } => {
-            let (began, ended) = trouble(event)?;
-            Some(Trouble { began, ended, kind, members, agents, isolated: *isolated })
+        EventKind::Trouble { kind, members, agents, isolated } => {
+            let (began, ended) = period(event)?;
+            Some(FaultPeriod { began, ended, kind, members, agents, isolated: *isolated })
         }
         _ => None,
     });
@@ -107,43 +107,43 @@
 }
 
 /// When what was acknowledged at a moment is due at an agent: the first moment that is late enough after the
-/// acknowledgement and at the end of a time without trouble that is long enough; none: no such time came.
-fn due(acknowledged: u64, agent: usize, troubles: &[Trouble], over: u64) -> Option<u64> {
-    let mut due = acknowledged + DRAIN_LIMIT;
+/// acknowledgement and at the end of a time without period that is long enough; none: no such time came.
+fn deadline(acknowledged: u64, agent: usize, fault_periods: &[FaultPeriod], over: u64) -> Option<u64> {
+    let mut due = acknowledged + DRAIN_TIMEOUT_MICROS;
     loop {
-        let calm_from = due.saturating_sub(DRAIN_LIMIT + CONTACT);
-        let concerns = |trouble: &&Trouble| !trouble.members.is_empty() || trouble.agents.contains(&agent);
-        let overlaps = |trouble: &&Trouble| trouble.began <= due && trouble.ended >= calm_from;
-        let last = troubles.iter().filter(concerns).filter(overlaps).map(|trouble| trouble.ended).max();
+        let calm_from = due.saturating_sub(DRAIN_TIMEOUT_MICROS + RECONNECT_MICROS);
+        let concerns = |period: &&FaultPeriod| !period.members.is_empty() || period.agents.contains(&agent);
+        let overlaps = |period: &&FaultPeriod| period.began <= due && period.ended >= calm_from;
+        let last = fault_periods.iter().filter(concerns).filter(overlaps).map(|period| period.ended).max();
         match last {
             None => return Some(due).filter(|due| *due <= over),
-            Some(ended) => due = ended.checked_add(DRAIN_LIMIT + CONTACT + 1)?,
+            Some(ended) => due = ended.checked_add(DRAIN_TIMEOUT_MICROS + RECONNECT_MICROS + 1)?,
         }
     }
 }
 
-fn drains(events: &[Event], breaches: &mut Vec<Breach<Rule>>) {
-    let troubles = troubles(events);
+fn check_drains(events: &[Event], violations: &mut Vec<Violation<Rule>>) {
+    let fault_periods = fault_periods(events);
     let over = events.last().map_or(0, |event| event.began);
     let mut heard: BTreeMap<(usize, &str), u64> = BTreeMap::new();
     let mut agents: Vec<usize> = Vec::new();
     for event in events {
         match &event.what {
-            Did::Heard { agent, endpoint, .. } => {
+            EventKind::Heard { agent, endpoint, .. } => {
                 heard.entry((*agent, endpoint.as_str())).or_insert(event.began);
             }
-            Did::Told { agent, .. } if !agents.contains(agent) => agents.push(*agent),
+            EventKind::Told { agent, .. } if !agents.contains(agent) => agents.push(*agent),
             _ => {}
         }
     }
     for (endpoint, acknowledged) in acknowledged_drains(events) {
         for agent in &agents {
-            let Some(due) = due(acknowledged, *agent, &troubles, over) else { continue };
+            let Some(due) = deadline(acknowledged, *agent, &fault_periods, over) else { continue };
             let at = heard.get(&(*agent, endpoint.as_str())).copied().unwrap_or(u64::MAX);
             if at > due {
-                let why =
+                let evidence =
                     format!("the drain of {endpoint} had not reached agent {agent} by then; heard at {at}");
-                breaches.push(Breach { rule: Rule::Drain, at: due, why });
+                violations.push(Violation { rule: Rule::Drain, at: due, evidence });
             }
         }
     }
@@ -158,59 +158,59 @@
 
 fn call(event: &Event) -> Option<Call> {
     match &event.what {
-        Did::Replace { member, status, lost: false, .. } | Did::Read { member, status, .. } => {
+        EventKind::Replace { member, status, lost: false, .. } | EventKind::Read { member, status, .. } => {
             Some(Call { member: *member, status: *status, by_endpoint: false })
         }
-        Did::Call { member, status, .. } => {
+        EventKind::Call { member, status, .. } => {
             Some(Call { member: *member, status: *status, by_endpoint: true })
         }
         _ => None,
     }
 }
 
-fn answers(events: &[Event], breaches: &mut Vec<Breach<Rule>>) {
-    let troubles = troubles(events);
-    own_ends(&troubles, breaches);
+fn check_responses(events: &[Event], violations: &mut Vec<Violation<Rule>>) {
+    let fault_periods = fault_periods(events);
+    check_unexpected_exits(&fault_periods, violations);
     for event in events {
         let Some(call) = call(event) else { continue };
-        let (began, latest) = (event.began, event.ended.unwrap_or(event.began + ANSWER_LIMIT));
-        let isolated = troubles.iter().any(|trouble| {
-            trouble.isolated == Some(call.member)
-                && trouble.began + ISOLATED_LIMIT <= began
-                && latest <= trouble.ended
+        let (began, latest) = (event.began, event.ended.unwrap_or(event.began + RESPONSE_TIMEOUT_MICROS));
+        let isolated = fault_periods.iter().any(|period| {
+            period.isolated == Some(call.member)
+                && period.began + ISOLATION_DETECTION_MICROS <= began
+                && latest <= period.ended
         });
         if isolated && call.by_endpoint && call.status == Some(200) {
-            let why = format!("member {} was cut off and acknowledged {:?}", call.member, event.what);
-            breaches.push(Breach { rule: Rule::Answer, at: began, why });
+            let evidence = format!("member {} was cut off and acknowledged {:?}", call.member, event.what);
+            violations.push(Violation { rule: Rule::Answer, at: began, evidence });
         }
-        if call.status.is_none() && runs(call.member, began, &troubles) {
-            let why = format!("member {} ran and gave no answer to {:?}", call.member, event.what);
-            breaches.push(Breach { rule: Rule::Answer, at: began, why });
+        if call.status.is_none() && is_expected_to_respond(call.member, began, &fault_periods) {
+            let evidence = format!("member {} ran and gave no answer to {:?}", call.member, event.what);
+            violations.push(Violation { rule: Rule::Answer, at: began, evidence });
         }
     }
 }
 
 /// Only a member whose disk is an older copy may end by itself: it comes again as another member.
-fn own_ends(troubles: &[Trouble], breaches: &mut Vec<Breach<Rule>>) {
-    for end in troubles.iter().filter(|trouble| trouble.kind == ENDED) {
+fn check_unexpected_exits(fault_periods: &[FaultPeriod], violations: &mut Vec<Violation<Rule>>) {
+    for end in fault_periods.iter().filter(|period| period.kind == EXITED_KIND) {
         for member in end.members {
-            let restored = |other: &Trouble| other.kind == "restore" && other.members.contains(member);
-            if !troubles.iter().any(|other| restored(other) && other.began < end.began) {
-                let why = format!("member {member} ended by itself");
-                breaches.push(Breach { rule: Rule::Answer, at: end.began, why });
+            let restored = |other: &FaultPeriod| other.kind == "restore" && other.members.contains(member);
+            if !fault_periods.iter().any(|other| restored(other) && other.began < end.began) {
+                let evidence = format!("member {member} ended by itself");
+                violations.push(Violation { rule: Rule::Answer, at: end.began, evidence });
             }
         }
     }
 }
 
-/// Whether a member's process has run without trouble for long enough, and goes on to.
-fn runs(member: usize, began: u64, troubles: &[Trouble]) -> bool {
-    troubles.iter().filter(|trouble| trouble.members.contains(&member)).all(|trouble| {
-        let after = match trouble.kind {
+/// Whether a member's process has run without period for long enough, and goes on to.
+fn is_expected_to_respond(member: usize, began: u64, fault_periods: &[FaultPeriod]) -> bool {
+    fault_periods.iter().filter(|period| period.members.contains(&member)).all(|period| {
+        let after = match period.kind {
             kind if kind.starts_with("cut") => return true, // its process runs
-            "stop" => WAKE_LIMIT,
-            _ => START_LIMIT,
+            "stop" => RESUME_TIMEOUT_MICROS,
+            _ => START_TIMEOUT_MICROS,
         };
-        trouble.began > began + ANSWER_LIMIT || trouble.ended.saturating_add(after) < began
+        period.began > began + RESPONSE_TIMEOUT_MICROS || period.ended.saturating_add(after) < began
     })
 }
--- a/crates/rig/src/fleet/cluster.rs
+++ b/crates/rig/src/fleet/cluster.rs
@@ -3,8 +3,8 @@
 use super::cuts::Cuts;
 use super::history::History;
 use super::script::Script;
-use crate::link::{Greeting, Links, locked};
-use crate::process::{Process, program};
+use crate::link::{Handshake, Links, locked};
+use crate::process::{Process, program_path};
 use runtrack_message::{Message, decode};
 use runtrack_testkit::TempDir;
 use std::io;
@@ -26,37 +26,37 @@
 const BIND_HOST: u32 = 101;
 const AGENT_HOST: u32 = 201;
 /// Second bytes of loopback addresses that rounds use, and how many.
-const NETWORKS: (u32, u32) = (200, 50);
+const LOOPBACK_SECOND_OCTETS: (u32, u32) = (200, 50);
 /// The longest first frame of a link.
-const MAX_HELLO: usize = 8 << 10;
+const MAX_HELLO_BYTES: usize = 8 << 10;
 /// How often a wait looks whether it is over.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Who connects, by the first frame of a link.
-fn greeting(bytes: &[u8]) -> Greeting {
-    let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Greeting::Incomplete };
+fn parse_handshake(bytes: &[u8]) -> Handshake {
+    let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Handshake::Incomplete };
     let length = u32::from_le_bytes(*length) as usize;
-    if length > MAX_HELLO {
-        return Greeting::Malformed;
+    if length > MAX_HELLO_BYTES {
+        return Handshake::Malformed;
     }
-    let Some(frame) = rest.get(..length) else { return Greeting::Incomplete };
+    let Some(frame) = rest.get(..length) else { return Handshake::Incomplete };
     match decode(frame) {
-        Ok(Message::Hello(hello)) => Greeting::From(hello.node.as_string()),
-        _ => Greeting::Malformed,
+        Ok(Message::Hello(hello)) => Handshake::From(hello.node.as_string()),
+        _ => Handshake::Malformed,
     }
 }
 
-/// A place among the members: a machine, and what runs there.
-struct Place {
+/// A slot among the members: a machine, and what runs there.
+struct MemberSlot {
     machine: u32,
     process: Process,
     disk: PathBuf,
     _links: JoinSet<()>,
 }
 
-struct AgentPlace {
+struct AgentSlot {
     process: Process,
-    life: u64,
+    incarnation: u64,
 }
 
 /// What all tasks of a round share.
@@ -72,11 +72,11 @@
     folder: TempDir,
     network: u32,
     controller: PathBuf,
-    places: Mutex<Vec<Place>>,
-    agents: Mutex<Vec<AgentPlace>>,
+    slots: Mutex<Vec<MemberSlot>>,
+    agents: Mutex<Vec<AgentSlot>>,
     machines: AtomicU32,
     healing: AtomicBool,
-    over: AtomicBool,
+    stopping: AtomicBool,
 }
 
 impl Cluster {
@@ -84,7 +84,7 @@
     pub async fn new(script: &Script) -> io::Result<Cluster> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let round = NEXT.fetch_add(1, Ordering::Relaxed);
-        let second = NETWORKS.0 + std::process::id() % NETWORKS.1;
+        let second = LOOPBACK_SECOND_OCTETS.0 + std::process::id() % LOOPBACK_SECOND_OCTETS.1;
         let cluster = Cluster {
             script: script.clone(),
             links: Links::default(),
@@ -92,21 +92,21 @@
             history: History::default(),
             folder: TempDir::new(),
             network: (127 << 24) | (second << 16) | ((round & 0xff) << 8),
-            controller: program("runtrack-controller")?,
-            places: Mutex::default(),
+            controller: program_path("runtrack-controller")?,
+            slots: Mutex::default(),
             agents: Mutex::default(),
             machines: AtomicU32::new(0),
             healing: AtomicBool::new(false),
-            over: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
         };
         for _ in 0..script.members {
-            let place = cluster.machine().await?;
-            locked(&cluster.places).push(place);
+            let slot = cluster.new_machine().await?;
+            locked(&cluster.slots).push(slot);
         }
-        let agent = program("runtrack-agent")?;
+        let agent = program_path("runtrack-agent")?;
         for number in 0..script.agents {
             let process = cluster.process(&agent, &format!("a{number}"));
-            locked(&cluster.agents).push(AgentPlace { process, life: 0 });
+            locked(&cluster.agents).push(AgentSlot { process, incarnation: 0 });
         }
         Ok(cluster)
     }
@@ -115,54 +115,55 @@
         SocketAddrV4::new(Ipv4Addr::from(self.network + host), port)
     }
 
-    fn settings(&self, name: &str) -> PathBuf {
+    fn settings_path(&self, name: &str) -> PathBuf {
         self.folder.path().join(format!("{name}.conf"))
     }
 
     fn process(&self, program: &Path, name: &str) -> Process {
         let log = self.folder.path().join(format!("{name}.log"));
-        let settings = self.settings(name).display().to_string();
+        let settings = self.settings_path(name).display().to_string();
         Process::new(program.to_owned(), Vec::new(), &log, None)
             .with_variable("RUNTRACK_NODE_FILE", &settings)
     }
 
     /// A new machine with an empty disk, behind a link of the rig's.
-    async fn machine(&self) -> io::Result<Place> {
+    async fn new_machine(&self) -> io::Result<MemberSlot> {
         let machine = self.machines.fetch_add(1, Ordering::SeqCst);
         let name = format!("m{machine}");
         let disk = self.folder.path().join(format!("disk-{machine}"));
         std::fs::create_dir_all(&disk)?;
         let dialled = self.address(MACHINE_HOST + machine, FIRST_PORT);
         let bound = self.address(BIND_HOST + machine, FIRST_PORT);
-        let links = self.links.stand_before_greeted(&name, dialled.into(), bound.into(), greeting).await?;
-        Ok(Place { machine, process: self.process(&self.controller, &name), disk, _links: links })
+        let links =
+            self.links.intercept_identified(&name, dialled.into(), bound.into(), parse_handshake).await?;
+        Ok(MemberSlot { machine, process: self.process(&self.controller, &name), disk, _links: links })
     }
 
     /// Name of a member's machine, as links know it.
-    pub fn name(&self, member: usize) -> String {
-        format!("m{}", locked(&self.places)[member].machine)
+    pub fn machine_name(&self, member: usize) -> String {
+        format!("m{}", locked(&self.slots)[member].machine)
     }
 
     /// Where a member takes calls.
-    pub fn control(&self, member: usize) -> SocketAddr {
-        self.address(MACHINE_HOST + locked(&self.places)[member].machine, CONTROL_PORT).into()
+    pub fn control_address(&self, member: usize) -> SocketAddr {
+        self.address(MACHINE_HOST + locked(&self.slots)[member].machine, CONTROL_PORT).into()
     }
 
     /// Where an agent tells what it knows.
-    pub fn feed(&self, agent: usize) -> SocketAddr {
+    pub fn feed_address(&self, agent: usize) -> SocketAddr {
         self.address(AGENT_HOST + agent as u32, FIRST_PORT + 1).into()
     }
 
     /// The life of an agent.
-    pub fn life(&self, agent: usize) -> u64 {
-        locked(&self.agents)[agent].life
+    pub fn incarnation(&self, agent: usize) -> u64 {
+        locked(&self.agents)[agent].incarnation
     }
 
     /// Control addresses of the first three of those that are members now.
     fn seeds(&self) -> String {
-        let places = locked(&self.places);
+        let slots = locked(&self.slots);
         let first =
-            places.iter().take(3).map(|place| self.address(MACHINE_HOST + place.machine, CONTROL_PORT));
+            slots.iter().take(3).map(|slot| self.address(MACHINE_HOST + slot.machine, CONTROL_PORT));
         first.map(|address| address.to_string()).collect::<Vec<_>>().join(",")
     }
 
@@ -173,14 +174,14 @@
             self.seeds(),
             HEARTBEAT.as_millis(),
         );
-        std::fs::write(self.settings(name), text)
+        std::fs::write(self.settings_path(name), text)
     }
 
     /// Starts a member unless it runs.
     pub fn start(&self, member: usize, first_boot: bool) -> io::Result<()> {
         let (machine, disk) = {
-            let places = locked(&self.places);
-            (places[member].machine, places[member].disk.clone())
+            let slots = locked(&self.slots);
+            (slots[member].machine, slots[member].disk.clone())
         };
         let name = format!("m{machine}");
         let more = format!(
@@ -191,40 +192,40 @@
             (self.script.members - 1) / 2,
         );
         self.write_settings(&name, MACHINE_HOST + machine, &more)?;
-        let process = &mut locked(&self.places)[member].process;
-        if process.pid().is_none() || process.has_ended() {
+        let process = &mut locked(&self.slots)[member].process;
+        if process.pid().is_none() || process.has_exited() {
             process.start()?;
         }
         Ok(())
     }
 
-    /// Starts members again whose processes have ended by themselves, as a supervisor does; gives their places.
+    /// Starts members again whose processes have ended by themselves, as a supervisor does; gives their slots.
     pub fn restart_ended(&self) -> io::Result<Vec<usize>> {
-        let ended = |process: &mut Process| process.pid().is_some() && process.has_ended();
-        let places: Vec<usize> = {
-            let mut places = locked(&self.places);
-            (0..places.len()).filter(|member| ended(&mut places[*member].process)).collect()
+        let ended = |process: &mut Process| process.pid().is_some() && process.has_exited();
+        let slots: Vec<usize> = {
+            let mut slots = locked(&self.slots);
+            (0..slots.len()).filter(|member| ended(&mut slots[*member].process)).collect()
         };
-        places.iter().try_for_each(|member| self.start(*member, false))?;
-        Ok(places)
+        slots.iter().try_for_each(|member| self.start(*member, false))?;
+        Ok(slots)
     }
 
     /// Starts an agent unless it runs.
     pub fn start_agent(&self, agent: usize) -> io::Result<()> {
         let name = format!("a{agent}");
-        let more = format!("listen.feed={}\nfirstBoot=false\n", self.feed(agent));
+        let more = format!("listen.feed={}\nfirstBoot=false\n", self.feed_address(agent));
         self.write_settings(&name, AGENT_HOST + agent as u32, &more)?;
-        let place = &mut locked(&self.agents)[agent];
-        if place.process.pid().is_none() || place.process.has_ended() {
-            place.life += 1;
-            place.process.start()?;
+        let slot = &mut locked(&self.agents)[agent];
+        if slot.process.pid().is_none() || slot.process.has_exited() {
+            slot.incarnation += 1;
+            slot.process.start()?;
         }
         Ok(())
     }
 
     /// Does something with a member's process.
     pub fn with_member(&self, member: usize, act: impl FnOnce(&mut Process)) {
-        act(&mut locked(&self.places)[member].process);
+        act(&mut locked(&self.slots)[member].process);
     }
 
     /// Does something with an agent's process.
@@ -233,14 +234,14 @@
     }
 
     /// A member's disk.
-    pub fn disk(&self, member: usize) -> PathBuf {
-        locked(&self.places)[member].disk.clone()
+    pub fn disk_path(&self, member: usize) -> PathBuf {
+        locked(&self.slots)[member].disk.clone()
     }
 
-    /// A new machine takes the place of one that is gone for good.
+    /// A new machine takes the slot of one that is gone for good.
     pub async fn replace(&self, member: usize) -> io::Result<()> {
-        let place = self.machine().await?;
-        locked(&self.places)[member] = place;
+        let slot = self.new_machine().await?;
+        locked(&self.slots)[member] = slot;
         Ok(())
     }
 
@@ -256,20 +257,20 @@
     }
 
     /// Whether operators and endpoints are to end.
-    pub fn is_over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    pub fn is_stopping(&self) -> bool {
+        self.stopping.load(Ordering::SeqCst)
     }
 
     /// Operators and endpoints are to end.
-    pub fn end(&self) {
-        self.over.store(true, Ordering::SeqCst);
+    pub fn stop_clients(&self) {
+        self.stopping.store(true, Ordering::SeqCst);
     }
 
     /// Waits, at most until everything is healed.
-    pub async fn lasts(&self, time: Duration) {
+    pub async fn sleep_until_healing(&self, time: Duration) {
         let end = Instant::now() + time;
         while Instant::now() < end && !self.is_healing() {
-            sleep(LOOK.min(end - Instant::now())).await;
+            sleep(POLL_INTERVAL.min(end - Instant::now())).await;
         }
     }
 
@@ -279,7 +280,7 @@
             let lines: Vec<&str> = log.lines().collect();
             lines[lines.len().saturating_sub(20)..].join("\n")
         };
-        let places = locked(&self.places);
-        places.iter().map(|place| format!("m{}:\n{}\n", place.machine, last(place.process.log()))).collect()
+        let slots = locked(&self.slots);
+        slots.iter().map(|slot| format!("m{}:\n{}\n", slot.machine, last(slot.process.log()))).collect()
     }
 }
--- a/crates/rig/src/fleet/cuts.rs
+++ b/crates/rig/src/fleet/cuts.rs
@@ -1,6 +1,6 @@
 //! Cuts of links that are in force: several may harm the same link, which is whole once all of them are over.
 
-use crate::link::{Links, Rule, Way, locked};
+use crate::link::{DirectionState, LinkState, Links, locked};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
@@ -9,54 +9,57 @@
 
 /// Cuts that are in force.
 #[derive(Default)]
-pub struct Cuts(Mutex<InForce>);
+pub struct Cuts(Mutex<ActiveCuts>);
 
 #[derive(Default)]
-struct InForce {
+struct ActiveCuts {
     next: u64,
-    cuts: BTreeMap<u64, Vec<(Pair, Rule)>>,
+    cuts: BTreeMap<u64, Vec<(Pair, LinkState)>>,
 }
 
 impl Cuts {
     /// A cut begins; gives its number.
-    pub fn begin(&self, links: &Links, cut: Vec<(Pair, Rule)>) -> u64 {
-        let mut in_force = locked(&self.0);
-        in_force.next += 1;
-        let number = in_force.next;
+    pub fn begin(&self, links: &Links, cut: Vec<(Pair, LinkState)>) -> u64 {
+        let mut active = locked(&self.0);
+        active.next += 1;
+        let number = active.next;
         let pairs: Vec<Pair> = cut.iter().map(|(pair, _)| pair.clone()).collect();
-        in_force.cuts.insert(number, cut);
-        in_force.apply(links, &pairs);
+        active.cuts.insert(number, cut);
+        active.apply(links, &pairs);
         number
     }
 
     /// The cut of this number is over.
     pub fn end(&self, links: &Links, number: u64) {
-        let mut in_force = locked(&self.0);
-        let cut = in_force.cuts.remove(&number).unwrap_or_default();
+        let mut active = locked(&self.0);
+        let cut = active.cuts.remove(&number).unwrap_or_default();
         let pairs: Vec<Pair> = cut.into_iter().map(|(pair, _)| pair).collect();
-        in_force.apply(links, &pairs);
+        active.apply(links, &pairs);
     }
 }
 
-impl InForce {
+impl ActiveCuts {
     /// Sets links to what all cuts together make of them.
     fn apply(&self, links: &Links, pairs: &[Pair]) {
         for pair in pairs {
             let of_pair = self.cuts.values().flatten().filter(|(other, _)| other == pair);
-            let all = of_pair.fold(Rule::default(), |all, (_, rule)| both(all, *rule));
-            links.set(&pair.0, &pair.1, |rule| {
-                let resets = rule.resets + u32::from(all.refused);
-                *rule = Rule { resets, ..all };
+            let all = of_pair.fold(LinkState::default(), |all, (_, state)| combine(all, *state));
+            links.set(&pair.0, &pair.1, |state| {
+                let resets = state.resets + u32::from(all.refused);
+                *state = LinkState { resets, ..all };
             });
         }
     }
 }
 
-fn both(one: Rule, other: Rule) -> Rule {
-    let held = |one: Way, other: Way| Way { held: one.held || other.held, ..one };
-    Rule {
-        there: held(one.there, other.there),
-        back: held(one.back, other.back),
+fn combine(one: LinkState, other: LinkState) -> LinkState {
+    let blocked = |one: DirectionState, other: DirectionState| DirectionState {
+        blocked: one.blocked || other.blocked,
+        ..one
+    };
+    LinkState {
+        to_target: blocked(one.to_target, other.to_target),
+        to_source: blocked(one.to_source, other.to_source),
         refused: one.refused || other.refused,
         resets: 0,
     }
--- a/crates/rig/src/fleet/draw.rs
+++ b/crates/rig/src/fleet/draw.rs
@@ -5,7 +5,7 @@
 //! fleet's tolerance bears, with everything else calm from [`SETTLE_MS`] before, and often a loss of power right after
 //! it has settled.
 
-use super::script::{Cut, Fault, Script, What};
+use super::script::{Cut, Fault, FaultKind, Script};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -14,11 +14,11 @@
 /// A long stop or cut.
 const LONG_MS: u32 = 20_000;
 
-struct Draws(Pcg32);
+struct Random(Pcg32);
 
-impl Draws {
-    fn below(&mut self, most: u32) -> u32 {
-        self.0.next_u32() % most.max(1)
+impl Random {
+    fn below(&mut self, bound: u32) -> u32 {
+        self.0.next_u32() % bound.max(1)
     }
 
     fn one_in(&mut self, many: u32) -> bool {
@@ -38,33 +38,33 @@
         }
     }
 
-    fn outage(&mut self, members: usize) -> What {
+    fn outage(&mut self, members: usize) -> FaultKind {
         let member = self.member(members);
         let other = (member + 1 + self.member(members - 1)) % members;
         match self.below(12) {
-            0..=2 => What::Kill { member },
-            3 => What::Terminate { member },
-            4 => What::PowerOff,
-            5 | 6 => What::Stop { member },
-            7..=9 => What::CutMember { member, cut: self.cut() },
-            _ => What::CutPair { member, other },
+            0..=2 => FaultKind::Kill { member },
+            3 => FaultKind::Terminate { member },
+            4 => FaultKind::PowerOff,
+            5 | 6 => FaultKind::Stop { member },
+            7..=9 => FaultKind::CutMember { member, cut: self.cut() },
+            _ => FaultKind::CutPair { member, other },
         }
     }
 
-    fn agent_outage(&mut self, agents: usize) -> What {
+    fn agent_outage(&mut self, agents: usize) -> FaultKind {
         let agent = self.member(agents);
         match self.below(3) {
-            0 => What::CutAgent { agent },
-            1 => What::KillAgent { agent },
-            _ => What::StopAgent { agent },
+            0 => FaultKind::CutAgent { agent },
+            1 => FaultKind::KillAgent { agent },
+            _ => FaultKind::StopAgent { agent },
         }
     }
 
-    fn disk_loss(&mut self, member: usize) -> What {
+    fn disk_loss(&mut self, member: usize) -> FaultKind {
         match self.below(3) {
-            0 => What::Wipe { member },
-            1 => What::Restore { member, age: 500 + self.below(3_000) },
-            _ => What::Replace { member },
+            0 => FaultKind::Wipe { member },
+            1 => FaultKind::Restore { member, age: 500 + self.below(3_000) },
+            _ => FaultKind::Replace { member },
         }
     }
 
@@ -84,9 +84,9 @@
         if self.one_in(4) {
             let member = self.member(script.members);
             let what = if self.one_in(2) {
-                What::Stop { member }
+                FaultKind::Stop { member }
             } else {
-                What::CutMember { member, cut: self.cut() }
+                FaultKind::CutMember { member, cut: self.cut() }
             };
             script.faults.push(Fault { at: 500, lasts: LONG_MS, what });
             over = over.max(500 + LONG_MS);
@@ -101,7 +101,7 @@
         let mut over = at;
         for n in 0..if script.members == 5 { 1 + self.below(2) as usize } else { 1 } {
             let what = self.disk_loss((first + n) % script.members);
-            let age = if let What::Restore { age, .. } = what { age } else { 0 };
+            let age = if let FaultKind::Restore { age, .. } = what { age } else { 0 };
             let fault = Fault { at: at + self.below(500), lasts: 200 + self.below(2_000), what };
             over = over.max(fault.at + fault.lasts + age);
             script.faults.push(fault);
@@ -109,7 +109,7 @@
         over += SETTLE_MS;
         if self.one_in(2) {
             let member = (first + 1) % script.members;
-            let what = if self.one_in(2) { What::PowerOff } else { What::Kill { member } };
+            let what = if self.one_in(2) { FaultKind::PowerOff } else { FaultKind::Kill { member } };
             script.faults.push(Fault { at: over, lasts: 300, what });
             over += 600;
         }
@@ -119,21 +119,21 @@
 
 /// The round of a seed.
 pub fn script(seed: u64) -> Script {
-    let mut draws = Draws(Pcg32::seed_from_u64(seed ^ 0x666c_6565));
-    let members = if draws.one_in(4) { 5 } else { 3 };
-    let pause = [5, 60, 250][draws.below(3) as usize];
+    let mut rng = Random(Pcg32::seed_from_u64(seed ^ 0x666c_6565));
+    let members = if rng.one_in(4) { 5 } else { 3 };
+    let pause = [5, 60, 250][rng.below(3) as usize];
     let mut script =
         Script { seed, members, agents: 2, lasts: 0, pause, quiet_from: None, faults: Vec::new() };
-    let mut over = draws.first_phase(&mut script);
-    if draws.one_in(2) {
-        if draws.one_in(3) {
+    let mut over = rng.first_phase(&mut script);
+    if rng.one_in(2) {
+        if rng.one_in(3) {
             script.quiet_from = Some(over);
         }
-        over = draws.second_phase(&mut script, over);
+        over = rng.second_phase(&mut script, over);
     }
-    for _ in 0..draws.below(3) {
-        let what = draws.agent_outage(script.agents);
-        script.faults.push(Fault { at: draws.below(over), lasts: 200 + draws.below(4_000), what });
+    for _ in 0..rng.below(3) {
+        let what = rng.agent_outage(script.agents);
+        script.faults.push(Fault { at: rng.below(over), lasts: 200 + rng.below(4_000), what });
     }
     script.lasts = over + 500;
     script.faults.sort_by_key(|fault| fault.at);
--- a/crates/rig/src/fleet/endpoint.rs
+++ b/crates/rig/src/fleet/endpoint.rs
@@ -1,9 +1,9 @@
 //! Endpoints: they beat, drain, deregister and come again under another id.
 
 use super::cluster::{Cluster, HEARTBEAT};
-use super::history::{Did, State};
+use super::history::{EventKind, State};
 use super::http::Call;
-use super::operator::ANSWER_LIMIT;
+use super::operator::RESPONSE_TIMEOUT;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::sync::Arc;
@@ -11,26 +11,33 @@
 use tokio::time::sleep;
 
 /// Wait before a call that was not acknowledged is sent to another member.
-const REPEAT_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// An endpoint beats so often at most before it drains.
-const MAX_BEATS: u32 = 8;
+const MAX_HEARTBEATS: u32 = 8;
 
 /// One endpoint, through all its incarnations.
-pub struct Caller {
+pub struct SimulatedEndpoint {
     cluster: Arc<Cluster>,
     number: u64,
     incarnation: u32,
     call_seq: u64,
     member: usize,
-    draws: Pcg32,
+    rng: Pcg32,
 }
 
-impl Caller {
+impl SimulatedEndpoint {
     /// One of so many endpoints of a round.
-    pub fn new(cluster: Arc<Cluster>, number: u64) -> Caller {
+    pub fn new(cluster: Arc<Cluster>, number: u64) -> SimulatedEndpoint {
         let seed = cluster.script.seed.wrapping_mul(37).wrapping_add(number);
         let member = number as usize % cluster.script.members;
-        Caller { cluster, number, incarnation: 0, call_seq: 0, member, draws: Pcg32::seed_from_u64(seed) }
+        SimulatedEndpoint {
+            cluster,
+            number,
+            incarnation: 0,
+            call_seq: 0,
+            member,
+            rng: Pcg32::seed_from_u64(seed),
+        }
     }
 
     fn id(&self) -> String {
@@ -40,7 +47,7 @@
     /// Works until everything is to be healed.
     pub async fn run(mut self) {
         while !self.cluster.is_healing() {
-            for _ in 0..1 + self.draws.next_u32() % MAX_BEATS {
+            for _ in 0..1 + self.rng.next_u32() % MAX_HEARTBEATS {
                 self.call(State::Ready).await;
                 sleep(HEARTBEAT).await;
             }
@@ -53,7 +60,7 @@
 
     async fn until_acknowledged(&mut self, state: State) {
         while !self.cluster.is_healing() && !self.call(state).await {
-            sleep(REPEAT_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -76,12 +83,14 @@
         let call =
             Call { method: "POST", path: &path, header: "Content-Type: application/json\r\n", body: &body };
         let member = self.member;
-        let began = self.cluster.history.now();
-        let status =
-            call.send(self.cluster.control(member), ANSWER_LIMIT).await.map(|answer| answer.status);
-        let ended = status.map(|_| self.cluster.history.now());
-        let did = Did::Call { member, endpoint: self.id(), state, status };
-        self.cluster.history.note(&self.id(), began, ended, did);
+        let began = self.cluster.history.now_micros();
+        let status = call
+            .send(self.cluster.control_address(member), RESPONSE_TIMEOUT)
+            .await
+            .map(|answer| answer.status);
+        let ended = status.map(|_| self.cluster.history.now_micros());
+        let did = EventKind::Call { member, endpoint: self.id(), state, status };
+        self.cluster.history.record(&self.id(), began, ended, did);
         if status != Some(200) {
             self.member = (member + 1) % self.cluster.script.members;
         }
--- a/crates/rig/src/fleet/feed.rs
+++ b/crates/rig/src/fleet/feed.rs
@@ -1,7 +1,7 @@
-//! A listener at an agent's feed: it says that it is a proxy, asks for what the agent has, and notes what it is told.
+//! A listener at an agent's feed: it says that it is a proxy, fetch_sender for what the agent has, and notes what it is told.
 
 use super::cluster::Cluster;
-use super::history::{Did, State};
+use super::history::{EventKind, State};
 use super::operator::version_of;
 use runtrack_message::{
     Endpoint, EndpointState, Hello, MAX_FRAME, Member, Message, PLACEMENT_WIRE_VERSION, Role, decode,
@@ -18,32 +18,32 @@
 use tokio::time::{interval, sleep};
 
 /// Wait before an agent that is down is dialled again.
-const REDIAL: Duration = Duration::from_millis(50);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 /// A sign of life goes out this often.
 const PING_INTERVAL: Duration = Duration::from_millis(400);
 /// Ranges of endpoint records: digests that match none ask for all of them.
-const RANGES: usize = 256;
+const DIGEST_RANGES: usize = 256;
 
 /// Listens to an agent until the round is over.
 pub async fn listen(cluster: Arc<Cluster>, agent: usize) {
-    while !cluster.is_over() {
-        let life = cluster.life(agent);
-        if let Ok(stream) = TcpStream::connect(cluster.feed(agent)).await {
+    while !cluster.is_stopping() {
+        let incarnation = cluster.incarnation(agent);
+        if let Ok(stream) = TcpStream::connect(cluster.feed_address(agent)).await {
             let (reader, writer) = stream.into_split();
-            let (asks, asked) = tokio::sync::mpsc::unbounded_channel();
+            let (fetch_sender, fetches) = tokio::sync::mpsc::unbounded_channel();
             let mut tasks = JoinSet::new();
-            tasks.spawn(speak(writer, asked));
+            tasks.spawn(send_requests(writer, fetches));
             let listener = Listener {
                 cluster: cluster.clone(),
                 agent,
-                life,
+                incarnation,
                 version: 0,
-                heard: BTreeSet::new(),
-                asks,
+                reported: BTreeSet::new(),
+                fetch_sender,
             };
-            let _ = listener.hear(reader).await; // the agent is down, or the round is over
+            let _ = listener.receive(reader).await; // the agent is down, or the round is over
         }
-        sleep(REDIAL).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
@@ -53,10 +53,10 @@
     writer.write_all(&payload).await
 }
 
-/// Says who listens, sends signs of life, and asks for configurations newer than those versions.
-async fn speak(
+/// Says who listens, sends signs of life, and fetch_sender for configurations newer than those versions.
+async fn send_requests(
     mut writer: OwnedWriteHalf,
-    mut asked: tokio::sync::mpsc::UnboundedReceiver<u64>,
+    mut fetches: tokio::sync::mpsc::UnboundedReceiver<u64>,
 ) -> io::Result<()> {
     let hello = Hello {
         wire: PLACEMENT_WIRE_VERSION,
@@ -70,9 +70,9 @@
         tokio::select! {
             _ = ticks.tick() => {
                 write(&mut writer, &Message::Ping).await?;
-                write(&mut writer, &Message::RangeDigests(vec![0; RANGES].into())).await?;
+                write(&mut writer, &Message::RangeDigests(vec![0; DIGEST_RANGES].into())).await?;
             }
-            version = asked.recv() => match version {
+            version = fetches.recv() => match version {
                 Some(version) => write(&mut writer, &Message::Fetch(version)).await?,
                 None => return Ok(()),
             },
@@ -83,15 +83,15 @@
 struct Listener {
     cluster: Arc<Cluster>,
     agent: usize,
-    life: u64,
+    incarnation: u64,
     version: u64,
-    heard: BTreeSet<(String, State)>,
-    asks: tokio::sync::mpsc::UnboundedSender<u64>,
+    reported: BTreeSet<(String, State)>,
+    fetch_sender: tokio::sync::mpsc::UnboundedSender<u64>,
 }
 
 impl Listener {
-    async fn hear(mut self, mut reader: OwnedReadHalf) -> io::Result<()> {
-        while !self.cluster.is_over() {
+    async fn receive(mut self, mut reader: OwnedReadHalf) -> io::Result<()> {
+        while !self.cluster.is_stopping() {
             let length = reader.read_u32_le().await? as usize;
             if length > MAX_FRAME {
                 return Err(io::ErrorKind::InvalidData.into());
@@ -100,40 +100,42 @@
             reader.read_exact(&mut frame).await?;
             // Kinds that this listener does not know are none of its business.
             if let Ok(message) = decode(&frame) {
-                self.take(message);
+                self.handle(message);
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         match message {
             Message::StateSummary(summary) if summary.version > self.version => {
-                let _ = self.asks.send(self.version);
+                let _ = self.fetch_sender.send(self.version);
             }
             Message::Config(config) => {
                 let version = version_of(&String::from_utf8_lossy(config.body.as_slice()));
                 self.version = config.version;
-                self.note(Did::Told { agent: self.agent, life: self.life, version });
+                self.record(EventKind::Told { agent: self.agent, life: self.incarnation, version });
+            }
+            Message::Entries(records) => {
+                records.items().iter().for_each(|record| self.handle_record(record))
             }
-            Message::Entries(records) => records.items().iter().for_each(|record| self.take_record(record)),
             _ => {}
         }
     }
 
-    fn take_record(&mut self, record: &Endpoint) {
+    fn handle_record(&mut self, record: &Endpoint) {
         let state = match record.state {
             EndpointState::Ready => return,
             EndpointState::Draining => State::Draining,
             EndpointState::Gone => State::Gone,
         };
         let endpoint = record.id.as_string();
-        if self.heard.insert((endpoint.clone(), state)) {
-            self.note(Did::Heard { agent: self.agent, life: self.life, endpoint, state });
+        if self.reported.insert((endpoint.clone(), state)) {
+            self.record(EventKind::Heard { agent: self.agent, life: self.incarnation, endpoint, state });
         }
     }
 
-    fn note(&self, did: Did) {
-        self.cluster.history.now_that(&format!("a{}", self.agent), did);
+    fn record(&self, did: EventKind) {
+        self.cluster.history.record_now(&format!("a{}", self.agent), did);
     }
 }
--- a/crates/rig/src/fleet/history.rs
+++ b/crates/rig/src/fleet/history.rs
@@ -33,7 +33,7 @@
 /// What somebody did or saw in a round of the fleet. An event without an end is a call that got no answer in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "did")]
-pub enum Did {
+pub enum EventKind {
     /// The rig harmed members or agents, for this time.
     Trouble {
         /// The kind.
@@ -115,6 +115,6 @@
 }
 
 /// An event of a round of the fleet.
-pub type Event = crate::history::Event<Did>;
+pub type Event = crate::history::Event<EventKind>;
 /// The history of a round of the fleet.
-pub type History = crate::history::History<Did>;
+pub type History = crate::history::History<EventKind>;
--- a/crates/rig/src/fleet/operator.rs
+++ b/crates/rig/src/fleet/operator.rs
@@ -1,7 +1,7 @@
 //! Operators: they replace the configuration and read it, at any member, and repeat what got no clear answer.
 
 use super::cluster::Cluster;
-use super::history::{Did, Version};
+use super::history::{EventKind, Version};
 use super::http::{Answer, Call};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -12,17 +12,17 @@
 use tokio::time::{Instant, sleep};
 
 /// Who has no answer by then asks another member.
-pub const ANSWER_LIMIT: Duration = Duration::from_millis(1_500);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// An operator whose connection breaks loses the answer; the request may have got through.
-const LOST_ANSWER_LIMIT: Duration = Duration::from_millis(6);
+const ABANDONED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(6);
 /// A change without a clear answer is repeated for so long.
-const REPEATS: Duration = Duration::from_secs(8);
+const RETRY_DURATION: Duration = Duration::from_secs(8);
 /// Wait before a repeat.
-const REPEAT_PAUSE: Duration = Duration::from_millis(30);
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 /// Taken changes that an operator may send once more.
-const REMEMBERED: usize = 2_000;
-const REPLACE: &str = "/runtrack/config/replace";
-const READ: &str = "/runtrack/config/read";
+const MAX_REMEMBERED_REQUESTS: usize = 2_000;
+const REPLACE_PATH: &str = "/runtrack/config/replace";
+const READ_PATH: &str = "/runtrack/config/read";
 
 /// A configuration of this version and name.
 pub fn body(version: &Version, timeout_ms: u32) -> String {
@@ -32,7 +32,7 @@
     )
 }
 
-const TIMEOUT_MS: u32 = 1_000;
+const ROUTE_TIMEOUT_MS: u32 = 1_000;
 
 /// The version of a body; without a name where it is not what its sender sent.
 pub fn version_of(text: &str) -> Version {
@@ -40,7 +40,11 @@
     let number = parsed["version"].as_u64().unwrap_or(0);
     let name = parsed["routes"][0]["name"].as_str().unwrap_or("?").to_owned();
     let version = Version { number, name };
-    if body(&version, TIMEOUT_MS) == text { version } else { Version { number, name: "?".to_owned() } }
+    if body(&version, ROUTE_TIMEOUT_MS) == text {
+        version
+    } else {
+        Version { number, name: "?".to_owned() }
+    }
 }
 
 /// A request to replace the configuration.
@@ -55,10 +59,10 @@
 pub struct Operator {
     cluster: Arc<Cluster>,
     name: String,
-    draws: Pcg32,
+    rng: Pcg32,
     /// Newest version that any operator has seen, so that they get in each other's way.
     newest: Arc<AtomicU64>,
-    taken: Vec<Request>,
+    accepted: Vec<Request>,
     count: u64,
 }
 
@@ -66,12 +70,12 @@
     /// One of so many operators of a round.
     pub fn new(cluster: Arc<Cluster>, number: u64, newest: Arc<AtomicU64>) -> Operator {
         let seed = cluster.script.seed.wrapping_mul(31).wrapping_add(number);
-        let draws = Pcg32::seed_from_u64(seed);
-        Operator { cluster, name: format!("o{number}"), draws, newest, taken: Vec::new(), count: 0 }
+        let rng = Pcg32::seed_from_u64(seed);
+        Operator { cluster, name: format!("o{number}"), rng, newest, accepted: Vec::new(), count: 0 }
     }
 
-    fn below(&mut self, most: usize) -> usize {
-        self.draws.next_u32() as usize % most.max(1)
+    fn below(&mut self, bound: usize) -> usize {
+        self.rng.next_u32() as usize % bound.max(1)
     }
 
     /// Works until everything is to be healed.
@@ -83,7 +87,7 @@
             let is_quiet = quiet.is_some_and(|from| began.elapsed() >= from);
             match self.below(if is_quiet { 2 } else { 10 }) {
                 0 => drop(self.read().await),
-                1 if !self.taken.is_empty() => self.repeat_one().await,
+                1 if !self.accepted.is_empty() => self.resend_accepted().await,
                 1 => {}
                 2 => self.send_invalid().await,
                 _ => self.change().await,
@@ -94,7 +98,7 @@
     }
 
     /// Brings in the first configuration; gives up when everything is to be healed.
-    pub async fn begin(&mut self) {
+    pub async fn send_first_configuration(&mut self) {
         while self.newest.load(Ordering::SeqCst) == 0 && !self.cluster.is_healing() {
             self.change().await;
         }
@@ -110,51 +114,51 @@
 
     async fn change(&mut self) {
         let request = self.next_request();
-        let end = Instant::now() + REPEATS;
+        let end = Instant::now() + RETRY_DURATION;
         let mut member = self.below(self.cluster.script.members);
         while Instant::now() < end && !self.cluster.is_healing() {
-            let limit = if self.below(6) == 0 { LOST_ANSWER_LIMIT } else { ANSWER_LIMIT };
+            let limit = if self.below(6) == 0 { ABANDONED_RESPONSE_TIMEOUT } else { RESPONSE_TIMEOUT };
             match self.send(&request, member, limit).await {
-                Some(200) => return self.took(request),
+                Some(200) => return self.remember(request),
                 Some(status) if status < 500 => return drop(self.read().await),
-                _ => sleep(REPEAT_PAUSE).await,
+                _ => sleep(RETRY_DELAY).await,
             }
             member = (member + 1) % self.cluster.script.members;
         }
     }
 
-    fn took(&mut self, request: Request) {
+    fn remember(&mut self, request: Request) {
         self.newest.fetch_max(request.version.number, Ordering::SeqCst);
-        if self.taken.len() < REMEMBERED {
-            self.taken.push(request);
+        if self.accepted.len() < MAX_REMEMBERED_REQUESTS {
+            self.accepted.push(request);
         }
     }
 
     /// Sends once more what was taken, perhaps long ago.
-    async fn repeat_one(&mut self) {
-        let which = self.below(self.taken.len());
-        let request = self.taken[which].clone();
+    async fn resend_accepted(&mut self) {
+        let which = self.below(self.accepted.len());
+        let request = self.accepted[which].clone();
         let member = self.below(self.cluster.script.members);
-        self.send(&request, member, ANSWER_LIMIT).await;
+        self.send(&request, member, RESPONSE_TIMEOUT).await;
     }
 
     async fn send_invalid(&mut self) {
         let request = Request { valid: false, ..self.next_request() };
         let member = self.below(self.cluster.script.members);
-        self.send(&request, member, ANSWER_LIMIT).await;
+        self.send(&request, member, RESPONSE_TIMEOUT).await;
     }
 
     async fn send(&mut self, request: &Request, member: usize, limit: Duration) -> Option<u16> {
-        let timeout_ms = if request.valid { TIMEOUT_MS } else { 0 };
+        let timeout_ms = if request.valid { ROUTE_TIMEOUT_MS } else { 0 };
         let (header, body) =
             (format!("X-Base-Version: {}\r\n", request.base), body(&request.version, timeout_ms));
-        let call = Call { method: "POST", path: REPLACE, header: &header, body: &body };
-        let began = self.cluster.history.now();
-        let answer = call.send(self.cluster.control(member), limit).await;
+        let call = Call { method: "POST", path: REPLACE_PATH, header: &header, body: &body };
+        let began = self.cluster.history.now_micros();
+        let answer = call.send(self.cluster.control_address(member), limit).await;
         let status = answer.map(|answer| answer.status);
         let Request { base, version, valid } = request.clone();
-        let lost = limit < ANSWER_LIMIT;
-        self.note(began, status, Did::Replace { member, base, version, valid, lost, status });
+        let lost = limit < RESPONSE_TIMEOUT;
+        self.record(began, status, EventKind::Replace { member, base, version, valid, lost, status });
         status
     }
 
@@ -167,24 +171,24 @@
         version
     }
 
-    fn note(&self, began: u64, status: Option<u16>, did: Did) {
-        let ended = status.map(|_| self.cluster.history.now());
-        self.cluster.history.note(&self.name, began, ended, did);
+    fn record(&self, began: u64, status: Option<u16>, did: EventKind) {
+        let ended = status.map(|_| self.cluster.history.now_micros());
+        self.cluster.history.record(&self.name, began, ended, did);
     }
 }
 
 /// Reads the configuration from a member, and notes it.
 pub async fn read_from(cluster: &Cluster, who: &str, member: usize) -> Option<Version> {
-    let call = Call { method: "GET", path: READ, header: "", body: "" };
-    let began = cluster.history.now();
-    let answer = call.send(cluster.control(member), ANSWER_LIMIT).await;
-    let ended = answer.as_ref().map(|_| cluster.history.now());
+    let call = Call { method: "GET", path: READ_PATH, header: "", body: "" };
+    let began = cluster.history.now_micros();
+    let answer = call.send(cluster.control_address(member), RESPONSE_TIMEOUT).await;
+    let ended = answer.as_ref().map(|_| cluster.history.now_micros());
     let status = answer.as_ref().map(|answer| answer.status);
     let version = answer.and_then(|Answer { status, body }| match status {
         200 => Some(version_of(&body)),
         404 => Some(Version::none()),
         _ => None,
     });
-    cluster.history.note(who, began, ended, Did::Read { member, status, version: version.clone() });
+    cluster.history.record(who, began, ended, EventKind::Read { member, status, version: version.clone() });
     version
 }
--- a/crates/rig/src/fleet/register.rs
+++ b/crates/rig/src/fleet/register.rs
@@ -5,14 +5,14 @@
 //! observation bounds that: the search is for moments within these bounds, in the order of the chain.
 
 use super::check::Rule;
-use super::history::{Did, Event, Version};
-use crate::check::Breach;
+use super::history::{Event, EventKind, Version};
+use crate::check::Violation;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Chains that are tried where versions between others were seen by nobody.
 const MAX_CHAINS: usize = 64;
 /// Refusals for which either of two moments has to be tried, one after the other.
-const MAX_CHOICES: usize = 24;
+const MAX_ALTERNATIVES: usize = 24;
 
 /// All attempts of one change.
 struct Change {
@@ -24,11 +24,11 @@
 }
 
 /// What was seen, and when.
-enum Seen {
+enum Observation {
     /// This version was in force at some moment between these.
     Read { began: u64, ended: u64, version: Version },
     /// This version had come into force by then.
-    Told { at: u64, version: Version },
+    Reported { at: u64, version: Version },
     /// Another version than this one was in force at some moment between these.
     Mismatch { began: u64, ended: u64, base: u64 },
     /// A version of at least this number had come into force by then.
@@ -37,30 +37,31 @@
 
 struct Facts {
     changes: BTreeMap<Version, Change>,
-    seen: Vec<Seen>,
-    observed: BTreeSet<Version>,
+    observations: Vec<Observation>,
+    seen_versions: BTreeSet<Version>,
 }
 
 impl Facts {
     fn of(events: &[Event]) -> Facts {
-        let mut facts = Facts { changes: BTreeMap::new(), seen: Vec::new(), observed: BTreeSet::new() };
-        events.iter().for_each(|event| facts.take(event));
+        let mut facts =
+            Facts { changes: BTreeMap::new(), observations: Vec::new(), seen_versions: BTreeSet::new() };
+        events.iter().for_each(|event| facts.add(event));
         facts
     }
 
-    fn take(&mut self, event: &Event) {
+    fn add(&mut self, event: &Event) {
         let (began, ended) = (event.began, event.ended.unwrap_or(u64::MAX));
         match &event.what {
-            Did::Replace { base, version, valid, status, .. } => {
-                self.take_attempt(began, ended, *base, version, *valid, *status);
+            EventKind::Replace { base, version, valid, status, .. } => {
+                self.add_attempt(began, ended, *base, version, *valid, *status);
             }
-            Did::Read { version: Some(version), .. } => {
+            EventKind::Read { version: Some(version), .. } => {
                 self.observe(version);
-                self.seen.push(Seen::Read { began, ended, version: version.clone() });
+                self.observations.push(Observation::Read { began, ended, version: version.clone() });
             }
-            Did::Told { version, .. } => {
+            EventKind::Told { version, .. } => {
                 self.observe(version);
-                self.seen.push(Seen::Told { at: ended, version: version.clone() });
+                self.observations.push(Observation::Reported { at: ended, version: version.clone() });
             }
             _ => {}
         }
@@ -68,11 +69,11 @@
 
     fn observe(&mut self, version: &Version) {
         if version.number > 0 {
-            self.observed.insert(version.clone());
+            self.seen_versions.insert(version.clone());
         }
     }
 
-    fn take_attempt(
+    fn add_attempt(
         &mut self,
         began: u64,
         ended: u64,
@@ -93,8 +94,10 @@
             _ => {}
         }
         match status {
-            Some(412) if valid => self.seen.push(Seen::Mismatch { began, ended, base }),
-            Some(409) if valid => self.seen.push(Seen::NotAbove { at: ended, number: version.number }),
+            Some(412) if valid => self.observations.push(Observation::Mismatch { began, ended, base }),
+            Some(409) if valid => {
+                self.observations.push(Observation::NotAbove { at: ended, number: version.number })
+            }
             _ => {}
         }
     }
@@ -102,9 +105,9 @@
     /// Changes that may have come into force under a number.
     fn candidates(&self, number: u64) -> Vec<&Version> {
         let under = |version: &&Version| version.number == number;
-        let observed: Vec<&Version> = self.observed.iter().filter(under).collect();
-        if !observed.is_empty() {
-            return observed;
+        let seen_versions: Vec<&Version> = self.seen_versions.iter().filter(under).collect();
+        if !seen_versions.is_empty() {
+            return seen_versions;
         }
         let possible = self.changes.iter().filter(|(_, change)| change.valid && change.refused.is_none());
         possible.map(|(version, _)| version).filter(under).collect()
@@ -112,23 +115,23 @@
 
     /// The chains that may lead to a version, without the state before the first.
     fn chains(&self, newest: &Version) -> Vec<Vec<Version>> {
-        let mut open = vec![vec![newest.clone()]];
-        let mut whole = Vec::new();
-        while let Some(chain) = open.pop().filter(|_| whole.len() < MAX_CHAINS) {
+        let mut partial = vec![vec![newest.clone()]];
+        let mut complete = Vec::new();
+        while let Some(chain) = partial.pop().filter(|_| complete.len() < MAX_CHAINS) {
             let base = chain.last().and_then(|version| self.changes.get(version)).map(|change| change.base);
             match base {
-                Some(0) => whole.push(chain.into_iter().rev().collect()),
+                Some(0) => complete.push(chain.into_iter().rev().collect()),
                 Some(base) => {
                     for before in self.candidates(base) {
                         let mut longer = chain.clone();
                         longer.push(before.clone());
-                        open.push(longer);
+                        partial.push(longer);
                     }
                 }
                 None => {}
             }
         }
-        whole
+        complete
     }
 }
 
@@ -161,7 +164,7 @@
     }
 
     /// The first version of the chain without a moment.
-    fn stuck(&self) -> Option<usize> {
+    fn empty_window(&self) -> Option<usize> {
         (0..self.earliest.len()).find(|at| self.earliest[*at] > self.latest[*at])
     }
 }
@@ -173,18 +176,18 @@
 }
 
 /// Why a chain is none.
-struct Misfit {
+struct Contradiction {
     at: u64,
-    why: String,
+    evidence: String,
 }
 
 impl Chain<'_> {
-    fn place(&self, version: &Version) -> Option<usize> {
+    fn position(&self, version: &Version) -> Option<usize> {
         self.versions.iter().position(|other| other == version)
     }
 
     /// Whether moments can be found for all its versions.
-    fn fits(&self) -> Result<(), Misfit> {
+    fn fits(&self) -> Result<(), Contradiction> {
         let mut windows =
             Windows { earliest: vec![0; self.versions.len()], latest: vec![u64::MAX; self.versions.len()] };
         windows.latest[0] = 0;
@@ -193,58 +196,65 @@
             windows.not_before(at, change.began);
             windows.not_after(at, change.acknowledged.unwrap_or(u64::MAX));
         }
-        let mut choices = Vec::new();
-        for seen in &self.facts.seen {
-            self.bound(seen, &mut windows, &mut choices)?;
-            if let Some(stuck) = windows.stuck() {
-                return Err(self.misfit(seen, stuck));
+        let mut alternatives = Vec::new();
+        for observation in &self.facts.observations {
+            self.constrain(observation, &mut windows, &mut alternatives)?;
+            if let Some(empty_window) = windows.empty_window() {
+                return Err(self.contradiction(observation, empty_window));
             }
         }
-        if settle(windows, &choices, MAX_CHOICES) {
+        if resolve(windows, &alternatives, MAX_ALTERNATIVES) {
             return Ok(());
         }
-        Err(Misfit { at: 0, why: "no moments fit all answers 412".to_owned() })
+        Err(Contradiction { at: 0, evidence: "no moments fit all answers 412".to_owned() })
     }
 
-    fn misfit(&self, seen: &Seen, stuck: usize) -> Misfit {
-        let (at, what) = match seen {
-            Seen::Read { began, ended, version } => (*began, format!("{version:?} was read up to {ended}")),
-            Seen::Told { at, version } => (*at, format!("an agent told {version:?}")),
-            Seen::Mismatch { began, base, .. } => (*began, format!("412 for a change on {base}")),
-            Seen::NotAbove { at, number } => (*at, format!("409 for {number}")),
+    fn contradiction(&self, observation: &Observation, empty_window: usize) -> Contradiction {
+        let (at, what) = match observation {
+            Observation::Read { began, ended, version } => {
+                (*began, format!("{version:?} was read up to {ended}"))
+            }
+            Observation::Reported { at, version } => (*at, format!("an agent told {version:?}")),
+            Observation::Mismatch { began, base, .. } => (*began, format!("412 for a change on {base}")),
+            Observation::NotAbove { at, number } => (*at, format!("409 for {number}")),
         };
-        Misfit {
+        Contradiction {
             at,
-            why: format!(
+            evidence: format!(
                 "{what}, and no moment is left at which {:?} came into force",
-                self.versions[stuck]
+                self.versions[empty_window]
             ),
         }
     }
 
-    /// What an observation says about the moments; an answer 412 may leave a choice.
-    fn bound(&self, seen: &Seen, windows: &mut Windows, choices: &mut Vec<Choice>) -> Result<(), Misfit> {
-        match seen {
-            Seen::Read { began, ended, version } => {
-                let Some(at) = self.place(version) else { return Ok(()) }; // judged by itself
+    /// What an observation says about the moments; an answer 412 may leave a alternative.
+    fn constrain(
+        &self,
+        observation: &Observation,
+        windows: &mut Windows,
+        alternatives: &mut Vec<Alternative>,
+    ) -> Result<(), Contradiction> {
+        match observation {
+            Observation::Read { began, ended, version } => {
+                let Some(at) = self.position(version) else { return Ok(()) }; // judged by itself
                 windows.not_after(at, *ended);
                 windows.not_before(at + 1, *began);
             }
-            Seen::Told { at: moment, version } => {
-                if let Some(at) = self.place(version) {
+            Observation::Reported { at: moment, version } => {
+                if let Some(at) = self.position(version) {
                     windows.not_after(at, *moment);
                 }
             }
-            Seen::NotAbove { at: moment, number } => {
+            Observation::NotAbove { at: moment, number } => {
                 let Some(at) = self.versions.iter().position(|version| version.number >= *number) else {
-                    let why = format!("409 for {number}, and no version was ever as high");
-                    return Err(Misfit { at: *moment, why });
+                    let evidence = format!("409 for {number}, and no version was ever as high");
+                    return Err(Contradiction { at: *moment, evidence });
                 };
                 windows.not_after(at, *moment);
             }
-            Seen::Mismatch { began, ended, base } => {
+            Observation::Mismatch { began, ended, base } => {
                 if let Some(at) = self.versions.iter().position(|version| version.number == *base) {
-                    choices.push(Choice { at, began: *began, ended: *ended });
+                    alternatives.push(Alternative { at, began: *began, ended: *ended });
                 }
             }
         }
@@ -253,26 +263,27 @@
 }
 
 /// The version at a place in the chain was not yet in force, or no longer, at some moment between these.
-struct Choice {
+struct Alternative {
     at: usize,
     began: u64,
     ended: u64,
 }
 
-impl Choice {
+impl Alternative {
     fn holds(&self, windows: &Windows) -> bool {
         let ended_before = windows.latest.get(self.at + 1).is_some_and(|latest| *latest <= self.ended);
         ended_before || windows.earliest[self.at] > self.began
     }
 }
 
-/// Whether moments within the windows meet all choices, of which so many may be open.
-fn settle(mut windows: Windows, choices: &[Choice], most: usize) -> bool {
+/// Whether moments within the windows meet all alternatives, of which so many may be open.
+fn resolve(mut windows: Windows, alternatives: &[Alternative], depth_left: usize) -> bool {
     loop {
-        if windows.stuck().is_some() {
+        if windows.empty_window().is_some() {
             return false;
         }
-        let open: Vec<&Choice> = choices.iter().filter(|choice| !choice.holds(&windows)).collect();
+        let open: Vec<&Alternative> =
+            alternatives.iter().filter(|alternative| !alternative.holds(&windows)).collect();
         let Some(first) = open.first() else { return true };
         let mut later = windows.clone();
         later.not_before(first.at, first.began.saturating_add(1));
@@ -283,76 +294,83 @@
             sooner.latest[0] = 0;
             sooner.earliest[0] = 1;
         }
-        match (sooner.stuck().is_none(), later.stuck().is_none()) {
+        match (sooner.empty_window().is_none(), later.empty_window().is_none()) {
             (false, false) => return false,
             (true, false) => windows = sooner,
             (false, true) => windows = later,
-            (true, true) if most == 0 => return true, // given the benefit of the doubt
-            (true, true) => return settle(sooner, choices, most - 1) || settle(later, choices, most - 1),
+            (true, true) if depth_left == 0 => return true, // given the benefit of the doubt
+            (true, true) => {
+                return resolve(sooner, alternatives, depth_left - 1)
+                    || resolve(later, alternatives, depth_left - 1);
+            }
         }
     }
 }
 
 /// Judges all changes and reads of a round.
-pub fn judge(events: &[Event], breaches: &mut Vec<Breach<Rule>>) {
+pub fn check_register(events: &[Event], violations: &mut Vec<Violation<Rule>>) {
     let facts = Facts::of(events);
-    refusals(events, &facts, breaches);
-    let Some(newest) = facts.observed.last() else { return };
+    check_refusals(events, &facts, violations);
+    let Some(newest) = facts.seen_versions.last() else { return };
     let chains = facts.chains(newest);
-    let mut misfits = Vec::new();
+    let mut contradictions = Vec::new();
     for versions in chains {
         let versions: Vec<Version> = std::iter::once(Version::none()).chain(versions).collect();
         let chain = Chain { facts: &facts, versions };
-        let outside = outside(&facts, &chain);
-        if outside.is_empty() && chain.fits().is_ok() {
+        let off_chain = off_chain(&facts, &chain);
+        if off_chain.is_empty() && chain.fits().is_ok() {
             return;
         }
-        let misfit = chain.fits().err().map(|Misfit { at, why }| Breach { rule: Rule::Order, at, why });
-        misfits = outside.into_iter().chain(misfit).collect();
+        let contradiction = chain.fits().err().map(|Contradiction { at, evidence }| Violation {
+            rule: Rule::Order,
+            at,
+            evidence,
+        });
+        contradictions = off_chain.into_iter().chain(contradiction).collect();
     }
-    if misfits.is_empty() {
-        let why = format!("{newest:?} builds on versions that nobody sent, or that were refused");
-        misfits.push(Breach { rule: Rule::Order, at: 0, why });
+    if contradictions.is_empty() {
+        let evidence = format!("{newest:?} builds on versions that nobody sent, or that were refused");
+        contradictions.push(Violation { rule: Rule::Order, at: 0, evidence });
     }
-    breaches.append(&mut misfits);
+    violations.append(&mut contradictions);
 }
 
-/// What was observed and does not lead to the newest version.
-fn outside(facts: &Facts, chain: &Chain) -> Vec<Breach<Rule>> {
+/// What was seen_versions and does not lead to the newest version.
+fn off_chain(facts: &Facts, chain: &Chain) -> Vec<Violation<Rule>> {
     let newest = chain.versions.last().cloned().unwrap_or_else(Version::none);
-    let missing = facts.observed.iter().filter(|version| chain.place(version).is_none());
-    let breach = |version: &Version| {
+    let missing = facts.seen_versions.iter().filter(|version| chain.position(version).is_none());
+    let violation = |version: &Version| {
         let acknowledged = facts.changes.get(version).and_then(|change| change.acknowledged);
         let (rule, what) = match acknowledged {
             Some(_) => (Rule::Lost, "acknowledged"),
             None => (Rule::Order, "read or told"),
         };
-        let why = format!("{version:?} was {what} and does not lead to {newest:?}");
-        Breach { rule, at: acknowledged.unwrap_or(0), why }
+        let evidence = format!("{version:?} was {what} and does not lead to {newest:?}");
+        Violation { rule, at: acknowledged.unwrap_or(0), evidence }
     };
-    missing.map(breach).collect()
+    missing.map(violation).collect()
 }
 
 /// Changes that were refused or invalid and came into force, and taken ones that were refused.
-fn refusals(events: &[Event], facts: &Facts, breaches: &mut Vec<Breach<Rule>>) {
-    for version in &facts.observed {
+fn check_refusals(events: &[Event], facts: &Facts, violations: &mut Vec<Violation<Rule>>) {
+    for version in &facts.seen_versions {
         let Some(change) = facts.changes.get(version) else {
-            let why = format!("{version:?} was seen, and nobody sent it");
-            breaches.push(Breach { rule: Rule::Order, at: 0, why });
+            let evidence = format!("{version:?} was seen, and nobody sent it");
+            violations.push(Violation { rule: Rule::Order, at: 0, evidence });
             continue;
         };
         if !change.valid {
-            let why = format!("{version:?} is invalid and came into force");
-            breaches.push(Breach { rule: Rule::Refused, at: change.began, why });
+            let evidence = format!("{version:?} is invalid and came into force");
+            violations.push(Violation { rule: Rule::Refused, at: change.began, evidence });
         } else if let Some((at, status)) = change.refused {
-            let why = format!("{version:?} came into force, and was answered {status}");
-            breaches.push(Breach { rule: Rule::Refused, at, why });
+            let evidence = format!("{version:?} came into force, and was answered {status}");
+            violations.push(Violation { rule: Rule::Refused, at, evidence });
         }
     }
     for event in events {
-        if let Did::Replace { version, valid: true, status: Some(400), .. } = &event.what {
-            let why = format!("{version:?} is valid, and was answered 400");
-            breaches.push(Breach { rule: Rule::Refused, at: event.began, why });
+        if let EventKind::Replace { version, valid: true, status: Some(400), .. } = &event.what {
+            let evidence = format!("{version:?} is valid, and was answered 400");
+            violations.push(Violation { rule: Rule::Refused, at: event.began, evidence });
         }
     }
 }
--- a/crates/rig/src/fleet/script.rs
+++ b/crates/rig/src/fleet/script.rs
@@ -12,13 +12,13 @@
     pub members: usize,
     /// Agents, each with a listener at its feed.
     pub agents: usize,
-    /// How long the round lasts before everything is healed.
+    /// LinkFault long the round lasts before everything is healed.
     pub lasts: u32,
     /// Pause between two replaces of one operator, at most.
     pub pause: u32,
     /// From then on no operator changes anything; none: all the time.
     pub quiet_from: Option<u32>,
-    /// What goes wrong.
+    /// FaultKind goes wrong.
     pub faults: Vec<Fault>,
 }
 
@@ -30,11 +30,11 @@
     pub at: u32,
     /// For how long.
     pub lasts: u32,
-    /// What.
-    pub what: What,
+    /// FaultKind.
+    pub what: FaultKind,
 }
 
-/// How links are cut.
+/// LinkFault links are cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cut {
@@ -48,10 +48,10 @@
     Refused,
 }
 
-/// What happens. Members are numbered by their places: a machine that is added takes the place of the one that is gone.
+/// FaultKind happens. Members are numbered by their places: a machine that is added takes the place of the one that is gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum FaultKind {
     /// SIGKILL; started again with its disk when it is over.
     Kill {
         /// Which member.
@@ -73,7 +73,7 @@
     CutMember {
         /// Which member.
         member: usize,
-        /// How.
+        /// LinkFault.
         cut: Cut,
     },
     /// The links between two members.
@@ -117,24 +117,24 @@
     },
 }
 
-impl What {
+impl FaultKind {
     /// The kind, for what came together with what.
     pub fn kind(&self) -> &'static str {
         match self {
-            What::Kill { .. } => "kill",
-            What::Terminate { .. } => "terminate",
-            What::PowerOff => "power off",
-            What::Stop { .. } => "stop",
-            What::CutMember { cut: Cut::Both, .. } => "cut member",
-            What::CutMember { cut: Cut::Refused, .. } => "cut refused",
-            What::CutMember { .. } => "cut one way",
-            What::CutPair { .. } => "cut pair",
-            What::CutAgent { .. } => "cut agent",
-            What::KillAgent { .. } => "kill agent",
-            What::StopAgent { .. } => "stop agent",
-            What::Wipe { .. } => "wipe",
-            What::Restore { .. } => "restore",
-            What::Replace { .. } => "replace",
+            FaultKind::Kill { .. } => "kill",
+            FaultKind::Terminate { .. } => "terminate",
+            FaultKind::PowerOff => "power off",
+            FaultKind::Stop { .. } => "stop",
+            FaultKind::CutMember { cut: Cut::Both, .. } => "cut member",
+            FaultKind::CutMember { cut: Cut::Refused, .. } => "cut refused",
+            FaultKind::CutMember { .. } => "cut one way",
+            FaultKind::CutPair { .. } => "cut pair",
+            FaultKind::CutAgent { .. } => "cut agent",
+            FaultKind::KillAgent { .. } => "kill agent",
+            FaultKind::StopAgent { .. } => "stop agent",
+            FaultKind::Wipe { .. } => "wipe",
+            FaultKind::Restore { .. } => "restore",
+            FaultKind::Replace { .. } => "replace",
         }
     }
 }
--- a/crates/rig/src/fleet_verbs.rs
+++ b/crates/rig/src/fleet_verbs.rs
@@ -1,7 +1,7 @@
 //! The verbs that play and judge rounds of the fleet.
 
-use runtrack_rig::check::Judgement;
-use runtrack_rig::fleet::check::{Rule, judge};
+use runtrack_rig::check::Verdict;
+use runtrack_rig::fleet::check::{Rule, check_history};
 use runtrack_rig::fleet::history::Event;
 use runtrack_rig::fleet::script::Script;
 use runtrack_rig::fleet::{draw, play};
@@ -17,17 +17,17 @@
 struct Totals {
     pairs: Pairs,
     events: usize,
-    broken: u64,
-    unplayed: u64,
+    rounds_with_violations: u64,
+    failed_to_run: u64,
     by_rule: BTreeMap<Rule, u64>,
 }
 
-fn play_round(script: &Script) -> Result<(Vec<Event>, Judgement<Rule>), String> {
+fn run_round(script: &Script) -> Result<(Vec<Event>, Verdict<Rule>), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build();
     let events = runtime.map_err(|e| e.to_string())?.block_on(play(script));
-    let events = events.map_err(|problem| format!("the round could not be played: {problem}"))?;
-    let judgement = judge(&events);
-    Ok((events, judgement))
+    let events = events.map_err(|problem| format!("the round failed to run: {problem}"))?;
+    let verdict = check_history(&events);
+    Ok((events, verdict))
 }
 
 /// Plays the rounds of many seeds, and says which break a rule.
@@ -37,16 +37,16 @@
     let totals: Mutex<Totals> = Mutex::default();
     let done = campaign::search(which, "{bar:32} {pos}/{len} rounds {eta} {msg}", |seed, bar| {
         let script = draw::script(seed);
-        let played = play_round(&script);
+        let played = run_round(&script);
         let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
         match played {
-            Ok((events, judgement)) => {
-                if let Err(problem) = totals.add(out, &script, &events, &judgement) {
+            Ok((events, verdict)) => {
+                if let Err(problem) = totals.add(out, &script, &events, &verdict) {
                     bar.suspend(|| eprintln!("{problem}"));
                 }
             }
             Err(problem) => {
-                totals.unplayed += 1;
+                totals.failed_to_run += 1;
                 println!("seed {seed}: {problem}");
             }
         }
@@ -62,19 +62,19 @@
         out: &Path,
         script: &Script,
         events: &[Event],
-        judgement: &Judgement<Rule>,
+        verdict: &Verdict<Rule>,
     ) -> Result<(), String> {
-        self.events += judgement.looked_at;
+        self.events += verdict.events_checked;
         self.pairs.add(script.faults.iter().map(|fault| fault.what.kind()));
-        if judgement.breaches.is_empty() {
+        if verdict.violations.is_empty() {
             return Ok(());
         }
-        self.broken += 1;
-        let rules: BTreeSet<Rule> = judgement.breaches.iter().map(|breach| breach.rule).collect();
+        self.rounds_with_violations += 1;
+        let rules: BTreeSet<Rule> = verdict.violations.iter().map(|violation| violation.rule).collect();
         rules.iter().for_each(|rule| *self.by_rule.entry(*rule).or_default() += 1);
-        println!("seed {}: {} breaches", script.seed, judgement.breaches.len());
+        println!("seed {}: {} violations", script.seed, verdict.violations.len());
         for rule in &rules {
-            if let Some(first) = judgement.breaches.iter().find(|breach| breach.rule == *rule) {
+            if let Some(first) = verdict.violations.iter().find(|violation| violation.rule == *rule) {
                 println!("  {first}");
             }
         }
@@ -88,30 +88,38 @@
     fn report(&self, done: u64, began: Instant) -> ExitCode {
         let took = began.elapsed().as_secs_f64();
         println!(
-            "{done} rounds in {took:.0} s; {} events judged; {}; {} rounds break a rule {:?}, {} could not be played",
-            self.events, self.pairs, self.broken, self.by_rule, self.unplayed
+            "{done} rounds in {took:.0} s; {} events checked; {}; {} rounds violate a rule {:?}, {} failed to run",
+            self.events, self.pairs, self.rounds_with_violations, self.by_rule, self.failed_to_run
         );
-        if self.broken + self.unplayed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+        if self.rounds_with_violations + self.failed_to_run == 0 {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        }
     }
 }
 
-fn report(judgement: &Judgement<Rule>) -> ExitCode {
-    judgement.breaches.iter().for_each(|breach| println!("{breach}"));
-    println!("{} events, {} broken rules", judgement.looked_at, judgement.breaches.len());
-    if judgement.breaches.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+fn report(verdict: &Verdict<Rule>) -> ExitCode {
+    verdict.violations.iter().for_each(|violation| println!("{violation}"));
+    println!(
+        "{} events, {} rounds_with_violations rules",
+        verdict.events_checked,
+        verdict.violations.len()
+    );
+    if verdict.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// Plays a script.
 pub fn replay(script: &Path, history: Option<&Path>) -> Result<ExitCode, String> {
-    let (events, judgement) = play_round(&read(script)?)?;
+    let (events, verdict) = run_round(&read(script)?)?;
     if let Some(path) = history {
         history::write(path, &events).map_err(named(path))?;
     }
-    Ok(report(&judgement))
+    Ok(report(&verdict))
 }
 
 /// Judges a history again.
-pub fn judge_again(path: &Path) -> Result<ExitCode, String> {
+pub fn recheck(path: &Path) -> Result<ExitCode, String> {
     let events: Vec<Event> = history::read(path).map_err(named(path))?;
-    Ok(report(&judge(&events)))
+    Ok(report(&check_history(&events)))
 }
--- a/crates/rig/src/history.rs
+++ b/crates/rig/src/history.rs
@@ -9,7 +9,7 @@
 
 /// Something that happened. Times are microseconds from the start of the round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Event<D = Did> {
+pub struct Event<D = EventKind> {
     /// When it began.
     pub began: u64,
     /// When it was known to have ended; none: whether it took place is not known.
@@ -23,7 +23,7 @@
 /// What somebody did or saw.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "did")]
-pub enum Did {
+pub enum EventKind {
     /// The rig did something to the world.
     Fault {
         /// In words.
@@ -108,38 +108,38 @@
 
 /// The history of a round.
 #[derive(Clone)]
-pub struct History<D = Did> {
-    from: Instant,
+pub struct History<D = EventKind> {
+    started: Instant,
     events: Arc<Mutex<Vec<Event<D>>>>,
 }
 
 impl<D> Default for History<D> {
     fn default() -> Self {
-        History { from: Instant::now(), events: Arc::default() }
+        History { started: Instant::now(), events: Arc::default() }
     }
 }
 
 impl<D: Clone> History<D> {
     /// Now.
-    pub fn now(&self) -> u64 {
-        self.at(Instant::now())
+    pub fn now_micros(&self) -> u64 {
+        self.micros_at(Instant::now())
     }
 
     /// A moment.
-    pub fn at(&self, moment: Instant) -> u64 {
-        u64::try_from(moment.saturating_duration_since(self.from).as_micros()).unwrap_or(u64::MAX)
+    pub fn micros_at(&self, moment: Instant) -> u64 {
+        u64::try_from(moment.saturating_duration_since(self.started).as_micros()).unwrap_or(u64::MAX)
     }
 
     /// Notes something that took a time.
-    pub fn note(&self, who: &str, began: u64, ended: Option<u64>, what: D) {
+    pub fn record(&self, who: &str, began: u64, ended: Option<u64>, what: D) {
         let event = Event { began, ended, who: who.to_owned(), what };
         self.events.lock().unwrap_or_else(PoisonError::into_inner).push(event);
     }
 
     /// Notes something that happened now.
-    pub fn now_that(&self, who: &str, what: D) {
-        let now = self.now();
-        self.note(who, now, Some(now), what);
+    pub fn record_now(&self, who: &str, what: D) {
+        let now = self.now_micros();
+        self.record(who, now, Some(now), what);
     }
 
     /// All that happened, by when it began.
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -1,4 +1,4 @@
-//! Links between processes: a listener of the rig's stands before each process, and what goes through it is held, late,
+//! Links between processes: a listener of the rig's stands before each process, and what goes through it is blocked, delay,
 //! slow, reset or refused, by who connects and in which direction.
 
 use rand_core::{RngCore, SeedableRng};
@@ -18,28 +18,28 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Bytes read at once.
-const CHUNK: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 /// Chunks on their way in one direction: beyond them the sender's own window fills, as on a real link.
-const ON_THE_WAY: usize = 64;
+const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 
 /// How one direction stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Way {
+pub struct DirectionState {
     /// Nothing gets through.
-    pub held: bool,
+    pub blocked: bool,
     /// All is late by this, and up to as much more.
-    pub late: Duration,
+    pub delay: Duration,
     /// Bytes a second; 0: as fast as it goes.
-    pub rate: u32,
+    pub bytes_per_s: u32,
 }
 
 /// How a link stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Rule {
+pub struct LinkState {
     /// What the one that connects sends.
-    pub there: Way,
+    pub to_target: DirectionState,
     /// What comes back.
-    pub back: Way,
+    pub to_source: DirectionState,
     /// Connections end at once.
     pub refused: bool,
     /// Raised by one: connections that stand are reset.
@@ -49,7 +49,7 @@
 type Pair = (String, String);
 
 /// What the first bytes of a connection say.
-pub enum Greeting {
+pub enum Handshake {
     /// More of them are needed.
     Incomplete,
     /// Who connects.
@@ -61,7 +61,7 @@
 /// All links of a round.
 #[derive(Clone, Default)]
 pub struct Links {
-    rules: Arc<Mutex<BTreeMap<Pair, watch::Sender<Rule>>>>,
+    states: Arc<Mutex<BTreeMap<Pair, watch::Sender<LinkState>>>>,
     /// Processes by their ids, to tell who connects.
     names: Arc<Mutex<BTreeMap<u32, String>>>,
     /// Bytes that went through, in all.
@@ -79,9 +79,9 @@
     }
 
     /// Changes how a link stands.
-    pub fn set(&self, from: &str, to: &str, change: impl FnOnce(&mut Rule)) {
-        let mut rules = locked(&self.rules);
-        rules.entry((from.to_owned(), to.to_owned())).or_default().send_modify(change);
+    pub fn set(&self, from: &str, to: &str, change: impl FnOnce(&mut LinkState)) {
+        let mut states = locked(&self.states);
+        states.entry((from.to_owned(), to.to_owned())).or_default().send_modify(change);
     }
 
     /// Bytes that went through any of them so far.
@@ -91,19 +91,19 @@
 
     /// Opens all links.
     pub fn heal(&self) {
-        for rule in locked(&self.rules).values() {
-            rule.send_modify(|rule| *rule = Rule { resets: rule.resets, ..Rule::default() });
+        for state in locked(&self.states).values() {
+            state.send_modify(|state| *state = LinkState { resets: state.resets, ..LinkState::default() });
         }
     }
 
-    fn rule(&self, from: &str, to: &str) -> watch::Receiver<Rule> {
-        locked(&self.rules).entry((from.to_owned(), to.to_owned())).or_default().subscribe()
+    fn state(&self, from: &str, to: &str) -> watch::Receiver<LinkState> {
+        locked(&self.states).entry((from.to_owned(), to.to_owned())).or_default().subscribe()
     }
 
     /// Who holds the other end of a connection; empty for one that is not named.
-    fn who(&self, peer: SocketAddr, me: SocketAddr) -> String {
+    fn peer_name(&self, peer: SocketAddr, me: SocketAddr) -> String {
         let names = locked(&self.names).clone();
-        let Some(inode) = inode(peer, me) else { return String::new() };
+        let Some(inode) = socket_inode(peer, me) else { return String::new() };
         let holds = |pid: &u32| {
             let open = std::fs::read_dir(format!("/proc/{pid}/fd")).into_iter().flatten().flatten();
             let wanted = format!("socket:[{inode}]");
@@ -114,34 +114,39 @@
     }
 
     /// Stands before a process: what connects to `at` reaches it at `behind`. Ends with what is returned.
-    pub async fn stand_before(
+    pub async fn intercept(
         &self,
         to: &str,
         at: SocketAddr,
-        behind: SocketAddr,
+        target_address: SocketAddr,
     ) -> io::Result<JoinSet<()>> {
         let (links, to) = (self.clone(), to.to_owned());
-        let whose = move |peer, me| (links.who(peer, me), to.clone());
+        let link_id = move |peer, me| (links.peer_name(peer, me), to.clone());
         let links = self.clone();
-        let target = watch::Sender::new(behind);
-        listen(at, self.bytes.clone(), move |peer, me| links.rule_of(whose(peer, me)), target.subscribe())
-            .await
-            .map(|mut tasks| {
-                tasks.spawn(async move { target.closed().await });
-                tasks
-            })
+        let target = watch::Sender::new(target_address);
+        listen(
+            at,
+            self.bytes.clone(),
+            move |peer, me| links.state_of(link_id(peer, me)),
+            target.subscribe(),
+        )
+        .await
+        .map(|mut tasks| {
+            tasks.spawn(async move { target.closed().await });
+            tasks
+        })
     }
 
-    /// Stands before a process as [`Links::stand_before`] does, and tells by the first bytes of a connection who connects:
+    /// Stands before a process as [`Links::intercept`] does, and tells by the first bytes of a connection who connects:
     /// its kernel's table need not be searched, which takes long on a machine with many connections.
-    pub async fn stand_before_greeted(
+    pub async fn intercept_identified(
         &self,
         to: &str,
         at: SocketAddr,
-        behind: SocketAddr,
-        greeting: fn(&[u8]) -> Greeting,
+        target_address: SocketAddr,
+        parse_handshake: fn(&[u8]) -> Handshake,
     ) -> io::Result<JoinSet<()>> {
-        let (links, to, target) = (self.clone(), to.to_owned(), watch::Sender::new(behind));
+        let (links, to, target) = (self.clone(), to.to_owned(), watch::Sender::new(target_address));
         let listener = TcpListener::bind(at).await?;
         let mut tasks = JoinSet::new();
         tasks.spawn(async move {
@@ -149,8 +154,15 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let (links, to, target) = (links.clone(), to.clone(), target.subscribe());
                 connections.spawn(async move {
-                    if let Some((stream, from, first)) = greeted(stream, greeting).await {
-                        carry(stream, links.rule(&from, &to), target, links.bytes.clone(), first).await;
+                    if let Some((stream, from, first)) = identify_peer(stream, parse_handshake).await {
+                        forward_connection(
+                            stream,
+                            links.state(&from, &to),
+                            target,
+                            links.bytes.clone(),
+                            first,
+                        )
+                        .await;
                     }
                 });
                 while connections.try_join_next().is_some() {}
@@ -159,25 +171,25 @@
         Ok(tasks)
     }
 
-    fn rule_of(&self, (from, to): Pair) -> watch::Receiver<Rule> {
-        self.rule(&from, &to)
+    fn state_of(&self, (from, to): Pair) -> watch::Receiver<LinkState> {
+        self.state(&from, &to)
     }
 
     /// A link of one that connects always here, to whatever the receiver names at that time.
-    pub async fn lead(
+    pub async fn intercept_routed(
         &self,
         from: &str,
         to: &str,
         at: SocketAddr,
         target: watch::Receiver<SocketAddr>,
     ) -> io::Result<JoinSet<()>> {
-        let rule = self.rule(from, to);
-        listen(at, self.bytes.clone(), move |_, _| rule.clone(), target).await
+        let state = self.state(from, to);
+        listen(at, self.bytes.clone(), move |_, _| state.clone(), target).await
     }
 }
 
 /// The inode of the socket at the other end of a connection on this machine.
-fn inode(peer: SocketAddr, me: SocketAddr) -> Option<u64> {
+fn socket_inode(peer: SocketAddr, me: SocketAddr) -> Option<u64> {
     let hex = |at: SocketAddr| match at {
         SocketAddr::V4(at) => format!("{:08X}:{:04X}", u32::from_le_bytes(at.ip().octets()), at.port()),
         SocketAddr::V6(_) => String::new(), // the rig's addresses are IPv4
@@ -193,17 +205,17 @@
 }
 
 /// Reads who connects; gives the bytes that were read for it too.
-async fn greeted(
+async fn identify_peer(
     mut stream: TcpStream,
-    greeting: fn(&[u8]) -> Greeting,
+    parse_handshake: fn(&[u8]) -> Handshake,
 ) -> Option<(TcpStream, String, Vec<u8>)> {
     let mut first = Vec::new();
     loop {
-        match greeting(&first) {
-            Greeting::From(name) => return Some((stream, name, first)),
-            Greeting::Malformed => return None,
-            Greeting::Incomplete if stream.read_buf(&mut first).await.ok()? == 0 => return None,
-            Greeting::Incomplete => {}
+        match parse_handshake(&first) {
+            Handshake::From(name) => return Some((stream, name, first)),
+            Handshake::Malformed => return None,
+            Handshake::Incomplete if stream.read_buf(&mut first).await.ok()? == 0 => return None,
+            Handshake::Incomplete => {}
         }
     }
 }
@@ -211,7 +223,7 @@
 async fn listen(
     at: SocketAddr,
     bytes: Arc<AtomicU64>,
-    rule: impl Fn(SocketAddr, SocketAddr) -> watch::Receiver<Rule> + Send + 'static,
+    state: impl Fn(SocketAddr, SocketAddr) -> watch::Receiver<LinkState> + Send + 'static,
     target: watch::Receiver<SocketAddr>,
 ) -> io::Result<JoinSet<()>> {
     let listener = TcpListener::bind(at).await?;
@@ -220,7 +232,13 @@
         let mut connections = JoinSet::new();
         while let Ok((stream, peer)) = listener.accept().await {
             let Ok(me) = stream.local_addr() else { continue };
-            connections.spawn(carry(stream, rule(peer, me), target.clone(), bytes.clone(), Vec::new()));
+            connections.spawn(forward_connection(
+                stream,
+                state(peer, me),
+                target.clone(),
+                bytes.clone(),
+                Vec::new(),
+            ));
             while connections.try_join_next().is_some() {}
         }
     });
@@ -232,96 +250,115 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn carry(
-    near: TcpStream,
-    mut rule: watch::Receiver<Rule>,
+async fn forward_connection(
+    source: TcpStream,
+    mut state: watch::Receiver<LinkState>,
     mut target: watch::Receiver<SocketAddr>,
     bytes: Arc<AtomicU64>,
     first: Vec<u8>,
 ) {
-    let began = rule.borrow_and_update().resets;
-    let over = |rule: &Rule| rule.refused || rule.resets != began;
+    let initial_resets = state.borrow_and_update().resets;
+    let is_closed = |state: &LinkState| state.refused || state.resets != initial_resets;
     // A connection that hangs reaches nobody until the link is open.
-    let open = rule.wait_for(|rule| over(rule) || !(rule.there.held && rule.back.held)).await;
-    let refused = open.map_or(true, |rule| over(&rule));
+    let open = state
+        .wait_for(|state| is_closed(state) || !(state.to_target.blocked && state.to_source.blocked))
+        .await;
+    let refused = open.map_or(true, |state| is_closed(&state));
     let to = *target.borrow_and_update();
-    let far = if refused { None } else { TcpStream::connect(to).await.ok() };
-    let Some(far) = far else { return reset(&near) };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
+    let target_stream = if refused { None } else { TcpStream::connect(to).await.ok() };
+    let Some(target_stream) = target_stream else { return reset(&source) };
+    let _ = (source.set_nodelay(true), target_stream.set_nodelay(true));
     // They end by a reset, whichever end drops last.
-    if let (Ok(near_again), Ok(far_again)) = (again(&near), again(&far)) {
-        let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-        let mut pumps = JoinSet::new();
-        pumps.spawn(pump(near_in, far_out, rule.clone(), |rule| rule.there, bytes.clone(), first));
-        pumps.spawn(pump(far_in, near_out, rule.clone(), |rule| rule.back, bytes, Vec::new()));
-        let both = async { while pumps.join_next().await.is_some() {} };
+    if let (Ok(source_handle), Ok(target_handle)) = (duplicate(&source), duplicate(&target_stream)) {
+        let ((source_in, source_out), (target_in, target_out)) =
+            (source.into_split(), target_stream.into_split());
+        let mut directions = JoinSet::new();
+        directions.spawn(forward_direction(
+            source_in,
+            target_out,
+            state.clone(),
+            |state| state.to_target,
+            bytes.clone(),
+            first,
+        ));
+        directions.spawn(forward_direction(
+            target_in,
+            source_out,
+            state.clone(),
+            |state| state.to_source,
+            bytes,
+            Vec::new(),
+        ));
+        let both = async { while directions.join_next().await.is_some() {} };
         tokio::select! {
             () = both => {}
-            _ = rule.wait_for(over) => (near_again.kill(), far_again.kill()).0,
-            _ = target.changed() => (near_again.kill(), far_again.kill()).0,
+            _ = state.wait_for(is_closed) => (source_handle.reset_on_close(), target_handle.reset_on_close()).0,
+            _ = target.changed() => (source_handle.reset_on_close(), target_handle.reset_on_close()).0,
         }
     }
 }
 
 /// A second hold on a connection, to reset it while its halves are in use.
-struct Again(socket2::Socket);
+struct SocketHandle(socket2::Socket);
 
-fn again(stream: &TcpStream) -> io::Result<Again> {
-    SockRef::from(stream).try_clone().map(Again)
+fn duplicate(stream: &TcpStream) -> io::Result<SocketHandle> {
+    SockRef::from(stream).try_clone().map(SocketHandle)
 }
 
-impl Again {
-    fn kill(&self) {
+impl SocketHandle {
+    fn reset_on_close(&self) {
         let _ = self.0.set_linger(Some(Duration::ZERO));
     }
 }
 
-async fn pump(
+async fn forward_direction(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut rule: watch::Receiver<Rule>,
-    way: fn(&Rule) -> Way,
-    through: Arc<AtomicU64>,
+    mut state: watch::Receiver<LinkState>,
+    direction: fn(&LinkState) -> DirectionState,
+    forwarded_bytes: Arc<AtomicU64>,
     first: Vec<u8>,
 ) {
-    let (give, mut take) = mpsc::channel::<(Instant, Vec<u8>)>(ON_THE_WAY);
-    let mut draws = Pcg32::seed_from_u64(7);
-    let mut clock = rule.clone();
+    let (sender, mut receiver) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_CHUNKS_IN_FLIGHT);
+    let mut rng = Pcg32::seed_from_u64(7);
+    let mut clock = state.clone();
     let read = async move {
         let mut due = Instant::now();
-        through.fetch_add(first.len() as u64, Ordering::Relaxed);
-        if give.send((due, first)).await.is_err() {
+        forwarded_bytes.fetch_add(first.len() as u64, Ordering::Relaxed);
+        if sender.send((due, first)).await.is_err() {
             return;
         }
         loop {
-            let mut bytes = vec![0; CHUNK];
+            let mut bytes = vec![0; CHUNK_BYTES];
             match from.read(&mut bytes).await {
                 Ok(n) if n > 0 => bytes.truncate(n),
                 _ => return,
             }
-            through.fetch_add(bytes.len() as u64, Ordering::Relaxed);
-            let Way { late, rate, .. } = way(&clock.borrow_and_update());
-            let spread = late.mul_f64(f64::from(draws.next_u32()) / f64::from(u32::MAX));
+            forwarded_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+            let DirectionState { delay, bytes_per_s, .. } = direction(&clock.borrow_and_update());
+            let jitter = delay.mul_f64(f64::from(rng.next_u32()) / f64::from(u32::MAX));
             // Bytes stay in order, and take their time on a slow link.
-            let takes = match rate {
+            let transfer_time = match bytes_per_s {
                 0 => Duration::ZERO,
-                rate => Duration::from_secs_f64(bytes.len() as f64 / f64::from(rate)),
+                bytes_per_s => Duration::from_secs_f64(bytes.len() as f64 / f64::from(bytes_per_s)),
             };
-            due = due.max(Instant::now() + late + spread) + takes;
-            if give.send((due, bytes)).await.is_err() {
+            due = due.max(Instant::now() + delay + jitter) + transfer_time;
+            if sender.send((due, bytes)).await.is_err() {
                 return;
             }
         }
     };
     let write = async move {
-        while let Some((due, bytes)) = take.recv().await {
+        while let Some((due, bytes)) = receiver.recv().await {
             sleep_until(due).await;
-            if rule.wait_for(|rule| !way(rule).held).await.is_err() || to.write_all(&bytes).await.is_err() {
+            if state.wait_for(|state| !direction(state).blocked).await.is_err()
+                || to.write_all(&bytes).await.is_err()
+            {
                 return;
             }
         }
         // An end is held like all else.
-        if rule.wait_for(|rule| !way(rule).held).await.is_ok() {
+        if state.wait_for(|state| !direction(state).blocked).await.is_ok() {
             let _ = to.shutdown().await;
         }
     };
@@ -329,12 +366,14 @@
 }
 
 /// Holds a link and opens it again so often a second, for as long as it is polled.
-pub async fn flap(links: &Links, pairs: &[(String, String)], times: u32) {
-    let half = Duration::from_secs(1) / (2 * times.max(1));
+pub async fn flap(links: &Links, pairs: &[(String, String)], per_second: u32) {
+    let half = Duration::from_secs(1) / (2 * per_second.max(1));
     loop {
-        for held in [true, false] {
+        for blocked in [true, false] {
             for (from, to) in pairs {
-                links.set(from, to, |rule| (rule.there.held, rule.back.held) = (held, held));
+                links.set(from, to, |state| {
+                    (state.to_target.blocked, state.to_source.blocked) = (blocked, blocked)
+                });
             }
             sleep(half).await;
         }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -3,10 +3,10 @@
 mod fleet_verbs;
 
 use clap::{Parser, Subcommand};
-use runtrack_rig::check::{Judgement, judge};
+use runtrack_rig::check::{Verdict, check_history};
 use runtrack_rig::history::{self, Event};
 use runtrack_rig::script::Script;
-use runtrack_rig::{draw, measure, world};
+use runtrack_rig::{draw, measure, round};
 use runtrack_sim::campaign::{self, Pairs, Seeds, named, read, write};
 use runtrack_sim::shrink::fewer;
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
     name = "runtrack-rig",
     version,
     about,
-    after_help = "Exit codes: 0 no rule broken; 1 a rule was broken; 2 the command line or a file is wrong, or a round could not be played."
+    after_help = "Exit codes: 0 no rule violated; 1 a rule was violated; 2 the command line or a file is invalid, or a round failed to run."
 )]
 struct Cli {
     /// An error to plant in the instances, where they were built with such errors.
@@ -95,7 +95,7 @@
         /// The history.
         history: PathBuf,
     },
-    /// Leave out of a script what the broken rule does not need; write it with `.small` behind.
+    /// Leave out of a script what the violated rule does not need; write it with `.small` behind.
     Shrink {
         /// The script (JSON).
         script: PathBuf,
@@ -105,39 +105,39 @@
     },
 }
 
-fn play(script: &Script, mutant: Option<&str>) -> Result<(Vec<Event>, Judgement), String> {
+fn run_round(script: &Script, mutant: Option<&str>) -> Result<(Vec<Event>, Verdict), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    let events = runtime.map_err(|e| e.to_string())?.block_on(world::play(script, mutant));
-    let events = events.map_err(|problem| format!("the round could not be played: {problem}"))?;
-    let judgement = judge(&events);
-    Ok((events, judgement))
+    let events = runtime.map_err(|e| e.to_string())?.block_on(round::play(script, mutant));
+    let events = events.map_err(|problem| format!("the round failed to run: {problem}"))?;
+    let verdict = check_history(&events);
+    Ok((events, verdict))
 }
 
-fn figures(kills: usize, pools: usize) -> Result<ExitCode, String> {
+fn measure_costs(kills: usize, pools: usize) -> Result<ExitCode, String> {
     let runtime = tokio::runtime::Runtime::new().map_err(|e| e.to_string())?;
     for count in [3, 5] {
-        runtime.block_on(measure::instances(count, kills, pools)).map_err(|e| e.to_string())?;
+        runtime.block_on(measure::measure_cluster(count, kills, pools)).map_err(|e| e.to_string())?;
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn report(judgement: &Judgement) -> ExitCode {
-    for breach in &judgement.breaches {
-        println!("{breach}");
+fn report(verdict: &Verdict) -> ExitCode {
+    for violation in &verdict.violations {
+        println!("{violation}");
     }
-    for key in &judgement.unjudged {
-        println!("{key}: too many possible orders, not judged");
+    for key in &verdict.undecided_keys {
+        println!("{key}: too many possible orders; linearizability was not decided");
     }
-    println!("{} events, {} broken rules", judgement.looked_at, judgement.breaches.len());
-    if judgement.breaches.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    println!("{} events, {} rule violations", verdict.events_checked, verdict.violations.len());
+    if verdict.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn one(script: &Script, history: Option<&Path>, mutant: Option<&str>) -> Result<ExitCode, String> {
-    let (events, judgement) = play(script, mutant)?;
+fn run_script(script: &Script, history: Option<&Path>, mutant: Option<&str>) -> Result<ExitCode, String> {
+    let (events, verdict) = run_round(script, mutant)?;
     if let Some(path) = history {
         history::write(path, &events).map_err(named(path))?;
     }
-    Ok(report(&judgement))
+    Ok(report(&verdict))
 }
 
 fn main() -> ExitCode {
@@ -149,19 +149,19 @@
     let done = match cli.command {
         Command::Run { seed, script, history } => {
             let drawn = draw::script(seed);
-            let kept = script.map_or(Ok(()), |path| write(&path, &drawn));
-            kept.and_then(|()| one(&drawn, history.as_deref(), mutant))
+            let saved = script.map_or(Ok(()), |path| write(&path, &drawn));
+            saved.and_then(|()| run_script(&drawn, history.as_deref(), mutant))
         }
         Command::Search { which, out } => search(&which, &out, mutant),
         Command::Replay { script, history } => {
-            read(&script).and_then(|script| one(&script, history.as_deref(), mutant))
+            read(&script).and_then(|script| run_script(&script, history.as_deref(), mutant))
         }
         Command::Fleet { which, out } => fleet_verbs::search(&which, &out),
         Command::FleetReplay { script, history } => fleet_verbs::replay(&script, history.as_deref()),
-        Command::FleetJudge { history } => fleet_verbs::judge_again(&history),
-        Command::Measure { kills, pools } => figures(kills, pools),
+        Command::FleetJudge { history } => fleet_verbs::recheck(&history),
+        Command::Measure { kills, pools } => measure_costs(kills, pools),
         Command::Judge { history } => {
-            history::read(&history).map_err(named(&history)).map(|events| report(&judge(&events)))
+            history::read(&history).map_err(named(&history)).map(|events| report(&check_history(&events)))
         }
         Command::Shrink { script, rounds } => shrink(&script, rounds, mutant),
     };
@@ -172,75 +172,75 @@
 }
 
 #[derive(Default)]
-struct Sums {
+struct Totals {
     pairs: Pairs,
     events: usize,
-    broken: u64,
-    unplayed: u64,
+    rounds_with_violations: u64,
+    failed_to_run: u64,
 }
 
 fn search(which: &Seeds, out: &Path, mutant: Option<&str>) -> Result<ExitCode, String> {
     std::fs::create_dir_all(out).map_err(named(out))?;
     let began = Instant::now();
-    let sums: Mutex<Sums> = Mutex::default();
+    let totals: Mutex<Totals> = Mutex::default();
     let done = campaign::search(which, "{bar:32} {pos}/{len} rounds {eta} {msg}", |seed, bar| {
         let script = draw::script(seed);
-        let played = play(&script, mutant);
-        let mut sums = sums.lock().unwrap_or_else(PoisonError::into_inner);
-        let (events, judgement) = match played {
-            Ok(played) => played,
+        let runs = run_round(&script, mutant);
+        let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
+        let (events, verdict) = match runs {
+            Ok(runs) => runs,
             Err(problem) => {
-                sums.unplayed += 1;
+                totals.failed_to_run += 1;
                 bar.suspend(|| println!("seed {seed}: {problem}"));
                 return true;
             }
         };
-        sums.events += judgement.looked_at;
-        sums.pairs.add(script.faults.iter().map(|fault| fault.what.kind()));
-        if let Some(breach) = judgement.breaches.first() {
-            sums.broken += 1;
-            bar.suspend(|| println!("seed {seed}: {breach}"));
+        totals.events += verdict.events_checked;
+        totals.pairs.add(script.faults.iter().map(|fault| fault.what.kind()));
+        if let Some(violation) = verdict.violations.first() {
+            totals.rounds_with_violations += 1;
+            bar.suspend(|| println!("seed {seed}: {violation}"));
             let path = out.join(format!("rig-{seed}.history"));
-            let kept = write(&out.join(format!("rig-{seed}.json")), &script);
-            let kept = kept.and_then(|()| history::write(&path, &events).map_err(named(&path)));
-            if let Err(problem) = kept {
+            let saved = write(&out.join(format!("rig-{seed}.json")), &script);
+            let saved = saved.and_then(|()| history::write(&path, &events).map_err(named(&path)));
+            if let Err(problem) = saved {
                 bar.suspend(|| eprintln!("{problem}"));
             }
         }
         true
     });
-    let Sums { pairs, events, broken, unplayed } =
-        sums.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let Totals { pairs, events, rounds_with_violations, failed_to_run } =
+        totals.into_inner().unwrap_or_else(PoisonError::into_inner);
     let took = began.elapsed().as_secs_f64();
     println!(
-        "{done} rounds in {took:.0} s, {:.0} an hour; {events} events judged; {pairs}; {broken} rounds break a rule, {unplayed} \
-         could not be played",
+        "{done} rounds in {took:.0} s, {:.0} an hour; {events} events checked; {pairs}; {rounds_with_violations} rounds violate a rule, {failed_to_run} \
+         failed to run",
         done as f64 * 3600.0 / took
     );
-    Ok(if broken + unplayed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if rounds_with_violations + failed_to_run == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Real processes are no virtual world: a round that broke a rule may not do so again. What is left out is what the rule
+/// Real processes are no simulation: a round that broke a rule may not do so again. What is left out is what the rule
 /// broke without, at least once.
 fn shrink(path: &Path, rounds: usize, mutant: Option<&str>) -> Result<ExitCode, String> {
     let script = read(path)?;
-    let (_, judgement) = play(&script, mutant)?;
-    let Some(rule) = judgement.breaches.first().map(|breach| breach.rule) else {
-        return Err("it breaks no rule, this time".to_owned());
+    let (_, verdict) = run_round(&script, mutant)?;
+    let Some(rule) = verdict.violations.first().map(|violation| violation.rule) else {
+        return Err("the script violated no rule in this run".to_owned());
     };
-    let mut played = 0;
-    let mut breaks = |candidate: &Script| {
-        played += 1;
-        let broken = |(_, judgement): (Vec<Event>, Judgement)| {
-            judgement.breaches.iter().any(|breach| breach.rule == rule)
+    let mut runs = 0;
+    let mut still_violates = |candidate: &Script| {
+        runs += 1;
+        let violates_rule = |(_, verdict): (Vec<Event>, Verdict)| {
+            verdict.violations.iter().any(|violation| violation.rule == rule)
         };
-        played <= rounds && play(candidate, mutant).is_ok_and(broken)
+        runs <= rounds && run_round(candidate, mutant).is_ok_and(violates_rule)
     };
-    let small = fewer(script, |script: &mut Script| &mut script.faults, &mut breaks);
+    let small = fewer(script, |script: &mut Script| &mut script.faults, &mut still_violates);
     let to = PathBuf::from(format!("{}.small", path.display()));
     write(&to, &small)?;
     println!(
-        "{}: {} faults, after {played} rounds, and {rule:?} still breaks",
+        "{}: {} faults, after {runs} rounds, and {rule:?} is still violated",
         to.display(),
         small.faults.len()
     );
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 
 /// Where a program of the project lies: beside this one, or beside the tests of its crate.
-pub fn program(name: &str) -> io::Result<PathBuf> {
+pub fn program_path(name: &str) -> io::Result<PathBuf> {
     let me = std::env::current_exe()?;
     let folders = me.ancestors().skip(1).take(2);
     let found = folders.map(|folder| folder.join(name)).find(|path| path.is_file());
@@ -68,17 +68,17 @@
     }
 
     /// SIGSTOP.
-    pub fn stop(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
     /// SIGCONT.
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
     /// SIGTERM, and waits for its end.
-    pub fn end(&mut self) {
+    pub fn terminate(&mut self) {
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
         if let Some(mut child) = self.child.take() {
@@ -95,7 +95,7 @@
     }
 
     /// Whether it has ended by itself.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
--- a/crates/rig/src/world/instances.rs
+++ b/crates/rig/src/round/instances.rs
@@ -1,6 +1,6 @@
 //! Instances: their settings, their start, and what they answer.
 
-use super::{ANSWER, BACK, Instance, TICK_MS, World, at};
+use super::{Instance, RECOVERY_TIMEOUT, RESPONSE_TIMEOUT, Round, TICK_MS, at};
 use crate::link::locked;
 use crate::process::Process;
 use runtrack_testkit::{free_port, http_request};
@@ -11,10 +11,10 @@
 use std::sync::atomic::Ordering;
 use tokio::time::timeout;
 
-impl World {
-    pub(super) async fn instance(&self, place: usize, name: &str) -> io::Result<Instance> {
-        let host = 20 + place as u8;
-        let (listen, address) = (at(host, free_port()), at(100 + place as u8, free_port()));
+impl Round {
+    pub(super) async fn new_instance(&self, index: usize, name: &str) -> io::Result<Instance> {
+        let host = 20 + index as u8;
+        let (listen, address) = (at(host, free_port()), at(100 + index as u8, free_port()));
         let (xds, admin) = (at(host, free_port()), at(host, free_port()));
         let member = self.folder.path().join(name);
         let text = format!(
@@ -24,16 +24,17 @@
         let args = vec!["serve".to_owned(), "--config".to_owned(), config.display().to_string()];
         let log = self.folder.path().join(format!("{name}.log"));
         let process = Process::new(self.control.clone(), args, &log, self.mutant.as_deref());
-        let links = self.links.stand_before(&format!("i{place}"), address, listen).await?;
+        let links = self.links.intercept(&format!("i{index}"), address, listen).await?;
         Ok(Instance { name: name.to_owned(), process, member, xds, admin, address, _links: links })
     }
 
     /// Runs `runtrackctl`, for as long as a person would wait.
-    pub(super) async fn ctl(&self, args: &[&str]) -> io::Result<String> {
+    pub(super) async fn run_ctl(&self, args: &[&str]) -> io::Result<String> {
         let admins: Vec<String> = locked(&self.instances).iter().map(|i| i.admin.to_string()).collect();
         let mut command = tokio::process::Command::new(&self.ctl);
         command.args(args).env("RUNTRACK_CLUSTER", admins.join(",")).kill_on_drop(true);
-        let done = timeout(BACK, command.output()).await.map_err(|_| io::ErrorKind::TimedOut)??;
+        let done =
+            timeout(RECOVERY_TIMEOUT, command.output()).await.map_err(|_| io::ErrorKind::TimedOut)??;
         match done.status.success() {
             true => Ok(String::from_utf8_lossy(&done.stdout).into_owned()),
             false => Err(io::Error::other(format!("{args:?}: {}", String::from_utf8_lossy(&done.stderr)))),
@@ -41,39 +42,42 @@
     }
 
     /// Adds a member and makes its folder.
-    pub(super) async fn invite(&self, instance: &Instance) -> io::Result<()> {
+    pub(super) async fn add_member(&self, instance: &Instance) -> io::Result<()> {
         let file = self.folder.path().join(format!("{}.json", instance.name)).display().to_string();
-        self.ctl(&["cluster", "add", &instance.name, &instance.address.to_string(), "-o", &file]).await?;
-        self.ctl(&["cluster", "join", &file, "--member", &instance.member.display().to_string()]).await?;
+        self.run_ctl(&["cluster", "add", &instance.name, &instance.address.to_string(), "-o", &file])
+            .await?;
+        self.run_ctl(&["cluster", "join", &file, "--member", &instance.member.display().to_string()])
+            .await?;
         Ok(())
     }
 
-    pub(crate) fn launch(&self, place: usize) -> io::Result<()> {
-        let instance = &mut locked(&self.instances)[place];
-        if instance.process.pid().is_none() || instance.process.has_ended() {
+    pub(crate) fn start_instance(&self, index: usize) -> io::Result<()> {
+        let instance = &mut locked(&self.instances)[index];
+        if instance.process.pid().is_none() || instance.process.has_exited() {
             let pid = instance.process.start()?;
-            self.links.name(pid, &format!("i{place}"));
+            self.links.name(pid, &format!("i{index}"));
             self.runs.fetch_add(1, Ordering::SeqCst);
         }
         Ok(())
     }
 
-    pub(super) fn admin(&self, place: usize) -> SocketAddr {
-        locked(&self.instances)[place].admin
+    pub(super) fn admin(&self, index: usize) -> SocketAddr {
+        locked(&self.instances)[index].admin
     }
 
-    pub(crate) async fn get(&self, place: usize, path: &str) -> Option<Value> {
-        let answer = timeout(ANSWER, http_request(self.admin(place), "GET", path, "")).await.ok()?.ok()?;
+    pub(crate) async fn get(&self, index: usize, path: &str) -> Option<Value> {
+        let answer =
+            timeout(RESPONSE_TIMEOUT, http_request(self.admin(index), "GET", path, "")).await.ok()?.ok()?;
         (answer.0 == 200).then(|| serde_json::from_str(&answer.1).ok()).flatten()
     }
 
-    pub(super) async fn answers(self: Arc<Self>, place: usize) -> bool {
-        self.get(place, "/cluster").await.is_some()
+    pub(super) async fn is_responding(self: Arc<Self>, index: usize) -> bool {
+        self.get(index, "/cluster").await.is_some()
     }
 
-    pub(super) async fn voters(&self) -> usize {
-        let said = self.get(0, "/cluster").await.unwrap_or_default();
-        let members = said["members"].as_array().into_iter().flatten();
+    pub(super) async fn voter_count(&self) -> usize {
+        let response = self.get(0, "/cluster").await.unwrap_or_default();
+        let members = response["members"].as_array().into_iter().flatten();
         members.filter(|member| member["voter"] == true).count()
     }
 }
--- a/crates/rig/src/world/figures.rs
+++ b/crates/rig/src/round/measurement.rs
@@ -1,6 +1,6 @@
 //! What measurements need.
 
-use super::{BACK, World, fleet_toml};
+use super::{RECOVERY_TIMEOUT, Round, fleet_toml};
 use crate::link::locked;
 use runtrack_model::Fleet;
 use runtrack_testkit::memory_kib;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-impl World {
+impl Round {
     pub(crate) fn folder(&self) -> &std::path::Path {
         self.folder.path()
     }
@@ -44,16 +44,16 @@
     }
 
     /// Starts an empty member; gives how long it takes until that has the current version.
-    pub(crate) async fn newcomer(&self) -> io::Result<Duration> {
+    pub(crate) async fn add_empty_member(&self) -> io::Result<Duration> {
         let wanted = self.get(0, "/cluster").await.unwrap_or_default()["serial"].as_u64();
-        let place = locked(&self.instances).len();
-        let instance = self.instance(place, "late").await?;
-        self.invite(&instance).await?;
+        let index = locked(&self.instances).len();
+        let instance = self.new_instance(index, "late").await?;
+        self.add_member(&instance).await?;
         locked(&self.instances).push(instance);
-        self.launch(place)?;
+        self.start_instance(index)?;
         let began = Instant::now();
-        while self.get(place, "/cluster").await.unwrap_or_default()["serial"].as_u64() != wanted {
-            if began.elapsed() > 3 * BACK {
+        while self.get(index, "/cluster").await.unwrap_or_default()["serial"].as_u64() != wanted {
+            if began.elapsed() > 3 * RECOVERY_TIMEOUT {
                 return Err(io::Error::other("the new member never had the current version"));
             }
             sleep(Duration::from_millis(5)).await;
--- a/crates/rig/src/world/mod.rs
+++ b/crates/rig/src/round/mod.rs
@@ -1,15 +1,15 @@
 //! A round: processes, links, people at work, faults, and the way back.
 
-mod back;
+mod clients;
 mod faults;
-mod figures;
 mod instances;
-mod people;
+mod measurement;
 mod proxies;
+mod recovery;
 
-use crate::history::{Did, Event, History};
+use crate::history::{Event, EventKind, History};
 use crate::link::{Links, locked};
-use crate::process::{Process, program};
+use crate::process::{Process, program_path};
 use crate::script::Script;
 use runtrack_discovery::Target;
 use runtrack_model::Fleet;
@@ -27,20 +27,20 @@
 /// The tick of the agreement: an election is due after 0.4 to 0.8 s without a leader.
 const TICK_MS: u64 = 20;
 /// After all is healed, everything has to be back within this.
-pub const BACK: Duration = Duration::from_secs(20);
+pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Somebody who has no answer after so long asks another instance.
-const ANSWER: Duration = Duration::from_secs(3);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Somebody who writes asks the next one sooner.
-const WRITE_ANSWER: Duration = Duration::from_secs(1);
+const WRITE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// A write is repeated for so long.
-const REPEATS: Duration = Duration::from_secs(8);
+const RETRY_DURATION: Duration = Duration::from_secs(8);
 /// How often it is looked how an instance stands.
-const LOOK: Duration = Duration::from_millis(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// A proxy whose instance ended finds another one after so long.
-const FINDS: Duration = Duration::from_millis(150);
+const PROXY_FAILOVER_DELAY: Duration = Duration::from_millis(150);
 /// Endpoints that people hold back and release, beside those that drain.
-const KEYS: u32 = 5;
-const ENDPOINTS: usize = 6;
+const HOLD_KEYS: u32 = 5;
+const ENDPOINT_COUNT: usize = 6;
 
 pub(crate) struct Instance {
     name: String,
@@ -53,7 +53,7 @@
     _links: JoinSet<()>,
 }
 
-struct ProxyAt {
+struct ConnectedProxy {
     target: watch::Sender<SocketAddr>,
     at: usize,
     proxy: Proxy,
@@ -61,7 +61,7 @@
 }
 
 /// What all tasks of a round share.
-pub(crate) struct World {
+pub(crate) struct Round {
     pub(crate) script: Script,
     folder: TempDir,
     links: Links,
@@ -69,13 +69,13 @@
     control: PathBuf,
     ctl: PathBuf,
     mutant: Option<String>,
-    /// By place: a member that is replaced keeps its predecessor's place.
+    /// By index: a member that is replaced keeps its predecessor's index.
     pub(crate) instances: Mutex<Vec<Instance>>,
-    proxies: Mutex<Vec<ProxyAt>>,
+    proxies: Mutex<Vec<ConnectedProxy>>,
     discovery: Discovery,
     /// Where instances find discovery: the rig's link.
     discovery_at: SocketAddr,
-    _before_discovery: JoinSet<()>,
+    _discovery_link: JoinSet<()>,
     endpoints: Vec<Endpoint>,
     drained: Mutex<Vec<usize>>,
     leader: AtomicU32,
@@ -83,7 +83,7 @@
     /// Held while a member is replaced: the next one loses its folder only once the one before has come back.
     replacing: tokio::sync::Mutex<()>,
     healing: AtomicBool,
-    over: AtomicBool,
+    stopping: AtomicBool,
 }
 
 fn at(host: u8, port: u16) -> SocketAddr {
@@ -91,7 +91,7 @@
 }
 
 /// The fleet of a serial: the pool that proxies send to, and one whose name says the serial.
-fn fleet(discovery: SocketAddr, serial: u64) -> String {
+fn canonical_fleet(discovery: SocketAddr, serial: u64) -> String {
     Fleet::read(&fleet_toml(discovery, serial)).map(|fleet| fleet.canonical()).unwrap_or_default()
 }
 
@@ -110,45 +110,47 @@
 
 /// Plays a round and gives its history. An error is the rig's own: nothing was judged.
 pub async fn play(script: &Script, mutant: Option<&str>) -> io::Result<Vec<Event>> {
-    let world = World::build(script, mutant).await?;
-    let mut people = JoinSet::new();
+    let round = Round::build(script, mutant).await?;
+    let mut clients = JoinSet::new();
     for n in 0..2 {
-        people.spawn(world.clone().holder(n));
+        clients.spawn(round.clone().write_holds(n));
     }
-    people.spawn(world.clone().reader());
-    people.spawn(world.clone().committer());
-    let mut looks = JoinSet::new();
-    for place in 0..script.instances as usize {
-        looks.spawn(world.clone().look(place));
+    clients.spawn(round.clone().read_continuously());
+    clients.spawn(round.clone().commit_continuously());
+    let mut pollers = JoinSet::new();
+    for index in 0..script.instances as usize {
+        pollers.spawn(round.clone().poll_status(index));
     }
     let began = Instant::now();
     let mut faults = JoinSet::new();
     for fault in script.faults.clone() {
-        let world = world.clone();
+        let round = round.clone();
         faults.spawn(async move {
             sleep(Duration::from_millis(fault.at.into())).await;
-            world.fault(&fault.what, Duration::from_millis(fault.lasts.into())).await
+            round.inject(&fault.what, Duration::from_millis(fault.lasts.into())).await
         });
     }
     sleep(Duration::from_millis(script.lasts.into()).saturating_sub(began.elapsed())).await;
     // Faults that last longer end now, but for a replacement under way, which waits for a majority.
-    world.healing.store(true, Ordering::SeqCst);
-    world.links.heal();
+    round.healing.store(true, Ordering::SeqCst);
+    round.links.heal();
     let ended = async { while faults.join_next().await.is_some() {} };
-    let replaced = timeout(BACK, ended).await.is_ok();
-    world.links.heal();
-    world.history.now_that("rig", Did::Back { what: "faults have ended".to_owned(), well: replaced });
-    world.come_back().await?;
-    world.over.store(true, Ordering::SeqCst);
-    while people.join_next().await.is_some() {}
-    while looks.join_next().await.is_some() {}
-    world.finish().await;
-    Ok(world.history.events())
+    let replaced = timeout(RECOVERY_TIMEOUT, ended).await.is_ok();
+    round.links.heal();
+    round
+        .history
+        .record_now("rig", EventKind::Back { what: "faults have ended".to_owned(), well: replaced });
+    round.wait_for_recovery().await?;
+    round.stopping.store(true, Ordering::SeqCst);
+    while clients.join_next().await.is_some() {}
+    while pollers.join_next().await.is_some() {}
+    round.record_final_state().await;
+    Ok(round.history.events())
 }
 
 async fn start_endpoints() -> Vec<Endpoint> {
     let mut endpoints = Vec::new();
-    for _ in 0..ENDPOINTS {
+    for _ in 0..ENDPOINT_COUNT {
         endpoints.push(Endpoint::start().await);
     }
     endpoints
@@ -159,93 +161,95 @@
     numbered.map(|(number, endpoint)| target(&format!("e{number}"), endpoint.address, "a")).collect()
 }
 
-impl World {
-    pub(crate) async fn build(script: &Script, mutant: Option<&str>) -> io::Result<Arc<World>> {
+impl Round {
+    pub(crate) async fn build(script: &Script, mutant: Option<&str>) -> io::Result<Arc<Round>> {
         let endpoints = start_endpoints().await;
         let discovery = Discovery::start(targets_of(&endpoints)).await;
         let links = Links::default();
         let discovery_at = at(9, free_port());
-        let before = links.stand_before("discovery", discovery_at, discovery.address).await?;
-        let world = Arc::new(World {
+        let link = links.intercept("discovery", discovery_at, discovery.address).await?;
+        let round = Arc::new(Round {
             script: script.clone(),
             folder: TempDir::new(),
             links,
             history: History::default(),
-            control: program("runtrack-control")?,
-            ctl: program("runtrackctl")?,
+            control: program_path("runtrack-control")?,
+            ctl: program_path("runtrackctl")?,
             mutant: mutant.map(str::to_owned),
             instances: Mutex::default(),
             proxies: Mutex::default(),
             discovery,
             discovery_at,
-            _before_discovery: before,
+            _discovery_link: link,
             endpoints,
             drained: Mutex::default(),
             leader: AtomicU32::new(0),
             runs: AtomicU64::new(0),
             replacing: tokio::sync::Mutex::default(),
             healing: AtomicBool::new(false),
-            over: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
         });
-        for place in 0..script.instances as usize {
-            world.add_instance(place).await?;
+        for index in 0..script.instances as usize {
+            round.add_instance(index).await?;
         }
-        world.wait_for_votes_and_a_version().await?;
+        round.wait_for_votes_and_a_version().await?;
         for n in 0..script.proxies {
-            world.add_proxy(n).await?;
+            round.add_proxy(n).await?;
         }
-        world.wait_for_endpoints().await?;
-        for proxy in locked(&world.proxies).iter_mut() {
+        round.wait_for_endpoints().await?;
+        for proxy in locked(&round.proxies).iter_mut() {
             proxy.proxy.send("p", 2, Duration::from_millis(5));
         }
-        Ok(world)
+        Ok(round)
     }
 
     /// Starts an instance, the first one as a cluster of its own, the others as invited members.
-    async fn add_instance(self: &Arc<Self>, place: usize) -> io::Result<()> {
-        let instance = self.instance(place, &format!("i{place}")).await?;
-        if place == 0 {
+    async fn add_instance(self: &Arc<Self>, index: usize) -> io::Result<()> {
+        let instance = self.new_instance(index, &format!("i{index}")).await?;
+        if index == 0 {
             let (address, member) = (instance.address.to_string(), instance.member.display().to_string());
             let init = ["cluster", "init", "--name", "i0", "--address", &address, "--member", &member];
-            self.ctl(&init).await?;
+            self.run_ctl(&init).await?;
         } else {
-            self.invite(&instance).await?;
+            self.add_member(&instance).await?;
         }
         locked(&self.instances).push(instance);
-        self.launch(place)?;
-        self.until("it answers", || self.clone().answers(place)).await
+        self.start_instance(index)?;
+        self.wait_for("it answers", || self.clone().is_responding(index)).await
     }
 
     async fn wait_for_votes_and_a_version(self: &Arc<Self>) -> io::Result<()> {
         let voting = || {
-            let world = self.clone();
-            async move { world.voters().await == world.script.instances as usize }
+            let round = self.clone();
+            async move { round.voter_count().await == round.script.instances as usize }
         };
-        self.until("all vote", voting).await?;
+        self.wait_for("all vote", voting).await?;
         let first = || {
-            let world = self.clone();
-            async move { world.commit(0, "first").await.is_ok_and(|serial| serial.is_some()) }
+            let round = self.clone();
+            async move { round.commit(0, "first").await.is_ok_and(|serial| serial.is_some()) }
         };
-        self.until("a first version", first).await
+        self.wait_for("a first version", first).await
     }
 
     async fn wait_for_endpoints(self: &Arc<Self>) -> io::Result<()> {
         let all = || {
-            let world = self.clone();
+            let round = self.clone();
             async move {
-                locked(&world.proxies).iter().all(|p| p.proxy.with(|s| s.ready("p").len() == ENDPOINTS))
+                locked(&round.proxies)
+                    .iter()
+                    .all(|p| p.proxy.with(|s| s.ready("p").len() == ENDPOINT_COUNT))
             }
         };
-        self.until("proxies know all endpoints", all).await
+        self.wait_for("proxies know all endpoints", all).await
     }
 
     /// Waits for a condition of the build-up.
-    async fn until<F: Future<Output = bool>>(
+    async fn wait_for<F: Future<Output = bool>>(
         &self,
         what: &str,
         mut holds: impl FnMut() -> F,
     ) -> io::Result<()> {
-        let end = Instant::now() + BACK;
+        let end = Instant::now() + RECOVERY_TIMEOUT;
         while !holds().await {
             if Instant::now() >= end {
                 let logs: Vec<String> = locked(&self.instances)
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -12,9 +12,9 @@
     pub instances: u32,
     /// Stand-in proxies, by turns of either variant; each begins at an instance of its own.
     pub proxies: u32,
-    /// How long the round lasts before everything is healed.
+    /// LinkFault long the round lasts before everything is healed.
     pub lasts: u32,
-    /// What goes wrong, and what people do meanwhile.
+    /// FaultKind goes wrong, and what people do meanwhile.
     pub faults: Vec<Fault>,
 }
 
@@ -26,24 +26,24 @@
     pub at: u32,
     /// For how long.
     pub lasts: u32,
-    /// What.
-    pub what: What,
+    /// FaultKind.
+    pub what: FaultKind,
 }
 
 /// An instance, as a script names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Who {
+pub enum InstanceRef {
     /// Whoever leads then.
     Leader,
     /// This one, from 0.
     Instance(u32),
 }
 
-/// How a link is spoilt.
+/// LinkFault a link is spoilt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum LinkFault {
     /// Nothing gets through, new connections hang; what was sent comes when it is over, all at once.
     Held,
     /// The same for what the one that connects sends; answers get through.
@@ -62,50 +62,50 @@
     Flaps(u32),
 }
 
-/// What happens.
+/// FaultKind happens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum FaultKind {
     /// All links between an instance and the other ones.
     Cut {
         /// Which.
-        who: Who,
-        /// How.
-        how: How,
+        who: InstanceRef,
+        /// LinkFault.
+        how: LinkFault,
     },
     /// The links of one instance to another, and back.
     Link {
         /// From whom.
-        from: Who,
+        from: InstanceRef,
         /// To whom.
-        to: Who,
-        /// How.
-        how: How,
+        to: InstanceRef,
+        /// LinkFault.
+        how: LinkFault,
     },
     /// An instance's link to discovery.
     Blind {
         /// Which.
-        who: Who,
+        who: InstanceRef,
     },
     /// SIGKILL; started again when it is over, with its folder.
     Kill {
         /// Whom.
-        who: Who,
+        who: InstanceRef,
     },
     /// SIGKILL, and its folder is lost: it is removed, and another member takes its place.
     Lose {
         /// Whom.
-        who: Who,
+        who: InstanceRef,
     },
     /// SIGSTOP, then SIGCONT.
     Stop {
         /// Whom.
-        who: Who,
+        who: InstanceRef,
     },
     /// SIGTERM; started again when it is over.
     End {
         /// Whom.
-        who: Who,
+        who: InstanceRef,
     },
     /// Every instance is killed at once, and started again.
     PowerOff,
@@ -127,30 +127,30 @@
     },
 }
 
-impl What {
+impl FaultKind {
     /// The kind, for what came together with what.
     pub fn kind(&self) -> &'static str {
         match self {
-            What::Cut { how, .. } => match how {
-                How::Held => "cut held",
-                How::HeldThere | How::HeldBack => "cut one way",
-                How::Refused => "cut refused",
-                How::Reset => "cut reset",
-                How::Late(_) => "cut late",
-                How::Slow(_) => "cut slow",
-                How::Flaps(_) => "cut flaps",
+            FaultKind::Cut { how, .. } => match how {
+                LinkFault::Held => "cut held",
+                LinkFault::HeldThere | LinkFault::HeldBack => "cut one way",
+                LinkFault::Refused => "cut refused",
+                LinkFault::Reset => "cut reset",
+                LinkFault::Late(_) => "cut late",
+                LinkFault::Slow(_) => "cut slow",
+                LinkFault::Flaps(_) => "cut flaps",
             },
-            What::Link { .. } => "link",
-            What::Blind { .. } => "blind",
-            What::Kill { .. } => "kill",
-            What::Lose { .. } => "lose",
-            What::Stop { .. } => "stop",
-            What::End { .. } => "end",
-            What::PowerOff => "power off",
-            What::Drain => "drain",
-            What::Move { .. } => "move",
-            What::Apply => "apply",
-            What::Transfer { .. } => "transfer",
+            FaultKind::Link { .. } => "link",
+            FaultKind::Blind { .. } => "blind",
+            FaultKind::Kill { .. } => "kill",
+            FaultKind::Lose { .. } => "lose",
+            FaultKind::Stop { .. } => "stop",
+            FaultKind::End { .. } => "end",
+            FaultKind::PowerOff => "power off",
+            FaultKind::Drain => "drain",
+            FaultKind::Move { .. } => "move",
+            FaultKind::Apply => "apply",
+            FaultKind::Transfer { .. } => "transfer",
         }
     }
 }
--- a/crates/rig/tests/fleet_check.rs
+++ b/crates/rig/tests/fleet_check.rs
@@ -1,7 +1,7 @@
 //! The checker of the fleet's rounds finds errors that are planted in histories, and nothing else.
 
-use runtrack_rig::fleet::check::{Rule, judge};
-use runtrack_rig::fleet::history::{Did, Event, State, Version};
+use runtrack_rig::fleet::check::{Rule, check_history};
+use runtrack_rig::fleet::history::{Event, EventKind, State, Version};
 
 const SECOND: u64 = 1_000_000;
 
@@ -9,7 +9,7 @@
     Version { number, name: name.to_owned() }
 }
 
-fn event(began: u64, ended: Option<u64>, what: Did) -> Event {
+fn event(began: u64, ended: Option<u64>, what: EventKind) -> Event {
     Event { began, ended, who: "somebody".to_owned(), what }
 }
 
@@ -17,43 +17,45 @@
 fn replace(began: u64, ended: u64, base: u64, number: u64, name: &str, status: Option<u16>) -> Event {
     let valid = !name.starts_with("invalid");
     let version = version(number, name);
-    let did = Did::Replace { member: 0, base, version, valid, lost: status.is_none(), status };
+    let did = EventKind::Replace { member: 0, base, version, valid, lost: status.is_none(), status };
     event(began, status.map(|_| ended), did)
 }
 
 fn read(began: u64, ended: u64, number: u64, name: &str) -> Event {
-    let did = Did::Read { member: 0, status: Some(200), version: Some(version(number, name)) };
+    let did = EventKind::Read { member: 0, status: Some(200), version: Some(version(number, name)) };
     event(began, Some(ended), did)
 }
 
 fn told(at: u64, life: u64, number: u64, name: &str) -> Event {
-    event(at, Some(at), Did::Told { agent: 0, life, version: version(number, name) })
+    event(at, Some(at), EventKind::Told { agent: 0, life, version: version(number, name) })
 }
 
 fn trouble(began: u64, ended: u64, kind: &str, member: usize, isolated: bool) -> Event {
     let isolated = isolated.then_some(member);
-    let did = Did::Trouble { kind: kind.to_owned(), members: vec![member], agents: Vec::new(), isolated };
+    let did =
+        EventKind::Trouble { kind: kind.to_owned(), members: vec![member], agents: Vec::new(), isolated };
     event(began, Some(ended), did)
 }
 
 fn call(began: u64, ended: u64, state: State, status: Option<u16>) -> Event {
-    let did = Did::Call { member: 0, endpoint: "e".to_owned(), state, status };
+    let did = EventKind::Call { member: 0, endpoint: "e".to_owned(), state, status };
     event(began, status.map(|_| ended), did)
 }
 
 fn heard(at: u64) -> Event {
-    let did = Did::Heard { agent: 0, life: 1, endpoint: "e".to_owned(), state: State::Draining };
+    let did = EventKind::Heard { agent: 0, life: 1, endpoint: "e".to_owned(), state: State::Draining };
     event(at, Some(at), did)
 }
 
 fn broken(events: &[Event]) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = judge(events).breaches.iter().map(|breach| breach.rule).collect();
+    let mut rules: Vec<Rule> =
+        check_history(events).violations.iter().map(|violation| violation.rule).collect();
     rules.dedup();
     rules
 }
 
 #[test]
-fn changes_and_reads_in_their_order_break_nothing() {
+fn a_linearizable_history_has_no_violations() {
     let events = [
         replace(1, 2, 0, 1, "a", Some(200)),
         read(3, 4, 1, "a"),
@@ -83,14 +85,14 @@
 }
 
 #[test]
-fn a_read_that_misses_what_was_acknowledged_is_found() {
+fn a_stale_read_is_found() {
     let events =
         [replace(1, 2, 0, 1, "a", Some(200)), replace(3, 4, 1, 2, "b", Some(200)), read(5, 6, 1, "a")];
     assert_eq!(broken(&events), [Rule::Order]);
 }
 
 #[test]
-fn a_read_of_what_was_not_sent_yet_is_found() {
+fn a_read_of_a_change_that_was_not_sent_yet_is_found() {
     let events =
         [replace(1, 2, 0, 1, "a", Some(200)), read(3, 4, 2, "b"), replace(5, 6, 1, 2, "b", Some(200))];
     assert_eq!(broken(&events), [Rule::Order]);
@@ -135,7 +137,7 @@
 }
 
 #[test]
-fn a_taken_change_that_is_refused_when_it_comes_again_is_found() {
+fn an_accepted_change_that_is_refused_on_retry_is_found() {
     let events = [
         replace(1, 2, 0, 1, "a", Some(200)),
         replace(3, 4, 1, 2, "b", Some(200)),
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn an_agent_that_goes_back_within_its_life_is_found() {
+fn a_version_regression_within_an_agent_incarnation_is_found() {
     let changes = [replace(1, 2, 0, 1, "a", Some(200)), replace(3, 4, 1, 2, "b", Some(200))];
     let with = |more: [Event; 2]| broken(&[changes.as_slice(), more.as_slice()].concat());
     assert_eq!(with([told(5, 1, 2, "b"), told(6, 1, 1, "a")]), [Rule::Back]);
@@ -167,7 +169,7 @@
 }
 
 #[test]
-fn an_agent_that_tells_what_is_not_in_force_is_found() {
+fn an_agent_that_reports_a_version_not_in_force_is_found() {
     let events = [
         replace(1, 2, 0, 1, "a", Some(200)),
         replace(3, 0, 1, 2, "b", None),
@@ -178,7 +180,7 @@
 }
 
 #[test]
-fn a_drain_that_does_not_reach_an_agent_in_touch_is_found() {
+fn a_drain_not_delivered_to_a_connected_agent_is_found() {
     let start = [replace(1, 2, 0, 1, "a", Some(200)), told(3, 1, 1, "a")];
     let with = |more: &[Event]| {
         let mut events = [start.as_slice(), more].concat();
@@ -229,14 +231,14 @@
 }
 
 #[test]
-fn what_does_not_come_back_is_found() {
-    let back = |well| event(1, Some(1), Did::Back { what: "member 0".to_owned(), well });
+fn incomplete_recovery_is_found() {
+    let back = |well| event(1, Some(1), EventKind::Back { what: "member 0".to_owned(), well });
     assert_eq!(broken(&[back(true)]), []);
     assert_eq!(broken(&[back(false)]), [Rule::Return]);
 }
 
 #[test]
-fn a_member_that_ends_by_itself_is_found_unless_its_disk_was_an_older_copy() {
+fn a_member_that_exits_is_found_unless_its_disk_was_an_older_copy() {
     let restore = trouble(SECOND, 2 * SECOND, "restore", 0, false);
     let end = |member| trouble(3 * SECOND, 3 * SECOND + 1, "ended", member, false);
     assert_eq!(broken(&[restore.clone(), end(0)]), []);
--- a/crates/rig/tests/rounds.rs
+++ b/crates/rig/tests/rounds.rs
@@ -1,35 +1,36 @@
 //! Rounds of real processes: the hard cases, each as a script, and errors planted to show that the checkers find them.
 
-use runtrack_rig::check::{Rule, judge};
-use runtrack_rig::history::{Did, Event};
-use runtrack_rig::script::{Fault, How, Script, What, Who};
-use runtrack_rig::world;
+use runtrack_rig::check::{Rule, check_history};
+use runtrack_rig::history::{Event, EventKind};
+use runtrack_rig::round;
+use runtrack_rig::script::{Fault, FaultKind, InstanceRef, LinkFault, Script};
 use std::collections::BTreeSet;
 
-fn fault(at: u32, lasts: u32, what: What) -> Fault {
+fn fault(at: u32, lasts: u32, what: FaultKind) -> Fault {
     Fault { at, lasts, what }
 }
 
 async fn play(instances: u32, lasts: u32, faults: Vec<Fault>, mutant: Option<&str>) -> Vec<Event> {
     let script = Script { seed: 1, instances, proxies: 4, lasts, faults };
-    match world::play(&script, mutant).await {
+    match round::play(&script, mutant).await {
         Ok(events) => events,
-        Err(problem) => panic!("the round could not be played: {problem}"),
+        Err(problem) => panic!("the round failed to run: {problem}"),
     }
 }
 
 /// No rule is broken, and something was done meanwhile.
-fn sound(events: &[Event]) {
-    let judgement = judge(events);
-    assert_eq!(judgement.breaches, []);
-    assert!(judgement.unjudged.is_empty(), "{:?}", judgement.unjudged);
-    let commits = events.iter().filter(|e| matches!(e.what, Did::Commit { serial: Some(_), .. })).count();
+fn assert_no_violations(events: &[Event]) {
+    let verdict = check_history(events);
+    assert_eq!(verdict.violations, []);
+    assert!(verdict.undecided_keys.is_empty(), "{:?}", verdict.undecided_keys);
+    let commits =
+        events.iter().filter(|e| matches!(e.what, EventKind::Commit { serial: Some(_), .. })).count();
     assert!(commits > 5, "{commits} commits in all");
 }
 
 fn terms(events: &[Event]) -> usize {
     let terms = events.iter().filter_map(|e| match e.what {
-        Did::Stood { term, leads: true, .. } => Some(term),
+        EventKind::Stood { term, leads: true, .. } => Some(term),
         _ => None,
     });
     terms.collect::<BTreeSet<u64>>().len()
@@ -37,75 +38,78 @@
 
 /// Hard case 1: the leader is killed, stopped for ten times the time-out of elections, cut off, and cut off one way.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leader_that_is_killed_stopped_or_cut_off_costs_nobody_anything() {
-    let leader = Who::Leader;
+async fn losing_the_leader_violates_no_rule() {
+    let leader = InstanceRef::Leader;
     let faults = vec![
-        fault(300, 0, What::Drain),
-        fault(500, 800, What::Kill { who: leader }),
-        fault(2_500, 4_000, What::Stop { who: leader }),
-        fault(4_000, 0, What::Drain),
-        fault(8_000, 2_000, What::Cut { who: leader, how: How::Held }),
-        fault(9_000, 0, What::Drain),
-        fault(11_500, 2_000, What::Cut { who: leader, how: How::HeldThere }),
-        fault(12_000, 0, What::Move { proxy: 1, to: 0 }),
-        fault(14_500, 1_500, What::Cut { who: leader, how: How::HeldBack }),
-        fault(15_000, 0, What::Move { proxy: 0, to: 1 }),
+        fault(300, 0, FaultKind::Drain),
+        fault(500, 800, FaultKind::Kill { who: leader }),
+        fault(2_500, 4_000, FaultKind::Stop { who: leader }),
+        fault(4_000, 0, FaultKind::Drain),
+        fault(8_000, 2_000, FaultKind::Cut { who: leader, how: LinkFault::Held }),
+        fault(9_000, 0, FaultKind::Drain),
+        fault(11_500, 2_000, FaultKind::Cut { who: leader, how: LinkFault::HeldThere }),
+        fault(12_000, 0, FaultKind::Move { proxy: 1, to: 0 }),
+        fault(14_500, 1_500, FaultKind::Cut { who: leader, how: LinkFault::HeldBack }),
+        fault(15_000, 0, FaultKind::Move { proxy: 0, to: 1 }),
     ];
     let events = play(3, 17_000, faults, None).await;
-    sound(&events);
+    assert_no_violations(&events);
     assert!(terms(&events) >= 4, "each lost leader was followed by another: {} terms", terms(&events));
 }
 
 /// Hard case 2 and 4: three of five die and return, one with its folder lost; in the end none of the first three is left.
 #[tokio::test(flavor = "multi_thread")]
 async fn members_that_lose_their_folders_are_replaced_one_after_the_other() {
-    let one = Who::Instance;
+    let one = InstanceRef::Instance;
     let faults = vec![
-        fault(500, 2_000, What::Kill { who: one(3) }),
-        fault(700, 1_500, What::Kill { who: one(4) }),
-        fault(900, 300, What::Lose { who: one(0) }),
-        fault(6_000, 300, What::Lose { who: one(1) }),
-        fault(6_500, 0, What::Drain),
-        fault(11_000, 300, What::Lose { who: one(2) }),
-        fault(15_000, 800, What::PowerOff),
+        fault(500, 2_000, FaultKind::Kill { who: one(3) }),
+        fault(700, 1_500, FaultKind::Kill { who: one(4) }),
+        fault(900, 300, FaultKind::Lose { who: one(0) }),
+        fault(6_000, 300, FaultKind::Lose { who: one(1) }),
+        fault(6_500, 0, FaultKind::Drain),
+        fault(11_000, 300, FaultKind::Lose { who: one(2) }),
+        fault(15_000, 800, FaultKind::PowerOff),
     ];
     let events = play(5, 17_000, faults, None).await;
-    sound(&events);
-    let replaced =
-        events.iter().filter(|e| matches!(&e.what, Did::Fault { what } if what == "replaced")).count();
+    assert_no_violations(&events);
+    let replaced = events
+        .iter()
+        .filter(|e| matches!(&e.what, EventKind::Fault { what } if what == "replaced"))
+        .count();
     assert_eq!(replaced, 3);
 }
 
 /// Hard case 5: links that flap, and links that are slow and stall.
 #[tokio::test(flavor = "multi_thread")]
-async fn links_that_flap_or_crawl_bring_no_storm_of_elections() {
-    let one = Who::Instance;
+async fn flapping_and_slow_links_cause_few_elections() {
+    let one = InstanceRef::Instance;
     let faults = vec![
-        fault(500, 5_000, What::Link { from: one(0), to: one(1), how: How::Flaps(10) }),
-        fault(500, 9_000, What::Link { from: one(1), to: one(2), how: How::Late(100) }),
-        fault(2_000, 0, What::Drain),
-        fault(6_000, 400, What::Link { from: one(2), to: one(0), how: How::Held }),
-        fault(7_000, 2_500, What::Blind { who: one(1) }),
-        fault(7_500, 0, What::Drain),
+        fault(500, 5_000, FaultKind::Link { from: one(0), to: one(1), how: LinkFault::Flaps(10) }),
+        fault(500, 9_000, FaultKind::Link { from: one(1), to: one(2), how: LinkFault::Late(100) }),
+        fault(2_000, 0, FaultKind::Drain),
+        fault(6_000, 400, FaultKind::Link { from: one(2), to: one(0), how: LinkFault::Held }),
+        fault(7_000, 2_500, FaultKind::Blind { who: one(1) }),
+        fault(7_500, 0, FaultKind::Drain),
     ];
     let events = play(3, 10_000, faults, None).await;
-    sound(&events);
+    assert_no_violations(&events);
     assert!(terms(&events) <= 4, "{} terms in 10 s", terms(&events));
 }
 
 /// Hard case 3: the instance that `runtrackctl apply` asks first is killed, at another moment each time; said again it
 /// gives the same answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_apply_whose_instance_dies_is_done_once_or_not_at_all() {
+async fn an_apply_whose_instance_is_killed_commits_at_most_once() {
     let mut faults = Vec::new();
     for n in 0..6 {
         let at = 300 + n * 2_200;
-        faults.push(fault(at, 0, What::Apply));
-        faults.push(fault(at + 15 + n * 12, 700, What::Kill { who: Who::Instance(0) }));
+        faults.push(fault(at, 0, FaultKind::Apply));
+        faults.push(fault(at + 15 + n * 12, 700, FaultKind::Kill { who: InstanceRef::Instance(0) }));
     }
     let events = play(3, 14_000, faults, None).await;
-    sound(&events);
-    let said = |e: &&Event| e.who == "runtrackctl" && matches!(e.what, Did::Commit { serial: Some(_), .. });
+    assert_no_violations(&events);
+    let said =
+        |e: &&Event| e.who == "runtrackctl" && matches!(e.what, EventKind::Commit { serial: Some(_), .. });
     let applied = events.iter().filter(said).count();
     assert!(
         applied >= 8,
@@ -117,17 +121,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn planted_errors_are_found() {
     // An instance that is cut off answers consistent reads from what it believes.
-    let cut = vec![fault(500, 3_500, What::Cut { who: Who::Instance(2), how: How::Held })];
+    let cut =
+        vec![fault(500, 3_500, FaultKind::Cut { who: InstanceRef::Instance(2), how: LinkFault::Held })];
     let events = play(3, 5_000, cut, Some("lone-read")).await;
-    let broken: Vec<Rule> = judge(&events).breaches.iter().map(|breach| breach.rule).collect();
+    let broken: Vec<Rule> =
+        check_history(&events).violations.iter().map(|violation| violation.rule).collect();
     assert!(broken.contains(&Rule::Order), "{broken:?}");
     // A version is told to proxies that hold a higher index.
     let blind = vec![
-        fault(500, 5_000, What::Cut { who: Who::Instance(2), how: How::Held }),
-        fault(4_000, 0, What::Move { proxy: 0, to: 2 }),
-        fault(4_000, 0, What::Move { proxy: 1, to: 2 }),
+        fault(500, 5_000, FaultKind::Cut { who: InstanceRef::Instance(2), how: LinkFault::Held }),
+        fault(4_000, 0, FaultKind::Move { proxy: 0, to: 2 }),
+        fault(4_000, 0, FaultKind::Move { proxy: 1, to: 2 }),
     ];
     let events = play(3, 7_000, blind, Some("goes-back")).await;
-    let broken: Vec<Rule> = judge(&events).breaches.iter().map(|breach| breach.rule).collect();
+    let broken: Vec<Rule> =
+        check_history(&events).violations.iter().map(|violation| violation.rule).collect();
     assert!(broken.contains(&Rule::Back), "{broken:?}");
 }
--- a/crates/scale/src/choices.rs
+++ b/crates/scale/src/choices.rs
@@ -12,66 +12,72 @@
 use std::time::Duration;
 
 /// Requests that are counted, after as many that only fill the fleet.
-const REQUESTS: usize = 100_000;
-const SECOND: RetryBudget = RetryBudget { ratio: 0.0, slack: 0.0, window: Duration::from_secs(1) };
+const MEASURED_REQUESTS: usize = 100_000;
+const NO_RETRIES: RetryBudget = RetryBudget { ratio: 0.0, slack: 0.0, window: Duration::from_secs(1) };
 
 /// How a request's endpoint is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum SelectionPolicy {
     Random,
     OwnCounts,
     TrueCounts,
 }
 
-/// Loads found, by how many requests found them.
-struct Found {
+/// Loads found by requests.
+struct LoadSummary {
     mean: f64,
     p99: usize,
-    most: usize,
+    max: usize,
 }
 
 /// Prints a row for each subset size.
 pub fn run(proxies: usize, endpoints: usize, load: f64) {
     println!("{proxies} proxies, {endpoints} endpoints, {load} requests in flight at each on the mean");
     println!("way           subset  load found: mean   p99  most");
-    let show = |way: Way, subset: usize| {
-        let found = play(way, proxies, endpoints, subset, load);
+    let show = |policy: SelectionPolicy, subset: usize| {
+        let summary = simulate(policy, proxies, endpoints, subset, load);
         println!(
             "{:12} {subset:7} {:17.2} {:5} {:5}",
-            format!("{way:?}"),
-            found.mean,
-            found.p99,
-            found.most
+            format!("{policy:?}"),
+            summary.mean,
+            summary.p99,
+            summary.max
         );
     };
-    show(Way::Random, endpoints);
+    show(SelectionPolicy::Random, endpoints);
     let mut subset = endpoints;
     while subset >= 8 && subset * proxies >= endpoints {
-        show(Way::OwnCounts, subset);
+        show(SelectionPolicy::OwnCounts, subset);
         subset /= 4;
     }
-    show(Way::TrueCounts, endpoints);
+    show(SelectionPolicy::TrueCounts, endpoints);
 }
 
-fn play(way: Way, proxies: usize, endpoints: usize, subset: usize, load: f64) -> Found {
+fn simulate(
+    policy: SelectionPolicy,
+    proxies: usize,
+    endpoints: usize,
+    subset: usize,
+    load: f64,
+) -> LoadSummary {
     let mut fleet = SimulatedFleet::new(proxies, endpoints, subset);
     let (mut now, rate) = (0.0, endpoints as f64 * load);
-    let mut found = vec![0usize; 1];
-    for request in 0..2 * REQUESTS {
+    let mut load_counts = vec![0usize; 1];
+    for request in 0..2 * MEASURED_REQUESTS {
         now += fleet.draw_exponential() / rate;
         let at = Duration::from_secs_f64(now);
-        fleet.end_requests_until(at);
+        fleet.complete_requests_until(at);
         let proxy = fleet.rng.usize(..proxies);
-        let id = fleet.choose(way, proxy, at);
+        let id = fleet.choose(policy, proxy, at);
         let load = fleet.start_request(proxy, id, at);
-        if request >= REQUESTS {
-            if found.len() <= load {
-                found.resize(load + 1, 0);
+        if request >= MEASURED_REQUESTS {
+            if load_counts.len() <= load {
+                load_counts.resize(load + 1, 0);
             }
-            found[load] += 1;
+            load_counts[load] += 1;
         }
     }
-    summary(&found)
+    summarize(&load_counts)
 }
 
 /// Proxies, the endpoints that they share, and the requests in flight between them.
@@ -84,7 +90,7 @@
     /// Requests in flight at each endpoint.
     loads: Vec<usize>,
     /// When each request in flight ends, at which proxy and endpoint; the next one first.
-    ends: BinaryHeap<Reverse<(Duration, usize, EndpointId)>>,
+    completions: BinaryHeap<Reverse<(Duration, usize, EndpointId)>>,
 }
 
 impl SimulatedFleet {
@@ -98,9 +104,9 @@
         SimulatedFleet {
             rng: Rng::with_seed(1),
             subsets: (0..proxies).map(arc).collect(),
-            routers: (0..proxies).map(|seed| Router::new(seed as u64, SECOND, 1)).collect(),
+            routers: (0..proxies).map(|seed| Router::new(seed as u64, NO_RETRIES, 1)).collect(),
             loads: vec![0; endpoints],
-            ends: BinaryHeap::new(),
+            completions: BinaryHeap::new(),
             endpoints: ids,
         }
     }
@@ -110,24 +116,24 @@
         -self.rng.f64().max(1e-12).ln()
     }
 
-    fn end_requests_until(&mut self, now: Duration) {
+    fn complete_requests_until(&mut self, now: Duration) {
         while let Some(Reverse((end, proxy, id))) =
-            self.ends.peek().copied().filter(|Reverse((end, _, _))| *end <= now)
+            self.completions.peek().copied().filter(|Reverse((end, _, _))| *end <= now)
         {
-            self.ends.pop();
+            self.completions.pop();
             self.loads[id.0 as usize] -= 1;
             self.routers[proxy].on_ended(end, id, Outcome::Ok);
         }
     }
 
-    fn choose(&mut self, way: Way, proxy: usize, now: Duration) -> EndpointId {
-        match way {
-            Way::Random => self.draw_endpoint(),
-            Way::TrueCounts => {
+    fn choose(&mut self, policy: SelectionPolicy, proxy: usize, now: Duration) -> EndpointId {
+        match policy {
+            SelectionPolicy::Random => self.draw_endpoint(),
+            SelectionPolicy::TrueCounts => {
                 let (one, other) = (self.draw_endpoint(), self.draw_endpoint());
                 if self.loads[one.0 as usize] <= self.loads[other.0 as usize] { one } else { other }
             }
-            Way::OwnCounts => {
+            SelectionPolicy::OwnCounts => {
                 let ready = &self.subsets[proxy];
                 let request = SelectionRequest { now, ready, tried: &[], prompt: None };
                 self.routers[proxy].choose(request).unwrap_or(self.endpoints[0])
@@ -143,24 +149,24 @@
     fn start_request(&mut self, proxy: usize, id: EndpointId, now: Duration) -> usize {
         self.routers[proxy].on_sent(now, id, None);
         let end = now + Duration::from_secs_f64(self.draw_exponential());
-        self.ends.push(Reverse((end, proxy, id)));
+        self.completions.push(Reverse((end, proxy, id)));
         let load = self.loads[id.0 as usize];
         self.loads[id.0 as usize] += 1;
         load
     }
 }
 
-fn summary(found: &[usize]) -> Found {
-    let count: usize = found.iter().sum();
-    let mean = found.iter().enumerate().map(|(load, count)| load as f64 * *count as f64).sum::<f64>()
+fn summarize(load_counts: &[usize]) -> LoadSummary {
+    let count: usize = load_counts.iter().sum();
+    let mean = load_counts.iter().enumerate().map(|(load, count)| load as f64 * *count as f64).sum::<f64>()
         / count as f64;
     let (mut below, mut p99) = (0, 0);
-    for (load, here) in found.iter().enumerate() {
+    for (load, here) in load_counts.iter().enumerate() {
         below += here;
         if below * 100 >= count * 99 {
             p99 = load;
             break;
         }
     }
-    Found { mean, p99, most: found.len() - 1 }
+    LoadSummary { mean, p99, max: load_counts.len() - 1 }
 }
--- a/crates/scale/src/demo.rs
+++ b/crates/scale/src/demo.rs
@@ -1,8 +1,8 @@
 //! A small fleet that serves streams, with visible output.
 
-use crate::endpoints::serve;
+use crate::endpoints::start_endpoint;
 use crate::machines::{Machines, Process, Program};
-use crate::operator::{config, connect, order};
+use crate::operator::{config, connect, submit_config};
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
@@ -18,29 +18,29 @@
 const EDGES: usize = 2;
 const ENDPOINTS: usize = 4;
 /// A stream that takes longer has failed.
-const MAX_STREAM: Duration = Duration::from_secs(8);
+const STREAM_TIMEOUT: Duration = Duration::from_secs(8);
 /// The fleet is given up if it does not serve by then.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What clients saw in a second.
-struct Second {
-    asked: u32,
-    whole: u32,
+struct SecondStats {
+    sent: u32,
+    completed: u32,
     failed: u32,
     first_event: Histogram<u64>,
 }
 
-impl Second {
+impl SecondStats {
     fn new() -> Result<Self, String> {
         let first_event = Histogram::new(3).map_err(|error| format!("{error:?}"))?;
-        Ok(Second { asked: 0, whole: 0, failed: 0, first_event })
+        Ok(SecondStats { sent: 0, completed: 0, failed: 0, first_event })
     }
 
     fn print(&self, number: u64) {
-        let Second { asked, whole, failed, first_event } = self;
+        let SecondStats { sent, completed, failed, first_event } = self;
         let ms = |quantile| first_event.value_at_quantile(quantile) as f64 / 1000.0;
-        println!("{number:6} {asked:6} {whole:6} {failed:7}  {:.1}/{:.1}", ms(0.5), ms(0.99));
+        println!("{number:6} {sent:6} {completed:6} {failed:7}  {:.1}/{:.1}", ms(0.5), ms(0.99));
     }
 }
 
@@ -48,31 +48,31 @@
 pub async fn run(seconds: u64, rate: f64) -> Result<(), String> {
     let mut fleet = Fleet::start()?;
     println!("{MEMBERS} control members, {EDGES} proxies with their agents, {ENDPOINTS} endpoints");
-    let status = order(&fleet.controls, 0, &config(1, 0)).await?;
+    let status = submit_config(&fleet.controls, 0, &config(1, 0)).await?;
     println!("configuration 1: {status}");
     for number in 0..ENDPOINTS {
-        serve(format!("i-{}", number + 1), fleet.controls.clone()).await?;
+        start_endpoint(format!("i-{}", number + 1), fleet.controls.clone()).await?;
     }
-    let took = wait_until_served(&fleet.fronts).await?;
+    let took = wait_until_serving(&fleet.fronts).await?;
     println!(
         "it serves {:.1} s after its start\n\nsecond  asked  whole  failed  first event p50/p99 ms",
         took.as_secs_f64()
     );
-    let current = Rc::new(RefCell::new(Second::new()?));
-    spawn_local(load(fleet.fronts.clone(), rate, current.clone()));
+    let current_stats = Rc::new(RefCell::new(SecondStats::new()?));
+    spawn_local(generate_load(fleet.fronts.clone(), rate, current_stats.clone()));
     let mut ticks = interval(Duration::from_secs(1));
     ticks.tick().await;
     for second in 1..=seconds {
         ticks.tick().await;
-        current.replace(Second::new()?).print(second);
+        current_stats.replace(SecondStats::new()?).print(second);
         if second == seconds / 3 {
-            let status = order(&fleet.controls, 1, &config(2, 20)).await?;
+            let status = submit_config(&fleet.controls, 1, &config(2, 20)).await?;
             println!("        configuration 2, with 20 more routes: {status}");
         }
         if second == seconds * 2 / 3 {
             fleet.kill_first_member();
             println!("        control member 1 is killed");
-            let status = order(&fleet.controls, 2, &config(3, 0)).await?;
+            let status = submit_config(&fleet.controls, 2, &config(3, 0)).await?;
             println!("        configuration 3, at the other two: {status}");
         }
     }
@@ -125,33 +125,33 @@
 }
 
 /// Waits until each proxy brings a stream whole; how long that took.
-async fn wait_until_served(fronts: &[SocketAddrV4]) -> Result<Duration, String> {
+async fn wait_until_serving(fronts: &[SocketAddrV4]) -> Result<Duration, String> {
     let began = Instant::now();
     for front in fronts {
-        while stream(*front, 0).await.is_none() {
+        while request_stream(*front, 0).await.is_none() {
             if began.elapsed() > START_TIMEOUT {
                 return Err(format!("the fleet does not serve after {} s", START_TIMEOUT.as_secs()));
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_DELAY).await;
         }
     }
     Ok(began.elapsed())
 }
 
 /// Requests at this rate, whatever becomes of those before (open loop).
-async fn load(fronts: Vec<SocketAddrV4>, rate: f64, current: Rc<RefCell<Second>>) {
+async fn generate_load(fronts: Vec<SocketAddrV4>, rate: f64, current_stats: Rc<RefCell<SecondStats>>) {
     let mut next = Instant::now();
     for number in 1u64.. {
         next += Duration::from_secs_f64(-fastrand::f64().max(1e-9).ln() / rate);
         tokio::time::sleep_until(next).await;
-        let (front, current) = (fronts[fastrand::usize(..fronts.len())], current.clone());
-        current.borrow_mut().asked += 1;
+        let (front, current_stats) = (fronts[fastrand::usize(..fronts.len())], current_stats.clone());
+        current_stats.borrow_mut().sent += 1;
         spawn_local(async move {
-            let first = stream(front, number).await;
-            let mut second = current.borrow_mut();
+            let first = request_stream(front, number).await;
+            let mut second = current_stats.borrow_mut();
             match first {
                 Some(first) => {
-                    second.whole += 1;
+                    second.completed += 1;
                     let _ = second.first_event.record(first.as_micros() as u64); // it grows as it must
                 }
                 None => second.failed += 1,
@@ -161,7 +161,7 @@
 }
 
 /// Asks for a stream; the time to its first event where it comes whole.
-async fn stream(front: SocketAddrV4, number: u64) -> Option<Duration> {
+async fn request_stream(front: SocketAddrV4, number: u64) -> Option<Duration> {
     let began = Instant::now();
     let mut sender = connect(front).await?;
     let shared = number % 7;
@@ -171,7 +171,7 @@
         .header("x-model", "m")
         .header("x-token-count", "4000,60")
         .header("x-prompt-prefix", format!("{shared:08x}:3000,{number:08x}:1000"))
-        .header("x-time-budget-ms", MAX_STREAM.as_millis().to_string())
+        .header("x-time-budget-ms", STREAM_TIMEOUT.as_millis().to_string())
         .body(Full::new(Bytes::from_static(b"a prompt")))
         .ok()?;
     let answer = async {
@@ -187,5 +187,5 @@
         }
         first
     };
-    timeout(MAX_STREAM, answer).await.ok()?
+    timeout(STREAM_TIMEOUT, answer).await.ok()?
 }
--- a/crates/scale/src/endpoints.rs
+++ b/crates/scale/src/endpoints.rs
@@ -11,8 +11,8 @@
 /// How often an endpoint tells that it is there.
 pub const HEARTBEAT: Duration = Duration::from_millis(1200);
 /// Events of a stream, and the pause between them.
-const EVENTS: usize = 12;
-const PAUSE: Duration = Duration::from_millis(30);
+const EVENTS_PER_STREAM: usize = 12;
+const EVENT_INTERVAL: Duration = Duration::from_millis(30);
 
 /// A heartbeat's body.
 pub fn heartbeat(address: SocketAddrV4, state: &str, call_seq: u64) -> String {
@@ -22,12 +22,12 @@
 }
 
 /// Path of an endpoint's heartbeats.
-pub fn path(id: &str) -> String {
+pub fn heartbeat_path(id: &str) -> String {
     format!("/runtrack/instances/{id}/heartbeat")
 }
 
 /// An endpoint that answers with streams, and says that it is there.
-pub async fn serve(id: String, members: Vec<SocketAddrV4>) -> Result<(), String> {
+pub async fn start_endpoint(id: String, members: Vec<SocketAddrV4>) -> Result<(), String> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.map_err(|error| error.to_string())?;
     let std::net::SocketAddr::V4(address) = listener.local_addr().map_err(|error| error.to_string())?
     else {
@@ -46,7 +46,7 @@
         for call_seq in 1.. {
             for member in &members {
                 if let Some(mut sender) = connect(*member).await
-                    && post(&mut sender, &path(&id), None, heartbeat(address, "ready", call_seq))
+                    && post(&mut sender, &heartbeat_path(&id), None, heartbeat(address, "ready", call_seq))
                         .await
                         .is_some_and(|status| status.is_success())
                 {
@@ -89,8 +89,8 @@
              Transfer-Encoding: chunked\r\n\r\n"
         );
         stream.write_all(head.as_bytes()).await?;
-        for event in after + 1..=EVENTS {
-            sleep(PAUSE).await;
+        for event in after + 1..=EVENTS_PER_STREAM {
+            sleep(EVENT_INTERVAL).await;
             let event = format!("id: {event}\ndata: piece {event} of {id}\n\n");
             stream.write_all(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes()).await?;
         }
--- a/crates/scale/src/machines.rs
+++ b/crates/scale/src/machines.rs
@@ -6,9 +6,9 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command};
 
-const CONTROL: u16 = 8146;
-const FRONT: u16 = 8144;
-const READY: u16 = 8140;
+const CONTROL_PORT: u16 = 8146;
+const FRONT_PORT: u16 = 8144;
+const READY_PORT: u16 = 8140;
 const FIRST_PORT: u16 = 7660;
 /// A program of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,12 +82,12 @@
 
     /// Where operators and endpoints call a member.
     pub fn control(&self, member: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(self.member_ip(member), CONTROL)
+        SocketAddrV4::new(self.member_ip(member), CONTROL_PORT)
     }
 
     /// Where clients call a proxy.
     pub fn front(&self, edge: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(self.edge_ip(edge), FRONT)
+        SocketAddrV4::new(self.edge_ip(edge), FRONT_PORT)
     }
 
     /// Starts a program on a machine of its class.
@@ -103,7 +103,7 @@
                 format!("listen.control={}\ndataDir={}\n", self.control(number), data.display())
             }
             _ => format!(
-                "listen.front={ip}:{FRONT}\nlisten.ready={ip}:{READY}\nlisten.feed={ip}:{}\n",
+                "listen.front={ip}:{FRONT_PORT}\nlisten.ready={ip}:{READY_PORT}\nlisten.feed={ip}:{}\n",
                 FIRST_PORT + 1
             ),
         };
--- a/crates/scale/src/operator.rs
+++ b/crates/scale/src/operator.rs
@@ -12,15 +12,15 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// A call that takes longer has failed.
-const MAX_CALL: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Wait before a call is made again.
-const AGAIN: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// An order that is not clear by then has failed.
-const MAX_ORDER: Duration = Duration::from_secs(20);
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A connection for calls.
 pub async fn connect(to: SocketAddrV4) -> Option<SendRequest<Full<Bytes>>> {
-    let stream = timeout(MAX_CALL, TcpStream::connect(to)).await.ok()?.ok()?;
+    let stream = timeout(CALL_TIMEOUT, TcpStream::connect(to)).await.ok()?.ok()?;
     let _ = stream.set_nodelay(true); // calls only take longer without it
     let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     spawn_local(async move {
@@ -42,15 +42,15 @@
         request = request.header("x-base-version", base);
     }
     let request = request.body(Full::new(Bytes::from(body))).ok()?;
-    let response = timeout(MAX_CALL, sender.send_request(request)).await.ok()?.ok()?;
+    let response = timeout(CALL_TIMEOUT, sender.send_request(request)).await.ok()?.ok()?;
     let status = response.status();
     response.into_body().collect().await.ok()?;
     Some(status)
 }
 
 /// Sends an order to one member after another, unchanged, until there is a clear answer.
-pub async fn order(members: &[SocketAddrV4], base: u64, body: &str) -> Result<StatusCode, String> {
-    let until = Instant::now() + MAX_ORDER;
+pub async fn submit_config(members: &[SocketAddrV4], base: u64, body: &str) -> Result<StatusCode, String> {
+    let until = Instant::now() + SUBMIT_TIMEOUT;
     for member in members.iter().cycle() {
         if let Some(mut sender) = connect(*member).await
             && let Some(status) =
@@ -62,9 +62,9 @@
         if Instant::now() > until {
             break;
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
-    Err(format!("no clear answer to an order within {} s", MAX_ORDER.as_secs()))
+    Err(format!("no clear answer to an order within {} s", SUBMIT_TIMEOUT.as_secs()))
 }
 
 /// A configuration with a route for streams and so many more.
--- a/crates/scale/tests/modules.rs
+++ b/crates/scale/tests/modules.rs
@@ -1,5 +1,5 @@
 //! Modules of one crate of the fleet use each other in one direction only: none reaches itself through others. What is
-//! read is the sources, so that a circle through `use`, `super::` or a path in the code is seen alike.
+//! read is the sources, so that a cycle through `use`, `super::` or a path in the code is seen alike.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::Sources;
 
 /// The fleet's crates, as docs/ARCHITECTURE.md lists them, and its virtual world.
-const FLEET: [&str; 14] = [
+const FLEET_CRATES: [&str; 14] = [
     "message",
     "config_delta",
     "failure_detector",
@@ -25,9 +25,9 @@
     "sim",
 ];
 
-type Circle = BTreeSet<String>;
+type Cycle = BTreeSet<String>;
 
-fn circle(modules: &[&str]) -> Circle {
+fn cycle(modules: &[&str]) -> Cycle {
     modules.iter().map(|module| (*module).to_owned()).collect()
 }
 
@@ -40,50 +40,50 @@
     sources
 }
 
-fn circles_in(modules: &[(&str, &str)]) -> BTreeSet<Circle> {
-    sources_of(modules).circles()
+fn cycles_in(modules: &[(&str, &str)]) -> BTreeSet<Cycle> {
+    sources_of(modules).cycles()
 }
 
 #[test]
-fn no_modules_of_the_fleet_form_a_circle() {
+fn no_modules_of_the_fleet_form_a_cycle() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
-    for name in FLEET {
-        let found = Sources::read(&crates.join(name).join("src")).circles();
+    for name in FLEET_CRATES {
+        let found = Sources::read(&crates.join(name).join("src")).cycles();
         assert!(found.is_empty(), "crate {name}: {found:?}");
     }
 }
 
 #[test]
-fn two_modules_that_import_each_other_are_a_circle() {
-    let planted =
+fn two_modules_that_import_each_other_are_a_cycle() {
+    let modules =
         [("one", "use crate::two::Two;"), ("two", "use crate::{one::One, three};"), ("three", "")];
-    assert_eq!(circles_in(&planted), [circle(&["one", "two"])].into());
+    assert_eq!(cycles_in(&modules), [cycle(&["one", "two"])].into());
 }
 
 #[test]
-fn a_circle_through_super_and_paths_in_the_code_is_seen() {
-    let planted = [
+fn a_cycle_through_super_and_paths_in_the_code_is_seen() {
+    let modules = [
         ("", "mod one; mod two; mod three;"),
         ("one", "use super::two::Two;"),
         ("two", "fn make() { crate::three::make() }"),
         ("three", "use super::{\n    four::Four,\n    one::{self, One},\n};"),
         ("four", ""),
     ];
-    assert_eq!(circles_in(&planted), [circle(&["one", "two", "three"])].into());
+    assert_eq!(cycles_in(&modules), [cycle(&["one", "two", "three"])].into());
 }
 
 #[test]
-fn a_circle_through_a_name_that_the_root_exports_is_seen() {
-    let planted = [
+fn a_cycle_through_a_name_that_the_root_exports_is_seen() {
+    let modules = [
         ("", "mod one;\nmod two;\npub use one::{First, One};\npub use std::io;"),
         ("one", "use crate::two::Two;"),
         ("two", "use crate::{One, io};"),
     ];
-    assert_eq!(circles_in(&planted), [circle(&["one", "two"])].into());
+    assert_eq!(cycles_in(&modules), [cycle(&["one", "two"])].into());
 }
 
 #[test]
-fn what_is_no_circle_is_not_named() {
+fn acyclic_modules_are_not_reported() {
     let straight = [
         ("", "mod one;\npub use one::One;\npub struct Shared;"),
         ("one", "use crate::Shared;\nuse crate::two::Two;\n// as crate::three::Three does"),
@@ -91,15 +91,15 @@
         ("two::part", "use super::Two;\nuse crate::Shared;"),
         ("three", "use crate::{one::One, two::part::Part as Piece, two::*};"),
     ];
-    assert_eq!(circles_in(&straight), BTreeSet::new());
+    assert_eq!(cycles_in(&straight), BTreeSet::new());
 }
 
-/// The reader sees the circle of a whole crate's real sources when one line is added to them.
+/// The reader sees the cycle of a whole crate's real sources when one line is added to them.
 #[test]
-fn a_circle_planted_in_real_sources_is_seen() {
+fn a_cycle_planted_in_real_sources_is_seen() {
     let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("../link/src");
     let mut sources = Sources::read(&src);
-    assert_eq!(sources.circles(), BTreeSet::new());
+    assert_eq!(sources.cycles(), BTreeSet::new());
     sources.add(vec!["session".into()], "use crate::gossip::Gossip;");
-    assert_eq!(sources.circles(), [circle(&["config_exchange", "gossip", "session", "trust"])].into());
+    assert_eq!(sources.cycles(), [cycle(&["config_exchange", "gossip", "session", "trust"])].into());
 }
--- a/crates/scale/tests/support/mod.rs
+++ b/crates/scale/tests/support/mod.rs
@@ -15,18 +15,18 @@
     /// Reads the modules below a crate's `src`. `lib.rs` and `main.rs` are both read as the root.
     pub fn read(src: &Path) -> Self {
         let mut sources = Sources::default();
-        sources.read_folder(src, &[]);
+        sources.read_dir(src, &[]);
         assert!(!sources.0.is_empty(), "no sources in {}", src.display());
         sources
     }
 
-    fn read_folder(&mut self, folder: &Path, parent: &[String]) {
-        for entry in fs::read_dir(folder).expect("a folder of sources") {
+    fn read_dir(&mut self, dir: &Path, parent: &[String]) {
+        for entry in fs::read_dir(dir).expect("a dir of sources") {
             let path = entry.expect("an entry").path();
             let stem = path.file_stem().expect("a name").to_string_lossy().into_owned();
             let child = [parent, std::slice::from_ref(&stem)].concat();
             if path.is_dir() {
-                self.read_folder(&path, &child);
+                self.read_dir(&path, &child);
             } else if path.extension().is_some_and(|extension| extension == "rs") {
                 let is_parent = matches!(stem.as_str(), "mod" | "lib" | "main");
                 let text = fs::read_to_string(&path).expect("a source file");
@@ -43,19 +43,19 @@
     }
 
     /// Groups of modules that use each other, directly or through others. A module and those inside it count as one
-    /// here: what a folder's parts share often stands in the folder's own file.
-    pub fn circles(&self) -> BTreeSet<BTreeSet<String>> {
+    /// here: what a dir's parts share often stands in the dir's own file.
+    pub fn cycles(&self) -> BTreeSet<BTreeSet<String>> {
         let uses: BTreeMap<&Module, BTreeSet<Module>> =
             self.0.keys().map(|module| (module, self.used_by(module))).collect();
         let reached: BTreeMap<&Module, BTreeSet<Module>> =
             uses.keys().map(|module| (*module, reached_from(module, &uses))).collect();
-        let in_circle =
+        let in_cycle =
             |one: &Module, other: &Module| reached[one].contains(other) && reached[other].contains(one);
-        let circle_of = |one: &Module| -> BTreeSet<String> {
-            let such = self.0.keys().filter(|other| in_circle(one, other));
-            such.map(|module| module.join("::")).collect()
+        let cycle_of = |one: &Module| -> BTreeSet<String> {
+            let members = self.0.keys().filter(|other| in_cycle(one, other));
+            members.map(|module| module.join("::")).collect()
         };
-        self.0.keys().map(circle_of).filter(|circle| !circle.is_empty()).collect()
+        self.0.keys().map(cycle_of).filter(|cycle| !cycle.is_empty()).collect()
     }
 
     /// Modules that a module's text names, without those around and inside it.
@@ -111,7 +111,7 @@
 fn path_starts(code: &str) -> impl Iterator<Item = PathStart<'_>> {
     code.match_indices("::").filter_map(|(at, _)| {
         let (before, rest) = (&code[..at], &code[at + 2..]);
-        let word_at = before.rfind(|letter: char| !is_of_name(letter)).map_or(0, |last| last + 1);
+        let word_at = before.rfind(|letter: char| !is_identifier_char(letter)).map_or(0, |last| last + 1);
         let (before, word) = before.split_at(word_at);
         let is_import = before.ends_with("use ");
         (!before.ends_with("::")).then_some(PathStart { word, rest, is_import })
@@ -132,7 +132,7 @@
     }
 }
 
-fn is_of_name(letter: char) -> bool {
+fn is_identifier_char(letter: char) -> bool {
     letter.is_alphanumeric() || letter == '_'
 }
 
@@ -148,7 +148,7 @@
         *rest = rest.strip_prefix('}').unwrap_or(rest);
         return;
     }
-    let length = rest.find(|letter: char| !is_of_name(letter)).unwrap_or(rest.len());
+    let length = rest.find(|letter: char| !is_identifier_char(letter)).unwrap_or(rest.len());
     let (name, behind) = rest.split_at(length);
     match name {
         "super" => drop(path.pop()),
--- a/crates/scale/tests/support/words.rs
+++ b/crates/scale/tests/support/words.rs
@@ -26,10 +26,10 @@
     CodeSpan,
     /// So many block comments deep.
     BlockComment(usize),
-    /// A string literal that ends with a quote and so many number signs; one without any has escapes.
+    /// A string literal that ends with a quote and so many number hashes; one without any has escapes.
     Text {
         raw: bool,
-        signs: usize,
+        hashes: usize,
     },
 }
 
@@ -68,7 +68,7 @@
         (Context::Code, ['/', '*', ..]) => (Context::BlockComment(1), 2),
         (Context::Code, ['\'', '\\', _, '\'', ..]) => (Context::Code, 4),
         (Context::Code, ['\'', _, '\'', ..]) => (Context::Code, 3),
-        (Context::Code, ['"', ..]) => (Context::Text { raw: false, signs: 0 }, 1),
+        (Context::Code, ['"', ..]) => (Context::Text { raw: false, hashes: 0 }, 1),
         (Context::Code, ['r', '#' | '"', ..]) => raw_text(rest).unwrap_or((Context::Code, 1)),
         (Context::LineComment | Context::CodeSpan, ['\n', ..]) => (Context::Code, 1),
         (Context::LineComment, ['`', ..]) => (Context::CodeSpan, 1),
@@ -77,16 +77,16 @@
         (Context::BlockComment(1), ['*', '/', ..]) => (Context::Code, 2),
         (Context::BlockComment(depth), ['*', '/', ..]) => (Context::BlockComment(depth - 1), 2),
         (Context::Text { raw: false, .. }, ['\\', _, ..]) => (context, 2),
-        (Context::Text { signs, .. }, ['"', ..]) if rest[1..].starts_with(&vec!['#'; signs]) => {
-            (Context::Code, 1 + signs)
+        (Context::Text { hashes, .. }, ['"', ..]) if rest[1..].starts_with(&vec!['#'; hashes]) => {
+            (Context::Code, 1 + hashes)
         }
         _ => (context, 1),
     }
 }
 
 fn raw_text(rest: &[char]) -> Option<(Context, usize)> {
-    let signs = rest[1..].iter().take_while(|letter| **letter == '#').count();
-    (rest.get(1 + signs) == Some(&'"')).then_some((Context::Text { raw: true, signs }, 2 + signs))
+    let hashes = rest[1..].iter().take_while(|letter| **letter == '#').count();
+    (rest.get(1 + hashes) == Some(&'"')).then_some((Context::Text { raw: true, hashes }, 2 + hashes))
 }
 
 struct Reader {
--- a/crates/scale/tests/vocabulary.rs
+++ b/crates/scale/tests/vocabulary.rs
@@ -26,12 +26,12 @@
     names_only: bool,
 }
 
-fn project() -> PathBuf {
+fn project_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
 fn glossary() -> String {
-    fs::read_to_string(project().join("docs/GLOSSARY.md")).expect("the glossary")
+    fs::read_to_string(project_root().join("docs/GLOSSARY.md")).expect("the glossary")
 }
 
 /// Rows of the table under a heading, by cells, without the heads of its columns.
@@ -75,22 +75,22 @@
     let words = words(source);
     let mut found = Vec::new();
     for (at, word) in words.iter().enumerate() {
-        let is_back = |old: &&Withdrawn| {
+        let is_match = |old: &&Withdrawn| {
             is_phrase_at(&words[at..], &old.phrase) && (word.kind == Kind::Name || !old.names_only)
         };
-        for old in withdrawn.iter().filter(is_back).filter(|_| !is_ordinary(&words, at)) {
+        for old in withdrawn.iter().filter(is_match).filter(|_| !is_ordinary(&words, at)) {
             found.push(format!("{}: \"{}\" is {}", word.line, old.phrase.join(" "), old.instead));
         }
     }
     found
 }
 
-fn sources_below(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     let Ok(entries) = fs::read_dir(folder) else { return };
     for entry in entries {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources_below(&path, found);
+            collect_sources(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
@@ -100,7 +100,7 @@
 fn sources_of(name: &str) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for folder in FOLDERS {
-        sources_below(&project().join("crates").join(name).join(folder), &mut found);
+        collect_sources(&project_root().join("crates").join(name).join(folder), &mut found);
     }
     found.sort();
     assert!(!found.is_empty(), "no sources in crate {name}");
@@ -111,7 +111,7 @@
     fs::read_to_string(path).expect("a source file")
 }
 
-fn found_in(source: &str) -> usize {
+fn finding_count(source: &str) -> usize {
     findings(source, &withdrawn()).len()
 }
 
@@ -138,7 +138,7 @@
         rows.iter().flat_map(|row| row.last()).flat_map(|cell| cell.split('`').skip(1).step_by(2))
     {
         let (name, item) = location.split_once("::").unwrap_or((location, ""));
-        assert!(project().join("crates").join(name).is_dir(), "{location}: no such crate");
+        assert!(project_root().join("crates").join(name).is_dir(), "{location}: no such crate");
         if item.is_empty() || !CLEARED.contains(&name) {
             continue;
         }
@@ -172,7 +172,7 @@
             format!("/// See [`{camel}`] and `{snake}_at`."),
         ];
         for form in forms {
-            assert_ne!(found_in(&form), 0, "{form}");
+            assert_ne!(finding_count(&form), 0, "{form}");
         }
     }
 }
@@ -190,7 +190,7 @@
             format!("let text = \"one\\n{words}\";"),
             format!("/// It is {broken}."),
         ] {
-            assert_ne!(found_in(&form), 0, "{form}");
+            assert_ne!(finding_count(&form), 0, "{form}");
         }
     }
 }
@@ -226,5 +226,5 @@
     let names: BTreeSet<String> =
         words(source).into_iter().filter(|word| word.kind == Kind::Name).map(|word| word.text).collect();
     assert_eq!(names, ["1", "a", "let", "order"].map(str::to_owned).into());
-    assert_eq!(found_in(source), 1);
+    assert_eq!(finding_count(source), 1);
 }
