--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -1,39 +1,40 @@
-//! Judges a history, apart from the code that made it. What it says is broken names the events that show it.
+//! Checks a recorded history for violations, independently of the code that recorded it. Each violation names the
+//! events that show it.
 
 use crate::history::{Event, EventKind};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::fmt;
 
-/// Nothing new reaches a draining endpoint later than this after the proxy's instance learned of it, in microseconds.
+/// How long after the proxy's instance learned of a drain new requests may still reach the endpoint.
 const DRAIN_GRACE_MICROS: u64 = 2_000_000;
-/// States that the search for an order of one key's reads and writes looks at, at most.
+/// Bound on the states that the linearizability search visits for one key.
 const MAX_SEARCH_STATES: usize = 2_000_000;
 
-/// A rule.
+/// A property that every history must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One leader a term.
+    /// At most one leader per term.
     Leader,
-    /// Reads and writes have one order that fits them all.
+    /// Reads and writes of each key are linearizable.
     Order,
-    /// What was acknowledged is there, once.
+    /// Every acknowledged commit is present exactly once, and no refused commit is.
     Committed,
-    /// No proxy goes back.
+    /// The version that a proxy holds never regresses.
     Back,
-    /// Drains are kept.
+    /// Draining endpoints get no new requests after the grace period.
     Drain,
-    /// After healing all comes back in time.
+    /// After all faults have ended, everything recovers within the time limit.
     Return,
 }
 
-/// A broken rule.
+/// A violated rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation<R = Rule> {
-    /// Which.
+    /// The rule that was violated.
     pub rule: R,
-    /// When, in microseconds.
+    /// Time of the violation, in microseconds from the start of the round.
     pub at: u64,
-    /// What shows it.
+    /// The events that show the violation.
     pub evidence: String,
 }
 
@@ -43,14 +44,14 @@
     }
 }
 
-/// What a verdict found, and how much it looked at.
+/// The result of checking a history.
 #[derive(Clone, Debug)]
 pub struct Verdict<R = Rule> {
-    /// Broken rules.
+    /// Violations, in the order of their times.
     pub violations: Vec<Violation<R>>,
-    /// Keys whose search was given up: nothing is said of them.
+    /// Keys whose search reached its bound, so that linearizability was not decided.
     pub undecided_keys: Vec<String>,
-    /// Reads, writes, versions and sights looked at.
+    /// Number of events in the history.
     pub events_checked: usize,
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-/// Judges a history.
+/// Checks a history against all rules.
 pub fn check_history(events: &[Event]) -> Verdict {
     let mut verdict = Verdict { events_checked: events.len(), ..Verdict::default() };
     check_leaders(events, &mut verdict.violations);
@@ -94,7 +95,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Operation {
     began: u64,
-    /// None: it may take index at any later time, or never.
+    /// `None`: the outcome is unknown, so the operation may take effect at any later time or never.
     ended: Option<u64>,
     write: bool,
     held: bool,
@@ -127,11 +128,11 @@
     }
 }
 
-/// Whether reads and writes of a register that begins as "not held" have an order that fits them all and their times
-/// (Wing and Gong 1993, with Lowe's memory of what was seen). An error is when the search got stuck; none: too many
-/// states.
+/// Whether reads and writes of a register that is initially "not held" are linearizable (Wing and Gong 1993, with
+/// Lowe's cache of visited states). An error is the time at which the search could not continue; `None`: the bound on
+/// states was reached.
 fn linearizable(operations: &[Operation]) -> Option<Result<(), u64>> {
-    // A state: the value, all before `done` has taken index, and so have `completed_ahead`.
+    // A state is the value, the length of the prefix that has taken effect, and the later operations that have.
     let mut seen: HashSet<(bool, usize, BTreeSet<usize>)> = HashSet::new();
     let mut frontier = vec![(false, 0_usize, BTreeSet::new())];
     let mut latest_deadline = 0;
@@ -140,12 +141,12 @@
             while completed_ahead.remove(&done) {
                 done += 1;
             }
-            // What never ended need not take index.
+            // An operation without a known end need not take effect.
             let rest = (done..operations.len())
                 .filter(|n| !completed_ahead.contains(n))
                 .filter_map(|n| operations[n].ended);
             let Some(deadline) = rest.min() else { return Some(Ok(())) };
-            // A read that fits changes nothing: it may as well come first.
+            // A read that returns the current value changes nothing and can be linearized first.
             let next = (done..operations.len()).take_while(|n| operations[*n].began <= deadline);
             let fits = |n: &usize| {
                 !operations[*n].write && operations[*n].held == value && !completed_ahead.contains(n)
@@ -163,7 +164,7 @@
         if seen.len() > MAX_SEARCH_STATES {
             return None;
         }
-        // Next may be any write that began before the first of those that are left has ended.
+        // The next operation may be any write that began before the earliest end among the remaining operations.
         for n in (done..operations.len()).take_while(|n| operations[*n].began <= deadline) {
             if operations[n].write && !completed_ahead.contains(&n) {
                 let mut completed_ahead = completed_ahead.clone();
@@ -227,7 +228,7 @@
     }
 }
 
-/// Epoch and index of a version.
+/// Parses epoch and index of a version.
 fn parse_position(version: &str) -> Option<(u64, u64)> {
     let mut numbers = version.split('-').next()?.split('.').map(|number| number.parse::<u64>().ok());
     Some((numbers.next()??, numbers.next()??))
@@ -258,7 +259,7 @@
     }
 }
 
-/// Times in which an instance was stopped: it could tell nobody anything.
+/// Intervals in which an instance was paused (SIGSTOP) and could not send updates.
 fn pauses<'a>(events: &'a [Event], instance: &'a str) -> impl Iterator<Item = (u64, u64)> + 'a {
     let said = move |event: &Event, words: &str| {
         event.who == instance && matches!(&event.what, EventKind::Fault { what } if what == words)
@@ -279,7 +280,7 @@
     for event in events {
         let EventKind::Reached { endpoint, proxy } = &event.what else { continue };
         let Some(count) = counts.get(endpoint.as_str()) else { continue };
-        // Who served the proxy then, and since when.
+        // The instance that served the proxy at that time, and since when.
         let mut served =
             events.iter().filter(|e| e.who == *proxy && e.began <= event.began).filter_map(|e| {
                 match &e.what {
@@ -341,7 +342,7 @@
             []
         );
         assert_eq!(broken(&[hold(1, 2, true), held(3, 4, false)]), [Rule::Order]);
-        // Once seen it stays seen, whoever reads.
+        // A value that one reader has seen must be seen by all later reads.
         assert_eq!(broken(&[hold(1, 9, true), held(2, 3, true), held(4, 5, false)]), [Rule::Order]);
     }
 
@@ -387,10 +388,10 @@
         assert_eq!(broken(&[commit("a", Some(1)), versions(&[(1, "a"), (2, "a")])]), [Rule::Committed]);
         assert_eq!(broken(&[commit("a", Some(1)), commit("b", Some(1))]), [Rule::Committed]);
         assert_eq!(broken(&[commit("a", None), versions(&[(1, "a")])]), [Rule::Committed]);
-        // Said again it must be the same.
+        // A retried commit must get the same serial.
         assert_eq!(broken(&[commit("a", Some(1)), commit("a", Some(1))]), []);
         assert_eq!(broken(&[commit("a", Some(1)), commit("a", Some(2))]), [Rule::Committed]);
-        // Of what is kept no longer nothing is said.
+        // Nothing is concluded about versions that are older than the oldest retained one.
         assert_eq!(broken(&[commit("a", Some(1)), versions(&[(5, "x")])]), []);
     }
 
@@ -427,12 +428,12 @@
         };
         assert_eq!(begin(vec![knew("i0", 2 * second), reached(4 * second)]), []);
         assert_eq!(begin(vec![knew("i0", 2 * second), reached(4 * second + 1)]), [Rule::Drain]);
-        // Another one's knowledge does not count before the proxy is present.
+        // What another instance knows does not count before the proxy has moved to it.
         assert_eq!(begin(vec![knew("i1", 2 * second), reached(9 * second)]), []);
         let moved = fault("p0", 5 * second, "served by 1");
         assert_eq!(begin(vec![knew("i1", 2 * second), moved.clone(), reached(7 * second)]), []);
         assert_eq!(begin(vec![knew("i1", 2 * second), moved, reached(7 * second + 1)]), [Rule::Drain]);
-        // One that is stopped tells nobody.
+        // A paused instance can't send updates.
         let (stop, go) = (fault("i0", 2 * second, "stopped"), fault("i0", 5 * second, "goes on"));
         assert_eq!(begin(vec![knew("i0", 2 * second), stop.clone(), go.clone(), reached(7 * second)]), []);
         assert_eq!(begin(vec![knew("i0", 2 * second), stop, go, reached(7 * second + 1)]), [Rule::Drain]);
--- a/crates/rig/src/draw.rs
+++ b/crates/rig/src/draw.rs
@@ -1,4 +1,4 @@
-//! Rounds drawn from a seed.
+//! Generates the script of a round from a seed.
 
 use crate::script::{Fault, FaultKind, InstanceRef, LinkFault, Script};
 use rand_core::{RngCore, SeedableRng};
@@ -12,7 +12,7 @@
     }
 
     fn who(&mut self, instances: u32) -> InstanceRef {
-        // Whoever leads is worth the bound.
+        // Faults at the leader exercise the most code, so half of them hit it.
         if self.below(2) == 0 { InstanceRef::Leader } else { InstanceRef::Instance(self.below(instances)) }
     }
 
@@ -30,7 +30,8 @@
     }
 }
 
-/// The round of a seed: three instances or five, a few faults that overlap, a drain and proxies that move in each.
+/// Generates the round of a seed: three or five instances, a few overlapping faults, drains, and proxies that move to
+/// another instance.
 pub fn script(seed: u64) -> Script {
     let mut rng = Random(Pcg32::seed_from_u64(seed ^ 0x5269_6721));
     let instances = if rng.below(4) == 0 { 5 } else { 3 };
@@ -51,7 +52,7 @@
             }
             6 | 7 => FaultKind::Blind { who },
             8..=10 => FaultKind::Kill { who },
-            // Two folders lost may be a majority of three: then nobody can help.
+            // Losing two data folders may lose a majority of three, which can't be recovered from.
             11 if !faults.iter().any(|fault| matches!(fault.what, FaultKind::Lose { .. })) => {
                 FaultKind::Lose { who }
             }
--- a/crates/rig/src/fleet/check.rs
+++ b/crates/rig/src/fleet/check.rs
@@ -1,4 +1,4 @@
-//! Judges the history of a round of the fleet, apart from the code that made it.
+//! Checks the history of a round of the fleet, independently of the code that recorded it.
 
 use super::history::{Event, EventKind, State};
 use super::register;
@@ -6,41 +6,42 @@
 use std::collections::BTreeMap;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// An acknowledged drain reaches agents in touch within this.
+/// Time in which an acknowledged drain must reach the connected agents.
 const DRAIN_TIMEOUT_MICROS: u64 = 2 * MICROS_PER_SECOND;
-/// After period an agent counts as in touch again after this.
+/// Time after a fault until an agent counts as connected again.
 const RECONNECT_MICROS: u64 = 3 * MICROS_PER_SECOND;
-/// A member that is cut off for so long knows it.
+/// Time in which an isolated member must detect its isolation.
 const ISOLATION_DETECTION_MICROS: u64 = 2 * MICROS_PER_SECOND;
-/// Callers wait for so long.
+/// Time that clients wait for a response.
 const RESPONSE_TIMEOUT_MICROS: u64 = 3 * MICROS_PER_SECOND / 2;
-/// A member answers again so long after it was stopped, and after any other period of its own.
+/// Time until a member responds again after a pause, and after any other fault of its own.
 const RESUME_TIMEOUT_MICROS: u64 = MICROS_PER_SECOND;
 const START_TIMEOUT_MICROS: u64 = 5 * MICROS_PER_SECOND;
 
-/// The kind of period when a process has ended by itself.
+/// The kind of a fault period in which a process exited by itself.
 pub const EXITED_KIND: &str = "ended";
 
-/// A rule.
+/// A property that every history must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Changes and reads have one order that fits their times and answers.
+    /// Changes and reads are linearizable.
     Order,
-    /// What was acknowledged stays in force until another change builds on it.
+    /// An acknowledged change stays in force until another change is based on it.
     Lost,
-    /// What was refused is never in force, and what was taken is never refused.
+    /// A refused change never comes into force, and an accepted one is never refused on retry.
     Refused,
-    /// No agent goes back within its life.
+    /// The version that an agent reports never regresses within an incarnation.
     Back,
-    /// An acknowledged drain reaches every agent in touch in time.
+    /// An acknowledged drain reaches every connected agent in time.
     Drain,
-    /// A member ends by itself only after its disk was put back from an older copy, answers in time while it runs, and one that is cut off acknowledges no endpoint's call.
+    /// A member exits by itself only after its disk was restored from an older copy; a running member responds in
+    /// time; an isolated member acknowledges no endpoint's call.
     Answer,
-    /// After healing all comes back in time.
+    /// After all faults have ended, everything recovers within the time limit.
     Return,
 }
 
-/// Judges a history.
+/// Checks a history against all rules.
 pub fn check_history(events: &[Event]) -> Verdict<Rule> {
     let mut verdict = Verdict { events_checked: events.len(), ..Verdict::default() };
     let violations = &mut verdict.violations;
@@ -83,7 +84,7 @@
     }
 }
 
-/// A time in which members or agents were harmed.
+/// A period in which members or agents were under a fault.
 struct FaultPeriod<'a> {
     began: u64,
     ended: u64,
@@ -106,8 +107,8 @@
     all.collect()
 }
 
-/// When what was acknowledged at a moment is due at an agent: the first moment that is late enough after the
-/// acknowledgement and at the end of a time without period that is long enough; none: no such time came.
+/// Deadline for delivering an acknowledged drain to an agent: the earliest time late enough after the acknowledgement
+/// that ends a sufficiently long period without faults; `None`: there was no such period.
 fn deadline(acknowledged: u64, agent: usize, fault_periods: &[FaultPeriod], over: u64) -> Option<u64> {
     let mut due = acknowledged + DRAIN_TIMEOUT_MICROS;
     loop {
@@ -149,7 +150,7 @@
     }
 }
 
-/// A call to a member, by whomever.
+/// A call to a member, by an operator or an endpoint.
 struct Call {
     member: usize,
     status: Option<u16>,
@@ -190,7 +191,7 @@
     }
 }
 
-/// Only a member whose disk is an older copy may end by itself: it comes again as another member.
+/// Only a member whose disk was restored from an older copy may exit by itself; it rejoins as a new member.
 fn check_unexpected_exits(fault_periods: &[FaultPeriod], violations: &mut Vec<Violation<Rule>>) {
     for end in fault_periods.iter().filter(|period| period.kind == EXITED_KIND) {
         for member in end.members {
@@ -203,11 +204,11 @@
     }
 }
 
-/// Whether a member's process has run without period for long enough, and goes on to.
+/// Whether a member's process had run without a fault for long enough at the start of a call, and until its time-out.
 fn is_expected_to_respond(member: usize, began: u64, fault_periods: &[FaultPeriod]) -> bool {
     fault_periods.iter().filter(|period| period.members.contains(&member)).all(|period| {
         let after = match period.kind {
-            kind if kind.starts_with("cut") => return true, // its process runs
+            kind if kind.starts_with("cut") => return true, // its process keeps running
             "stop" => RESUME_TIMEOUT_MICROS,
             _ => START_TIMEOUT_MICROS,
         };
--- a/crates/rig/src/fleet/cluster.rs
+++ b/crates/rig/src/fleet/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of a round, their addresses, settings and disks.
+//! Processes of a round, with their addresses, settings and disks.
 
 use super::cuts::Cuts;
 use super::history::History;
@@ -19,20 +19,20 @@
 const CONTROL_PORT: u16 = 8146;
 const FIRST_PORT: u16 = 7660;
 const LAST_PORT: u16 = 7675;
-/// Endpoints tell that they are there this often.
+/// Interval of endpoint heartbeats.
 pub const HEARTBEAT: Duration = Duration::from_millis(400);
-/// Host numbers: machines as others see them, where their controllers bind, and agents.
+/// First host numbers: machines as others address them, the addresses that their controllers bind, and agents.
 const MACHINE_HOST: u32 = 1;
 const BIND_HOST: u32 = 101;
 const AGENT_HOST: u32 = 201;
-/// Second bytes of loopback addresses that rounds use, and how many.
+/// First value and number of values of the second octet of the loopback addresses.
 const LOOPBACK_SECOND_OCTETS: (u32, u32) = (200, 50);
-/// The longest first frame of a link.
+/// Maximum size of the first frame of a connection.
 const MAX_HELLO_BYTES: usize = 8 << 10;
-/// How often a wait looks whether it is over.
+/// Poll interval of [`Cluster::sleep_until_healing`].
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Who connects, by the first frame of a link.
+/// Parses the first frame of a connection, which names its source.
 fn parse_handshake(bytes: &[u8]) -> Handshake {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Handshake::Incomplete };
     let length = u32::from_le_bytes(*length) as usize;
@@ -46,7 +46,7 @@
     }
 }
 
-/// A slot among the members: a machine, and what runs there.
+/// A member slot: its current machine and process. A replacement takes over the slot.
 struct MemberSlot {
     machine: u32,
     process: Process,
@@ -59,15 +59,15 @@
     incarnation: u64,
 }
 
-/// What all tasks of a round share.
+/// State shared by all tasks of a round.
 pub struct Cluster {
-    /// The round.
+    /// The script of the round.
     pub script: Script,
-    /// All links between processes.
+    /// Links between processes.
     pub links: Links,
-    /// Cuts of links that are in force.
+    /// Active cuts of links.
     pub cuts: Cuts,
-    /// What happened so far.
+    /// Events recorded so far.
     pub history: History,
     folder: TempDir,
     network: u32,
@@ -80,7 +80,7 @@
 }
 
 impl Cluster {
-    /// Machines and agents with nothing running.
+    /// Allocates machines and agents without starting any process.
     pub async fn new(script: &Script) -> io::Result<Cluster> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let round = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -126,7 +126,7 @@
             .with_variable("RUNTRACK_NODE_FILE", &settings)
     }
 
-    /// A new machine with an empty disk, behind a link of the rig's.
+    /// Allocates a machine with an empty disk, behind a link of the rig.
     async fn new_machine(&self) -> io::Result<MemberSlot> {
         let machine = self.machines.fetch_add(1, Ordering::SeqCst);
         let name = format!("m{machine}");
@@ -139,27 +139,27 @@
         Ok(MemberSlot { machine, process: self.process(&self.controller, &name), disk, _links: links })
     }
 
-    /// Name of a member's machine, as links know it.
+    /// Name of a member's machine in links.
     pub fn machine_name(&self, member: usize) -> String {
         format!("m{}", locked(&self.slots)[member].machine)
     }
 
-    /// Where a member takes calls.
+    /// Address for calls to a member.
     pub fn control_address(&self, member: usize) -> SocketAddr {
         self.address(MACHINE_HOST + locked(&self.slots)[member].machine, CONTROL_PORT).into()
     }
 
-    /// Where an agent tells what it knows.
+    /// Address of an agent's feed.
     pub fn feed_address(&self, agent: usize) -> SocketAddr {
         self.address(AGENT_HOST + agent as u32, FIRST_PORT + 1).into()
     }
 
-    /// The life of an agent.
+    /// Incarnation of an agent: number of its starts.
     pub fn incarnation(&self, agent: usize) -> u64 {
         locked(&self.agents)[agent].incarnation
     }
 
-    /// Control addresses of the first three of those that are members now.
+    /// Control addresses of the first three current members.
     fn seeds(&self) -> String {
         let slots = locked(&self.slots);
         let first =
@@ -177,7 +177,7 @@
         std::fs::write(self.settings_path(name), text)
     }
 
-    /// Starts a member unless it runs.
+    /// Starts a member unless it is running.
     pub fn start(&self, member: usize, first_boot: bool) -> io::Result<()> {
         let (machine, disk) = {
             let slots = locked(&self.slots);
@@ -199,7 +199,7 @@
         Ok(())
     }
 
-    /// Starts members again whose processes have ended by themselves, as a supervisor does; gives their slots.
+    /// Restarts members whose processes have exited by themselves, as a supervisor does; returns their slots.
     pub fn restart_ended(&self) -> io::Result<Vec<usize>> {
         let ended = |process: &mut Process| process.pid().is_some() && process.has_exited();
         let slots: Vec<usize> = {
@@ -210,7 +210,7 @@
         Ok(slots)
     }
 
-    /// Starts an agent unless it runs.
+    /// Starts an agent unless it is running.
     pub fn start_agent(&self, agent: usize) -> io::Result<()> {
         let name = format!("a{agent}");
         let more = format!("listen.feed={}\nfirstBoot=false\n", self.feed_address(agent));
@@ -223,50 +223,50 @@
         Ok(())
     }
 
-    /// Does something with a member's process.
+    /// Applies a function to a member's process.
     pub fn with_member(&self, member: usize, act: impl FnOnce(&mut Process)) {
         act(&mut locked(&self.slots)[member].process);
     }
 
-    /// Does something with an agent's process.
+    /// Applies a function to an agent's process.
     pub fn with_agent(&self, agent: usize, act: impl FnOnce(&mut Process)) {
         act(&mut locked(&self.agents)[agent].process);
     }
 
-    /// A member's disk.
+    /// Path of a member's disk.
     pub fn disk_path(&self, member: usize) -> PathBuf {
         locked(&self.slots)[member].disk.clone()
     }
 
-    /// A new machine takes the slot of one that is gone for good.
+    /// Puts a new machine into the slot of one that is permanently lost.
     pub async fn replace(&self, member: usize) -> io::Result<()> {
         let slot = self.new_machine().await?;
         locked(&self.slots)[member] = slot;
         Ok(())
     }
 
-    /// Whether everything is to be healed.
+    /// Whether all faults are to be ended.
     pub fn is_healing(&self) -> bool {
         self.healing.load(Ordering::SeqCst)
     }
 
-    /// Everything is to be healed from now on.
+    /// Ends all faults from now on.
     pub fn heal(&self) {
         self.healing.store(true, Ordering::SeqCst);
         self.links.heal();
     }
 
-    /// Whether operators and endpoints are to end.
+    /// Whether the tasks of the round are to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Operators and endpoints are to end.
+    /// Tells the tasks of the round to stop.
     pub fn stop_clients(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// Waits, at most until everything is healed.
+    /// Sleeps, at most until all faults are to be ended.
     pub async fn sleep_until_healing(&self, time: Duration) {
         let end = Instant::now() + time;
         while Instant::now() < end && !self.is_healing() {
@@ -274,7 +274,7 @@
         }
     }
 
-    /// The last lines of all logs.
+    /// The last lines of the members' logs.
     pub fn logs(&self) -> String {
         let last = |log: String| {
             let lines: Vec<&str> = log.lines().collect();
--- a/crates/rig/src/fleet/cuts.rs
+++ b/crates/rig/src/fleet/cuts.rs
@@ -1,13 +1,13 @@
-//! Cuts of links that are in force: several may harm the same link, which is whole once all of them are over.
+//! Active cuts of links. Several cuts may affect the same link, which works again once all of them have ended.
 
 use crate::link::{DirectionState, LinkState, Links, locked};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// One link, by the names of who connects and who is connected to.
+/// A link: the name of the connecting process and of its target.
 pub type Pair = (String, String);
 
-/// Cuts that are in force.
+/// The active cuts.
 #[derive(Default)]
 pub struct Cuts(Mutex<ActiveCuts>);
 
@@ -18,7 +18,7 @@
 }
 
 impl Cuts {
-    /// A cut begins; gives its number.
+    /// Starts a cut; returns its number.
     pub fn begin(&self, links: &Links, cut: Vec<(Pair, LinkState)>) -> u64 {
         let mut active = locked(&self.0);
         active.next += 1;
@@ -29,7 +29,7 @@
         number
     }
 
-    /// The cut of this number is over.
+    /// Ends the cut with this number.
     pub fn end(&self, links: &Links, number: u64) {
         let mut active = locked(&self.0);
         let cut = active.cuts.remove(&number).unwrap_or_default();
@@ -39,7 +39,7 @@
 }
 
 impl ActiveCuts {
-    /// Sets links to what all cuts together make of them.
+    /// Sets links to the combined state of all active cuts.
     fn apply(&self, links: &Links, pairs: &[Pair]) {
         for pair in pairs {
             let of_pair = self.cuts.values().flatten().filter(|(other, _)| other == pair);
--- a/crates/rig/src/fleet/draw.rs
+++ b/crates/rig/src/fleet/draw.rs
@@ -1,17 +1,17 @@
-//! Rounds of the fleet drawn from a seed.
+//! Generates the script of a round of the fleet from a seed.
 //!
-//! A round has two phases. In the first, members are killed, stopped and cut off in any number at a time; their disks stay.
-//! In the second, which some rounds have, disks are lost or put back from an older copy: never more at once than the
-//! fleet's tolerance bears, with everything else calm from [`SETTLE_MS`] before, and often a loss of power right after
-//! it has settled.
+//! A round has up to two phases. In the first, any number of members at a time are killed, paused or cut off and keep
+//! their disks. In the optional second phase disks are lost or restored from an older copy: never more at once than
+//! the fleet tolerates, without other faults of members from [`SETTLE_MS`] before, and often with a power failure
+//! right after the cluster has settled.
 
 use super::script::{Cut, Fault, FaultKind, Script};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// A member counts as lost for so long after it is back.
+/// Time after its return until a member no longer counts as lost.
 pub const SETTLE_MS: u32 = 5_000;
-/// A long stop or cut.
+/// Duration of a long pause or cut.
 const LONG_MS: u32 = 20_000;
 
 struct Random(Pcg32);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Outages that overlap; gives when the last of them is over.
+    /// Generates overlapping outages; returns the time when the last one ends.
     fn first_phase(&mut self, script: &mut Script) -> u32 {
         let window = 3_000 + self.below(3_000);
         let mut over = window;
@@ -94,7 +94,7 @@
         over
     }
 
-    /// Disks that are lost, and a loss of power right after; gives when all is over.
+    /// Generates disk losses and possibly a power failure after them; returns the time when all of them have ended.
     fn second_phase(&mut self, script: &mut Script, from: u32) -> u32 {
         let at = from + SETTLE_MS;
         let first = self.member(script.members);
@@ -117,7 +117,7 @@
     }
 }
 
-/// The round of a seed.
+/// Generates the round of a seed.
 pub fn script(seed: u64) -> Script {
     let mut rng = Random(Pcg32::seed_from_u64(seed ^ 0x666c_6565));
     let members = if rng.one_in(4) { 5 } else { 3 };
--- a/crates/rig/src/fleet/endpoint.rs
+++ b/crates/rig/src/fleet/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints: they beat, drain, deregister and come again under another id.
+//! Simulated endpoints that send heartbeats, drain, deregister and return under another id.
 
 use super::cluster::{Cluster, HEARTBEAT};
 use super::history::{EventKind, State};
@@ -10,12 +10,12 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Wait before a call that was not acknowledged is sent to another member.
+/// Delay before an unacknowledged call is retried at another member.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// An endpoint beats so often at most before it drains.
+/// Maximum number of heartbeats before an endpoint drains.
 const MAX_HEARTBEATS: u32 = 8;
 
-/// One endpoint, through all its incarnations.
+/// One endpoint through all its incarnations.
 pub struct SimulatedEndpoint {
     cluster: Arc<Cluster>,
     number: u64,
@@ -26,7 +26,7 @@
 }
 
 impl SimulatedEndpoint {
-    /// One of so many endpoints of a round.
+    /// Creates the endpoint with this number.
     pub fn new(cluster: Arc<Cluster>, number: u64) -> SimulatedEndpoint {
         let seed = cluster.script.seed.wrapping_mul(37).wrapping_add(number);
         let member = number as usize % cluster.script.members;
@@ -44,7 +44,7 @@
         format!("e{}-{}", self.number, self.incarnation)
     }
 
-    /// Works until everything is to be healed.
+    /// Sends calls until all faults are to be ended.
     pub async fn run(mut self) {
         while !self.cluster.is_healing() {
             for _ in 0..1 + self.rng.next_u32() % MAX_HEARTBEATS {
@@ -71,7 +71,7 @@
         )
     }
 
-    /// Calls a member; whether it acknowledged. Otherwise the next one is called the next time.
+    /// Calls a member and returns whether it acknowledged; if not, the next call goes to the next member.
     async fn call(&mut self, state: State) -> bool {
         self.call_seq += 1;
         let (verb, body) = match state {
--- a/crates/rig/src/fleet/faults.rs
+++ b/crates/rig/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Carries out what a script says goes wrong, and notes for how long it harmed whom.
+//! Injects the faults of a script, and records which members and agents they affected and when.
 
 use super::cluster::Cluster;
 use super::cuts::Pair;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Whom a fault harms.
+/// Members and agents that a fault affects.
 #[derive(Default)]
 struct Impact {
     members: Vec<usize>,
@@ -52,7 +52,7 @@
 }
 
 impl Cluster {
-    /// Carries out a fault from its beginning to its end.
+    /// Injects a fault and ends it after its duration.
     pub async fn inject(&self, fault: &Fault) -> io::Result<()> {
         let lasts = Duration::from_millis(fault.lasts.into());
         sleep(Duration::from_millis(fault.at.into())).await;
@@ -156,7 +156,7 @@
             match cut {
                 Cut::Both => block(pair, state),
                 Cut::Refused => state.refused = true,
-                // FaultKind the dialling side sends goes there, what it is sent comes back.
+                // Data of the connecting side goes to the target, data for it to the source.
                 Cut::Outbound if dials => state.to_target.blocked = true,
                 Cut::Outbound => state.to_source.blocked = true,
                 Cut::Inbound if dials => state.to_source.blocked = true,
--- a/crates/rig/src/fleet/feed.rs
+++ b/crates/rig/src/fleet/feed.rs
@@ -1,4 +1,4 @@
-//! A listener at an agent's feed: it says that it is a proxy, fetch_sender for what the agent has, and notes what it is told.
+//! A client of an agent's feed: it connects as a proxy, fetches configurations and records what the agent reports.
 
 use super::cluster::Cluster;
 use super::history::{EventKind, State};
@@ -17,14 +17,14 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep};
 
-/// Wait before an agent that is down is dialled again.
+/// Delay before reconnecting to an agent.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// A sign of life goes out this often.
+/// Interval of pings.
 const PING_INTERVAL: Duration = Duration::from_millis(400);
-/// Ranges of endpoint records: digests that match none ask for all of them.
+/// Ranges of endpoint records; digests that match none request all records.
 const DIGEST_RANGES: usize = 256;
 
-/// Listens to an agent until the round is over.
+/// Follows an agent's feed until the round is over.
 pub async fn listen(cluster: Arc<Cluster>, agent: usize) {
     while !cluster.is_stopping() {
         let incarnation = cluster.incarnation(agent);
@@ -53,7 +53,7 @@
     writer.write_all(&payload).await
 }
 
-/// Says who listens, sends signs of life, and fetch_sender for configurations newer than those versions.
+/// Sends the hello, periodic pings, and requests for configurations newer than the versions received from `fetches`.
 async fn send_requests(
     mut writer: OwnedWriteHalf,
     mut fetches: tokio::sync::mpsc::UnboundedReceiver<u64>,
@@ -98,7 +98,7 @@
             }
             let mut frame = vec![0; length];
             reader.read_exact(&mut frame).await?;
-            // Kinds that this listener does not know are none of its business.
+            // Messages of kinds unknown to this client are ignored.
             if let Ok(message) = decode(&frame) {
                 self.handle(message);
             }
--- a/crates/rig/src/fleet/history.rs
+++ b/crates/rig/src/fleet/history.rs
@@ -1,115 +1,115 @@
-//! What happens in a round of the fleet.
+//! Events of a round of the fleet.
 
 use serde::{Deserialize, Serialize};
 
-/// A configuration as a round knows it: its version, and the name that its one sender gave it.
+/// A configuration: its version number and the unique name that its sender gave it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
-    /// Its version; 0: there is none yet.
+    /// Version number; 0: there is no configuration yet.
     pub number: u64,
-    /// Its name; `?` where a body is none that was sent.
+    /// Name; `?` if the body differs from what was sent.
     pub name: String,
 }
 
 impl Version {
-    /// That of a fleet without a configuration.
+    /// The version of a fleet without a configuration.
     pub fn none() -> Version {
         Version { number: 0, name: String::new() }
     }
 }
 
-/// What an endpoint tells.
+/// State that an endpoint reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It is about to leave.
+    /// About to leave.
     Draining,
-    /// It has left.
+    /// Has left.
     Gone,
 }
 
-/// What somebody did or saw in a round of the fleet. An event without an end is a call that got no answer in time.
+/// An operation or observation in a round of the fleet. An event without an end is a call without a response in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "did")]
 pub enum EventKind {
-    /// The rig harmed members or agents, for this time.
+    /// Members or agents were under a fault during this event.
     Trouble {
-        /// The kind.
+        /// The kind of fault.
         kind: String,
-        /// Places of members that were harmed.
+        /// Slots of the affected members.
         members: Vec<usize>,
-        /// Agents that were harmed.
+        /// The affected agents.
         agents: Vec<usize>,
-        /// The member that had no link to any other, in either direction.
+        /// The member without a link to any other in either direction.
         isolated: Option<usize>,
     },
-    /// Somebody asked a member to replace the configuration.
+    /// An operator requested to replace the configuration.
     Replace {
-        /// The member's place.
+        /// Slot of the called member.
         member: usize,
-        /// Version that it builds on.
+        /// Base version of the change.
         base: u64,
-        /// What is to come into force.
+        /// The requested version.
         version: Version,
-        /// Whether the body may be taken at all.
+        /// Whether the body is valid.
         valid: bool,
-        /// Whether the caller gave up at once, so that the answer was lost.
+        /// Whether the client closed the connection early, so that the response was lost.
         lost: bool,
-        /// The answer; none: there was none.
+        /// Status of the response; `None`: there was none.
         status: Option<u16>,
     },
-    /// Somebody read the configuration.
+    /// An operator read the configuration.
     Read {
-        /// The member's place.
+        /// Slot of the called member.
         member: usize,
-        /// The answer; none: there was none.
+        /// Status of the response; `None`: there was none.
         status: Option<u16>,
-        /// What was read.
+        /// The version that was read.
         version: Option<Version>,
     },
     /// An endpoint called a member.
     Call {
-        /// The member's place.
+        /// Slot of the called member.
         member: usize,
-        /// The endpoint's id.
+        /// Id of the endpoint.
         endpoint: String,
-        /// What it told.
+        /// State that the endpoint reported.
         state: State,
-        /// The answer; none: there was none.
+        /// Status of the response; `None`: there was none.
         status: Option<u16>,
     },
-    /// An agent told a configuration at its feed.
+    /// An agent reported a configuration in its feed.
     Told {
         /// The agent.
         agent: usize,
-        /// Its life: one more at each start.
+        /// Incarnation of the agent: increases at each start.
         life: u64,
-        /// What it told.
+        /// The reported version.
         version: Version,
     },
-    /// An agent told at its feed that an endpoint drains or is gone.
+    /// An agent reported in its feed that an endpoint is draining or gone.
     Heard {
         /// The agent.
         agent: usize,
-        /// Its life: one more at each start.
+        /// Incarnation of the agent: increases at each start.
         life: u64,
-        /// The endpoint's id.
+        /// Id of the endpoint.
         endpoint: String,
-        /// Its state.
+        /// The reported state.
         state: State,
     },
-    /// The last lines that the members logged, where something did not come back.
+    /// The last lines of the members' logs, recorded if recovery failed.
     Logged {
         /// The lines.
         text: String,
     },
-    /// Something came back after all was healed.
+    /// Outcome of waiting for recovery after all faults have ended.
     Back {
-        /// What.
+        /// The condition that was waited for.
         what: String,
-        /// Whether it did within its time.
+        /// Whether it held within the time limit.
         well: bool,
     },
 }
--- a/crates/rig/src/fleet/http.rs
+++ b/crates/rig/src/fleet/http.rs
@@ -1,4 +1,4 @@
-//! One call over HTTP/1.1 on a connection of its own.
+//! One HTTP/1.1 request on a connection of its own.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,28 +7,28 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// An answer.
+/// A response.
 pub struct Answer {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its body.
+    /// Body.
     pub body: String,
 }
 
 /// A request.
 pub struct Call<'a> {
-    /// Its method.
+    /// Method.
     pub method: &'static str,
-    /// Its path.
+    /// Path.
     pub path: &'a str,
-    /// A header line with its end, or nothing.
+    /// Complete header line including its line end, or empty.
     pub header: &'a str,
-    /// Its body.
+    /// Body.
     pub body: &'a str,
 }
 
 impl Call<'_> {
-    /// Sends it; nothing where no whole answer comes within the limit.
+    /// Sends the request; `None` without a complete response within the limit.
     pub async fn send(&self, to: SocketAddr, limit: Duration) -> Option<Answer> {
         timeout(limit, self.exchange(to)).await.ok()?.ok()
     }
--- a/crates/rig/src/fleet/mod.rs
+++ b/crates/rig/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Rounds of the fleet's own processes: controllers and agents on loopback addresses of their own, with operators,
-//! endpoints and listeners at the agents' feeds that belong to the rig.
+//! Rounds of the fleet's processes: controllers and agents on loopback addresses of their own, with simulated
+//! operators, endpoints and clients of the agents' feeds.
 
 pub mod check;
 mod cluster;
--- a/crates/rig/src/fleet/operator.rs
+++ b/crates/rig/src/fleet/operator.rs
@@ -1,4 +1,5 @@
-//! Operators: they replace the configuration and read it, at any member, and repeat what got no clear answer.
+//! Simulated operators that replace and read the configuration at any member and retry requests with an indeterminate
+//! outcome.
 
 use super::cluster::Cluster;
 use super::history::{EventKind, Version};
@@ -11,20 +12,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Who has no answer by then asks another member.
+/// Time after which a client without a response calls another member.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// An operator whose connection breaks loses the answer; the request may have got through.
+/// Time after which a client abandons a request on purpose; the request may still have been received.
 const ABANDONED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(6);
-/// A change without a clear answer is repeated for so long.
+/// How long a change with an indeterminate outcome is retried.
 const RETRY_DURATION: Duration = Duration::from_secs(8);
-/// Wait before a repeat.
+/// Delay before a retry.
 const RETRY_DELAY: Duration = Duration::from_millis(30);
-/// Taken changes that an operator may send once more.
+/// Bound on accepted changes that are remembered for resending.
 const MAX_REMEMBERED_REQUESTS: usize = 2_000;
 const REPLACE_PATH: &str = "/runtrack/config/replace";
 const READ_PATH: &str = "/runtrack/config/read";
 
-/// A configuration of this version and name.
+/// Body of a configuration with this version and name.
 pub fn body(version: &Version, timeout_ms: u32) -> String {
     let Version { number, name } = version;
     format!(
@@ -34,7 +35,7 @@
 
 const ROUTE_TIMEOUT_MS: u32 = 1_000;
 
-/// The version of a body; without a name where it is not what its sender sent.
+/// Parses the version of a body; the name is `?` if the body differs from what was sent.
 pub fn version_of(text: &str) -> Version {
     let parsed: Value = serde_json::from_str(text).unwrap_or_default();
     let number = parsed["version"].as_u64().unwrap_or(0);
@@ -60,14 +61,14 @@
     cluster: Arc<Cluster>,
     name: String,
     rng: Pcg32,
-    /// Newest version that any operator has seen, so that they get in each other's way.
+    /// Newest version that any operator has seen; shared so that the operators' changes conflict.
     newest: Arc<AtomicU64>,
     accepted: Vec<Request>,
     count: u64,
 }
 
 impl Operator {
-    /// One of so many operators of a round.
+    /// Creates the operator with this number.
     pub fn new(cluster: Arc<Cluster>, number: u64, newest: Arc<AtomicU64>) -> Operator {
         let seed = cluster.script.seed.wrapping_mul(31).wrapping_add(number);
         let rng = Pcg32::seed_from_u64(seed);
@@ -78,7 +79,7 @@
         self.rng.next_u32() as usize % bound.max(1)
     }
 
-    /// Works until everything is to be healed.
+    /// Sends requests until all faults are to be ended.
     pub async fn run(mut self) {
         let began = Instant::now();
         let quiet = self.cluster.script.quiet_from.map(|at| Duration::from_millis(at.into()));
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Brings in the first configuration; gives up when everything is to be healed.
+    /// Sends changes until the first configuration is accepted, or until all faults are to be ended.
     pub async fn send_first_configuration(&mut self) {
         while self.newest.load(Ordering::SeqCst) == 0 && !self.cluster.is_healing() {
             self.change().await;
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Sends once more what was taken, perhaps long ago.
+    /// Resends an accepted change, which may be long superseded.
     async fn resend_accepted(&mut self) {
         let which = self.below(self.accepted.len());
         let request = self.accepted[which].clone();
@@ -177,7 +178,7 @@
     }
 }
 
-/// Reads the configuration from a member, and notes it.
+/// Reads the configuration from a member and records the read.
 pub async fn read_from(cluster: &Cluster, who: &str, member: usize) -> Option<Version> {
     let call = Call { method: "GET", path: READ_PATH, header: "", body: "" };
     let began = cluster.history.now_micros();
--- a/crates/rig/src/fleet/register.rs
+++ b/crates/rig/src/fleet/register.rs
@@ -1,17 +1,17 @@
-//! Judges changes and reads of the configuration as those of one register.
+//! Checks that changes and reads of the configuration behave like operations on one register.
 //!
-//! A change is taken only on top of the version that it builds on, and versions rise. So the versions that came into force
-//! form one chain, which the newest one gives backwards, and what is left open is when each came into force. Each
-//! observation bounds that: the search is for moments within these bounds, in the order of the chain.
+//! A change is accepted only on the version that it is based on, and version numbers rise. So the versions that came
+//! into force form one chain, which is followed back from the newest one; unknown is when each came into force. Every
+//! observation bounds these times, and the check searches for times within the bounds in the order of the chain.
 
 use super::check::Rule;
 use super::history::{Event, EventKind, Version};
 use crate::check::Violation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Chains that are tried where versions between others were seen by nobody.
+/// Bound on the chains that are tried if no observation shows an intermediate version.
 const MAX_CHAINS: usize = 64;
-/// Refusals for which either of two moments has to be tried, one after the other.
+/// Bound on the mismatch responses for which both possible times are tried.
 const MAX_ALTERNATIVES: usize = 24;
 
 /// All attempts of one change.
@@ -23,15 +23,15 @@
     refused: Option<(u64, u16)>,
 }
 
-/// What was seen, and when.
+/// An observation and its time.
 enum Observation {
-    /// This version was in force at some moment between these.
+    /// This version was in force at some time in the interval.
     Read { began: u64, ended: u64, version: Version },
-    /// This version had come into force by then.
+    /// This version had come into force by this time.
     Reported { at: u64, version: Version },
-    /// Another version than this one was in force at some moment between these.
+    /// A version other than `base` was in force at some time in the interval.
     Mismatch { began: u64, ended: u64, base: u64 },
-    /// A version of at least this number had come into force by then.
+    /// A version with at least this number had come into force by this time.
     NotAbove { at: u64, number: u64 },
 }
 
@@ -113,7 +113,7 @@
         possible.map(|(version, _)| version).filter(under).collect()
     }
 
-    /// The chains that may lead to a version, without the state before the first.
+    /// The chains that may lead to a version, without the initial state.
     fn chains(&self, newest: &Version) -> Vec<Vec<Version>> {
         let mut partial = vec![vec![newest.clone()]];
         let mut complete = Vec::new();
@@ -135,7 +135,7 @@
     }
 }
 
-/// Earliest and latest moments at which the versions of a chain came into force.
+/// Earliest and latest times at which the versions of a chain came into force.
 #[derive(Clone)]
 struct Windows {
     earliest: Vec<u64>,
@@ -143,7 +143,7 @@
 }
 
 impl Windows {
-    /// Not before this.
+    /// Raises the earliest time of a version and its successors.
     fn not_before(&mut self, at: usize, moment: u64) {
         for earliest in self.earliest.iter_mut().skip(at) {
             if *earliest >= moment {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Not after this.
+    /// Lowers the latest time of a version and its predecessors.
     fn not_after(&mut self, at: usize, moment: u64) {
         for latest in self.latest[..=at].iter_mut().rev() {
             if *latest <= moment {
@@ -163,19 +163,19 @@
         }
     }
 
-    /// The first version of the chain without a moment.
+    /// The first version of the chain whose window is empty.
     fn empty_window(&self) -> Option<usize> {
         (0..self.earliest.len()).find(|at| self.earliest[*at] > self.latest[*at])
     }
 }
 
-/// A chain of versions; the first is that of a fleet without a configuration.
+/// A chain of versions, starting with the fleet without a configuration.
 struct Chain<'a> {
     facts: &'a Facts,
     versions: Vec<Version>,
 }
 
-/// Why a chain is none.
+/// Why a chain does not fit the observations.
 struct Contradiction {
     at: u64,
     evidence: String,
@@ -186,7 +186,7 @@
         self.versions.iter().position(|other| other == version)
     }
 
-    /// Whether moments can be found for all its versions.
+    /// Whether times exist for all versions of the chain.
     fn fits(&self) -> Result<(), Contradiction> {
         let mut windows =
             Windows { earliest: vec![0; self.versions.len()], latest: vec![u64::MAX; self.versions.len()] };
@@ -227,7 +227,7 @@
         }
     }
 
-    /// What an observation says about the moments; an answer 412 may leave a alternative.
+    /// Narrows the windows by an observation; a response 412 may leave two alternatives.
     fn constrain(
         &self,
         observation: &Observation,
@@ -236,7 +236,7 @@
     ) -> Result<(), Contradiction> {
         match observation {
             Observation::Read { began, ended, version } => {
-                let Some(at) = self.position(version) else { return Ok(()) }; // judged by itself
+                let Some(at) = self.position(version) else { return Ok(()) }; // reported by `off_chain`
                 windows.not_after(at, *ended);
                 windows.not_before(at + 1, *began);
             }
@@ -262,7 +262,7 @@
     }
 }
 
-/// The version at a place in the chain was not yet in force, or no longer, at some moment between these.
+/// The version at this position was not yet, or no longer, in force at some time in the interval.
 struct Alternative {
     at: usize,
     began: u64,
@@ -276,7 +276,7 @@
     }
 }
 
-/// Whether moments within the windows meet all alternatives, of which so many may be open.
+/// Whether times within the windows satisfy all alternatives; `depth_left` bounds the branches.
 fn resolve(mut windows: Windows, alternatives: &[Alternative], depth_left: usize) -> bool {
     loop {
         if windows.empty_window().is_some() {
@@ -298,7 +298,7 @@
             (false, false) => return false,
             (true, false) => windows = sooner,
             (false, true) => windows = later,
-            (true, true) if depth_left == 0 => return true, // given the benefit of the doubt
+            (true, true) if depth_left == 0 => return true, // undecided within the bound: not reported
             (true, true) => {
                 return resolve(sooner, alternatives, depth_left - 1)
                     || resolve(later, alternatives, depth_left - 1);
@@ -307,7 +307,7 @@
     }
 }
 
-/// Judges all changes and reads of a round.
+/// Checks all changes and reads of a round.
 pub fn check_register(events: &[Event], violations: &mut Vec<Violation<Rule>>) {
     let facts = Facts::of(events);
     check_refusals(events, &facts, violations);
@@ -335,7 +335,7 @@
     violations.append(&mut contradictions);
 }
 
-/// What was seen_versions and does not lead to the newest version.
+/// Versions that were observed and are not on the chain to the newest one.
 fn off_chain(facts: &Facts, chain: &Chain) -> Vec<Violation<Rule>> {
     let newest = chain.versions.last().cloned().unwrap_or_else(Version::none);
     let missing = facts.seen_versions.iter().filter(|version| chain.position(version).is_none());
@@ -351,7 +351,7 @@
     missing.map(violation).collect()
 }
 
-/// Changes that were refused or invalid and came into force, and taken ones that were refused.
+/// Refused or invalid changes that came into force, and valid changes that were answered 400.
 fn check_refusals(events: &[Event], facts: &Facts, violations: &mut Vec<Violation<Rule>>) {
     for version in &facts.seen_versions {
         let Some(change) = facts.changes.get(version) else {
--- a/crates/rig/src/fleet/round.rs
+++ b/crates/rig/src/fleet/round.rs
@@ -1,4 +1,4 @@
-//! A round from its first process to its last read.
+//! Runs a round of the fleet from the first process to the last read.
 
 use super::check::{EXITED_KIND, acknowledged_drains};
 use super::cluster::Cluster;
@@ -15,14 +15,14 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
-/// After all is healed, everything has to be back within this.
+/// Time limit of recovery after all faults have ended.
 pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often it is looked whether everything is back.
+/// Poll interval of the startup, the supervisor and the recovery.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const OPERATORS: u64 = 2;
 const ENDPOINTS: u64 = 3;
 
-/// Plays a round and gives its history. An error is the rig's own: nothing was judged.
+/// Runs a round and returns its history. An error means that the rig itself failed and nothing can be checked.
 pub async fn play(script: &Script) -> io::Result<Vec<Event>> {
     let cluster = Arc::new(Cluster::new(script).await?);
     let newest = Arc::new(AtomicU64::new(0));
@@ -46,12 +46,12 @@
     Ok(cluster.history.events())
 }
 
-/// Starts members again that end by themselves, and notes that they did.
+/// Restarts members that exit by themselves, and records the exits.
 async fn supervise(cluster: Arc<Cluster>) {
     loop {
         let began = cluster.history.now_micros();
         sleep(POLL_INTERVAL).await;
-        // A start that fails is tried again at the next look.
+        // A failed start is retried after the next interval.
         let members = cluster.restart_ended().unwrap_or_default();
         if !members.is_empty() {
             let did = EventKind::Trouble {
@@ -88,14 +88,14 @@
     Ok(())
 }
 
-/// Until all stood, nobody was owed anything.
+/// Records the startup as a fault period of all members and agents, so that nothing is required of them before.
 fn record_start(cluster: &Cluster) {
     let (members, agents) = ((0..cluster.script.members).collect(), (0..cluster.script.agents).collect());
     let did = EventKind::Trouble { kind: "start".to_owned(), members, agents, isolated: None };
     cluster.history.record("rig", 0, Some(cluster.history.now_micros()), did);
 }
 
-/// Plays all faults to their ends, at the latest when the script is over.
+/// Injects all faults and ends them, at the latest when the script ends.
 async fn inject_faults(cluster: &Arc<Cluster>) -> io::Result<()> {
     let end = Instant::now() + Duration::from_millis(cluster.script.lasts.into());
     let mut faults = JoinSet::new();
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-/// Newest version that an agent reported_version in its present life.
+/// Newest version that an agent has reported in its current incarnation.
 fn reported_version(cluster: &Cluster, agent: usize) -> Option<Version> {
     let now = cluster.incarnation(agent);
     cluster.history.events().into_iter().rev().find_map(|event| match event.what {
@@ -121,7 +121,7 @@
     })
 }
 
-/// Endpoints of which an agent has reported_version in its present life that they drain or are gone.
+/// Endpoints that an agent has reported as draining or gone in its current incarnation.
 fn reported_endpoints(cluster: &Cluster, agent: usize) -> BTreeSet<(String, State)> {
     let now = cluster.incarnation(agent);
     let events = cluster.history.events().into_iter();
@@ -134,7 +134,7 @@
     reported_endpoints.collect()
 }
 
-/// What is waited for, and whether it is so.
+/// Conditions of recovery, and whether they hold.
 async fn recovery_status(cluster: &Cluster) -> Vec<(String, bool)> {
     let mut reads = Vec::new();
     for member in 0..cluster.script.members {
@@ -163,7 +163,7 @@
     recovery_status
 }
 
-/// Starts what does not run, and waits until all is as it should be.
+/// Starts all stopped processes and waits until the fleet has recovered.
 async fn wait_for_recovery(cluster: &Cluster) -> io::Result<()> {
     for member in 0..cluster.script.members {
         cluster.with_member(member, |process| process.resume());
--- a/crates/rig/src/fleet/script.rs
+++ b/crates/rig/src/fleet/script.rs
@@ -1,124 +1,124 @@
-//! A round of the fleet as data.
+//! The script of a round of the fleet as data.
 
 use serde::{Deserialize, Serialize};
 
-/// A round: what is there, and what goes wrong. Times are in milliseconds from the moment at which all stands.
+/// A round: its processes and faults. Times are in milliseconds from the end of the startup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Of what the script leaves open: who is called, and when.
+    /// Seed of the random choices that the script leaves open, such as the member that a client calls.
     pub seed: u64,
-    /// Controllers at the start.
+    /// Number of controllers.
     pub members: usize,
-    /// Agents, each with a listener at its feed.
+    /// Number of agents, each with a client at its feed.
     pub agents: usize,
-    /// LinkFault long the round lasts before everything is healed.
+    /// Duration of the round until all faults are ended.
     pub lasts: u32,
-    /// Pause between two replaces of one operator, at most.
+    /// Maximum pause between two changes of one operator.
     pub pause: u32,
-    /// From then on no operator changes anything; none: all the time.
+    /// Time from which operators change nothing; `None`: they change the configuration all the time.
     pub quiet_from: Option<u32>,
-    /// FaultKind goes wrong.
+    /// The faults.
     pub faults: Vec<Fault>,
 }
 
-/// Something that goes wrong.
+/// One fault.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When.
+    /// Start time.
     pub at: u32,
-    /// For how long.
+    /// Duration.
     pub lasts: u32,
-    /// FaultKind.
+    /// The kind of fault.
     pub what: FaultKind,
 }
 
-/// LinkFault links are cut.
+/// A cut of links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cut {
-    /// Nothing gets through in either direction.
+    /// Nothing is delivered in either direction.
     Both,
-    /// Nothing that the one that is cut off sends.
+    /// Data from the member that is cut off is not delivered.
     Outbound,
-    /// Nothing that is sent to the one that is cut off.
+    /// Data to the member that is cut off is not delivered.
     Inbound,
-    /// Connections are reset, new ones too.
+    /// Existing and new connections are reset.
     Refused,
 }
 
-/// FaultKind happens. Members are numbered by their places: a machine that is added takes the place of the one that is gone.
+/// A kind of fault. Members are numbered by slot; a replacement takes over the slot of the member that it replaces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// SIGKILL; started again with its disk when it is over.
+    /// SIGKILL; restarted with its disk after the duration.
     Kill {
-        /// Which member.
+        /// Slot of the member.
         member: usize,
     },
-    /// SIGTERM; started again with its disk when it is over.
+    /// SIGTERM; restarted with its disk after the duration.
     Terminate {
-        /// Which member.
+        /// Slot of the member.
         member: usize,
     },
-    /// SIGKILL to all members at once; started again with their disks.
+    /// SIGKILL of all members at once; restarted with their disks after the duration.
     PowerOff,
-    /// SIGSTOP, then SIGCONT.
+    /// SIGSTOP, and SIGCONT after the duration.
     Stop {
-        /// Which member.
+        /// Slot of the member.
         member: usize,
     },
-    /// All links between a member and the other members.
+    /// Cuts all links between a member and the others.
     CutMember {
-        /// Which member.
+        /// Slot of the member.
         member: usize,
-        /// LinkFault.
+        /// The kind of cut.
         cut: Cut,
     },
-    /// The links between two members.
+    /// Cuts the links between two members.
     CutPair {
-        /// One.
+        /// Slot of one member.
         member: usize,
-        /// The other.
+        /// Slot of the other member.
         other: usize,
     },
-    /// All links of an agent.
+    /// Cuts all links of an agent.
     CutAgent {
-        /// Which agent.
+        /// Number of the agent.
         agent: usize,
     },
-    /// SIGKILL of an agent; started again when it is over.
+    /// SIGKILL of an agent; restarted after the duration.
     KillAgent {
-        /// Which agent.
+        /// Number of the agent.
         agent: usize,
     },
-    /// SIGSTOP of an agent, then SIGCONT.
+    /// SIGSTOP of an agent, and SIGCONT after the duration.
     StopAgent {
-        /// Which agent.
+        /// Number of the agent.
         agent: usize,
     },
-    /// SIGKILL, and the disk is lost; started again with an empty one when it is over.
+    /// SIGKILL and loss of the disk; restarted with an empty disk after the duration.
     Wipe {
-        /// Which member.
+        /// Slot of the member.
         member: usize,
     },
-    /// A copy of the disk is taken; after so many milliseconds SIGKILL, and the copy is put back.
+    /// Copies the disk; after `age` SIGKILL, and the copy is restored.
     Restore {
-        /// Which member.
+        /// Slot of the member.
         member: usize,
-        /// Age of the copy at the kill.
+        /// Age of the copy at the kill, in milliseconds.
         age: u32,
     },
-    /// SIGKILL for good; a new machine with an empty disk starts when it is over.
+    /// Permanent SIGKILL; a new machine with an empty disk starts after the duration.
     Replace {
-        /// Which member.
+        /// Slot of the member.
         member: usize,
     },
 }
 
 impl FaultKind {
-    /// The kind, for what came together with what.
+    /// Name of the kind, for counting pairs of kinds.
     pub fn kind(&self) -> &'static str {
         match self {
             FaultKind::Kill { .. } => "kill",
--- a/crates/rig/src/fleet_verbs.rs
+++ b/crates/rig/src/fleet_verbs.rs
@@ -1,4 +1,4 @@
-//! The verbs that play and judge rounds of the fleet.
+//! Subcommands that run and check rounds of the fleet.
 
 use runtrack_rig::check::Verdict;
 use runtrack_rig::fleet::check::{Rule, check_history};
@@ -30,7 +30,7 @@
     Ok((events, verdict))
 }
 
-/// Plays the rounds of many seeds, and says which break a rule.
+/// Runs the rounds of many seeds and reports those that violate a rule.
 pub fn search(which: &Seeds, out: &Path) -> Result<ExitCode, String> {
     std::fs::create_dir_all(out).map_err(named(out))?;
     let began = Instant::now();
@@ -109,7 +109,7 @@
     if verdict.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Plays a script.
+/// Runs a script.
 pub fn replay(script: &Path, history: Option<&Path>) -> Result<ExitCode, String> {
     let (events, verdict) = run_round(&read(script)?)?;
     if let Some(path) = history {
@@ -118,7 +118,7 @@
     Ok(report(&verdict))
 }
 
-/// Judges a history again.
+/// Checks a recorded history.
 pub fn recheck(path: &Path) -> Result<ExitCode, String> {
     let events: Vec<Event> = history::read(path).map_err(named(path))?;
     Ok(report(&check_history(&events)))
--- a/crates/rig/src/history.rs
+++ b/crates/rig/src/history.rs
@@ -1,4 +1,4 @@
-//! What happened, on one monotonic clock, a JSON line each.
+//! The events of a round on one monotonic clock, stored as one JSON object per line.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -7,106 +7,106 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-/// Something that happened. Times are microseconds from the start of the round.
+/// Something that happened in a round. Times are in microseconds from the start of the round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event<D = EventKind> {
-    /// When it began.
+    /// Start of the event.
     pub began: u64,
-    /// When it was known to have ended; none: whether it took place is not known.
+    /// End of the event; `None`: its outcome is unknown.
     pub ended: Option<u64>,
-    /// Who did it.
+    /// The process or client that the event belongs to.
     pub who: String,
-    /// What.
+    /// What happened.
     pub what: D,
 }
 
-/// What somebody did or saw.
+/// An operation of a client, or an observation of a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "did")]
 pub enum EventKind {
-    /// The rig did something to the world.
+    /// The rig injected or ended a fault.
     Fault {
-        /// In words.
+        /// Description of the fault.
         what: String,
     },
-    /// Somebody had an endpoint held back, or released.
+    /// A client held back an endpoint, or released it.
     Hold {
         /// The endpoint.
         key: String,
-        /// Held or released.
+        /// Whether it was held back or released.
         held: bool,
-        /// The write's id.
+        /// Id of the write.
         id: String,
-        /// It was refused for certain.
+        /// Whether the write is known to have been refused.
         refused: bool,
     },
-    /// Somebody read, as a majority has it, whether an endpoint is held back.
+    /// A client read with majority consistency whether an endpoint is held back.
     Held {
         /// The endpoint.
         key: String,
-        /// What was read.
+        /// The value that was read.
         held: bool,
     },
-    /// Somebody had a version committed.
+    /// A client committed a version.
     Commit {
-        /// The write's id.
+        /// Id of the write.
         id: String,
-        /// As which serial; none: it was refused, or is not known.
+        /// Serial of the version; `None`: refused or unknown.
         serial: Option<u64>,
-        /// It was refused for certain.
+        /// Whether the commit is known to have been refused.
         refused: bool,
     },
-    /// The versions at an instance in the end.
+    /// The versions that an instance retains at the end of the round.
     Versions {
-        /// Serial and id of the write of each.
+        /// Serial and id of the write of each version.
         versions: Vec<(u64, String)>,
     },
-    /// How an instance stood.
+    /// Status of an instance.
     Stood {
-        /// Its run.
+        /// Number of process starts in the round so far.
         run: u64,
-        /// The term.
+        /// The instance's term.
         term: u64,
-        /// Whether it led.
+        /// Whether it was the leader.
         leads: bool,
-        /// Up to where it had applied the log.
+        /// Index of the last applied log entry.
         index: u64,
-        /// Endpoints that it showed as draining.
+        /// Number of endpoints that it reported as draining.
         draining: u64,
     },
-    /// A proxy was told something.
+    /// A proxy received a response.
     Told {
-        /// The type.
+        /// Resource type.
         kind: String,
-        /// The version, in the service's words.
+        /// Version string of the response.
         version: String,
-        /// The highest serial among what it holds.
+        /// Highest serial among the clusters that the proxy holds.
         serial: u64,
     },
-    /// An endpoint began to drain, as discovery has it.
+    /// Discovery marked an endpoint as draining.
     Drained {
-        /// Which.
+        /// The endpoint.
         endpoint: String,
-        /// How many drain now.
+        /// Number of draining endpoints after this event.
         count: u64,
     },
-    /// A request reached an endpoint that drained.
+    /// A proxy sent a request to a draining endpoint.
     Reached {
-        /// Which.
+        /// The endpoint.
         endpoint: String,
-        /// From this proxy.
+        /// The proxy.
         proxy: String,
     },
-    /// Something came back after all was healed.
+    /// Outcome of waiting for recovery after all faults have ended.
     Back {
-        /// What.
+        /// The condition that was waited for.
         what: String,
-        /// Whether it did within its time.
+        /// Whether it held within the time limit.
         well: bool,
     },
 }
 
-/// The history of a round.
+/// Collects the events of a round.
 #[derive(Clone)]
 pub struct History<D = EventKind> {
     started: Instant,
@@ -120,29 +120,29 @@
 }
 
 impl<D: Clone> History<D> {
-    /// Now.
+    /// Current time in microseconds from the start of the round.
     pub fn now_micros(&self) -> u64 {
         self.micros_at(Instant::now())
     }
 
-    /// A moment.
+    /// Converts a moment to microseconds from the start of the round.
     pub fn micros_at(&self, moment: Instant) -> u64 {
         u64::try_from(moment.saturating_duration_since(self.started).as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Notes something that took a time.
+    /// Records an event with a duration.
     pub fn record(&self, who: &str, began: u64, ended: Option<u64>, what: D) {
         let event = Event { began, ended, who: who.to_owned(), what };
         self.events.lock().unwrap_or_else(PoisonError::into_inner).push(event);
     }
 
-    /// Notes something that happened now.
+    /// Records an event that happens now.
     pub fn record_now(&self, who: &str, what: D) {
         let now = self.now_micros();
         self.record(who, now, Some(now), what);
     }
 
-    /// All that happened, by when it began.
+    /// All events, ordered by start.
     pub fn events(&self) -> Vec<Event<D>> {
         let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner).clone();
         events.sort_by_key(|event| event.began);
@@ -150,7 +150,7 @@
     }
 }
 
-/// Writes a history, a line an event.
+/// Writes a history as JSON lines.
 pub fn write<D: Serialize>(path: &Path, events: &[Event<D>]) -> io::Result<()> {
     let mut text = Vec::new();
     for event in events {
@@ -160,7 +160,7 @@
     std::fs::File::create(path)?.write_all(&text)
 }
 
-/// Reads a history.
+/// Reads a history from JSON lines.
 pub fn read<D: DeserializeOwned>(path: &Path) -> io::Result<Vec<Event<D>>> {
     let text = std::fs::read_to_string(path)?;
     text.lines().map(|line| serde_json::from_str(line).map_err(io::Error::from)).collect()
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,10 +1,9 @@
-//! Real processes of the project with faults between them.
+//! Fault injection tests on real processes of the project.
 //!
-//! A [`script`] says what is there and what goes wrong when; it is drawn from a seed ([`draw`]) or written. [`round`]
-//! starts the processes, with every link between two of them through a [`link`] of the rig's, plays the script, heals
-//! everything and waits for the whole to come back. All that happened goes into one [`history`], on one clock, and
-//! [`check`] judges that afterwards. It starts nothing but the project's own programs, on loopback, and ends what it
-//! started.
+//! A [`script`] lists the processes and the faults of a round; it is generated from a seed ([`draw`]) or written by
+//! hand. [`round`] starts the processes with a [`link`] of the rig between each two of them, runs the script, ends all
+//! faults and waits for recovery. All events go into one [`history`] on one clock, which [`check`] examines
+//! afterwards. The rig starts only the project's own programs, on loopback, and stops those that it started.
 
 pub mod check;
 pub mod draw;
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -1,5 +1,5 @@
-//! Links between processes: a listener of the rig's stands before each process, and what goes through it is blocked, delay,
-//! slow, reset or refused, by who connects and in which direction.
+//! TCP links between processes. The rig listens in front of each process and forwards connections; it can block,
+//! delay, throttle, reset or refuse them per source process and direction.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -17,44 +17,44 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Bytes read at once.
+/// Bytes per read.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Chunks on their way in one direction: beyond them the sender's own window fills, as on a real link.
+/// Chunks in flight in one direction. When the queue is full, the sender's TCP window fills as on a real link.
 const MAX_CHUNKS_IN_FLIGHT: usize = 64;
 
-/// How one direction stands.
+/// State of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DirectionState {
-    /// Nothing gets through.
+    /// No data is delivered.
     pub blocked: bool,
-    /// All is late by this, and up to as much more.
+    /// Minimum delay; a random jitter of up to the same length is added.
     pub delay: Duration,
-    /// Bytes a second; 0: as fast as it goes.
+    /// Throughput in bytes per second; 0: unlimited.
     pub bytes_per_s: u32,
 }
 
-/// How a link stands.
+/// State of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkState {
-    /// What the one that connects sends.
+    /// Data from the process that opened the connection.
     pub to_target: DirectionState,
-    /// What comes back.
+    /// Data to the process that opened the connection.
     pub to_source: DirectionState,
-    /// Connections end at once.
+    /// New and existing connections are reset.
     pub refused: bool,
-    /// Raised by one: connections that stand are reset.
+    /// Each increment resets the existing connections once.
     pub resets: u32,
 }
 
 type Pair = (String, String);
 
-/// What the first bytes of a connection say.
+/// What the first bytes of a connection reveal about its source.
 pub enum Handshake {
-    /// More of them are needed.
+    /// More bytes are needed.
     Incomplete,
-    /// Who connects.
+    /// Name of the process that connects.
     From(String),
-    /// They are none that this project's processes send.
+    /// The bytes are no handshake of this project.
     Malformed,
 }
 
@@ -62,9 +62,9 @@
 #[derive(Clone, Default)]
 pub struct Links {
     states: Arc<Mutex<BTreeMap<Pair, watch::Sender<LinkState>>>>,
-    /// Processes by their ids, to tell who connects.
+    /// Names of processes by process id, to identify the source of a connection.
     names: Arc<Mutex<BTreeMap<u32, String>>>,
-    /// Bytes that went through, in all.
+    /// Total of forwarded bytes.
     bytes: Arc<AtomicU64>,
 }
 
@@ -73,23 +73,23 @@
 }
 
 impl Links {
-    /// Names a process.
+    /// Registers the name of a process.
     pub fn name(&self, pid: u32, name: &str) {
         locked(&self.names).insert(pid, name.to_owned());
     }
 
-    /// Changes how a link stands.
+    /// Changes the state of a link.
     pub fn set(&self, from: &str, to: &str, change: impl FnOnce(&mut LinkState)) {
         let mut states = locked(&self.states);
         states.entry((from.to_owned(), to.to_owned())).or_default().send_modify(change);
     }
 
-    /// Bytes that went through any of them so far.
+    /// Total of bytes forwarded by all links.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// Opens all links.
+    /// Removes all faults from all links.
     pub fn heal(&self) {
         for state in locked(&self.states).values() {
             state.send_modify(|state| *state = LinkState { resets: state.resets, ..LinkState::default() });
@@ -100,7 +100,7 @@
         locked(&self.states).entry((from.to_owned(), to.to_owned())).or_default().subscribe()
     }
 
-    /// Who holds the other end of a connection; empty for one that is not named.
+    /// Name of the process at the other end of a connection; empty if it is not registered.
     fn peer_name(&self, peer: SocketAddr, me: SocketAddr) -> String {
         let names = locked(&self.names).clone();
         let Some(inode) = socket_inode(peer, me) else { return String::new() };
@@ -113,7 +113,8 @@
         names.iter().find(|(pid, _)| holds(pid)).map(|(_, name)| name.clone()).unwrap_or_default()
     }
 
-    /// Stands before a process: what connects to `at` reaches it at `behind`. Ends with what is returned.
+    /// Listens at `at` and forwards connections to `target_address`, under the link state of the connecting process
+    /// and `to`. Stops when the returned tasks are dropped.
     pub async fn intercept(
         &self,
         to: &str,
@@ -137,8 +138,8 @@
         })
     }
 
-    /// Stands before a process as [`Links::intercept`] does, and tells by the first bytes of a connection who connects:
-    /// its kernel's table need not be searched, which takes long on a machine with many connections.
+    /// Like [`Links::intercept`], but identifies the source by the first bytes of a connection. Searching the kernel's
+    /// socket table takes long on a machine with many connections.
     pub async fn intercept_identified(
         &self,
         to: &str,
@@ -175,7 +176,8 @@
         self.state(&from, &to)
     }
 
-    /// A link of one that connects always here, to whatever the receiver names at that time.
+    /// Forwards connections of one source to the address that `target` holds when they are opened; existing ones are
+    /// reset when it changes.
     pub async fn intercept_routed(
         &self,
         from: &str,
@@ -188,23 +190,23 @@
     }
 }
 
-/// The inode of the socket at the other end of a connection on this machine.
+/// Inode of the socket at the other end of a local connection.
 fn socket_inode(peer: SocketAddr, me: SocketAddr) -> Option<u64> {
     let hex = |at: SocketAddr| match at {
         SocketAddr::V4(at) => format!("{:08X}:{:04X}", u32::from_le_bytes(at.ip().octets()), at.port()),
-        SocketAddr::V6(_) => String::new(), // the rig's addresses are IPv4
+        SocketAddr::V6(_) => String::new(), // the rig uses IPv4 only
     };
     let (local, remote) = (hex(peer), hex(me));
     let table = std::fs::read_to_string("/proc/net/tcp").ok()?;
     table.lines().skip(1).find_map(|line| {
         let mut fields = line.split_whitespace().skip(1);
         let there = fields.next() == Some(&local) && fields.next() == Some(&remote);
-        // State, queues, timer, retransmissions, uid, time-out, inode.
+        // Skipped fields: state, queues, timer, retransmissions, uid, time-out; then the inode.
         if there { fields.nth(6).and_then(|inode| inode.parse().ok()) } else { None }
     })
 }
 
-/// Reads who connects; gives the bytes that were read for it too.
+/// Reads until the source is identified; returns the bytes that were read as well.
 async fn identify_peer(
     mut stream: TcpStream,
     parse_handshake: fn(&[u8]) -> Handshake,
@@ -245,7 +247,7 @@
     Ok(tasks)
 }
 
-/// Closes a connection by a reset.
+/// Makes closing the stream send a reset.
 fn reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
@@ -259,7 +261,7 @@
 ) {
     let initial_resets = state.borrow_and_update().resets;
     let is_closed = |state: &LinkState| state.refused || state.resets != initial_resets;
-    // A connection that hangs reaches nobody until the link is open.
+    // While both directions are blocked, a new connection is accepted but not forwarded.
     let open = state
         .wait_for(|state| is_closed(state) || !(state.to_target.blocked && state.to_source.blocked))
         .await;
@@ -268,7 +270,7 @@
     let target_stream = if refused { None } else { TcpStream::connect(to).await.ok() };
     let Some(target_stream) = target_stream else { return reset(&source) };
     let _ = (source.set_nodelay(true), target_stream.set_nodelay(true));
-    // They end by a reset, whichever end drops last.
+    // Both connections are reset, whichever half is dropped last.
     if let (Ok(source_handle), Ok(target_handle)) = (duplicate(&source), duplicate(&target_stream)) {
         let ((source_in, source_out), (target_in, target_out)) =
             (source.into_split(), target_stream.into_split());
@@ -298,7 +300,7 @@
     }
 }
 
-/// A second hold on a connection, to reset it while its halves are in use.
+/// A duplicate of a connection's socket, to reset it while its halves are in use.
 struct SocketHandle(socket2::Socket);
 
 fn duplicate(stream: &TcpStream) -> io::Result<SocketHandle> {
@@ -337,7 +339,7 @@
             forwarded_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
             let DirectionState { delay, bytes_per_s, .. } = direction(&clock.borrow_and_update());
             let jitter = delay.mul_f64(f64::from(rng.next_u32()) / f64::from(u32::MAX));
-            // Bytes stay in order, and take their time on a slow link.
+            // Chunks stay in order, and each takes its transfer time on a throttled link.
             let transfer_time = match bytes_per_s {
                 0 => Duration::ZERO,
                 bytes_per_s => Duration::from_secs_f64(bytes.len() as f64 / f64::from(bytes_per_s)),
@@ -357,7 +359,7 @@
                 return;
             }
         }
-        // An end is held like all else.
+        // A blocked direction also blocks the end of the stream.
         if state.wait_for(|state| !direction(state).blocked).await.is_ok() {
             let _ = to.shutdown().await;
         }
@@ -365,7 +367,7 @@
     tokio::join!(read, write);
 }
 
-/// Holds a link and opens it again so often a second, for as long as it is polled.
+/// Blocks and unblocks links so many times per second until it is dropped.
 pub async fn flap(links: &Links, pairs: &[(String, String)], per_second: u32) {
     let half = Duration::from_secs(1) / (2 * per_second.max(1));
     loop {
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,4 +1,4 @@
-//! `runtrack-rig`: plays rounds of real processes with faults between them, and judges what happened.
+//! `runtrack-rig`: runs rounds of real processes under injected faults and checks their histories.
 
 mod fleet_verbs;
 
@@ -14,7 +14,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// Plays rounds of real processes of the project with faults between them, and judges what happened.
+/// Runs rounds of real processes of the project under injected faults and checks their histories.
 #[derive(Parser)]
 #[command(
     name = "runtrack-rig",
@@ -23,7 +23,7 @@
     after_help = "Exit codes: 0 no rule violated; 1 a rule was violated; 2 the command line or a file is invalid, or a round failed to run."
 )]
 struct Cli {
-    /// An error to plant in the instances, where they were built with such errors.
+    /// Mutant to enable in the instances, if they were built with mutants.
     #[arg(long, global = true, value_name = "NAME")]
     mutant: Option<String>,
     #[command(subcommand)]
@@ -32,74 +32,75 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play the round of a seed.
+    /// Run the round of a seed.
     Run {
         /// The seed.
         #[arg(long)]
         seed: u64,
-        /// Write its script here.
+        /// Write the generated script to this file.
         #[arg(long, value_name = "FILE")]
         script: Option<PathBuf>,
-        /// Write what happened here, a JSON line an event.
+        /// Write the history to this file, one JSON object per line.
         #[arg(long, value_name = "FILE")]
         history: Option<PathBuf>,
     },
-    /// Play the rounds of many seeds, and say which break a rule.
+    /// Run the rounds of many seeds and report those that violate a rule.
     Search {
         #[command(flatten)]
         which: Seeds,
-        /// Where scripts and histories of rounds that break a rule go.
+        /// Folder for the scripts and histories of rounds that violate a rule.
         #[arg(long, default_value = "found", value_name = "FOLDER")]
         out: PathBuf,
     },
-    /// Play a script.
+    /// Run a script.
     Replay {
         /// The script (JSON).
         script: PathBuf,
-        /// Write what happened here, a JSON line an event.
+        /// Write the history to this file, one JSON object per line.
         #[arg(long, value_name = "FILE")]
         history: Option<PathBuf>,
     },
-    /// Measure what agreement costs, with three instances and with five.
+    /// Measure the cost of consensus with three and with five instances.
     Measure {
-        /// Kills of a leader.
+        /// Number of times that the leader is killed.
         #[arg(long, default_value_t = 30)]
         kills: usize,
-        /// Pools of a large fleet.
+        /// Number of pools of a large configuration.
         #[arg(long, default_value_t = 10_000)]
         pools: usize,
     },
-    /// Play rounds of the fleet's controllers and agents, and say which break a rule.
+    /// Run rounds of controllers and agents of the fleet and report those that violate a rule.
     Fleet {
         #[command(flatten)]
         which: Seeds,
-        /// Where scripts and histories of rounds that break a rule go.
+        /// Folder for the scripts and histories of rounds that violate a rule.
         #[arg(long, default_value = "found", value_name = "FOLDER")]
         out: PathBuf,
     },
-    /// Play a script of the fleet.
+    /// Run a script of the fleet.
     FleetReplay {
         /// The script (JSON).
         script: PathBuf,
-        /// Write what happened here, a JSON line an event.
+        /// Write the history to this file, one JSON object per line.
         #[arg(long, value_name = "FILE")]
         history: Option<PathBuf>,
     },
-    /// Judge a history of the fleet again.
+    /// Check a recorded history of the fleet.
     FleetJudge {
         /// The history.
         history: PathBuf,
     },
-    /// Judge a history again.
+    /// Check a recorded history.
     Judge {
         /// The history.
         history: PathBuf,
     },
-    /// Leave out of a script what the violated rule does not need; write it with `.small` behind.
+    /// Remove the faults from a script that the violated rule does not need; writes the result with the suffix
+    /// `.small`.
     Shrink {
         /// The script (JSON).
         script: PathBuf,
-        /// Rounds at most.
+        /// Maximum number of rounds to run.
         #[arg(long, default_value_t = 60)]
         rounds: usize,
     },
@@ -220,8 +221,8 @@
     Ok(if rounds_with_violations + failed_to_run == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Real processes are no simulation: a round that broke a rule may not do so again. What is left out is what the rule
-/// broke without, at least once.
+/// Real processes are not deterministic: a round that violated a rule may not do so again. A fault is removed if the
+/// rule was violated at least once without it.
 fn shrink(path: &Path, rounds: usize, mutant: Option<&str>) -> Result<ExitCode, String> {
     let script = read(path)?;
     let (_, verdict) = run_round(&script, mutant)?;
--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -1,4 +1,4 @@
-//! Figures: what agreement costs, side by side with one write and sync on the same disk in the same run.
+//! Measures the cost of consensus, compared with one write and sync on the same disk in the same run.
 
 use crate::link::locked;
 use crate::round::Round;
@@ -10,12 +10,12 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Writes whose times are taken, one after the other.
+/// Sequential writes whose latency is measured.
 const TIMED_WRITES: usize = 400;
-/// Writers at once, and for how long.
+/// Concurrent writers of the throughput measurement, and its duration.
 const CONCURRENT_WRITERS: usize = 64;
 const LOAD_DURATION: Duration = Duration::from_secs(5);
-/// At rest it is looked for so long.
+/// Duration of the measurement without load.
 const IDLE_DURATION: Duration = Duration::from_secs(5);
 
 fn percentile(times: &mut [Duration], quantile: f64) -> f64 {
@@ -29,7 +29,7 @@
     json!({"hold": {"pool": "h", "uid": format!("k{}", n % 100), "held": n % 200 < 100, "by": by}})
 }
 
-/// Appends and syncs as small a record as a write is, as often.
+/// Appends and syncs a record of the size of a write, as often as writes are measured.
 fn time_syncs(round: &Round) -> io::Result<Vec<Duration>> {
     let mut file = std::fs::File::create(round.folder().join("bare"))?;
     (0..TIMED_WRITES)
@@ -42,7 +42,7 @@
         .collect()
 }
 
-/// Measures a cluster of so many instances and prints a line for each figure.
+/// Measures a cluster of so many instances and prints one line per figure.
 pub async fn measure_cluster(count: u32, kills: usize, pools: usize) -> io::Result<()> {
     let script = Script { seed: 1, instances: count, proxies: 1, lasts: 0, faults: Vec::new() };
     let round = Round::build(&script, None).await?;
@@ -114,7 +114,7 @@
     f64::from(all) / began.elapsed().as_secs_f64()
 }
 
-/// From the kill of a leader to the first write that is acknowledged.
+/// Measures the time from the kill of a leader to the next acknowledged write.
 async fn measure_failover<F: Future<Output = usize>>(
     round: &Arc<Round>,
     kills: usize,
@@ -130,7 +130,7 @@
             times.push(began.elapsed());
         }
         round.start_instance(index)?;
-        // Until the one that was killed follows again, another kill would take the majority.
+        // Another kill before the killed instance follows again would lose the majority.
         let end = Instant::now() + crate::round::RECOVERY_TIMEOUT;
         while Instant::now() < end {
             let response = round.get(index, "/cluster").await.unwrap_or_default();
@@ -151,7 +151,7 @@
     Ok(())
 }
 
-/// A fleet of many pools: its commit, and its way to an empty member.
+/// Measures the commit of a configuration with many pools, and its replication to an empty member.
 async fn measure_large_fleet(round: &Arc<Round>, pools: usize) -> io::Result<()> {
     let (bytes, took) = round.commit_pools(pools).await?;
     println!(
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the project, started, stopped and killed at will.
+//! Child processes of the project's programs: start, pause, terminate and kill.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::{File, OpenOptions};
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Where a program of the project lies: beside this one, or beside the tests of its crate.
+/// Path of a program of the project: in the folder of the running executable or in its parent, for tests.
 pub fn program_path(name: &str) -> io::Result<PathBuf> {
     let me = std::env::current_exe()?;
     let folders = me.ancestors().skip(1).take(2);
@@ -16,7 +16,7 @@
     })
 }
 
-/// A process; ends with its holder.
+/// A child process; killed when dropped.
 pub struct Process {
     program: PathBuf,
     args: Vec<String>,
@@ -27,19 +27,19 @@
 }
 
 impl Process {
-    /// One that is not started yet. `mutant` is an error planted in it, where it was built with those.
+    /// A process that is not started yet. `mutant` names a mutant to enable, if the program was built with mutants.
     pub fn new(program: PathBuf, args: Vec<String>, log: &Path, mutant: Option<&str>) -> Process {
         let (log, mutant) = (log.to_owned(), mutant.map(str::to_owned));
         Process { program, args, log, mutant, variables: Vec::new(), child: None }
     }
 
-    /// The same with an environment variable.
+    /// Adds an environment variable.
     pub fn with_variable(mut self, name: &str, value: &str) -> Process {
         self.variables.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// Starts it; gives its id.
+    /// Starts the process; returns its process id.
     pub fn start(&mut self) -> io::Result<u32> {
         let log: File = OpenOptions::new().create(true).append(true).open(&self.log)?;
         let mut command = Command::new(&self.program);
@@ -55,7 +55,7 @@
         Ok(pid)
     }
 
-    /// Its id while it runs.
+    /// Process id while it is started.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
@@ -63,21 +63,21 @@
     fn signal(&self, signal: Signal) {
         let pid = self.pid().and_then(|pid| Pid::from_raw(pid.try_into().ok()?));
         if let Some(pid) = pid {
-            let _ = kill_process(pid, signal); // it may have ended by itself
+            let _ = kill_process(pid, signal); // it may have exited already
         }
     }
 
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// SIGTERM, and waits for its end.
+    /// Sends SIGTERM and waits for the exit.
     pub fn terminate(&mut self) {
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Whether it has ended by itself.
+    /// Whether the process has exited without being stopped by the rig.
     pub fn has_exited(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
-    /// What it has logged.
+    /// Content of its log file.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
--- a/crates/rig/src/round/clients.rs
+++ b/crates/rig/src/round/clients.rs
@@ -1,4 +1,4 @@
-//! People at work: they write, read, commit versions and look how instances stand.
+//! Clients of a round: they write, read, commit versions and poll the status of instances.
 
 use super::{
     HOLD_KEYS, POLL_INTERVAL, PROXY_FAILOVER_DELAY, RETRY_DURATION, Round, WRITE_RESPONSE_TIMEOUT,
@@ -27,7 +27,7 @@
         !self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Asks one instance after the other until one knows; none: nobody does.
+    /// Retries a write at one instance after another until its outcome is known; `None`: it is not known.
     pub(crate) async fn write(
         &self,
         first: usize,
@@ -46,7 +46,8 @@
                         .ok()
                         .map(|body| Ok(body["outcome"].clone()));
                 }
-                // Refused in the log, by its index, or by this instance alone, which another one may not do.
+                // A rejection with an index was decided in the log; without one it is this instance's own, and another
+                // may accept.
                 Ok(Ok((409, body))) if body.contains("\"index\"") => return Some(Err(body)),
                 _ => {}
             }
@@ -62,7 +63,8 @@
         let (who, mut rng) = (format!("holder-{n}"), self.rng(n));
         let (mut count, mut last) = (0, BTreeMap::new());
         while self.is_running() {
-            // Two keys of its own, which it turns each time, so that what is old can be told; and one of everybody's.
+            // Two keys of its own, whose value changes with each write so that stale reads are detected, and one
+            // shared key.
             let key = match rng.next_u32() % 5 {
                 0 => HOLD_KEYS - 1,
                 draw => 2 * n as u32 + draw % 2,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Reads without waiting for the answer to the read before: a process that stalls is asked again meanwhile.
+    /// Sends reads without waiting for earlier responses, so that a paused process gets further reads meanwhile.
     pub(super) async fn read_continuously(self: Arc<Self>) {
         let (mut rng, mut reads) = (self.rng(77), JoinSet::new());
         while self.is_running() {
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Commits one version on top of what an instance says is the current one.
+    /// Commits one version on top of the current one as an instance reports it.
     pub(super) async fn commit(&self, index: usize, id: &str) -> io::Result<Option<u64>> {
         self.commit_text(index, id, |serial| canonical_fleet(self.discovery_at, serial)).await
     }
@@ -158,12 +160,12 @@
         Ok(serial)
     }
 
-    /// Plans a change of the fleet and applies it; once more, that must give the same answer.
+    /// Plans a change of the configuration and applies it twice; the second call must give the same answer.
     pub(super) async fn apply(&self) {
         let path =
             |suffix: &str| self.folder.path().join(format!("apply-{}.{suffix}", self.history.now_micros()));
         let end = Instant::now() + RETRY_DURATION;
-        // The newest serial that a plan was made on.
+        // The highest serial that a plan was based on.
         let mut newest = 0;
         while Instant::now() < end {
             let Some(response) = self.get(0, "/versions").await else {
@@ -179,8 +181,9 @@
             {
                 continue;
             }
-            // The pool is named after the serial that the version is to have. The first instance may be behind the one that
-            // planned: the version would bear an older name, and proxies seem to go back.
+            // The pool is named after the serial of the new version. If the first instance is behind the one that
+            // planned, the version would carry an older name, which the check would take for a regression at the
+            // proxies.
             let Some(plan_made) = std::fs::read(&plan).ok().and_then(|bytes| Plan::read(&bytes).ok())
             else {
                 continue;
@@ -217,12 +220,12 @@
                 return;
             }
             let index = (rng.next_u32() % self.script.instances) as usize;
-            let _ = self.commit(index, &format!("commit-{n}")).await; // one that is down says nothing
+            let _ = self.commit(index, &format!("commit-{n}")).await; // an instance may be down
             sleep(Duration::from_millis(100 + u64::from(rng.next_u32() % 300))).await;
         }
     }
 
-    /// Looks how an instance stands, again and again.
+    /// Polls the status of an instance.
     pub(super) async fn poll_status(self: Arc<Self>, index: usize) {
         while self.is_running() {
             let run = self.runs.load(Ordering::SeqCst);
--- a/crates/rig/src/round/faults.rs
+++ b/crates/rig/src/round/faults.rs
@@ -1,4 +1,4 @@
-//! FaultKind goes wrong, as a script says.
+//! Injects the faults of a script.
 
 use super::{ENDPOINT_COUNT, POLL_INTERVAL, RECOVERY_TIMEOUT, RESPONSE_TIMEOUT, Round};
 use crate::history::EventKind;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// LinkFault scripts and histories name the instance at a index.
+/// Name of an instance in links and histories.
 fn instance_name(index: usize) -> String {
     format!("i{index}")
 }
@@ -23,7 +23,7 @@
         (index % self.script.instances) as usize
     }
 
-    /// Waits, at most until everything is healed.
+    /// Sleeps, at most until all faults are to be ended.
     pub(super) async fn sleep_until_healing(&self, time: Duration) {
         let end = Instant::now() + time;
         while Instant::now() < end && !self.healing.load(Ordering::SeqCst) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Causes one fault and ends it after its time, or as soon as everything is healed.
+    /// Injects one fault and ends it after its duration, or as soon as all faults are to be ended.
     pub(super) async fn inject(&self, what: &FaultKind, lasts: Duration) {
         match *what {
             FaultKind::Cut { who, how } => {
@@ -55,8 +55,9 @@
         }
     }
 
-    /// A member loses its folder and is replaced. One after another: three of five that are lost at once leave no majority which
-    /// could take in the first of their successors, and on a busy machine a replacement takes longer than a script foresees.
+    /// Deletes a member's folder and replaces the member. Replacements run one after another: with three of five
+    /// members lost at once, no majority is left to admit a new member, and on a busy machine a replacement may take
+    /// longer than the script allows for.
     async fn lose_member(&self, index: usize, lasts: Duration) {
         let _turn = self.replacing.lock().await;
         self.record_fault(&instance_name(index), "lost");
@@ -65,14 +66,14 @@
         self.record_fault(&instance_name(index), "replaced");
     }
 
-    /// Waits until an instance is in touch with a majority, within bounds.
+    /// Waits until an instance has contact with a majority, up to a time limit.
     async fn wait_for_majority(&self, index: usize) {
         let in_touch = async {
             while self.get(index, "/cluster").await.is_none_or(|response| response["majority"] != true) {
                 sleep(POLL_INTERVAL).await;
             }
         };
-        let _ = timeout(RECOVERY_TIMEOUT, in_touch).await; // what has not come back by then is judged in the end
+        let _ = timeout(RECOVERY_TIMEOUT, in_touch).await; // a failure to recover is checked at the end of the round
     }
 
     fn record_fault(&self, who: &str, what: &str) {
@@ -94,7 +95,7 @@
         self.disturb(&pairs, from, how, lasts).await;
     }
 
-    /// Holds what an instance and the discovery service send each other.
+    /// Blocks both directions of the link between an instance and discovery.
     async fn block_discovery(&self, index: usize, lasts: Duration) {
         let set = |held| {
             self.links.set(&instance_name(index), "discovery", |state| {
@@ -108,7 +109,7 @@
         self.record_fault(&instance_name(index), "sees");
     }
 
-    /// Takes an instance's process down and starts it again.
+    /// Stops an instance's process and starts it again.
     async fn restart(&self, index: usize, take_down: fn(&mut Process), lasts: Duration) {
         self.record_fault(&instance_name(index), "down");
         take_down(&mut locked(&self.instances)[index].process);
@@ -118,7 +119,7 @@
         self.record_fault(&instance_name(index), "up");
     }
 
-    /// Stops an instance's process without ending it, and lets it go on.
+    /// Pauses an instance's process with SIGSTOP and resumes it.
     async fn pause(&self, index: usize, lasts: Duration) {
         self.record_fault(&instance_name(index), "stopped");
         locked(&self.instances)[index].process.pause();
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Drains the next endpoint in order; two of them always stay.
+    /// Drains the next endpoint in order; two of them are never drained.
     fn drain_next(&self) {
         let endpoint = {
             let mut drained = locked(&self.drained);
@@ -159,7 +160,7 @@
     async fn transfer_leadership(&self, to: usize) {
         self.record_fault(&instance_name(to), "is to lead");
         let leader = locked(&self.instances)[to].name.clone();
-        let _ = timeout(RESPONSE_TIMEOUT, self.run_ctl(&["cluster", "transfer", &leader])).await; // it may be in vain
+        let _ = timeout(RESPONSE_TIMEOUT, self.run_ctl(&["cluster", "transfer", &leader])).await; // the transfer may fail
     }
 
     pub(super) async fn disturb(
@@ -175,7 +176,7 @@
         );
         let set = |change: &dyn Fn(&mut LinkState, bool)| {
             for (from, to) in pairs {
-                // There is away from the one that is cut off, whoever connects.
+                // Whether data to the target leaves the disturbed instance depends on which side connects.
                 let away = *from == format!("i{index}");
                 self.links.set(from, to, |state| change(state, away));
             }
@@ -213,7 +214,7 @@
         self.history.record_now(&format!("i{index}"), EventKind::Fault { what: "links open".to_owned() });
     }
 
-    /// A member's folder is lost: it is removed, and another one takes its index.
+    /// Kills a member, deletes its folder, removes it from the cluster and adds a new member in its place.
     pub(super) async fn replace(&self, index: usize, lasts: Duration) {
         let (old, folder) = {
             let instance = &mut locked(&self.instances)[index];
@@ -226,7 +227,7 @@
         let new = format!("{old}n");
         let Ok(instance) = self.new_instance(index, &new).await else { return };
         let end = Instant::now() + 2 * RECOVERY_TIMEOUT;
-        // Each step is repeated until a majority has taken it.
+        // Each step is retried until a majority has committed it.
         let steps = [vec!["cluster", "remove", &old]];
         for step in &steps {
             while let Err(problem) = self.run_ctl(step).await {
--- a/crates/rig/src/round/instances.rs
+++ b/crates/rig/src/round/instances.rs
@@ -1,4 +1,4 @@
-//! Instances: their settings, their start, and what they answer.
+//! Control instances: configuration, start and requests.
 
 use super::{Instance, RECOVERY_TIMEOUT, RESPONSE_TIMEOUT, Round, TICK_MS, at};
 use crate::link::locked;
@@ -28,7 +28,7 @@
         Ok(Instance { name: name.to_owned(), process, member, xds, admin, address, _links: links })
     }
 
-    /// Runs `runtrackctl`, for as long as a person would wait.
+    /// Runs `runtrackctl` with a time limit; returns its output.
     pub(super) async fn run_ctl(&self, args: &[&str]) -> io::Result<String> {
         let admins: Vec<String> = locked(&self.instances).iter().map(|i| i.admin.to_string()).collect();
         let mut command = tokio::process::Command::new(&self.ctl);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Adds a member and makes its folder.
+    /// Adds a member to the cluster and creates its folder.
     pub(super) async fn add_member(&self, instance: &Instance) -> io::Result<()> {
         let file = self.folder.path().join(format!("{}.json", instance.name)).display().to_string();
         self.run_ctl(&["cluster", "add", &instance.name, &instance.address.to_string(), "-o", &file])
--- a/crates/rig/src/round/measurement.rs
+++ b/crates/rig/src/round/measurement.rs
@@ -1,4 +1,4 @@
-//! What measurements need.
+//! Functions of a round that only measurements use.
 
 use super::{RECOVERY_TIMEOUT, Round, fleet_toml};
 use crate::link::locked;
@@ -13,18 +13,18 @@
         self.folder.path()
     }
 
-    /// Bytes that went through links so far.
+    /// Total of bytes forwarded by links.
     pub(crate) fn bytes(&self) -> u64 {
         self.links.bytes()
     }
 
-    /// Resident memory of each instance, in KiB.
+    /// Resident memory of each running instance, in KiB.
     pub(crate) fn memory_kib(&self) -> Vec<u64> {
         let instances = locked(&self.instances);
         instances.iter().filter_map(|instance| instance.process.pid()).map(memory_kib).collect()
     }
 
-    /// Commits a fleet of so many pools; gives its bytes, and how long that took.
+    /// Commits a configuration of so many pools; returns its size in bytes and the duration.
     pub(crate) async fn commit_pools(&self, pools: usize) -> io::Result<(usize, Duration)> {
         let mut toml = fleet_toml(self.discovery_at, 2);
         for n in 0..pools {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Starts an empty member; gives how long it takes until that has the current version.
+    /// Adds an empty member; returns the time until it has the current version.
     pub(crate) async fn add_empty_member(&self) -> io::Result<Duration> {
         let wanted = self.get(0, "/cluster").await.unwrap_or_default()["serial"].as_u64();
         let index = locked(&self.instances).len();
--- a/crates/rig/src/round/mod.rs
+++ b/crates/rig/src/round/mod.rs
@@ -1,4 +1,4 @@
-//! A round: processes, links, people at work, faults, and the way back.
+//! Runs a round: processes, links, clients, faults and recovery.
 
 mod clients;
 mod faults;
@@ -24,21 +24,21 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The tick of the agreement: an election is due after 0.4 to 0.8 s without a leader.
+/// Tick of the consensus protocol: an election starts after 0.4 to 0.8 s without a leader.
 const TICK_MS: u64 = 20;
-/// After all is healed, everything has to be back within this.
+/// Time limit of recovery after all faults have ended.
 pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Somebody who has no answer after so long asks another instance.
+/// A client sends a request to another instance after this time without a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Somebody who writes asks the next one sooner.
+/// Shorter limit for writes, which are retried at the next instance.
 const WRITE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A write is repeated for so long.
+/// How long a write is retried.
 const RETRY_DURATION: Duration = Duration::from_secs(8);
-/// How often it is looked how an instance stands.
+/// Interval of polling the status of an instance.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// A proxy whose instance ended finds another one after so long.
+/// Delay until the proxies of a stopped instance connect to another one.
 const PROXY_FAILOVER_DELAY: Duration = Duration::from_millis(150);
-/// Endpoints that people hold back and release, beside those that drain.
+/// Number of endpoints that clients hold back and release, apart from those that drain.
 const HOLD_KEYS: u32 = 5;
 const ENDPOINT_COUNT: usize = 6;
 
@@ -48,7 +48,7 @@
     member: PathBuf,
     xds: SocketAddr,
     admin: SocketAddr,
-    /// Where others reach it: the rig's link.
+    /// Address for the other members, where the rig's link listens.
     address: SocketAddr,
     _links: JoinSet<()>,
 }
@@ -60,7 +60,7 @@
     _link: JoinSet<()>,
 }
 
-/// What all tasks of a round share.
+/// State shared by all tasks of a round.
 pub(crate) struct Round {
     pub(crate) script: Script,
     folder: TempDir,
@@ -69,18 +69,19 @@
     control: PathBuf,
     ctl: PathBuf,
     mutant: Option<String>,
-    /// By index: a member that is replaced keeps its predecessor's index.
+    /// Indexed by instance number; a replacement takes the number of the member that it replaces.
     pub(crate) instances: Mutex<Vec<Instance>>,
     proxies: Mutex<Vec<ConnectedProxy>>,
     discovery: Discovery,
-    /// Where instances find discovery: the rig's link.
+    /// Address of discovery for the instances, where the rig's link listens.
     discovery_at: SocketAddr,
     _discovery_link: JoinSet<()>,
     endpoints: Vec<Endpoint>,
     drained: Mutex<Vec<usize>>,
     leader: AtomicU32,
     runs: AtomicU64,
-    /// Held while a member is replaced: the next one loses its folder only once the one before has come back.
+    /// Locked while a member is replaced: the next one loses its folder only after the previous replacement has
+    /// recovered.
     replacing: tokio::sync::Mutex<()>,
     healing: AtomicBool,
     stopping: AtomicBool,
@@ -90,7 +91,7 @@
     SocketAddr::from(([127, 0, host, 1], port))
 }
 
-/// The fleet of a serial: the pool that proxies send to, and one whose name says the serial.
+/// The configuration of a serial, with the pool that proxies use and one whose name contains the serial.
 fn canonical_fleet(discovery: SocketAddr, serial: u64) -> String {
     Fleet::read(&fleet_toml(discovery, serial)).map(|fleet| fleet.canonical()).unwrap_or_default()
 }
@@ -103,12 +104,12 @@
     platform_fleet(discovery, &more)
 }
 
-/// The serial that a cluster's name says.
+/// Parses the serial from the name of a cluster.
 fn serial_of(name: &str) -> Option<u64> {
     name.split('@').next()?.strip_prefix("v-")?.parse().ok()
 }
 
-/// Plays a round and gives its history. An error is the rig's own: nothing was judged.
+/// Runs a round and returns its history. An error means that the rig itself failed and nothing can be checked.
 pub async fn play(script: &Script, mutant: Option<&str>) -> io::Result<Vec<Event>> {
     let round = Round::build(script, mutant).await?;
     let mut clients = JoinSet::new();
@@ -131,7 +132,7 @@
         });
     }
     sleep(Duration::from_millis(script.lasts.into()).saturating_sub(began.elapsed())).await;
-    // Faults that last longer end now, but for a replacement under way, which waits for a majority.
+    // Longer faults end now, except a replacement in progress, which needs a majority.
     round.healing.store(true, Ordering::SeqCst);
     round.links.heal();
     let ended = async { while faults.join_next().await.is_some() {} };
@@ -203,7 +204,7 @@
         Ok(round)
     }
 
-    /// Starts an instance, the first one as a cluster of its own, the others as invited members.
+    /// Starts an instance: the first one initializes the cluster, the others join as added members.
     async fn add_instance(self: &Arc<Self>, index: usize) -> io::Result<()> {
         let instance = self.new_instance(index, &format!("i{index}")).await?;
         if index == 0 {
@@ -243,7 +244,7 @@
         self.wait_for("proxies know all endpoints", all).await
     }
 
-    /// Waits for a condition of the build-up.
+    /// Waits for a condition of the startup.
     async fn wait_for<F: Future<Output = bool>>(
         &self,
         what: &str,
--- a/crates/rig/src/round/proxies.rs
+++ b/crates/rig/src/round/proxies.rs
@@ -1,4 +1,4 @@
-//! Proxies: by whom they are served.
+//! Simulated proxies and the instances that serve them.
 
 use super::{ConnectedProxy, PROXY_FAILOVER_DELAY, Round, at};
 use crate::history::EventKind;
@@ -27,7 +27,7 @@
         Ok(())
     }
 
-    /// A proxy goes over to another instance.
+    /// Connects a proxy to another instance.
     pub(super) fn move_proxy(&self, proxy: usize, to: usize) {
         let xds = locked(&self.instances)[to].xds;
         let mut proxies = locked(&self.proxies);
@@ -40,7 +40,7 @@
         connected.target.send_replace(xds);
     }
 
-    /// Proxies of an instance that ended find another one that runs.
+    /// Connects the proxies of a stopped instance to running ones.
     pub(super) async fn move_proxies_from(&self, index: usize) {
         sleep(PROXY_FAILOVER_DELAY).await;
         let running = {
--- a/crates/rig/src/round/recovery.rs
+++ b/crates/rig/src/round/recovery.rs
@@ -1,4 +1,4 @@
-//! The way back after everything is healed, and what is to be seen in the end.
+//! Waits for recovery after all faults have ended, and records the final state.
 
 use super::{ENDPOINT_COUNT, POLL_INTERVAL, RECOVERY_TIMEOUT, Round, serial_of};
 use crate::history::EventKind;
@@ -7,18 +7,18 @@
 use std::io;
 use tokio::time::{Instant, sleep};
 
-/// Lines of the log of an instance that does not answer, the newest first.
+/// Lines of the log that are recorded for an unresponsive instance, the newest first.
 const LOG_TAIL_LINES: usize = 3;
 
 impl Round {
-    /// Starts what does not run, and waits until all is as it should be.
+    /// Starts all stopped instances and waits until the cluster and all proxies have recovered.
     pub(super) async fn wait_for_recovery(&self) -> io::Result<()> {
         for index in 0..self.script.instances as usize {
             locked(&self.instances)[index].process.resume();
             self.start_instance(index)?;
         }
         let end = Instant::now() + RECOVERY_TIMEOUT;
-        // What is waited for, whether it is so, and what is to be seen instead.
+        // Conditions by name: whether they hold, and the observed state.
         let mut waits: BTreeMap<String, (bool, String)> = BTreeMap::new();
         loop {
             let mut newest = 0;
@@ -43,7 +43,7 @@
                     let serial = clusters.iter().filter_map(|name| serial_of(name)).max();
                     (serial, state.ready("p").len(), state.streams)
                 });
-                // Commits go on meanwhile: a proxy may be one behind.
+                // Commits continue meanwhile, so a proxy may be one version behind.
                 let current = serial.is_some_and(|serial| serial + 1 >= newest);
                 let at = proxy.at;
                 let seen = format!("{serial:?} of {newest}, at i{at}, on its stream {streams}");
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// How an instance that does not answer stands: whether its process runs, and what it logged last.
+    /// State of an unresponsive instance: whether its process runs, and the end of its log.
     fn describe_unresponsive(&self, index: usize) -> String {
         let instance = &mut locked(&self.instances)[index];
         let runs = instance.process.pid().is_some() && !instance.process.has_exited();
@@ -74,7 +74,7 @@
         format!("{} {state} and does not answer; its last lines: {last:?}", instance.name)
     }
 
-    /// Notes what is to be seen at the end.
+    /// Records the final state of instances and proxies.
     pub(super) async fn record_final_state(&self) {
         for index in 0..self.script.instances as usize {
             if let Some(response) = self.get(index, "/versions/now").await {
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -1,134 +1,134 @@
-//! A round as data.
+//! The script of a round as data.
 
 use serde::{Deserialize, Serialize};
 
-/// A round: what is there, and what goes wrong. Times are in milliseconds from the moment at which all stands.
+/// A round: its processes and faults. Times are in milliseconds from the end of the startup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Of what the script leaves open: who is asked, and when.
+    /// Seed of the random choices that the script leaves open, such as the instance that a client calls.
     pub seed: u64,
-    /// Control instances.
+    /// Number of control instances.
     pub instances: u32,
-    /// Stand-in proxies, by turns of either variant; each begins at an instance of its own.
+    /// Number of simulated proxies, alternating between both xDS variants and spread over the instances.
     pub proxies: u32,
-    /// LinkFault long the round lasts before everything is healed.
+    /// Duration of the round until all faults are ended.
     pub lasts: u32,
-    /// FaultKind goes wrong, and what people do meanwhile.
+    /// Faults, and operations of clients during the round.
     pub faults: Vec<Fault>,
 }
 
-/// Something that goes wrong.
+/// One fault.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When.
+    /// Start time.
     pub at: u32,
-    /// For how long.
+    /// Duration.
     pub lasts: u32,
-    /// FaultKind.
+    /// The kind of fault.
     pub what: FaultKind,
 }
 
-/// An instance, as a script names it.
+/// The instance that a fault applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceRef {
-    /// Whoever leads then.
+    /// The leader at that time.
     Leader,
-    /// This one, from 0.
+    /// The instance with this number, from 0.
     Instance(u32),
 }
 
-/// LinkFault a link is spoilt.
+/// A disturbance of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkFault {
-    /// Nothing gets through, new connections hang; what was sent comes when it is over, all at once.
+    /// Nothing is delivered and new connections hang; pending data is delivered when the fault ends.
     Held,
-    /// The same for what the one that connects sends; answers get through.
+    /// Like `Held`, for data from the disturbed instance only.
     HeldThere,
-    /// The same for what comes back.
+    /// Like `Held`, for data to the disturbed instance only.
     HeldBack,
-    /// Connections end at once, new ones too.
+    /// Existing and new connections are reset.
     Refused,
-    /// Connections are reset once.
+    /// Existing connections are reset once.
     Reset,
-    /// All is late by so many milliseconds, and up to as many more.
+    /// Data is delayed by so many milliseconds plus a jitter of up to as many.
     Late(u32),
-    /// So many KiB a second get through.
+    /// Throughput is limited to so many KiB per second.
     Slow(u32),
-    /// Held and open again so often a second.
+    /// The link is blocked and unblocked so many times per second.
     Flaps(u32),
 }
 
-/// FaultKind happens.
+/// A kind of fault, or an operation of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// All links between an instance and the other ones.
+    /// Disturbs all links between an instance and the others.
     Cut {
-        /// Which.
+        /// The instance.
         who: InstanceRef,
-        /// LinkFault.
+        /// The disturbance.
         how: LinkFault,
     },
-    /// The links of one instance to another, and back.
+    /// Disturbs the links between two instances.
     Link {
-        /// From whom.
+        /// One instance.
         from: InstanceRef,
-        /// To whom.
+        /// The other instance.
         to: InstanceRef,
-        /// LinkFault.
+        /// The disturbance.
         how: LinkFault,
     },
-    /// An instance's link to discovery.
+    /// Blocks the link from an instance to discovery.
     Blind {
-        /// Which.
+        /// The instance.
         who: InstanceRef,
     },
-    /// SIGKILL; started again when it is over, with its folder.
+    /// SIGKILL; restarted with its folder after the duration.
     Kill {
-        /// Whom.
+        /// The instance.
         who: InstanceRef,
     },
-    /// SIGKILL, and its folder is lost: it is removed, and another member takes its place.
+    /// SIGKILL and loss of the data folder: the member is removed and replaced by a new one.
     Lose {
-        /// Whom.
+        /// The instance.
         who: InstanceRef,
     },
-    /// SIGSTOP, then SIGCONT.
+    /// SIGSTOP, and SIGCONT after the duration.
     Stop {
-        /// Whom.
+        /// The instance.
         who: InstanceRef,
     },
-    /// SIGTERM; started again when it is over.
+    /// SIGTERM; restarted after the duration.
     End {
-        /// Whom.
+        /// The instance.
         who: InstanceRef,
     },
-    /// Every instance is killed at once, and started again.
+    /// SIGKILL of all instances at once; restarted after the duration.
     PowerOff,
-    /// An endpoint drains from now on.
+    /// An endpoint starts draining.
     Drain,
-    /// A proxy goes over to another instance.
+    /// A proxy moves to another instance.
     Move {
         /// The proxy, from 0.
         proxy: u32,
-        /// To this instance.
+        /// The instance.
         to: u32,
     },
-    /// Somebody plans a change and applies it, twice, with `runtrackctl`.
+    /// An operator plans a change and applies it twice with `runtrackctl`.
     Apply,
-    /// Somebody has leadership handed over.
+    /// An operator transfers leadership.
     Transfer {
-        /// To this instance.
+        /// The instance that is to lead.
         to: u32,
     },
 }
 
 impl FaultKind {
-    /// The kind, for what came together with what.
+    /// Name of the kind, for counting pairs of kinds.
     pub fn kind(&self) -> &'static str {
         match self {
             FaultKind::Cut { how, .. } => match how {
--- a/crates/rig/tests/fleet_check.rs
+++ b/crates/rig/tests/fleet_check.rs
@@ -1,4 +1,4 @@
-//! The checker of the fleet's rounds finds errors that are planted in histories, and nothing else.
+//! The check of fleet histories reports violations in constructed histories, and nothing else.
 
 use runtrack_rig::fleet::check::{Rule, check_history};
 use runtrack_rig::fleet::history::{Event, EventKind, State, Version};
@@ -13,7 +13,7 @@
     Event { began, ended, who: "somebody".to_owned(), what }
 }
 
-/// A request to put `number` in force on top of `base`; it is valid unless its name says otherwise.
+/// A request to put `number` in force on top of `base`; it is valid unless its name begins with `invalid`.
 fn replace(began: u64, ended: u64, base: u64, number: u64, name: &str, status: Option<u16>) -> Event {
     let valid = !name.starts_with("invalid");
     let version = version(number, name);
@@ -194,7 +194,7 @@
     assert_eq!(with(std::slice::from_ref(&drain)), [Rule::Drain]);
     let refused = call(10 * SECOND, 10 * SECOND + 1, State::Draining, Some(503));
     assert_eq!(with(&[refused]), [], "nothing was promised");
-    // Trouble in the core puts it off by its own time and the time after which an agent counts as in touch again.
+    // A fault of a member delays the deadline by its duration and the time until an agent counts as connected again.
     let cut = trouble(11 * SECOND, 20 * SECOND, "cut member", 1, true);
     assert_eq!(with(&[drain.clone(), cut.clone(), heard(25 * SECOND)]), []);
     assert_eq!(with(&[drain, cut, heard(25 * SECOND + 2)]), [Rule::Drain]);
--- a/crates/rig/tests/fleet_rounds.rs
+++ b/crates/rig/tests/fleet_rounds.rs
@@ -1,4 +1,4 @@
-//! Short rounds of the fleet's own processes, with several faults at a time.
+//! Short rounds of the fleet's processes with several overlapping faults.
 
 use runtrack_rig::fleet::check::check_history;
 use runtrack_rig::fleet::history::{Event, EventKind};
--- a/crates/rig/tests/rounds.rs
+++ b/crates/rig/tests/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of real processes: the hard cases, each as a script, and errors planted to show that the checkers find them.
+//! Rounds of real processes for the hard cases of the design, and mutants that show that the checks detect errors.
 
 use runtrack_rig::check::{Rule, check_history};
 use runtrack_rig::history::{Event, EventKind};
@@ -18,7 +18,7 @@
     }
 }
 
-/// No rule is broken, and something was done meanwhile.
+/// Asserts that no rule is violated and that the round did a minimum of work.
 fn assert_no_violations(events: &[Event]) {
     let verdict = check_history(events);
     assert_eq!(verdict.violations, []);
@@ -36,7 +36,7 @@
     terms.collect::<BTreeSet<u64>>().len()
 }
 
-/// Hard case 1: the leader is killed, stopped for ten times the time-out of elections, cut off, and cut off one way.
+/// Hard case 1: the leader is killed, paused for ten election time-outs, cut off, and cut off in one direction.
 #[tokio::test(flavor = "multi_thread")]
 async fn losing_the_leader_violates_no_rule() {
     let leader = InstanceRef::Leader;
@@ -57,7 +57,8 @@
     assert!(terms(&events) >= 4, "each lost leader was followed by another: {} terms", terms(&events));
 }
 
-/// Hard case 2 and 4: three of five die and return, one with its folder lost; in the end none of the first three is left.
+/// Hard cases 2 and 4: three of five members stop and return, one of them without its folder; at the end none of the
+/// first three members is left.
 #[tokio::test(flavor = "multi_thread")]
 async fn members_that_lose_their_folders_are_replaced_one_after_the_other() {
     let one = InstanceRef::Instance;
@@ -79,7 +80,7 @@
     assert_eq!(replaced, 3);
 }
 
-/// Hard case 5: links that flap, and links that are slow and stall.
+/// Hard case 5: flapping links, and links that are slow or blocked.
 #[tokio::test(flavor = "multi_thread")]
 async fn flapping_and_slow_links_cause_few_elections() {
     let one = InstanceRef::Instance;
@@ -96,8 +97,8 @@
     assert!(terms(&events) <= 4, "{} terms in 10 s", terms(&events));
 }
 
-/// Hard case 3: the instance that `runtrackctl apply` asks first is killed, at another moment each time; said again it
-/// gives the same answer.
+/// Hard case 3: the first instance that `runtrackctl apply` calls is killed at varying times; a repeated apply gives
+/// the same answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_apply_whose_instance_is_killed_commits_at_most_once() {
     let mut faults = Vec::new();
@@ -117,17 +118,17 @@
     );
 }
 
-/// The checkers can fail: each of these errors, planted in the instances, is found.
+/// Shows that the checks can fail: each of these mutants is detected.
 #[tokio::test(flavor = "multi_thread")]
 async fn planted_errors_are_found() {
-    // An instance that is cut off answers consistent reads from what it believes.
+    // An isolated instance answers consistent reads from its local state.
     let cut =
         vec![fault(500, 3_500, FaultKind::Cut { who: InstanceRef::Instance(2), how: LinkFault::Held })];
     let events = play(3, 5_000, cut, Some("lone-read")).await;
     let broken: Vec<Rule> =
         check_history(&events).violations.iter().map(|violation| violation.rule).collect();
     assert!(broken.contains(&Rule::Order), "{broken:?}");
-    // A version is told to proxies that hold a higher index.
+    // A version is sent to proxies that hold a higher index.
     let blind = vec![
         fault(500, 5_000, FaultKind::Cut { who: InstanceRef::Instance(2), how: LinkFault::Held }),
         fault(4_000, 0, FaultKind::Move { proxy: 0, to: 2 }),
--- a/crates/scale/src/choices.rs
+++ b/crates/scale/src/choices.rs
@@ -1,8 +1,9 @@
-//! What own counts are worth where many proxies share many endpoints: the choice alone, without a network.
+//! Simulates load balancing by each proxy's own in-flight counts when many proxies share many endpoints, without a
+//! network.
 //!
-//! Requests come as a Poisson process and take exponential times, as in the paper; each proxy knows its own calls only
-//! and uses a subset of the endpoints. Compared are the load that a request finds at its endpoint, for one random choice,
-//! for the module, and for two choices on true loads.
+//! Requests are a Poisson process with exponential service times, as in the paper. Each proxy knows only its own
+//! requests and uses a subset of the endpoints. The table compares the load that a request finds at its endpoint for
+//! random selection, for the balancer module, and for two choices by the true loads.
 
 use fastrand::Rng;
 use runtrack_balancer::fleet::{RetryBudget, Router, SelectionRequest};
@@ -11,11 +12,11 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Requests that are counted, after as many that only fill the fleet.
+/// Number of measured requests, after as many that warm up the simulation.
 const MEASURED_REQUESTS: usize = 100_000;
 const NO_RETRIES: RetryBudget = RetryBudget { ratio: 0.0, slack: 0.0, window: Duration::from_secs(1) };
 
-/// How a request's endpoint is chosen.
+/// How the endpoint of a request is selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SelectionPolicy {
     Random,
@@ -23,14 +24,14 @@
     TrueCounts,
 }
 
-/// Loads found by requests.
+/// Distribution of the loads that requests find at their endpoints.
 struct LoadSummary {
     mean: f64,
     p99: usize,
     max: usize,
 }
 
-/// Prints a row for each subset size.
+/// Prints one row per subset size.
 pub fn run(proxies: usize, endpoints: usize, load: f64) {
     println!("{proxies} proxies, {endpoints} endpoints, {load} requests in flight at each on the mean");
     println!("way           subset  load found: mean   p99  most");
@@ -80,21 +81,21 @@
     summarize(&load_counts)
 }
 
-/// Proxies, the endpoints that they share, and the requests in flight between them.
+/// Proxies, their shared endpoints, and the requests in flight.
 struct SimulatedFleet {
     rng: Rng,
     endpoints: Vec<EndpointId>,
-    /// The endpoints that each proxy uses.
+    /// Endpoints used by each proxy.
     subsets: Vec<Vec<EndpointId>>,
     routers: Vec<Router>,
-    /// Requests in flight at each endpoint.
+    /// Requests in flight per endpoint.
     loads: Vec<usize>,
-    /// When each request in flight ends, at which proxy and endpoint; the next one first.
+    /// Completion time, proxy and endpoint of each request in flight, the earliest first.
     completions: BinaryHeap<Reverse<(Duration, usize, EndpointId)>>,
 }
 
 impl SimulatedFleet {
-    /// Each proxy uses an arc of the ring of endpoints; the arcs' starts are spread evenly.
+    /// Each proxy uses an arc of the ring of endpoints; the starts of the arcs are evenly spaced.
     fn new(proxies: usize, endpoints: usize, subset: usize) -> Self {
         let ids: Vec<EndpointId> = (0..endpoints as u64).map(EndpointId).collect();
         let arc = |proxy: usize| -> Vec<EndpointId> {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// A draw from the exponential distribution of mean 1.
+    /// Draws from the exponential distribution with mean 1.
     fn draw_exponential(&mut self) -> f64 {
         -self.rng.f64().max(1e-12).ln()
     }
@@ -145,7 +146,7 @@
         self.endpoints[self.rng.usize(..self.endpoints.len())]
     }
 
-    /// Sends a request to an endpoint; how many were in flight there before it.
+    /// Starts a request at an endpoint; returns the number of requests in flight there before it.
     fn start_request(&mut self, proxy: usize, id: EndpointId, now: Duration) -> usize {
         self.routers[proxy].on_sent(now, id, None);
         let end = now + Duration::from_secs_f64(self.draw_exponential());
--- a/crates/scale/src/demo.rs
+++ b/crates/scale/src/demo.rs
@@ -1,4 +1,4 @@
-//! A small fleet that serves streams, with visible output.
+//! Runs a small fleet that serves streams, and prints statistics every second.
 
 use crate::endpoints::start_endpoint;
 use crate::machines::{Machines, Process, Program};
@@ -17,13 +17,13 @@
 const MEMBERS: usize = 3;
 const EDGES: usize = 2;
 const ENDPOINTS: usize = 4;
-/// A stream that takes longer has failed.
+/// Time limit of a stream.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(8);
-/// The fleet is given up if it does not serve by then.
+/// Time limit until the fleet serves.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What clients saw in a second.
+/// Statistics of the clients within a second.
 struct SecondStats {
     sent: u32,
     completed: u32,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Runs the fleet, and says what happens.
+/// Runs the demo and prints its progress.
 pub async fn run(seconds: u64, rate: f64) -> Result<(), String> {
     let mut fleet = Fleet::start()?;
     println!("{MEMBERS} control members, {EDGES} proxies with their agents, {ENDPOINTS} endpoints");
@@ -81,16 +81,16 @@
     Ok(())
 }
 
-/// The processes of the small fleet; they end with it.
+/// The processes of the fleet; killed when dropped.
 struct Fleet {
     members: Vec<Process>,
-    /// Where the members that run take operators' requests.
+    /// Control addresses of the running members.
     controls: Vec<SocketAddrV4>,
-    /// An agent and a proxy on each edge machine.
+    /// Agent and proxy of each edge machine.
     edges: Vec<(Process, Process)>,
-    /// Where the proxies take clients' requests.
+    /// Client addresses of the proxies.
     fronts: Vec<SocketAddrV4>,
-    /// The folder of their data, which goes after them.
+    /// Folder of the processes' data, deleted after they have stopped.
     _machines: Machines,
 }
 
@@ -124,7 +124,7 @@
     }
 }
 
-/// Waits until each proxy brings a stream whole; how long that took.
+/// Waits until each proxy has served a complete stream; returns the duration.
 async fn wait_until_serving(fronts: &[SocketAddrV4]) -> Result<Duration, String> {
     let began = Instant::now();
     for front in fronts {
@@ -138,7 +138,7 @@
     Ok(began.elapsed())
 }
 
-/// Requests at this rate, whatever becomes of those before (open loop).
+/// Sends requests at this rate, independently of the responses (open loop).
 async fn generate_load(fronts: Vec<SocketAddrV4>, rate: f64, current_stats: Rc<RefCell<SecondStats>>) {
     let mut next = Instant::now();
     for number in 1u64.. {
@@ -152,7 +152,7 @@
             match first {
                 Some(first) => {
                     second.completed += 1;
-                    let _ = second.first_event.record(first.as_micros() as u64); // it grows as it must
+                    let _ = second.first_event.record(first.as_micros() as u64); // the histogram resizes itself
                 }
                 None => second.failed += 1,
             }
@@ -160,7 +160,7 @@
     }
 }
 
-/// Asks for a stream; the time to its first event where it comes whole.
+/// Requests a stream; returns the time to its first event if it completes.
 async fn request_stream(front: SocketAddrV4, number: u64) -> Option<Duration> {
     let began = Instant::now();
     let mut sender = connect(front).await?;
--- a/crates/scale/src/endpoints.rs
+++ b/crates/scale/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for endpoints: simulated ones that only say that they are there, and some that answer with streams.
+//! Simulated endpoints that send heartbeats and respond with event streams.
 
 use crate::operator::{connect, post};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -8,25 +8,25 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How often an endpoint tells that it is there.
+/// Interval of heartbeats.
 pub const HEARTBEAT: Duration = Duration::from_millis(1200);
-/// Events of a stream, and the pause between them.
+/// Number of events of a stream, and the interval between them.
 const EVENTS_PER_STREAM: usize = 12;
 const EVENT_INTERVAL: Duration = Duration::from_millis(30);
 
-/// A heartbeat's body.
+/// Body of a heartbeat.
 pub fn heartbeat(address: SocketAddrV4, state: &str, call_seq: u64) -> String {
     format!(
         r#"{{"service":"llm","address":"{address}","zone":"here","version":"v1","capacity":64,"state":"{state}","coldLeftMs":0,"stage":"hybrid","models":[{{"name":"m","version":1,"adapters":[]}}],"callSeq":{call_seq}}}"#
     )
 }
 
-/// Path of an endpoint's heartbeats.
+/// Path for the heartbeats of an endpoint.
 pub fn heartbeat_path(id: &str) -> String {
     format!("/runtrack/instances/{id}/heartbeat")
 }
 
-/// An endpoint that answers with streams, and says that it is there.
+/// Starts an endpoint that serves streams and sends heartbeats to the first member that accepts them.
 pub async fn start_endpoint(id: String, members: Vec<SocketAddrV4>) -> Result<(), String> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.map_err(|error| error.to_string())?;
     let std::net::SocketAddr::V4(address) = listener.local_addr().map_err(|error| error.to_string())?
@@ -38,7 +38,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             let id = own.clone();
             spawn_local(async move {
-                let _ = answer_streams(stream, &id).await; // who called has gone
+                let _ = answer_streams(stream, &id).await; // the client may have disconnected
             });
         }
     });
--- a/crates/scale/src/machines.rs
+++ b/crates/scale/src/machines.rs
@@ -1,4 +1,4 @@
-//! Real processes, each on a loopback address of its own.
+//! Child processes of the fleet, each with a loopback address of its own.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -28,28 +28,28 @@
     }
 }
 
-/// A running process.
+/// A child process; killed when dropped.
 pub struct Process {
     child: Child,
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // it may have ended
+        let _ = self.child.kill(); // it may have exited
         let _ = self.child.wait();
     }
 }
 
 impl Process {
-    /// Tells it to end.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
-            let _ = kill_process(pid, Signal::TERM); // it may have ended
+            let _ = kill_process(pid, Signal::TERM); // it may have exited
         }
     }
 }
 
-/// Where processes live.
+/// Addresses, settings and data of the processes; the data are deleted when dropped.
 pub struct Machines {
     folder: PathBuf,
     binaries: PathBuf,
@@ -63,7 +63,7 @@
 }
 
 impl Machines {
-    /// A folder for so many members; their programs lie beside this one.
+    /// Creates a folder for the data of so many members. The programs are expected beside the running executable.
     pub fn new(members: usize) -> Result<Self, String> {
         let folder = std::env::temp_dir().join(format!("runtrack-scale-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
@@ -80,17 +80,17 @@
         Ipv4Addr::new(127, 91, (std::process::id() & 0x7f) as u8, edge as u8 + 1)
     }
 
-    /// Where operators and endpoints call a member.
+    /// Address of a member for operators and endpoints.
     pub fn control(&self, member: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.member_ip(member), CONTROL_PORT)
     }
 
-    /// Where clients call a proxy.
+    /// Address of a proxy for clients.
     pub fn front(&self, edge: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.edge_ip(edge), FRONT_PORT)
     }
 
-    /// Starts a program on a machine of its class.
+    /// Starts a program with settings of its own; `number` counts members or edge machines.
     pub fn start(&self, program: Program, number: usize, first_boot: bool) -> Result<Process, String> {
         let ip = if program == Program::Controller { self.member_ip(number) } else { self.edge_ip(number) };
         let name = format!("{}-{}", program.binary(), number + 1);
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,4 +1,4 @@
-//! `runtrack-scale`: the fleet on one machine, over loopback.
+//! `runtrack-scale`: runs a fleet on one machine over loopback.
 
 mod choices;
 mod demo;
@@ -10,31 +10,31 @@
 use runtrack_link::run_single_threaded;
 use std::process::ExitCode;
 
-/// The router fleet on one machine, over loopback, with stand-ins for endpoints and clients
+/// The router fleet on one machine, over loopback, with simulated endpoints and clients
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Arguments {
-    /// A small fleet that serves streams: prints what clients see, second by second, while a configuration changes and a
-    /// control member is killed
+    /// Run a small fleet that serves streams, and print the clients' statistics every second while the configuration
+    /// changes and a control member is killed
     #[bpaf(command)]
     Demo {
         /// Seconds to run
         #[bpaf(argument("SECONDS"), fallback(12))]
         seconds: u64,
-        /// Requests a second
+        /// Requests per second
         #[bpaf(argument("RATE"), fallback(40.0))]
         rate: f64,
     },
-    /// The choice of an endpoint alone, without a network: the load that requests find by the size of each proxy's subset
+    /// Simulate the selection of endpoints without a network, and print the load that requests find by subset size
     #[bpaf(command)]
     Choices {
-        /// Proxies
+        /// Number of proxies
         #[bpaf(argument("COUNT"), fallback(410))]
         proxies: usize,
-        /// Endpoints
+        /// Number of endpoints
         #[bpaf(argument("COUNT"), fallback(12_000))]
         endpoints: usize,
-        /// Requests in flight at each endpoint, on the mean
+        /// Mean number of requests in flight per endpoint
         #[bpaf(argument("LOAD"), fallback(2.8))]
         load: f64,
     },
--- a/crates/scale/src/operator.rs
+++ b/crates/scale/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator, and calls over HTTP.
+//! An HTTP client for the control API, and the operator's requests.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -11,25 +11,25 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A call that takes longer has failed.
+/// Time limit of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait before a call is made again.
+/// Delay before a call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// An order that is not clear by then has failed.
+/// Time limit for a definite response to a configuration.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A connection for calls.
+/// Opens a connection for calls.
 pub async fn connect(to: SocketAddrV4) -> Option<SendRequest<Full<Bytes>>> {
     let stream = timeout(CALL_TIMEOUT, TcpStream::connect(to)).await.ok()?.ok()?;
-    let _ = stream.set_nodelay(true); // calls only take longer without it
+    let _ = stream.set_nodelay(true); // without it calls only take longer
     let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     spawn_local(async move {
-        let _ = connection.await; // whoever waits for an answer hears of it
+        let _ = connection.await; // an error is reported to the caller of the pending request
     });
     Some(sender)
 }
 
-/// Posts a JSON body.
+/// Posts a JSON body; returns the status.
 pub async fn post(
     sender: &mut SendRequest<Full<Bytes>>,
     path: &str,
@@ -48,7 +48,7 @@
     Some(status)
 }
 
-/// Sends an order to one member after another, unchanged, until there is a clear answer.
+/// Submits a configuration to one member after another until one responds with a status other than a server error.
 pub async fn submit_config(members: &[SocketAddrV4], base: u64, body: &str) -> Result<StatusCode, String> {
     let until = Instant::now() + SUBMIT_TIMEOUT;
     for member in members.iter().cycle() {
@@ -67,7 +67,7 @@
     Err(format!("no clear answer to an order within {} s", SUBMIT_TIMEOUT.as_secs()))
 }
 
-/// A configuration with a route for streams and so many more.
+/// A configuration with a route for streams and so many additional ones.
 pub fn config(version: u64, more_routes: usize) -> String {
     let route = |name: &str, timeout: u64| {
         format!(
--- a/crates/scale/tests/modules.rs
+++ b/crates/scale/tests/modules.rs
@@ -1,5 +1,5 @@
-//! Modules of one crate of the fleet use each other in one direction only: none reaches itself through others. What is
-//! read is the sources, so that a cycle through `use`, `super::` or a path in the code is seen alike.
+//! The modules of each crate of the fleet depend on each other without cycles. The check reads the sources, so that it
+//! finds cycles through `use`, `super::` and paths in code alike.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use std::path::Path;
 use support::Sources;
 
-/// The fleet's crates, as docs/ARCHITECTURE.md lists them, and its virtual world.
+/// The crates of the fleet as listed in docs/ARCHITECTURE.md, and its simulator.
 const FLEET_CRATES: [&str; 14] = [
     "message",
     "config_delta",
@@ -94,7 +94,7 @@
     assert_eq!(cycles_in(&straight), BTreeSet::new());
 }
 
-/// The reader sees the cycle of a whole crate's real sources when one line is added to them.
+/// The check finds a cycle in the sources of a real crate when one line is added to them.
 #[test]
 fn a_cycle_planted_in_real_sources_is_seen() {
     let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("../link/src");
--- a/crates/scale/tests/requirements.rs
+++ b/crates/scale/tests/requirements.rs
@@ -1,16 +1,16 @@
-//! The tests that `docs/design/requirements.md` names for each sentence of the users' pages exist.
+//! Every test that `docs/design/requirements.md` names for a requirement exists.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Tests that the page names at least; fewer are read only where the reading is at fault.
+/// Minimum number of tests named on the page; fewer means that the page was not parsed correctly.
 const MIN_NAMED_TESTS: usize = 120;
 
 fn project_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// A test that the page names: crate, file and function.
+/// A reference to a test: crate, file and function.
 #[derive(Debug, PartialEq, Eq)]
 struct TestReference {
     crate_name: String,
@@ -18,7 +18,7 @@
     function: String,
 }
 
-/// The tests that a cell names. A crate stands before the first test in it and holds for those behind it.
+/// The tests referenced in a cell. A crate name applies to all references after it in the cell.
 fn references_in(cell: &str, mut crate_name: Option<String>) -> (Vec<TestReference>, Option<String>) {
     let mut named = Vec::new();
     let mut parts = cell.split('`');
@@ -45,14 +45,14 @@
             .all(|letter| letter.is_ascii_lowercase() || letter.is_ascii_digit() || letter == '_')
 }
 
-/// The tests in the last column of all tables.
+/// The tests referenced in the last column of all tables.
 fn references_on(page: &str) -> Vec<TestReference> {
     let rows = page.lines().filter(|line| line.starts_with("| ") && !line.starts_with("| ---"));
     let cells = rows.filter_map(|row| row.trim_end_matches('|').trim().rsplit(" | ").next());
     cells.flat_map(|cell| references_in(cell, None).0).collect()
 }
 
-/// What is wrong with a name; nothing where the test is there.
+/// Describes why a reference is broken; `None` if the test exists.
 fn problem(named: &TestReference) -> Option<String> {
     let path = project_root().join(format!("crates/{}/tests/{}.rs", named.crate_name, named.file));
     let Ok(source) = fs::read_to_string(&path) else {
--- a/crates/scale/tests/support/mod.rs
+++ b/crates/scale/tests/support/mod.rs
@@ -1,13 +1,13 @@
-//! Which modules of a crate use which, read from its sources.
+//! Dependencies between the modules of a crate, read from its sources.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::Path;
 
-/// The path of a module below its crate's root, which is the empty path.
+/// Path of a module relative to the crate root, whose path is empty.
 pub type Module = Vec<String>;
 
-/// The modules of one crate with their texts, without comments.
+/// The modules of a crate with their sources, without comments.
 #[derive(Default)]
 pub struct Sources(BTreeMap<Module, String>);
 
@@ -35,15 +35,15 @@
         }
     }
 
-    /// Adds the text of a module.
+    /// Adds the source of a module.
     pub fn add(&mut self, module: Module, text: &str) {
         let code = text.lines().map(|line| line.split("//").next().unwrap_or_default());
         let all = self.0.entry(module).or_default();
         code.for_each(|line| *all += &format!("{line}\n"));
     }
 
-    /// Groups of modules that use each other, directly or through others. A module and those inside it count as one
-    /// here: what a dir's parts share often stands in the dir's own file.
+    /// Groups of modules that depend on each other, directly or indirectly. A module and its submodules count as one,
+    /// because submodules often share items of the parent module's file.
     pub fn cycles(&self) -> BTreeSet<BTreeSet<String>> {
         let uses: BTreeMap<&Module, BTreeSet<Module>> =
             self.0.keys().map(|module| (module, self.used_by(module))).collect();
@@ -58,14 +58,15 @@
         self.0.keys().map(cycle_of).filter(|cycle| !cycle.is_empty()).collect()
     }
 
-    /// Modules that a module's text names, without those around and inside it.
+    /// Modules that a module's source refers to, except its ancestors and descendants.
     fn used_by(&self, module: &Module) -> BTreeSet<Module> {
         let paths = paths_in(&self.0[module], module);
         let used = paths.into_iter().filter_map(|path| self.module_of(path));
         used.filter(|used| !used.starts_with(module) && !module.starts_with(used)).collect()
     }
 
-    /// The module that a path leads to: the longest part of it that is one, or where that one imports the name from.
+    /// The module that a path leads to: its longest prefix that is a module, or the module that this one imports the
+    /// name from.
     fn module_of(&self, path: Vec<String>) -> Option<Module> {
         let length = (0..=path.len()).rev().find(|length| self.0.contains_key(&path[..*length]))?;
         let module = path[..length].to_vec();
@@ -87,21 +88,21 @@
     reached
 }
 
-/// All paths in a module's code that lead to its own crate, from the root on.
+/// All paths in a module's code that lead into its own crate, starting at the crate root.
 fn paths_in(code: &str, module: &Module) -> Vec<Vec<String>> {
     let mut paths = Vec::new();
     path_starts(code).for_each(|start| start.expand(module, &mut paths));
     paths
 }
 
-/// The same for its `use` declarations alone.
+/// Like [`paths_in`], for `use` declarations only.
 fn imports_in(code: &str, module: &Module) -> Vec<Vec<String>> {
     let mut paths = Vec::new();
     path_starts(code).filter(|start| start.is_import).for_each(|start| start.expand(module, &mut paths));
     paths
 }
 
-/// The first word of a path and what stands behind its `::`.
+/// The first segment of a path and the text after its `::`.
 struct PathStart<'a> {
     word: &'a str,
     rest: &'a str,
@@ -124,7 +125,7 @@
             "crate" => Vec::new(),
             "self" => module.clone(),
             "super" => module[..module.len().saturating_sub(1)].to_vec(),
-            // Of a module inside this one, or of another crate: then it leads nowhere but here.
+            // A submodule or another crate; a path into another crate resolves to this module.
             word if self.is_import => [&module[..], &[word.to_owned()]].concat(),
             _ => return,
         };
--- a/crates/scale/tests/support/words.rs
+++ b/crates/scale/tests/support/words.rs
@@ -1,11 +1,11 @@
-//! Words of Rust sources, as names and as prose.
+//! Splits Rust sources into words, distinguishing names from prose.
 
-/// What a word of a source stands in.
+/// Where a word occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A part of an identifier: in code, between backticks of a comment, or written like one in prose.
+    /// Part of an identifier: in code, between backticks in a comment, or written like an identifier in prose.
     Name,
-    /// A comment or a text.
+    /// A comment or string literal.
     Prose,
 }
 
@@ -17,23 +17,23 @@
     pub text: String,
 }
 
-/// What a letter of a source is in.
+/// Lexical context of a character.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Context {
     Code,
     LineComment,
-    /// Between backticks of a comment.
+    /// Between backticks in a line comment.
     CodeSpan,
-    /// So many block comments deep.
+    /// In a block comment, with its nesting depth.
     BlockComment(usize),
-    /// A string literal that ends with a quote and so many number hashes; one without any has escapes.
+    /// In a string literal that ends with a quote and so many hash signs; a literal that is not raw has escapes.
     Text {
         raw: bool,
         hashes: usize,
     },
 }
 
-/// All words of a source in their order. `snake_case`, `CamelCase` and `UPPER_CASE` names are taken apart.
+/// All words of a source in order. `snake_case`, `CamelCase` and `UPPER_CASE` names are split.
 pub fn words(source: &str) -> Vec<Word> {
     let mut reader = Reader { words: Vec::new(), line: 1, current: String::new(), kind: Kind::Name };
     let letters: Vec<char> = source.chars().collect();
@@ -61,7 +61,7 @@
     if matches!(context, Context::Code | Context::CodeSpan) { Kind::Name } else { Kind::Prose }
 }
 
-/// The context behind the next letters, and how many these are.
+/// The context after the next characters, and how many characters to consume.
 fn step(context: Context, rest: &[char]) -> (Context, usize) {
     match (context, rest) {
         (Context::Code, ['/', '/', ..]) => (Context::LineComment, 2),
@@ -109,7 +109,7 @@
         self.line += usize::from(letter == '\n');
     }
 
-    /// Takes apart the name that ends here. One in prose that is written like a name in code is one.
+    /// Splits the name that ends here. A word in prose that is written like an identifier counts as a name.
     fn end_name(&mut self) {
         let name = std::mem::take(&mut self.current);
         let parts = parts_of(&name);
@@ -119,7 +119,7 @@
     }
 }
 
-/// Where a capital follows a small letter, or begins the next word behind capitals, a part of a name begins.
+/// Splits a name at underscores, before a capital after a small letter, and before the last capital of an acronym.
 fn parts_of(name: &str) -> Vec<String> {
     let mut parts = vec![String::new()];
     let letters: Vec<char> = name.chars().collect();
--- a/crates/scale/tests/vocabulary.rs
+++ b/crates/scale/tests/vocabulary.rs
@@ -1,5 +1,5 @@
-//! Crates that speak the field's terms keep to them: no word that `docs/GLOSSARY.md` withdraws comes back in their names,
-//! comments and texts, and the items that it names there exist.
+//! Cleared crates use the terms of `docs/GLOSSARY.md`: none of the withdrawn words occurs in their names, comments and
+//! texts, and the items that the glossary names exist.
 
 #[path = "support/words.rs"]
 mod words;
@@ -9,20 +9,20 @@
 use std::path::{Path, PathBuf};
 use words::{Kind, Word, words};
 
-/// Crates without withdrawn words. A crate is added once it is clear, and none is taken out.
+/// Crates that must contain no withdrawn words. Crates are added once they are clear and are never removed.
 const CLEARED: [&str; 8] =
     ["register", "record_store", "hash_ring", "failure_detector", "message", "link", "registry", "agent"];
-/// Folders of a crate with sources.
+/// Source folders of a crate.
 const FOLDERS: [&str; 3] = ["src", "tests", "benches"];
-/// Ordinary English and names of the standard library with a withdrawn word in them.
+/// Ordinary English and names of the standard library that contain a withdrawn word.
 const ORDINARY: [&str; 5] = ["as a whole", "half life", "try from", "try recv", "try fold"];
 
-/// A word or phrase that is not used any more.
+/// A withdrawn word or phrase and its replacement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Withdrawn {
     phrase: Vec<String>,
     instead: String,
-    /// In names alone; elsewhere it is ordinary English.
+    /// Whether it is withdrawn in names only; elsewhere it is ordinary English.
     names_only: bool,
 }
 
@@ -34,7 +34,7 @@
     fs::read_to_string(project_root().join("docs/GLOSSARY.md")).expect("the glossary")
 }
 
-/// Rows of the table under a heading, by cells, without the heads of its columns.
+/// Rows of the table under a heading, as cells, without the header row.
 fn rows(text: &str, heading: &str) -> Vec<Vec<String>> {
     let section = text.split("\n## ").find(|section| section.starts_with(heading)).expect("a section");
     let rows = section.lines().filter(|line| line.starts_with('|')).skip(2);
@@ -61,7 +61,7 @@
     words.len() >= phrase.len() && words.iter().zip(phrase).all(|(word, wanted)| word.text == *wanted)
 }
 
-/// Whether the word at an index is a part of ordinary English.
+/// Whether the word at an index is part of an ordinary phrase.
 fn is_ordinary(words: &[Word], at: usize) -> bool {
     ORDINARY.iter().any(|ordinary| {
         let phrase: Vec<String> = ordinary.split(' ').map(str::to_owned).collect();
@@ -70,7 +70,7 @@
     })
 }
 
-/// One line for each withdrawn word of a source.
+/// Reports one line per withdrawn word in a source.
 fn findings(source: &str, withdrawn: &[Withdrawn]) -> Vec<String> {
     let words = words(source);
     let mut found = Vec::new();
--- a/crates/testkit/src/control.rs
+++ b/crates/testkit/src/control.rs
@@ -1,4 +1,4 @@
-//! A control service as a child process, killed and started at will.
+//! A control service as a child process that tests start, reload and kill.
 
 use crate::ports::free_port;
 use std::io;
@@ -10,11 +10,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A folder of a test's own, removed with its holder.
+/// A temporary folder; deleted when dropped.
 pub struct TempDir(PathBuf);
 
 impl TempDir {
-    /// A new, empty folder.
+    /// Creates an empty folder.
     pub fn new() -> TempDir {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -24,12 +24,12 @@
         TempDir(folder)
     }
 
-    /// Its path.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
 
-    /// Writes a file in it.
+    /// Writes a file into the folder; returns its path.
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
         std::fs::write(&path, text).expect("a file for the test");
@@ -49,7 +49,7 @@
     }
 }
 
-/// One request over HTTP, with a JSON body or none, and a connection of its own: the code and the body.
+/// Sends one HTTP request with a JSON body, or an empty one, on a connection of its own; returns status code and body.
 pub async fn http_request(
     at: SocketAddr,
     method: &str,
@@ -71,14 +71,14 @@
     Ok((code, body.to_owned()))
 }
 
-/// Resident memory of a process, in KiB; 0 where there is none.
+/// Resident memory of a process in KiB; 0 if there is no such process.
 pub fn memory_kib(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS:"));
     line.and_then(|l| l.split_whitespace().nth(1)).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-/// A fleet with one pool `p` from the platform, and a listener with a route to it.
+/// A configuration with one pool `p` from the platform's discovery, and a listener with a route to it.
 pub fn platform_fleet(discovery: SocketAddr, more: &str) -> String {
     format!(
         r#"
@@ -108,26 +108,26 @@
     )
 }
 
-/// A control service.
+/// A running control service; killed when dropped.
 pub struct Control {
     binary: PathBuf,
     folder: TempDir,
     child: Option<Child>,
-    /// Where proxies connect.
+    /// Address for proxies (xDS).
     pub xds: SocketAddr,
-    /// Where people ask.
+    /// Address of the admin API.
     pub admin: SocketAddr,
 }
 
 impl Control {
-    /// Starts one with this fleet, further settings, and a state folder or none.
+    /// Starts a service with this configuration, additional settings, and with or without a state folder.
     pub async fn start(binary: &str, fleet: &str, settings: &str, disk: bool) -> Control {
         let folder = TempDir::new();
         folder.write("fleet.toml", fleet);
         Self::start_in(binary, folder, "fleet = \"fleet.toml\"\n", settings, disk).await
     }
 
-    /// Starts one that takes its desired state from the store in this folder.
+    /// Starts a service that takes its desired state from the store in this folder.
     pub async fn start_on_store(binary: &str, store: &Path, settings: &str) -> Control {
         let from = format!("store = {:?}\n", store.display().to_string());
         Self::start_in(binary, TempDir::new(), &from, settings, true).await
@@ -144,7 +144,7 @@
         control
     }
 
-    /// Starts the process again, after [`kill`](Self::kill).
+    /// Starts the process, also again after [`kill`](Self::kill).
     pub async fn launch(&mut self) {
         let log =
             std::fs::OpenOptions::new().create(true).append(true).open(self.folder.path().join("log"));
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Kills the process outright.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -171,34 +171,34 @@
         }
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.child.as_ref().expect("it runs").id()
     }
 
-    /// Sends it SIGHUP.
+    /// Writes the configuration and sends SIGHUP to the process.
     pub fn reload(&self, fleet: &str) {
         self.folder.write("fleet.toml", fleet);
         let sent = Command::new("kill").arg("-HUP").arg(self.pid().to_string()).status();
         assert!(sent.expect("kill runs").success());
     }
 
-    /// What it has logged.
+    /// Content of the log.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.path().join("log")).unwrap_or_default()
     }
 
-    /// Its folder.
+    /// Folder with configuration, state and log.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// `GET /status`.
+    /// Returns the response to `GET /status`.
     pub async fn status(&self) -> serde_json::Value {
         serde_json::from_str(&self.ask("GET", "/status").await.1).expect("the status is JSON")
     }
 
-    /// `POST`s nothing to a path of the admin port; gives the status code.
+    /// Sends `POST` with an empty body to a path of the admin API; returns the status code.
     pub async fn post(&self, path: &str) -> u16 {
         self.ask("POST", path).await.0
     }
@@ -207,7 +207,7 @@
         http_request(self.admin, method, path, "").await.expect("the admin port answers")
     }
 
-    /// Resident memory, in KiB.
+    /// Resident memory in KiB.
     pub fn memory_kib(&self) -> u64 {
         memory_kib(self.pid())
     }
@@ -217,7 +217,7 @@
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.pid())).unwrap_or_default();
         let fields: Vec<&str> = text.rsplit(") ").next().unwrap_or_default().split(' ').collect();
         let ticks = |i: usize| fields.get(i).and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0);
-        (ticks(11) + ticks(12)) / 100.0 // in hundredths of a second, as on every Linux
+        (ticks(11) + ticks(12)) / 100.0 // clock ticks are hundredths of a second on Linux
     }
 }
 
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The platform's discovery, scripted: whole lists, watches, changes, outages.
+//! A fake of the platform's discovery service with complete lists, watches, changes and outages.
 
 use runtrack_discovery::{List, State, Target};
 use std::collections::{BTreeMap, VecDeque};
@@ -11,7 +11,7 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// Changes remembered for watches that begin behind; older ones are answered with the whole list.
+/// Bound on the changes that are kept for watches; a watch that starts before them gets the complete list.
 const LOG_MOST: usize = 4096;
 
 #[derive(Default)]
@@ -19,13 +19,13 @@
     rev: u64,
     targets: BTreeMap<String, Target>,
     log: VecDeque<(u64, Target)>,
-    /// A whole list to give instead of the true one.
+    /// A list that is returned instead of the actual one.
     list_override: Option<Vec<Target>>,
 }
 
-/// A stand-in for discovery; ends with its holder.
+/// A fake discovery service; stops when dropped.
 pub struct Discovery {
-    /// Where it listens, also while it is down.
+    /// Address, unchanged while the service is stopped.
     pub address: SocketAddr,
     held: Arc<Mutex<Held>>,
     changed: watch::Sender<u64>,
@@ -33,7 +33,7 @@
     _task: JoinSet<()>,
 }
 
-/// An endpoint that is up and old.
+/// A target in state `Up` that booted long ago.
 pub fn target(uid: &str, endpoint: SocketAddr, az: &str) -> Target {
     let (model, pod_group, capacity_hint, boot_ms) = (String::new(), 0, 1.0, 0.0);
     let (uid, az) = (uid.to_owned(), az.to_owned());
@@ -41,11 +41,11 @@
 }
 
 impl Discovery {
-    /// Starts with these endpoints.
+    /// Starts the service with these targets.
     pub async fn start(targets: Vec<Target>) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port on loopback");
         let address = listener.local_addr().expect("a bound port");
-        drop(listener); // down until brought up
+        drop(listener); // only the port is needed; `run` listens on it
         let held = Held {
             rev: 1,
             targets: targets.into_iter().map(|t| (t.uid.clone(), t)).collect(),
@@ -68,23 +68,23 @@
         }
     }
 
-    /// Goes down: connections break, new ones are refused. Changes go on being made, unheard.
+    /// Stops serving: connections are closed and new ones refused. Changes are still recorded.
     pub fn stop_serving(&self) {
         self.up.send_replace(false);
     }
 
-    /// Is back, with all that changed meanwhile.
+    /// Serves again, including the changes made meanwhile.
     pub async fn resume_serving(&self) {
         self.up.send_replace(true);
         self.wait_up().await;
     }
 
-    /// Changes one endpoint; a removed one is gone from whole lists.
+    /// Changes one target; a removed one is left out of complete lists.
     pub fn change(&self, target: Target) {
         self.change_all([target]);
     }
 
-    /// Changes several endpoints at once.
+    /// Changes several targets in one revision.
     pub fn change_all(&self, targets: impl IntoIterator<Item = Target>) {
         let mut held = self.held.lock().expect("no test panics while it holds this");
         held.rev += 1;
@@ -103,14 +103,14 @@
         self.changed.send_replace(rev);
     }
 
-    /// Marks an endpoint as draining.
+    /// Marks a target as draining.
     pub fn drain(&self, uid: &str) {
         let old = self.held.lock().expect("no test panics while it holds this").targets[uid].clone();
         self.change(Target { state: State::Draining, ..old });
     }
 
-    /// From now on whole lists say this, and every watch is broken so that a whole list is asked for again; none:
-    /// the truth again. With `rev` the version goes to that, even back.
+    /// Makes complete lists return this list, or the actual one again for `None`. All watches then get a complete
+    /// list. `rev` sets the revision, which may also go back; without it the revision increases.
     pub fn override_list(&self, list_override: Option<Vec<Target>>, rev: Option<u64>) {
         let mut held = self.held.lock().expect("no test panics while it holds this");
         held.list_override = list_override;
@@ -193,7 +193,7 @@
         if stream.write_all(chunk.as_bytes()).await.is_err() {
             return;
         }
-        // An empty line every 2 s while nothing changes.
+        // An empty line is sent every 2 s while nothing changes.
         if let Ok(Err(_)) = timeout(Duration::from_secs(2), changed.changed()).await {
             return;
         }
@@ -207,7 +207,7 @@
         List { rev: self.rev, all: true, targets }
     }
 
-    /// What changed after a version; the whole list where that is forgotten.
+    /// Changes after a revision, or the complete list if they are no longer kept.
     fn since(&self, rev: u64) -> Option<List> {
         if rev > self.rev || self.log.front().is_none_or(|(first, _)| *first > rev + 1) && rev < self.rev {
             return Some(self.whole());
--- a/crates/testkit/src/disk.rs
+++ b/crates/testkit/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that can fail or be cut off at any operation, and what is left of it then.
+//! An in-memory disk that can fail at any operation, and that models what a power failure leaves behind.
 
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
@@ -8,18 +8,18 @@
 use std::io;
 use std::rc::Rc;
 
-/// Bytes written together or not at all.
+/// Bytes that are written atomically.
 const SECTOR: usize = 64;
 
 #[derive(Clone, Default)]
 struct Content {
     synced: Vec<u8>,
     now: Vec<u8>,
-    /// Bytes at the beginning that were synced and not written since: they stay in any case.
+    /// Length of the prefix that was synced and not written since; it survives a power failure.
     kept: usize,
 }
 
-/// A change of names that is not durable yet.
+/// A change of file names that is not durable yet.
 #[derive(Clone)]
 enum Naming {
     Link(String, usize),
@@ -50,32 +50,33 @@
     }
 }
 
-/// A disk in memory. What was not synced may be lost, in part and in any order, when it is cut off.
+/// An in-memory disk. At a power failure, data that was not synced may be lost in part and in any order.
 #[derive(Clone, Default)]
 pub struct Disk {
     state: Rc<RefCell<State>>,
     operations: Rc<Cell<usize>>,
-    /// The operation that fails, and whether all after it do.
+    /// Number of the operation that fails, and whether all later ones fail as well.
     fault: Rc<Cell<Option<(usize, bool)>>>,
 }
 
 impl Disk {
-    /// Operations so far that change something.
+    /// Number of modifying operations so far.
     pub fn operations(&self) -> usize {
         self.operations.get()
     }
 
-    /// The operation of this number fails, once (the disk is full) or like all after it (it is cut off); none does.
+    /// Makes the operation with this number fail, either once (disk full) or with all later ones (disk lost); `None`
+    /// clears the fault.
     pub fn fail_at(&self, fault: Option<(usize, bool)>) {
         self.fault.set(fault);
     }
 
-    /// The files' names.
+    /// Names of the files.
     pub fn names(&self) -> Vec<String> {
         self.state.borrow().names.keys().cloned().collect()
     }
 
-    /// Changes a file behind everybody's back, durably.
+    /// Replaces the content of a file durably, without counting an operation.
     pub fn overwrite(&self, name: &str, bytes: &[u8]) {
         let mut state = self.state.borrow_mut();
         if let Some(content) = state.names.get(name).copied() {
@@ -111,13 +112,13 @@
             content.now.clear();
             content.kept = 0;
         }
-        // A write that fails has come half-way.
+        // A failing write stores half of its bytes.
         let come = if cut.is_ok() { bytes.len() } else { bytes.len() / 2 };
         content.now.extend_from_slice(&bytes[..come]);
         cut
     }
 
-    /// What a machine finds when it comes up again.
+    /// The state of the disk after a power failure: unsynced changes are kept or lost at random.
     pub fn after_power_loss(&self, draws: &mut Pcg32) -> Disk {
         let state = self.state.borrow();
         let mut names = state.synced.clone();
@@ -192,7 +193,7 @@
         self.step()?;
         let mut state = self.state.borrow_mut();
         let content = *state.names.get(from).ok_or(io::ErrorKind::NotFound)?;
-        // One change on the disk: the new name appears with the old one's going, or before it.
+        // The new name becomes visible before the old one is removed, or at the same time.
         state.name(Naming::Link(to.to_owned(), content));
         state.name(Naming::Unlink(from.to_owned()));
         Ok(())
--- a/crates/testkit/src/endpoint.rs
+++ b/crates/testkit/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that answers at once and remembers when requests came.
+//! An endpoint that responds immediately and records when requests arrive.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -7,16 +7,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-/// A counting endpoint; ends with its holder.
+/// An endpoint that records requests; stops when dropped.
 pub struct Endpoint {
-    /// Where it listens.
+    /// Address of the endpoint.
     pub address: SocketAddr,
     arrivals: Arc<Mutex<Vec<Instant>>>,
     _task: JoinSet<()>,
 }
 
 impl Endpoint {
-    /// Starts one.
+    /// Starts an endpoint on a free port.
     pub async fn start() -> Endpoint {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port on loopback");
         let address = listener.local_addr().expect("a bound port");
@@ -33,18 +33,18 @@
         Endpoint { address, arrivals, _task: task }
     }
 
-    /// When requests came, by their first byte.
+    /// Arrival times of all requests, by their first byte.
     pub fn arrivals(&self) -> Vec<Instant> {
         self.arrivals.lock().expect("unpoisoned").clone()
     }
 
-    /// Requests that came after a moment.
+    /// Number of requests that arrived after a moment.
     pub fn after(&self, moment: Instant) -> usize {
         self.arrivals.lock().expect("unpoisoned").iter().filter(|at| **at > moment).count()
     }
 }
 
-/// One request of a line a time, as the stand-in proxies send them: what is counted is when it begins.
+/// Serves the requests of one connection: one byte each, answered by one byte, as the simulated proxies send them.
 async fn answer(mut stream: TcpStream, arrivals: Arc<Mutex<Vec<Instant>>>) {
     let _ = stream.set_nodelay(true);
     let mut bytes = [0; 64];
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins that tests and measurements of several crates share, written from the public protocols: the
-//! platform's discovery, endpoints that count what reaches them, proxies and scripted peers that speak xDS, a
-//! control service as a child process, a disk that fails. All on loopback.
+//! Test doubles that the tests and benchmarks of several crates share, written from the public protocols: the
+//! platform's discovery service, endpoints that record requests, proxies and scripted clients that speak xDS, a
+//! control service as a child process, and a disk with faults. All use loopback.
 
 mod control;
 mod discovery;
@@ -21,10 +21,10 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long a test waits for what must come: long, as a busy machine is no failure.
+/// How long tests wait for an expected condition. It is long so that a busy machine causes no failure.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until a condition holds; panics with its name when it never does.
+/// Waits until a condition holds; panics with its description after [`WAIT_TIMEOUT`].
 pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
--- a/crates/testkit/src/ports.rs
+++ b/crates/testkit/src/ports.rs
@@ -1,33 +1,33 @@
-//! Ports on loopback for tests: each is given once in a process, and nothing listens there before its owner does.
+//! Loopback ports for tests. Each is allocated once per process, and nothing listens on it before its owner does.
 
 use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// The first port that is given. All lie below those that the system assigns by itself, or a connection or another
-/// listener could take one before its owner listens.
+/// First allocated port. The range lies below the ephemeral ports of the system, so that no connection or other
+/// listener takes a port before its owner listens.
 const FIRST_PORT: u32 = 10_000;
-/// How many ports are given in turn.
+/// Number of ports in the range.
 const PORTS: u32 = 22_000;
-/// Processes that run side by side begin this far apart.
+/// Offset between the start ports of processes with successive ids.
 const STRIDE: u32 = 197;
 
-/// The state of a listener in the kernel's table.
+/// The state of a listening socket in `/proc/net/tcp`.
 const LISTENING: &str = "0A";
 
-/// A port that is bound and not listened at.
+/// A port that is bound but not listening.
 ///
-/// A process that is being started holds a copy of each open socket until it runs its own program. A listener that was
-/// opened and closed to find a free port would go on listening for that moment: tests would take it for its owner's,
-/// and its owner could not listen.
+/// A child process holds a copy of every open socket until it executes its program. If a free port were found by
+/// opening and closing a listener, the copy would keep listening for that time: tests would take it for the owner's
+/// listener, and the owner could not listen.
 pub struct ReservedPort {
-    /// The address.
+    /// The reserved address.
     pub address: SocketAddr,
     _socket: Socket,
 }
 
-/// The addresses in turn, each once.
+/// The next address in the range; each is returned once until the range is used up.
 fn next_address() -> SocketAddr {
     static GIVEN: AtomicU32 = AtomicU32::new(0);
     let given = GIVEN.fetch_add(1, Ordering::Relaxed);
@@ -37,13 +37,13 @@
 
 fn bind(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-    // Its owner can listen although a copy of this socket is still open.
+    // Lets the owner listen while a copy of this socket is still open.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     Ok(socket)
 }
 
-/// Reserves a port where nothing listens now.
+/// Reserves a port on which nothing listens.
 pub fn reserve_port() -> ReservedPort {
     loop {
         let address = next_address();
@@ -53,17 +53,17 @@
     }
 }
 
-/// An address where nothing listens, for somebody who will.
+/// A loopback address on which nothing listens.
 pub fn free_address() -> SocketAddr {
     reserve_port().address
 }
 
-/// A port on loopback where nothing listens.
+/// A loopback port on which nothing listens.
 pub fn free_port() -> u16 {
     free_address().port()
 }
 
-/// A listener at a port that nobody else in this process was given.
+/// A listener on a port that was not allocated before in this process.
 pub fn listener() -> TcpListener {
     loop {
         if let Ok(listener) = TcpListener::bind(next_address()) {
@@ -72,8 +72,8 @@
     }
 }
 
-/// Whether somebody listens at an address, by the kernel's word: a connection made to find out would be one more to
-/// serve.
+/// Whether a socket listens on an address, according to `/proc/net/tcp`. A test connection would be one more for the
+/// listener to serve.
 pub fn is_listening(address: SocketAddr) -> bool {
     let SocketAddr::V4(at) = address else { panic!("{address} is not IPv4") };
     let local = format!("{:08X}:{:04X}", u32::from_ne_bytes(at.ip().octets()), at.port());
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy: follows xDS on one aggregated stream, acknowledges, reconnects with what it holds, and sends requests.
+//! A simulated proxy: it follows xDS on one aggregated stream, acknowledges responses, reconnects with its known
+//! resource versions, and sends requests to endpoints.
 
 use crate::scripted::{node, url};
 use envoy_types::pb::envoy::config::core::v3::{HealthStatus, address, socket_address};
@@ -18,69 +19,69 @@
 use tonic::Status;
 use tonic::transport::Endpoint;
 
-/// How a proxy connects.
+/// Settings of a simulated proxy.
 #[derive(Clone, Debug)]
 pub struct ProxyConfig {
-    /// The control service.
+    /// Address of the control service.
     pub control: SocketAddr,
-    /// The node's id.
+    /// Node id.
     pub id: String,
-    /// The node's zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Incremental or state-of-the-world.
+    /// Whether to use incremental instead of state-of-the-world xDS.
     pub incremental: bool,
 }
 
-/// What a proxy holds.
+/// State of a simulated proxy.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyState {
     /// Versions of resources by type URL and name.
     pub versions: BTreeMap<String, BTreeMap<String, String>>,
-    /// Endpoints by pool: address, weight, whether new requests may go there, priority.
+    /// Endpoints by pool: address, weight, whether new requests may be sent to it, priority.
     pub endpoints: BTreeMap<String, Vec<(SocketAddr, u32, bool, u32)>>,
-    /// Responses taken.
+    /// Number of responses received.
     pub responses: u64,
-    /// Bytes of resources taken.
+    /// Bytes of resources received.
     pub bytes: u64,
-    /// Streams opened.
+    /// Number of streams opened.
     pub streams: u64,
-    /// When the last response came.
+    /// Time of the last response.
     pub last: Option<Instant>,
-    /// When a request was sent to an address last.
+    /// Time of the last request to each address.
     pub sent: BTreeMap<SocketAddr, Instant>,
-    /// What was received: when, the type URL, the version of the whole, the clusters held then.
+    /// All responses received.
     pub received: Vec<ReceivedResponse>,
 }
 
-/// A response as a proxy took it.
+/// A response that a proxy received.
 #[derive(Clone, Debug)]
 pub struct ReceivedResponse {
-    /// When.
+    /// Time of the response.
     pub at: Instant,
-    /// The type URL.
+    /// Type URL.
     pub kind: String,
-    /// The version of the whole.
+    /// Version of the response as a whole.
     pub version: String,
-    /// Names of the clusters that it held afterwards.
+    /// Names of the clusters after the response.
     pub clusters: Vec<String>,
 }
 
 impl ProxyState {
-    /// Where new requests to a pool may go.
+    /// Endpoints of a pool that accept new requests.
     pub fn ready(&self, pool: &str) -> Vec<SocketAddr> {
         let all = self.endpoints.get(pool).into_iter().flatten();
         all.filter(|(_, _, ready, _)| *ready).map(|(address, ..)| *address).collect()
     }
 }
 
-/// A stand-in proxy; ends with its holder.
+/// A simulated proxy; stops when dropped.
 pub struct Proxy {
     state: Arc<Mutex<ProxyState>>,
     _tasks: JoinSet<()>,
 }
 
 impl Proxy {
-    /// Starts one.
+    /// Starts a proxy.
     pub fn start(to: ProxyConfig) -> Proxy {
         let state = Arc::new(Mutex::new(ProxyState::default()));
         let mut tasks = JoinSet::new();
@@ -88,23 +89,23 @@
         Proxy { state, _tasks: tasks }
     }
 
-    /// What it holds now.
+    /// Copy of the current state.
     pub fn state(&self) -> ProxyState {
         self.state.lock().expect("unpoisoned").clone()
     }
 
-    /// Looks at what it holds.
+    /// Applies a function to the current state.
     pub fn with<T>(&self, look: impl FnOnce(&ProxyState) -> T) -> T {
         look(&self.state.lock().expect("unpoisoned"))
     }
 
-    /// Sends requests to a pool without pause over so many connections, choosing like a proxy would: of two at
-    /// random the one with fewer in flight, anew for each request from what the proxy then holds.
+    /// Sends requests to a pool on so many concurrent lanes without a pause. Each request goes to the endpoint with
+    /// fewer requests in flight of two that are drawn at random from the currently ready ones.
     pub fn send_continuously(&mut self, pool: &str, lanes: u64) {
         self.send(pool, lanes, Duration::ZERO);
     }
 
-    /// The same, with a pause after each request of a connection.
+    /// Like [`Proxy::send_continuously`], with a pause after each request of a lane.
     pub fn send(&mut self, pool: &str, lanes: u64, pause: Duration) {
         let flights: Arc<Mutex<BTreeMap<SocketAddr, u32>>> = Arc::default();
         for lane in 0..lanes {
@@ -183,7 +184,7 @@
 
 type Client = AggregatedDiscoveryServiceClient<tonic::transport::Channel>;
 
-/// What a proxy asks for, in the order in which it learns that it needs it.
+/// Short names of the resource types, in the order in which they are requested.
 const TYPES: [&str; 4] = ["cds", "lds", "eds", "rds"];
 
 async fn incremental(
@@ -257,7 +258,7 @@
     let (requests, sent) = mpsc::unbounded_channel();
     let send = |request: DiscoveryRequest| drop(requests.send(request));
     let mut versions: BTreeMap<String, (String, String)> = BTreeMap::new();
-    // On a new stream a proxy says what it holds: the protocol's only word against going back.
+    // On a new stream the proxy sends its last version, the only protection in the protocol against a regression.
     let held = |short: &str| {
         let state = state.lock().expect("unpoisoned");
         state.received.iter().rev().find(|told| told.kind == url(short)).map(|told| told.version.clone())
@@ -272,7 +273,8 @@
     }
     let mut asked: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     for short in ["eds", "rds"] {
-        // What it holds it goes on following, whether or not it is told anew of what refers to it.
+        // The subscription to known resources continues, whether or not the resources that refer to them are sent
+        // again.
         let names: Vec<String> = {
             let state = state.lock().expect("unpoisoned");
             state.versions.get(url(short)).into_iter().flatten().map(|(name, _)| name.clone()).collect()
@@ -343,7 +345,7 @@
     Ok(())
 }
 
-/// The name of a resource: field 1 of all four types.
+/// Name of a resource, which is field 1 in all four types.
 fn first_field(value: &[u8]) -> String {
     match value {
         [0x0a, len, rest @ ..] if rest.len() >= usize::from(*len) => {
--- a/crates/testkit/src/scripted.rs
+++ b/crates/testkit/src/scripted.rs
@@ -1,4 +1,4 @@
-//! Streams whose every request a test writes itself.
+//! xDS and load reporting streams on which a test sends every request itself.
 
 use crate::WAIT_TIMEOUT;
 use envoy_types::pb::envoy::config::core::v3::{Locality, Node};
@@ -19,7 +19,7 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Status, Streaming};
 
-/// The type URL of `cds`, `eds`, `lds` or `rds`.
+/// Type URL of the short name `cds`, `eds`, `lds` or `rds`; panics for any other name.
 pub fn url(short: &str) -> &'static str {
     match short {
         "cds" => "type.googleapis.com/envoy.config.cluster.v3.Cluster",
@@ -30,13 +30,13 @@
     }
 }
 
-/// A node with this id in this zone.
+/// A node with this id and zone.
 pub fn node(id: &str, zone: &str) -> Option<Node> {
     let locality = Some(Locality { zone: zone.to_owned(), ..Default::default() });
     Some(Node { id: id.to_owned(), cluster: "test".to_owned(), locality, ..Default::default() })
 }
 
-/// A request for names of a type.
+/// A request for resources of a type by name.
 pub fn request(id: &str, short: &str, names: &[&str]) -> DiscoveryRequest {
     DiscoveryRequest {
         node: node(id, ""),
@@ -46,7 +46,7 @@
     }
 }
 
-/// An incremental request that subscribes to names of a type.
+/// An incremental request that subscribes to resources of a type by name.
 pub fn delta_request(id: &str, short: &str, names: &[&str]) -> DeltaDiscoveryRequest {
     DeltaDiscoveryRequest {
         node: node(id, ""),
@@ -60,7 +60,7 @@
     Some(rpc::Status { code: 3, message: detail.to_owned(), ..Default::default() })
 }
 
-/// A connection to the service; waits until it is up.
+/// Connects to the service, retrying until it is up.
 pub async fn connect(to: SocketAddr) -> Channel {
     let endpoint = Endpoint::from_shared(format!("http://{to}")).expect("an address is a URL");
     let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
@@ -77,7 +77,7 @@
     AggregatedDiscoveryServiceClient::new(channel).max_decoding_message_size(256 << 20)
 }
 
-/// An ADS stream of one variant of the protocol.
+/// A stream of requests and responses.
 pub struct Stream<Q, R> {
     requests: mpsc::UnboundedSender<Q>,
     responses: Streaming<R>,
@@ -86,16 +86,16 @@
 impl<Q, R> Stream<Q, R> {
     /// Sends a request.
     pub fn send(&self, request: Q) {
-        let _ = self.requests.send(request); // a stream that has ended says so when it is read
+        let _ = self.requests.send(request); // the end of the stream is reported by the next read
     }
 
-    /// The next response, which must come.
+    /// The next response; panics if there is none within the time limit.
     pub async fn next(&mut self) -> Result<R, Status> {
         let next = timeout(WAIT_TIMEOUT, self.responses.message()).await.expect("a response in time")?;
         next.ok_or_else(|| Status::unknown("the stream ended"))
     }
 
-    /// What comes within a time, if anything does.
+    /// The next response, if one arrives within this time.
     pub async fn next_within(&mut self, time: Duration) -> Option<R> {
         timeout(time, self.responses.message()).await.ok()?.ok()?
     }
@@ -105,19 +105,19 @@
 pub type Scripted = Stream<DiscoveryRequest, DiscoveryResponse>;
 
 impl Scripted {
-    /// Opens a stream.
+    /// Opens a stream; panics on failure.
     pub async fn open(channel: Channel) -> Scripted {
         Scripted::try_open(channel).await.expect("the stream opens")
     }
 
-    /// Opens a stream, where the connection lasts that long.
+    /// Opens a stream; an error if the connection is closed first.
     pub async fn try_open(channel: Channel) -> Result<Scripted, Status> {
         let (requests, sent) = mpsc::unbounded_channel();
         let opened = client(channel).stream_aggregated_resources(UnboundedReceiverStream::new(sent)).await;
         Ok(Scripted { requests, responses: opened?.into_inner() })
     }
 
-    /// Acknowledges a response, asking for these names from then on.
+    /// Acknowledges a response and subscribes to these names.
     pub fn ack(&self, response: &DiscoveryResponse, names: &[&str]) {
         self.send(DiscoveryRequest {
             version_info: response.version_info.clone(),
@@ -128,7 +128,7 @@
         });
     }
 
-    /// Rejects a response; the version before it stays in use.
+    /// Rejects a response; `version` is the last accepted version, which stays in use.
     pub fn nack(&self, response: &DiscoveryResponse, version: &str, names: &[&str], detail: &str) {
         self.send(DiscoveryRequest {
             version_info: version.to_owned(),
@@ -145,14 +145,14 @@
 pub type ScriptedDelta = Stream<DeltaDiscoveryRequest, DeltaDiscoveryResponse>;
 
 impl ScriptedDelta {
-    /// Opens a stream.
+    /// Opens a stream; panics on failure.
     pub async fn open(channel: Channel) -> ScriptedDelta {
         let (requests, sent) = mpsc::unbounded_channel();
         let opened = client(channel).delta_aggregated_resources(UnboundedReceiverStream::new(sent)).await;
         ScriptedDelta { requests, responses: opened.expect("the stream opens").into_inner() }
     }
 
-    /// Acknowledges a response, or rejects it for a reason.
+    /// Acknowledges a response, or rejects it with a reason.
     pub fn answer(&self, response: &DeltaDiscoveryResponse, rejected: Option<&str>) {
         self.send(DeltaDiscoveryRequest {
             type_url: response.type_url.clone(),
@@ -163,11 +163,11 @@
     }
 }
 
-/// A stream that reports loads (LRS).
+/// A load reporting stream (LRS).
 pub type ScriptedLoad = Stream<LoadStatsRequest, LoadStatsResponse>;
 
 impl ScriptedLoad {
-    /// Opens a stream as this node.
+    /// Opens a stream for a node with this id.
     pub async fn open(channel: Channel, id: &str) -> ScriptedLoad {
         let (requests, sent) = mpsc::unbounded_channel();
         let first = LoadStatsRequest { node: node(id, ""), ..Default::default() };
@@ -177,7 +177,7 @@
         Stream { requests, responses: opened.expect("the stream opens").into_inner() }
     }
 
-    /// Reports how requests to a pool ended in the last so many milliseconds.
+    /// Reports the number of succeeded and failed requests to a pool within the last `over_ms` milliseconds.
     pub fn report(&self, pool: &str, succeeded: u64, failed: u64, over_ms: i32) {
         let locality = UpstreamLocalityStats {
             total_successful_requests: succeeded,
--- a/crates/testkit/tests/ports.rs
+++ b/crates/testkit/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Ports are given once, and nothing listens there before their owner does.
+//! Each port is allocated once, and nothing listens on it before its owner does.
 
 use runtrack_testkit::{free_address, is_listening, listener, reserve_port};
 use std::collections::BTreeSet;
@@ -6,7 +6,7 @@
 
 #[test]
 fn nothing_listens_at_a_reserved_port_while_a_copy_of_its_socket_is_open() {
-    // Held, as by a process that is being started and has not run its own program yet.
+    // The reservation stays open, like the copy in a child process that has not executed its program yet.
     let reserved = reserve_port();
     assert!(!is_listening(reserved.address));
     assert!(TcpStream::connect(reserved.address).is_err(), "nobody is there");
