--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -71,7 +71,7 @@
     check_drains(events, &mut verdict.violations);
     for event in events {
         if let EventKind::Back { what, well: false } = &event.what {
-            let evidence = format!("not within its time after healing: {what}");
+            let evidence = format!("not recovered within the time limit: {what}");
             verdict.violations.push(Violation { rule: Rule::Return, at: event.began, evidence });
         }
     }
@@ -85,7 +85,7 @@
         let EventKind::Stood { term, leads: true, .. } = event.what else { continue };
         let first = *of_term.entry(term).or_insert(&event.who);
         if first != event.who {
-            let evidence = format!("{first} and {} both led in term {term}", event.who);
+            let evidence = format!("{first} and {} were both leader in term {term}", event.who);
             violations.push(Violation { rule: Rule::Leader, at: event.began, evidence });
         }
     }
@@ -120,7 +120,7 @@
         match linearizable(&operations) {
             Some(Ok(())) => {}
             Some(Err(at)) => {
-                let evidence = format!("no order of the reads and writes of {key} fits them all");
+                let evidence = format!("the reads and writes of {key} are not linearizable");
                 verdict.violations.push(Violation { rule: Rule::Order, at, evidence });
             }
             None => verdict.undecided_keys.push(key.to_owned()),
@@ -205,7 +205,7 @@
             versions.iter().map(|(serial, id)| (*serial, id.as_str())).collect();
         let ids: BTreeSet<&str> = present.values().copied().collect();
         if ids.len() != present.len() {
-            violation(event.began, format!("{} has a write as two versions: {versions:?}", event.who));
+            violation(event.began, format!("{} has one write as two versions: {versions:?}", event.who));
         }
         for (serial, id) in acknowledged.iter().filter(|(serial, _)| **serial >= oldest) {
             if present.get(serial) != Some(id) {
@@ -243,18 +243,21 @@
         let mut violation =
             |evidence| violations.push(Violation { rule: Rule::Back, at: event.began, evidence });
         let Some(now) = parse_position(version) else {
-            violation(format!("{} was told {version}, which is no version", event.who));
+            violation(format!("{} received the malformed version {version}", event.who));
             continue;
         };
         if let Some((before, was)) = positions.insert((&event.who, kind), (now, version))
             && now < before
         {
-            violation(format!("{} held {was} of {kind} and was told {version}", event.who));
+            violation(format!("{} regressed from {was} to {version} of {kind}", event.who));
         }
         if let Some(before) = serials.insert(&event.who, *serial)
             && *serial < before
         {
-            violation(format!("{} had serial {before} and then {serial}, by {version}", event.who));
+            violation(format!(
+                "{} regressed from serial {before} to {serial} with version {version}",
+                event.who
+            ));
         }
     }
 }
@@ -301,7 +304,7 @@
         if event.began > from + DRAIN_GRACE_MICROS + stopped {
             let late = (event.began - from) as f64 / 1e6;
             let evidence = format!(
-                "{proxy} sent a request to {endpoint} {late:.3} s after {instance}, which served it, knew of the drain"
+                "{proxy} sent a request to {endpoint} {late:.3} s after {instance}, which served it, learned of the drain"
             );
             violations.push(Violation { rule: Rule::Drain, at: event.began, evidence });
         }
@@ -398,8 +401,9 @@
     #[test]
     fn a_version_regression_at_a_proxy_is_found() {
         let told = |at, version: &str, serial| {
-            let did = EventKind::Told { kind: "Cluster".to_owned(), version: version.to_owned(), serial };
-            event("p0", at, at, did)
+            let observation =
+                EventKind::Told { kind: "Cluster".to_owned(), version: version.to_owned(), serial };
+            event("p0", at, at, observation)
         };
         assert_eq!(broken(&[told(1, "7.5.1-aa", 1), told(2, "7.5.9-bb", 1), told(3, "7.6.1", 2)]), []);
         assert_eq!(broken(&[told(1, "7.6.1-aa", 1), told(2, "7.5.9-bb", 1)]), [Rule::Back]);
--- a/crates/rig/src/fleet/check.rs
+++ b/crates/rig/src/fleet/check.rs
@@ -51,7 +51,7 @@
     check_responses(events, violations);
     for event in events {
         if let EventKind::Back { what, well: false } = &event.what {
-            let evidence = format!("not within its time after healing: {what}");
+            let evidence = format!("not recovered within the time limit: {what}");
             violations.push(Violation { rule: Rule::Return, at: event.began, evidence });
         }
     }
@@ -77,7 +77,10 @@
         let EventKind::Told { agent, life, version } = &event.what else { continue };
         let before = newest.entry((*agent, *life)).or_insert(version.number);
         if version.number < *before {
-            let evidence = format!("agent {agent} told {before} and then {} within a life", version.number);
+            let evidence = format!(
+                "agent {agent} regressed from version {before} to {} within an incarnation",
+                version.number
+            );
             violations.push(Violation { rule: Rule::Back, at: event.began, evidence });
         }
         *before = version.number.max(*before);
@@ -142,8 +145,9 @@
             let Some(due) = deadline(acknowledged, *agent, &fault_periods, over) else { continue };
             let at = heard.get(&(*agent, endpoint.as_str())).copied().unwrap_or(u64::MAX);
             if at > due {
-                let evidence =
-                    format!("the drain of {endpoint} had not reached agent {agent} by then; heard at {at}");
+                let evidence = format!(
+                    "the drain of {endpoint} did not reach agent {agent} in time; reported at {at}"
+                );
                 violations.push(Violation { rule: Rule::Drain, at: due, evidence });
             }
         }
@@ -181,11 +185,12 @@
                 && latest <= period.ended
         });
         if isolated && call.by_endpoint && call.status == Some(200) {
-            let evidence = format!("member {} was cut off and acknowledged {:?}", call.member, event.what);
+            let evidence = format!("member {} was isolated and acknowledged {:?}", call.member, event.what);
             violations.push(Violation { rule: Rule::Answer, at: began, evidence });
         }
         if call.status.is_none() && is_expected_to_respond(call.member, began, &fault_periods) {
-            let evidence = format!("member {} ran and gave no answer to {:?}", call.member, event.what);
+            let evidence =
+                format!("member {} was running and did not respond to {:?}", call.member, event.what);
             violations.push(Violation { rule: Rule::Answer, at: began, evidence });
         }
     }
@@ -197,7 +202,7 @@
         for member in end.members {
             let restored = |other: &FaultPeriod| other.kind == "restore" && other.members.contains(member);
             if !fault_periods.iter().any(|other| restored(other) && other.began < end.began) {
-                let evidence = format!("member {member} ended by itself");
+                let evidence = format!("member {member} exited by itself");
                 violations.push(Violation { rule: Rule::Answer, at: end.began, evidence });
             }
         }
--- a/crates/rig/src/fleet/endpoint.rs
+++ b/crates/rig/src/fleet/endpoint.rs
@@ -89,8 +89,8 @@
             .await
             .map(|answer| answer.status);
         let ended = status.map(|_| self.cluster.history.now_micros());
-        let did = EventKind::Call { member, endpoint: self.id(), state, status };
-        self.cluster.history.record(&self.id(), began, ended, did);
+        let observation = EventKind::Call { member, endpoint: self.id(), state, status };
+        self.cluster.history.record(&self.id(), began, ended, observation);
         if status != Some(200) {
             self.member = (member + 1) % self.cluster.script.members;
         }
--- a/crates/rig/src/fleet/faults.rs
+++ b/crates/rig/src/fleet/faults.rs
@@ -63,8 +63,8 @@
         self.apply_fault(&fault.what, lasts).await?;
         let Impact { members, agents, isolated } = Impact::of(&fault.what, self.script.members);
         let kind = fault.what.kind().to_owned();
-        let did = EventKind::Trouble { kind, members, agents, isolated };
-        self.history.record("rig", began, Some(self.history.now_micros()), did);
+        let observation = EventKind::Trouble { kind, members, agents, isolated };
+        self.history.record("rig", began, Some(self.history.now_micros()), observation);
         Ok(())
     }
 
--- a/crates/rig/src/fleet/feed.rs
+++ b/crates/rig/src/fleet/feed.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    fn record(&self, did: EventKind) {
-        self.cluster.history.record_now(&format!("a{}", self.agent), did);
+    fn record(&self, observation: EventKind) {
+        self.cluster.history.record_now(&format!("a{}", self.agent), observation);
     }
 }
--- a/crates/rig/src/fleet/operator.rs
+++ b/crates/rig/src/fleet/operator.rs
@@ -172,9 +172,9 @@
         version
     }
 
-    fn record(&self, began: u64, status: Option<u16>, did: EventKind) {
+    fn record(&self, began: u64, status: Option<u16>, observation: EventKind) {
         let ended = status.map(|_| self.cluster.history.now_micros());
-        self.cluster.history.record(&self.name, began, ended, did);
+        self.cluster.history.record(&self.name, began, ended, observation);
     }
 }
 
--- a/crates/rig/src/fleet/register.rs
+++ b/crates/rig/src/fleet/register.rs
@@ -206,7 +206,7 @@
         if resolve(windows, &alternatives, MAX_ALTERNATIVES) {
             return Ok(());
         }
-        Err(Contradiction { at: 0, evidence: "no moments fit all answers 412".to_owned() })
+        Err(Contradiction { at: 0, evidence: "no times satisfy all responses 412".to_owned() })
     }
 
     fn contradiction(&self, observation: &Observation, empty_window: usize) -> Contradiction {
@@ -214,14 +214,14 @@
             Observation::Read { began, ended, version } => {
                 (*began, format!("{version:?} was read up to {ended}"))
             }
-            Observation::Reported { at, version } => (*at, format!("an agent told {version:?}")),
+            Observation::Reported { at, version } => (*at, format!("an agent reported {version:?}")),
             Observation::Mismatch { began, base, .. } => (*began, format!("412 for a change on {base}")),
             Observation::NotAbove { at, number } => (*at, format!("409 for {number}")),
         };
         Contradiction {
             at,
             evidence: format!(
-                "{what}, and no moment is left at which {:?} came into force",
+                "{what}, and no time is left at which {:?} can have come into force",
                 self.versions[empty_window]
             ),
         }
@@ -247,7 +247,7 @@
             }
             Observation::NotAbove { at: moment, number } => {
                 let Some(at) = self.versions.iter().position(|version| version.number >= *number) else {
-                    let evidence = format!("409 for {number}, and no version was ever as high");
+                    let evidence = format!("409 for {number}, and no version has a number as high");
                     return Err(Contradiction { at: *moment, evidence });
                 };
                 windows.not_after(at, *moment);
@@ -329,7 +329,7 @@
         contradictions = off_chain.into_iter().chain(contradiction).collect();
     }
     if contradictions.is_empty() {
-        let evidence = format!("{newest:?} builds on versions that nobody sent, or that were refused");
+        let evidence = format!("{newest:?} is based on versions that were not sent or were refused");
         contradictions.push(Violation { rule: Rule::Order, at: 0, evidence });
     }
     violations.append(&mut contradictions);
@@ -343,9 +343,9 @@
         let acknowledged = facts.changes.get(version).and_then(|change| change.acknowledged);
         let (rule, what) = match acknowledged {
             Some(_) => (Rule::Lost, "acknowledged"),
-            None => (Rule::Order, "read or told"),
+            None => (Rule::Order, "read or reported"),
         };
-        let evidence = format!("{version:?} was {what} and does not lead to {newest:?}");
+        let evidence = format!("{version:?} was {what} and is not a predecessor of {newest:?}");
         Violation { rule, at: acknowledged.unwrap_or(0), evidence }
     };
     missing.map(violation).collect()
@@ -355,7 +355,7 @@
 fn check_refusals(events: &[Event], facts: &Facts, violations: &mut Vec<Violation<Rule>>) {
     for version in &facts.seen_versions {
         let Some(change) = facts.changes.get(version) else {
-            let evidence = format!("{version:?} was seen, and nobody sent it");
+            let evidence = format!("{version:?} was observed, but was never sent");
             violations.push(Violation { rule: Rule::Order, at: 0, evidence });
             continue;
         };
@@ -363,13 +363,13 @@
             let evidence = format!("{version:?} is invalid and came into force");
             violations.push(Violation { rule: Rule::Refused, at: change.began, evidence });
         } else if let Some((at, status)) = change.refused {
-            let evidence = format!("{version:?} came into force, and was answered {status}");
+            let evidence = format!("{version:?} came into force although it was answered {status}");
             violations.push(Violation { rule: Rule::Refused, at, evidence });
         }
     }
     for event in events {
         if let EventKind::Replace { version, valid: true, status: Some(400), .. } = &event.what {
-            let evidence = format!("{version:?} is valid, and was answered 400");
+            let evidence = format!("{version:?} is valid but was answered 400");
             violations.push(Violation { rule: Rule::Refused, at: event.began, evidence });
         }
     }
--- a/crates/rig/src/fleet/round.rs
+++ b/crates/rig/src/fleet/round.rs
@@ -54,13 +54,13 @@
         // A failed start is retried after the next interval.
         let members = cluster.restart_ended().unwrap_or_default();
         if !members.is_empty() {
-            let did = EventKind::Trouble {
+            let observation = EventKind::Trouble {
                 kind: EXITED_KIND.to_owned(),
                 members,
                 agents: Vec::new(),
                 isolated: None,
             };
-            cluster.history.record("rig", began, Some(cluster.history.now_micros()), did);
+            cluster.history.record("rig", began, Some(cluster.history.now_micros()), observation);
         }
     }
 }
@@ -72,7 +72,10 @@
 ) -> io::Result<()> {
     (0..cluster.script.members).try_for_each(|member| cluster.start(member, true))?;
     if timeout(RECOVERY_TIMEOUT, operator.send_first_configuration()).await.is_err() {
-        return Err(io::Error::other(format!("no first configuration was taken\n{}", cluster.logs())));
+        return Err(io::Error::other(format!(
+            "the first configuration was not accepted\n{}",
+            cluster.logs()
+        )));
     }
     for agent in 0..cluster.script.agents {
         cluster.start_agent(agent)?;
@@ -81,7 +84,10 @@
     let end = Instant::now() + RECOVERY_TIMEOUT;
     while !(0..cluster.script.agents).all(|agent| reported_version(cluster, agent).is_some()) {
         if Instant::now() >= end {
-            return Err(io::Error::other(format!("agents have no configuration\n{}", cluster.logs())));
+            return Err(io::Error::other(format!(
+                "agents did not receive the configuration\n{}",
+                cluster.logs()
+            )));
         }
         sleep(POLL_INTERVAL).await;
     }
@@ -91,8 +97,8 @@
 /// Records the startup as a fault period of all members and agents, so that nothing is required of them before.
 fn record_start(cluster: &Cluster) {
     let (members, agents) = ((0..cluster.script.members).collect(), (0..cluster.script.agents).collect());
-    let did = EventKind::Trouble { kind: "start".to_owned(), members, agents, isolated: None };
-    cluster.history.record("rig", 0, Some(cluster.history.now_micros()), did);
+    let observation = EventKind::Trouble { kind: "start".to_owned(), members, agents, isolated: None };
+    cluster.history.record("rig", 0, Some(cluster.history.now_micros()), observation);
 }
 
 /// Injects all faults and ends them, at the latest when the script ends.
--- a/crates/rig/src/round/clients.rs
+++ b/crates/rig/src/round/clients.rs
@@ -204,8 +204,8 @@
                 moved = done.as_ref().is_err_and(|problem| problem.to_string().contains("has moved"));
                 let known = serial.is_some() || moved;
                 let ended = known.then(|| self.history.now_micros());
-                let did = EventKind::Commit { id: id.clone(), serial, refused: moved };
-                self.history.record("runtrackctl", began, ended, did);
+                let observation = EventKind::Commit { id: id.clone(), serial, refused: moved };
+                self.history.record("runtrackctl", began, ended, observation);
             }
             if !moved {
                 return;
@@ -237,14 +237,14 @@
                 if leads {
                     self.leader.store(index as u32, Ordering::SeqCst);
                 }
-                let did = EventKind::Stood {
+                let observation = EventKind::Stood {
                     run,
                     term: standing["term"].as_u64().unwrap_or(0),
                     leads,
                     index: response["cluster"]["index"].as_u64().unwrap_or(0),
                     draining: response["pools"]["p"]["draining"].as_u64().unwrap_or(0),
                 };
-                self.history.record(&format!("i{index}"), began, ended, did);
+                self.history.record(&format!("i{index}"), began, ended, observation);
             }
             sleep(POLL_INTERVAL).await;
         }
--- a/crates/rig/src/round/measurement.rs
+++ b/crates/rig/src/round/measurement.rs
@@ -54,7 +54,7 @@
         let began = Instant::now();
         while self.get(index, "/cluster").await.unwrap_or_default()["serial"].as_u64() != wanted {
             if began.elapsed() > 3 * RECOVERY_TIMEOUT {
-                return Err(io::Error::other("the new member never had the current version"));
+                return Err(io::Error::other("the new member did not receive the current version"));
             }
             sleep(Duration::from_millis(5)).await;
         }
--- a/crates/rig/src/round/mod.rs
+++ b/crates/rig/src/round/mod.rs
@@ -216,7 +216,7 @@
         }
         locked(&self.instances).push(instance);
         self.start_instance(index)?;
-        self.wait_for("it answers", || self.clone().is_responding(index)).await
+        self.wait_for("the instance responds", || self.clone().is_responding(index)).await
     }
 
     async fn wait_for_votes_and_a_version(self: &Arc<Self>) -> io::Result<()> {
@@ -224,12 +224,12 @@
             let round = self.clone();
             async move { round.voter_count().await == round.script.instances as usize }
         };
-        self.wait_for("all vote", voting).await?;
+        self.wait_for("all instances are voters", voting).await?;
         let first = || {
             let round = self.clone();
             async move { round.commit(0, "first").await.is_ok_and(|serial| serial.is_some()) }
         };
-        self.wait_for("a first version", first).await
+        self.wait_for("the first version is committed", first).await
     }
 
     async fn wait_for_endpoints(self: &Arc<Self>) -> io::Result<()> {
@@ -257,7 +257,10 @@
                     .iter()
                     .map(|i| format!("{}:\n{}", i.name, i.process.log()))
                     .collect();
-                return Err(io::Error::other(format!("never came: {what}\n{}", logs.join("\n"))));
+                return Err(io::Error::other(format!(
+                    "timed out waiting for: {what}\n{}",
+                    logs.join("\n")
+                )));
             }
             sleep(Duration::from_millis(20)).await;
         }
--- a/crates/rig/src/round/recovery.rs
+++ b/crates/rig/src/round/recovery.rs
@@ -19,7 +19,7 @@
         }
         let end = Instant::now() + RECOVERY_TIMEOUT;
         // Conditions by name: whether they hold, and the observed state.
-        let mut waits: BTreeMap<String, (bool, String)> = BTreeMap::new();
+        let mut conditions: BTreeMap<String, (bool, String)> = BTreeMap::new();
         loop {
             let mut newest = 0;
             for index in 0..self.script.instances as usize {
@@ -30,8 +30,8 @@
                 } else {
                     format!("serial {}, majority {}", response["serial"], response["majority"])
                 };
-                waits.insert(
-                    format!("i{index} is in touch with a majority"),
+                conditions.insert(
+                    format!("i{index} has contact with a majority"),
                     (response["majority"] == true, seen),
                 );
             }
@@ -47,17 +47,17 @@
                 let current = serial.is_some_and(|serial| serial + 1 >= newest);
                 let at = proxy.at;
                 let seen = format!("{serial:?} of {newest}, at i{at}, on its stream {streams}");
-                waits.insert(format!("p{n} has the newest version"), (current, seen));
+                conditions.insert(format!("p{n} has the newest version"), (current, seen));
                 let seen = format!("{ready} of {}, at i{at}", ENDPOINT_COUNT - drained);
                 let known = ready == ENDPOINT_COUNT - drained;
-                waits.insert(format!("p{n} knows of all drains and no others"), (known, seen));
+                conditions.insert(format!("p{n} knows exactly the drained endpoints"), (known, seen));
             }
-            if waits.values().all(|(well, _)| *well) || Instant::now() >= end {
+            if conditions.values().all(|(well, _)| *well) || Instant::now() >= end {
                 break;
             }
             sleep(POLL_INTERVAL).await;
         }
-        for (what, (well, seen)) in waits {
+        for (what, (well, seen)) in conditions {
             let what = if well { what } else { format!("{what}: {seen}") };
             self.history.record_now("rig", EventKind::Back { what, well });
         }
@@ -70,8 +70,8 @@
         let runs = instance.process.pid().is_some() && !instance.process.has_exited();
         let log = instance.process.log();
         let last: Vec<&str> = log.lines().rev().take(LOG_TAIL_LINES).collect();
-        let state = if runs { "runs" } else { "has ended" };
-        format!("{} {state} and does not answer; its last lines: {last:?}", instance.name)
+        let state = if runs { "runs" } else { "has exited" };
+        format!("{} {state} and does not respond; last log lines: {last:?}", instance.name)
     }
 
     /// Records the final state of instances and proxies.
--- a/crates/rig/tests/fleet_check.rs
+++ b/crates/rig/tests/fleet_check.rs
@@ -17,13 +17,15 @@
 fn replace(began: u64, ended: u64, base: u64, number: u64, name: &str, status: Option<u16>) -> Event {
     let valid = !name.starts_with("invalid");
     let version = version(number, name);
-    let did = EventKind::Replace { member: 0, base, version, valid, lost: status.is_none(), status };
-    event(began, status.map(|_| ended), did)
+    let observation =
+        EventKind::Replace { member: 0, base, version, valid, lost: status.is_none(), status };
+    event(began, status.map(|_| ended), observation)
 }
 
 fn read(began: u64, ended: u64, number: u64, name: &str) -> Event {
-    let did = EventKind::Read { member: 0, status: Some(200), version: Some(version(number, name)) };
-    event(began, Some(ended), did)
+    let observation =
+        EventKind::Read { member: 0, status: Some(200), version: Some(version(number, name)) };
+    event(began, Some(ended), observation)
 }
 
 fn told(at: u64, life: u64, number: u64, name: &str) -> Event {
@@ -32,19 +34,20 @@
 
 fn trouble(began: u64, ended: u64, kind: &str, member: usize, isolated: bool) -> Event {
     let isolated = isolated.then_some(member);
-    let did =
+    let observation =
         EventKind::Trouble { kind: kind.to_owned(), members: vec![member], agents: Vec::new(), isolated };
-    event(began, Some(ended), did)
+    event(began, Some(ended), observation)
 }
 
 fn call(began: u64, ended: u64, state: State, status: Option<u16>) -> Event {
-    let did = EventKind::Call { member: 0, endpoint: "e".to_owned(), state, status };
-    event(began, status.map(|_| ended), did)
+    let observation = EventKind::Call { member: 0, endpoint: "e".to_owned(), state, status };
+    event(began, status.map(|_| ended), observation)
 }
 
 fn heard(at: u64) -> Event {
-    let did = EventKind::Heard { agent: 0, life: 1, endpoint: "e".to_owned(), state: State::Draining };
-    event(at, Some(at), did)
+    let observation =
+        EventKind::Heard { agent: 0, life: 1, endpoint: "e".to_owned(), state: State::Draining };
+    event(at, Some(at), observation)
 }
 
 fn broken(events: &[Event]) -> Vec<Rule> {
--- a/crates/scale/src/demo.rs
+++ b/crates/scale/src/demo.rs
@@ -55,7 +55,7 @@
     }
     let took = wait_until_serving(&fleet.fronts).await?;
     println!(
-        "it serves {:.1} s after its start\n\nsecond  asked  whole  failed  first event p50/p99 ms",
+        "serving after {:.1} s\n\nsecond   sent   done  failed  first event p50/p99 ms",
         took.as_secs_f64()
     );
     let current_stats = Rc::new(RefCell::new(SecondStats::new()?));
@@ -71,9 +71,9 @@
         }
         if second == seconds * 2 / 3 {
             fleet.kill_first_member();
-            println!("        control member 1 is killed");
+            println!("        control member 1 killed");
             let status = submit_config(&fleet.controls, 2, &config(3, 0)).await?;
-            println!("        configuration 3, at the other two: {status}");
+            println!("        configuration 3, sent to the other two: {status}");
         }
     }
     fleet.terminate_edges();
@@ -130,7 +130,7 @@
     for front in fronts {
         while request_stream(*front, 0).await.is_none() {
             if began.elapsed() > START_TIMEOUT {
-                return Err(format!("the fleet does not serve after {} s", START_TIMEOUT.as_secs()));
+                return Err(format!("the fleet did not serve within {} s", START_TIMEOUT.as_secs()));
             }
             sleep(RETRY_DELAY).await;
         }
--- a/crates/scale/src/endpoints.rs
+++ b/crates/scale/src/endpoints.rs
@@ -31,7 +31,7 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.map_err(|error| error.to_string())?;
     let std::net::SocketAddr::V4(address) = listener.local_addr().map_err(|error| error.to_string())?
     else {
-        return Err("an address of another kind".to_owned());
+        return Err("the listener has no IPv4 address".to_owned());
     };
     let own = id.clone();
     spawn_local(async move {
--- a/crates/scale/src/operator.rs
+++ b/crates/scale/src/operator.rs
@@ -64,7 +64,7 @@
         }
         sleep(RETRY_DELAY).await;
     }
-    Err(format!("no clear answer to an order within {} s", SUBMIT_TIMEOUT.as_secs()))
+    Err(format!("no definite response to the configuration within {} s", SUBMIT_TIMEOUT.as_secs()))
 }
 
 /// A configuration with a route for streams and so many additional ones.
--- a/crates/testkit/src/control.rs
+++ b/crates/testkit/src/control.rs
@@ -158,7 +158,11 @@
         self.child = Some(child.expect("the control service starts"));
         let end = tokio::time::Instant::now() + crate::WAIT_TIMEOUT;
         while TcpStream::connect(self.admin).await.is_err() || TcpStream::connect(self.xds).await.is_err() {
-            assert!(tokio::time::Instant::now() < end, "never up:\n{}", self.log());
+            assert!(
+                tokio::time::Instant::now() < end,
+                "the control service did not start:\n{}",
+                self.log()
+            );
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -12,10 +12,10 @@
 use tokio::time::timeout;
 
 /// Bound on the changes that are kept for watches; a watch that starts before them gets the complete list.
-const LOG_MOST: usize = 4096;
+const MAX_LOGGED_CHANGES: usize = 4096;
 
 #[derive(Default)]
-struct Held {
+struct Registry {
     rev: u64,
     targets: BTreeMap<String, Target>,
     log: VecDeque<(u64, Target)>,
@@ -27,7 +27,7 @@
 pub struct Discovery {
     /// Address, unchanged while the service is stopped.
     pub address: SocketAddr,
-    held: Arc<Mutex<Held>>,
+    registry: Arc<Mutex<Registry>>,
     changed: watch::Sender<u64>,
     up: watch::Sender<bool>,
     _task: JoinSet<()>,
@@ -46,16 +46,16 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port on loopback");
         let address = listener.local_addr().expect("a bound port");
         drop(listener); // only the port is needed; `run` listens on it
-        let held = Held {
+        let registry = Registry {
             rev: 1,
             targets: targets.into_iter().map(|t| (t.uid.clone(), t)).collect(),
-            ..Held::default()
+            ..Registry::default()
         };
-        let (held, changed, up) =
-            (Arc::new(Mutex::new(held)), watch::Sender::new(1), watch::Sender::new(true));
+        let (registry, changed, up) =
+            (Arc::new(Mutex::new(registry)), watch::Sender::new(1), watch::Sender::new(true));
         let mut task = JoinSet::new();
-        task.spawn(run(address, held.clone(), changed.clone(), up.subscribe()));
-        let discovery = Discovery { address, held, changed, up, _task: task };
+        task.spawn(run(address, registry.clone(), changed.clone(), up.subscribe()));
+        let discovery = Discovery { address, registry, changed, up, _task: task };
         discovery.wait_up().await;
         discovery
     }
@@ -63,7 +63,7 @@
     async fn wait_up(&self) {
         let end = tokio::time::Instant::now() + crate::WAIT_TIMEOUT;
         while TcpStream::connect(self.address).await.is_err() {
-            assert!(tokio::time::Instant::now() < end, "the stand-in for discovery never came up");
+            assert!(tokio::time::Instant::now() < end, "the fake discovery service did not start");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -86,42 +86,42 @@
 
     /// Changes several targets in one revision.
     pub fn change_all(&self, targets: impl IntoIterator<Item = Target>) {
-        let mut held = self.held.lock().expect("no test panics while it holds this");
-        held.rev += 1;
-        let rev = held.rev;
+        let mut registry = self.registry.lock().expect("the lock is not poisoned");
+        registry.rev += 1;
+        let rev = registry.rev;
         for target in targets {
             match target.state {
-                State::Removed => drop(held.targets.remove(&target.uid)),
-                _ => drop(held.targets.insert(target.uid.clone(), target.clone())),
+                State::Removed => drop(registry.targets.remove(&target.uid)),
+                _ => drop(registry.targets.insert(target.uid.clone(), target.clone())),
             }
-            held.log.push_back((rev, target));
+            registry.log.push_back((rev, target));
         }
-        while held.log.len() > LOG_MOST {
-            held.log.pop_front();
+        while registry.log.len() > MAX_LOGGED_CHANGES {
+            registry.log.pop_front();
         }
-        drop(held);
+        drop(registry);
         self.changed.send_replace(rev);
     }
 
     /// Marks a target as draining.
     pub fn drain(&self, uid: &str) {
-        let old = self.held.lock().expect("no test panics while it holds this").targets[uid].clone();
+        let old = self.registry.lock().expect("the lock is not poisoned").targets[uid].clone();
         self.change(Target { state: State::Draining, ..old });
     }
 
     /// Makes complete lists return this list, or the actual one again for `None`. All watches then get a complete
     /// list. `rev` sets the revision, which may also go back; without it the revision increases.
     pub fn override_list(&self, list_override: Option<Vec<Target>>, rev: Option<u64>) {
-        let mut held = self.held.lock().expect("no test panics while it holds this");
-        held.list_override = list_override;
-        held.rev = rev.unwrap_or(held.rev + 1);
-        held.log.clear();
+        let mut registry = self.registry.lock().expect("the lock is not poisoned");
+        registry.list_override = list_override;
+        registry.rev = rev.unwrap_or(registry.rev + 1);
+        registry.log.clear();
     }
 }
 
 async fn run(
     address: SocketAddr,
-    held: Arc<Mutex<Held>>,
+    registry: Arc<Mutex<Registry>>,
     changed: watch::Sender<u64>,
     mut up: watch::Receiver<bool>,
 ) {
@@ -130,7 +130,7 @@
             return;
         }
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-        socket.set_reuseaddr(true).expect("an option that every system has");
+        socket.set_reuseaddr(true).expect("SO_REUSEADDR is supported");
         if socket.bind(address).is_err() {
             tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
@@ -141,7 +141,7 @@
             tokio::select! {
                 accepted = listener.accept() => {
                     if let Ok((stream, _)) = accepted {
-                        connections.spawn(serve(stream, held.clone(), changed.subscribe()));
+                        connections.spawn(serve(stream, registry.clone(), changed.subscribe()));
                     }
                 }
                 Some(_) = connections.join_next() => {}
@@ -154,7 +154,7 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, held: Arc<Mutex<Held>>, mut changed: watch::Receiver<u64>) {
+async fn serve(mut stream: TcpStream, registry: Arc<Mutex<Registry>>, mut changed: watch::Receiver<u64>) {
     let mut head = Vec::new();
     let mut bytes = [0; 4096];
     while !head.windows(4).any(|w| w == b"\r\n\r\n") {
@@ -166,24 +166,24 @@
     let head = String::from_utf8_lossy(&head).into_owned();
     let path = head.split(' ').nth(1).unwrap_or_default();
     if !path.contains("watch=1") {
-        let body =
-            serde_json::to_string(&held.lock().expect("unpoisoned").whole()).expect("a list is JSON");
+        let body = serde_json::to_string(&registry.lock().expect("unpoisoned").complete_list())
+            .expect("a list is JSON");
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let _ = stream.write_all(answer.as_bytes()).await;
         return;
     }
     let after = path.rsplit("after=").next().and_then(|n| n.parse().ok()).unwrap_or(0);
-    let mut told: u64 = after;
+    let mut sent_rev: u64 = after;
     if stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.is_err() {
         return;
     }
     let mut first = true;
     loop {
         changed.mark_unchanged();
-        let news = held.lock().expect("unpoisoned").since(told);
-        let line = match news {
+        let update = registry.lock().expect("unpoisoned").changes_since(sent_rev);
+        let line = match update {
             Some(list) if first || !list.targets.is_empty() => {
-                told = list.rev;
+                sent_rev = list.rev;
                 serde_json::to_string(&list).expect("a list is JSON") + "\n"
             }
             _ => "\n".to_owned(),
@@ -200,17 +200,17 @@
     }
 }
 
-impl Held {
-    fn whole(&self) -> List {
+impl Registry {
+    fn complete_list(&self) -> List {
         let targets =
             self.list_override.clone().unwrap_or_else(|| self.targets.values().cloned().collect());
         List { rev: self.rev, all: true, targets }
     }
 
     /// Changes after a revision, or the complete list if they are no longer kept.
-    fn since(&self, rev: u64) -> Option<List> {
+    fn changes_since(&self, rev: u64) -> Option<List> {
         if rev > self.rev || self.log.front().is_none_or(|(first, _)| *first > rev + 1) && rev < self.rev {
-            return Some(self.whole());
+            return Some(self.complete_list());
         }
         let targets = self.log.iter().filter(|(at, _)| *at > rev).map(|(_, t)| t.clone()).collect();
         Some(List { rev: self.rev, all: false, targets })
--- a/crates/testkit/src/disk.rs
+++ b/crates/testkit/src/disk.rs
@@ -9,28 +9,28 @@
 use std::rc::Rc;
 
 /// Bytes that are written atomically.
-const SECTOR: usize = 64;
+const SECTOR_BYTES: usize = 64;
 
 #[derive(Clone, Default)]
 struct Content {
     synced: Vec<u8>,
     now: Vec<u8>,
     /// Length of the prefix that was synced and not written since; it survives a power failure.
-    kept: usize,
+    synced_prefix: usize,
 }
 
 /// A change of file names that is not durable yet.
 #[derive(Clone)]
-enum Naming {
+enum NameChange {
     Link(String, usize),
     Unlink(String),
 }
 
-impl Naming {
+impl NameChange {
     fn apply(&self, names: &mut BTreeMap<String, usize>) {
         match self {
-            Naming::Link(name, content) => drop(names.insert(name.clone(), *content)),
-            Naming::Unlink(name) => drop(names.remove(name)),
+            NameChange::Link(name, content) => drop(names.insert(name.clone(), *content)),
+            NameChange::Unlink(name) => drop(names.remove(name)),
         }
     }
 }
@@ -40,11 +40,11 @@
     contents: Vec<Content>,
     names: BTreeMap<String, usize>,
     synced: BTreeMap<String, usize>,
-    pending: Vec<Naming>,
+    pending: Vec<NameChange>,
 }
 
 impl State {
-    fn name(&mut self, change: Naming) {
+    fn change_name(&mut self, change: NameChange) {
         change.apply(&mut self.names);
         self.pending.push(change);
     }
@@ -81,11 +81,11 @@
         let mut state = self.state.borrow_mut();
         if let Some(content) = state.names.get(name).copied() {
             state.contents[content] =
-                Content { synced: bytes.to_vec(), now: bytes.to_vec(), kept: bytes.len() };
+                Content { synced: bytes.to_vec(), now: bytes.to_vec(), synced_prefix: bytes.len() };
         }
     }
 
-    fn step(&self) -> io::Result<()> {
+    fn count_operation(&self) -> io::Result<()> {
         let number = self.operations.get();
         self.operations.set(number + 1);
         match self.fault.get() {
@@ -95,58 +95,59 @@
         }
     }
 
-    fn put(&self, name: &str, bytes: &[u8], behind: bool) -> io::Result<()> {
-        let cut = self.step();
+    fn write_bytes(&self, name: &str, bytes: &[u8], append: bool) -> io::Result<()> {
+        let result = self.count_operation();
         let mut state = self.state.borrow_mut();
         let content = match state.names.get(name) {
             Some(content) => *content,
             None => {
                 state.contents.push(Content::default());
                 let content = state.contents.len() - 1;
-                state.name(Naming::Link(name.to_owned(), content));
+                state.change_name(NameChange::Link(name.to_owned(), content));
                 content
             }
         };
         let content = &mut state.contents[content];
-        if !behind {
+        if !append {
             content.now.clear();
-            content.kept = 0;
+            content.synced_prefix = 0;
         }
         // A failing write stores half of its bytes.
-        let come = if cut.is_ok() { bytes.len() } else { bytes.len() / 2 };
-        content.now.extend_from_slice(&bytes[..come]);
-        cut
+        let written = if result.is_ok() { bytes.len() } else { bytes.len() / 2 };
+        content.now.extend_from_slice(&bytes[..written]);
+        result
     }
 
     /// The state of the disk after a power failure: unsynced changes are kept or lost at random.
-    pub fn after_power_loss(&self, draws: &mut Pcg32) -> Disk {
+    pub fn after_power_loss(&self, rng: &mut Pcg32) -> Disk {
         let state = self.state.borrow();
         let mut names = state.synced.clone();
         for change in &state.pending {
-            if draws.next_u32().is_multiple_of(2) {
+            if rng.next_u32().is_multiple_of(2) {
                 change.apply(&mut names);
             }
         }
-        let torn = |content: &Content, draws: &mut Pcg32| {
-            let (least, most) = (content.kept, content.now.len().max(content.kept));
-            let length = match draws.next_u32() % 3 {
+        let torn = |content: &Content, rng: &mut Pcg32| {
+            let (min_length, max_length) =
+                (content.synced_prefix, content.now.len().max(content.synced_prefix));
+            let length = match rng.next_u32() % 3 {
                 0 => content.synced.len(),
                 1 => content.now.len(),
-                _ => least + draws.next_u32() as usize % (most - least + 1),
+                _ => min_length + rng.next_u32() as usize % (max_length - min_length + 1),
             };
             let mut bytes = vec![0; length];
-            for (n, sector) in bytes.chunks_mut(SECTOR).enumerate() {
-                let from = if draws.next_u32().is_multiple_of(2) { &content.synced } else { &content.now };
-                let there = from.get(n * SECTOR..).unwrap_or_default();
-                let count = sector.len().min(there.len());
-                sector[..count].copy_from_slice(&there[..count]);
+            for (n, sector) in bytes.chunks_mut(SECTOR_BYTES).enumerate() {
+                let from = if rng.next_u32().is_multiple_of(2) { &content.synced } else { &content.now };
+                let available = from.get(n * SECTOR_BYTES..).unwrap_or_default();
+                let count = sector.len().min(available.len());
+                sector[..count].copy_from_slice(&available[..count]);
             }
             bytes
         };
         let contents = state.contents.iter().map(|content| {
             let bytes =
-                if content.synced == content.now { content.now.clone() } else { torn(content, draws) };
-            Content { synced: bytes.clone(), kept: bytes.len(), now: bytes }
+                if content.synced == content.now { content.now.clone() } else { torn(content, rng) };
+            Content { synced: bytes.clone(), synced_prefix: bytes.len(), now: bytes }
         });
         let contents = contents.collect();
         let state = State { contents, synced: names.clone(), names, pending: Vec::new() };
@@ -162,51 +163,51 @@
     }
 
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.put(name, bytes, false)
+        self.write_bytes(name, bytes, false)
     }
 
     fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.put(name, bytes, true)
+        self.write_bytes(name, bytes, true)
     }
 
     fn truncate(&self, name: &str, length: u64) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let mut state = self.state.borrow_mut();
         let content = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         let content = &mut state.contents[content];
         content.now.truncate(length as usize);
-        content.kept = content.kept.min(length as usize);
+        content.synced_prefix = content.synced_prefix.min(length as usize);
         Ok(())
     }
 
     fn sync(&self, name: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let mut state = self.state.borrow_mut();
         let content = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         let content = &mut state.contents[content];
         content.synced = content.now.clone();
-        content.kept = content.now.len();
+        content.synced_prefix = content.now.len();
         Ok(())
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let mut state = self.state.borrow_mut();
         let content = *state.names.get(from).ok_or(io::ErrorKind::NotFound)?;
         // The new name becomes visible before the old one is removed, or at the same time.
-        state.name(Naming::Link(to.to_owned(), content));
-        state.name(Naming::Unlink(from.to_owned()));
+        state.change_name(NameChange::Link(to.to_owned(), content));
+        state.change_name(NameChange::Unlink(from.to_owned()));
         Ok(())
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.step()?;
-        self.state.borrow_mut().name(Naming::Unlink(name.to_owned()));
+        self.count_operation()?;
+        self.state.borrow_mut().change_name(NameChange::Unlink(name.to_owned()));
         Ok(())
     }
 
     fn sync_folder(&self) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let mut state = self.state.borrow_mut();
         state.synced = state.names.clone();
         state.pending.clear();
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -28,7 +28,7 @@
 pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "never came: {what}");
+        assert!(Instant::now() < end, "timed out waiting for: {what}");
         sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/testkit/src/ports.rs
+++ b/crates/testkit/src/ports.rs
@@ -9,12 +9,12 @@
 /// listener takes a port before its owner listens.
 const FIRST_PORT: u32 = 10_000;
 /// Number of ports in the range.
-const PORTS: u32 = 22_000;
+const PORT_COUNT: u32 = 22_000;
 /// Offset between the start ports of processes with successive ids.
-const STRIDE: u32 = 197;
+const PROCESS_STRIDE: u32 = 197;
 
 /// The state of a listening socket in `/proc/net/tcp`.
-const LISTENING: &str = "0A";
+const LISTEN_STATE: &str = "0A";
 
 /// A port that is bound but not listening.
 ///
@@ -29,9 +29,10 @@
 
 /// The next address in the range; each is returned once until the range is used up.
 fn next_address() -> SocketAddr {
-    static GIVEN: AtomicU32 = AtomicU32::new(0);
-    let given = GIVEN.fetch_add(1, Ordering::Relaxed);
-    let port = FIRST_PORT + std::process::id().wrapping_mul(STRIDE).wrapping_add(given) % PORTS;
+    static ALLOCATED: AtomicU32 = AtomicU32::new(0);
+    let allocated = ALLOCATED.fetch_add(1, Ordering::Relaxed);
+    let port =
+        FIRST_PORT + std::process::id().wrapping_mul(PROCESS_STRIDE).wrapping_add(allocated) % PORT_COUNT;
     SocketAddr::from((Ipv4Addr::LOCALHOST, port as u16))
 }
 
@@ -79,5 +80,5 @@
     let local = format!("{:08X}:{:04X}", u32::from_ne_bytes(at.ip().octets()), at.port());
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of sockets");
     let mut rows = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-    rows.any(|row| row.get(1) == Some(&&*local) && row.get(3) == Some(&LISTENING))
+    rows.any(|row| row.get(1) == Some(&&*local) && row.get(3) == Some(&LISTEN_STATE))
 }
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -85,7 +85,7 @@
     pub fn start(to: ProxyConfig) -> Proxy {
         let state = Arc::new(Mutex::new(ProxyState::default()));
         let mut tasks = JoinSet::new();
-        tasks.spawn(follow(to, state.clone()));
+        tasks.spawn(run_streams(to, state.clone()));
         Proxy { state, _tasks: tasks }
     }
 
@@ -107,9 +107,9 @@
 
     /// Like [`Proxy::send_continuously`], with a pause after each request of a lane.
     pub fn send(&mut self, pool: &str, lanes: u64, pause: Duration) {
-        let flights: Arc<Mutex<BTreeMap<SocketAddr, u32>>> = Arc::default();
+        let in_flight: Arc<Mutex<BTreeMap<SocketAddr, u32>>> = Arc::default();
         for lane in 0..lanes {
-            let (state, flights, pool) = (self.state.clone(), flights.clone(), pool.to_owned());
+            let (state, in_flight, pool) = (self.state.clone(), in_flight.clone(), pool.to_owned());
             self._tasks.spawn(async move {
                 let mut draw = lane.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
                 let mut connections: BTreeMap<SocketAddr, TcpStream> = BTreeMap::new();
@@ -127,18 +127,18 @@
                     };
                     let (a, b) = (next(), next());
                     let to = {
-                        let mut flights = flights.lock().expect("unpoisoned");
-                        let load = |at: &SocketAddr| flights.get(at).copied().unwrap_or(0);
+                        let mut in_flight = in_flight.lock().expect("unpoisoned");
+                        let load = |at: &SocketAddr| in_flight.get(at).copied().unwrap_or(0);
                         let to = if load(&b) < load(&a) { b } else { a };
-                        *flights.entry(to).or_default() += 1;
+                        *in_flight.entry(to).or_default() += 1;
                         to
                     };
                     state.lock().expect("unpoisoned").sent.insert(to, Instant::now());
-                    let kept = connections.remove(&to);
-                    if let Some(kept) = ask(kept, to).await {
-                        connections.insert(to, kept);
+                    let idle = connections.remove(&to);
+                    if let Some(idle) = send_request(idle, to).await {
+                        connections.insert(to, idle);
                     }
-                    if let Some(count) = flights.lock().expect("unpoisoned").get_mut(&to) {
+                    if let Some(count) = in_flight.lock().expect("unpoisoned").get_mut(&to) {
                         *count -= 1;
                     }
                     if !pause.is_zero() {
@@ -150,8 +150,8 @@
     }
 }
 
-async fn ask(kept: Option<TcpStream>, to: SocketAddr) -> Option<TcpStream> {
-    let mut stream = match kept {
+async fn send_request(idle: Option<TcpStream>, to: SocketAddr) -> Option<TcpStream> {
+    let mut stream = match idle {
         Some(stream) => stream,
         None => {
             let stream = TcpStream::connect(to).await.ok()?;
@@ -165,7 +165,7 @@
     Some(stream)
 }
 
-async fn follow(to: ProxyConfig, state: Arc<Mutex<ProxyState>>) {
+async fn run_streams(to: ProxyConfig, state: Arc<Mutex<ProxyState>>) {
     let endpoint = Endpoint::from_shared(format!("http://{}", to.control)).expect("an address is a URL");
     let endpoint = endpoint.tcp_nodelay(true);
     loop {
@@ -174,8 +174,8 @@
                 AggregatedDiscoveryServiceClient::new(channel).max_decoding_message_size(256 << 20);
             state.lock().expect("unpoisoned").streams += 1;
             let _ended: Result<(), Status> = match to.incremental {
-                true => incremental(client, &to, &state).await,
-                false => whole(client, &to, &state).await,
+                true => follow_incremental(client, &to, &state).await,
+                false => follow_state_of_the_world(client, &to, &state).await,
             };
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -187,7 +187,7 @@
 /// Short names of the resource types, in the order in which they are requested.
 const TYPES: [&str; 4] = ["cds", "lds", "eds", "rds"];
 
-async fn incremental(
+async fn follow_incremental(
     mut client: Client,
     to: &ProxyConfig,
     state: &Mutex<ProxyState>,
@@ -195,16 +195,16 @@
     let (requests, sent) = mpsc::unbounded_channel();
     let send = |request: DeltaDiscoveryRequest| drop(requests.send(request));
     for short in TYPES {
-        let held = state.lock().expect("unpoisoned").versions.get(url(short)).cloned().unwrap_or_default();
+        let known = state.lock().expect("unpoisoned").versions.get(url(short)).cloned().unwrap_or_default();
         let by_name = ["eds", "rds"].contains(&short);
-        if by_name && held.is_empty() {
+        if by_name && known.is_empty() {
             continue;
         }
         send(DeltaDiscoveryRequest {
             node: node(&to.id, &to.zone),
             type_url: url(short).to_owned(),
-            resource_names_subscribe: if by_name { held.keys().cloned().collect() } else { Vec::new() },
-            initial_resource_versions: held.into_iter().collect(),
+            resource_names_subscribe: if by_name { known.keys().cloned().collect() } else { Vec::new() },
+            initial_resource_versions: known.into_iter().collect(),
             ..Default::default()
         });
     }
@@ -215,36 +215,36 @@
         let mut subscribe = Vec::new();
         {
             let mut state = state.lock().expect("unpoisoned");
-            state.begin();
+            state.count_response();
             for resource in response.resources {
                 let value = resource.resource.map(|any| any.value).unwrap_or_default();
                 state.bytes += value.len() as u64;
-                state.take(&kind, &resource.name, resource.version, &value);
-                let refers =
+                state.store_resource(&kind, &resource.name, resource.version, &value);
+                let dependent =
                     if kind == url("cds") { Some("eds") } else { (kind == url("lds")).then_some("rds") };
-                if let Some(refers) = refers {
+                if let Some(dependent) = dependent {
                     let name = resource.name.split('@').next().unwrap_or_default().to_owned();
-                    if !state.versions.get(url(refers)).is_some_and(|held| held.contains_key(&name)) {
-                        subscribe.push((refers, name));
+                    if !state.versions.get(url(dependent)).is_some_and(|known| known.contains_key(&name)) {
+                        subscribe.push((dependent, name));
                     }
                 }
             }
             for name in response.removed_resources {
-                state.lose(&kind, &name);
+                state.remove_resource(&kind, &name);
             }
-            state.note(&kind, &response.system_version_info);
+            state.record_response(&kind, &response.system_version_info);
         }
         send(DeltaDiscoveryRequest {
             type_url: kind,
             response_nonce: response.nonce,
             ..Default::default()
         });
-        for refers in ["eds", "rds"] {
+        for dependent in ["eds", "rds"] {
             let names: Vec<String> =
-                subscribe.iter().filter(|(to, _)| *to == refers).map(|(_, name)| name.clone()).collect();
+                subscribe.iter().filter(|(to, _)| *to == dependent).map(|(_, name)| name.clone()).collect();
             if !names.is_empty() {
                 send(DeltaDiscoveryRequest {
-                    type_url: url(refers).to_owned(),
+                    type_url: url(dependent).to_owned(),
                     resource_names_subscribe: names,
                     ..Default::default()
                 });
@@ -254,24 +254,33 @@
     Ok(())
 }
 
-async fn whole(mut client: Client, to: &ProxyConfig, state: &Mutex<ProxyState>) -> Result<(), Status> {
+async fn follow_state_of_the_world(
+    mut client: Client,
+    to: &ProxyConfig,
+    state: &Mutex<ProxyState>,
+) -> Result<(), Status> {
     let (requests, sent) = mpsc::unbounded_channel();
     let send = |request: DiscoveryRequest| drop(requests.send(request));
     let mut versions: BTreeMap<String, (String, String)> = BTreeMap::new();
     // On a new stream the proxy sends its last version, the only protection in the protocol against a regression.
-    let held = |short: &str| {
+    let last_version = |short: &str| {
         let state = state.lock().expect("unpoisoned");
-        state.received.iter().rev().find(|told| told.kind == url(short)).map(|told| told.version.clone())
+        state
+            .received
+            .iter()
+            .rev()
+            .find(|response| response.kind == url(short))
+            .map(|response| response.version.clone())
     };
     for short in ["cds", "lds"] {
         send(DiscoveryRequest {
             node: node(&to.id, &to.zone),
             type_url: url(short).to_owned(),
-            version_info: held(short).unwrap_or_default(),
+            version_info: last_version(short).unwrap_or_default(),
             ..Default::default()
         });
     }
-    let mut asked: BTreeMap<&str, Vec<String>> = BTreeMap::new();
+    let mut subscribed: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     for short in ["eds", "rds"] {
         // The subscription to known resources continues, whether or not the resources that refer to them are sent
         // again.
@@ -283,10 +292,10 @@
             send(DiscoveryRequest {
                 type_url: url(short).to_owned(),
                 resource_names: names.clone(),
-                version_info: held(short).unwrap_or_default(),
+                version_info: last_version(short).unwrap_or_default(),
                 ..Default::default()
             });
-            asked.insert(short, names);
+            subscribed.insert(short, names);
         }
     }
     let mut responses =
@@ -296,49 +305,49 @@
         let mut names = Vec::new();
         {
             let mut state = state.lock().expect("unpoisoned");
-            state.begin();
+            state.count_response();
             for any in &response.resources {
                 state.bytes += any.value.len() as u64;
-                let name = first_field(&any.value);
-                state.take(&kind, &name, response.version_info.clone(), &any.value);
+                let name = resource_name(&any.value);
+                state.store_resource(&kind, &name, response.version_info.clone(), &any.value);
                 names.push(name);
             }
             if kind == url("cds") || kind == url("lds") {
-                let held: Vec<String> =
+                let known: Vec<String> =
                     state.versions.get(&kind).into_iter().flatten().map(|(n, _)| n.clone()).collect();
-                for gone in held.iter().filter(|name| !names.contains(name)) {
-                    state.lose(&kind, gone);
+                for gone in known.iter().filter(|name| !names.contains(name)) {
+                    state.remove_resource(&kind, gone);
                 }
             }
-            state.note(&kind, &response.version_info);
+            state.record_response(&kind, &response.version_info);
         }
         versions.insert(kind.clone(), (response.version_info.clone(), response.nonce.clone()));
-        let refers = [("cds", "eds"), ("lds", "rds")].into_iter().find(|(from, _)| kind == url(from));
+        let dependent = [("cds", "eds"), ("lds", "rds")].into_iter().find(|(from, _)| kind == url(from));
         let by_name = ["eds", "rds"].into_iter().find(|short| kind == url(short));
         send(DiscoveryRequest {
             version_info: response.version_info,
             response_nonce: response.nonce,
             type_url: kind,
-            resource_names: by_name.and_then(|short| asked.get(short).cloned()).unwrap_or_default(),
+            resource_names: by_name.and_then(|short| subscribed.get(short).cloned()).unwrap_or_default(),
             ..Default::default()
         });
-        if let Some((_, refers)) = refers {
+        if let Some((_, dependent)) = dependent {
             let mut wanted: Vec<String> =
                 names.iter().map(|name| name.split('@').next().unwrap_or_default().to_owned()).collect();
             wanted.sort();
             wanted.dedup();
-            if asked.get(refers) != Some(&wanted) {
-                let known = versions.get(url(refers)).cloned();
+            if subscribed.get(dependent) != Some(&wanted) {
+                let known = versions.get(url(dependent)).cloned();
                 let (version_info, response_nonce) =
-                    known.unwrap_or_else(|| (held(refers).unwrap_or_default(), String::new()));
+                    known.unwrap_or_else(|| (last_version(dependent).unwrap_or_default(), String::new()));
                 send(DiscoveryRequest {
                     version_info,
                     response_nonce,
-                    type_url: url(refers).to_owned(),
+                    type_url: url(dependent).to_owned(),
                     resource_names: wanted.clone(),
                     ..Default::default()
                 });
-                asked.insert(refers, wanted);
+                subscribed.insert(dependent, wanted);
             }
         }
     }
@@ -346,29 +355,29 @@
 }
 
 /// Name of a resource, which is field 1 in all four types.
-fn first_field(value: &[u8]) -> String {
+fn resource_name(value: &[u8]) -> String {
     match value {
         [0x0a, len, rest @ ..] if rest.len() >= usize::from(*len) => {
             String::from_utf8_lossy(&rest[..usize::from(*len)]).into_owned()
         }
-        _ => panic!("a resource without a name"),
+        _ => panic!("resource without a name"),
     }
 }
 
 impl ProxyState {
-    fn begin(&mut self) {
+    fn count_response(&mut self) {
         self.responses += 1;
         self.last = Some(Instant::now());
     }
 
-    fn note(&mut self, kind: &str, version: &str) {
+    fn record_response(&mut self, kind: &str, version: &str) {
         let clusters =
             self.versions.get(url("cds")).into_iter().flatten().map(|(name, _)| name.clone()).collect();
         let (kind, version) = (kind.to_owned(), version.to_owned());
         self.received.push(ReceivedResponse { at: Instant::now(), kind, version, clusters });
     }
 
-    fn take(&mut self, kind: &str, name: &str, version: String, value: &[u8]) {
+    fn store_resource(&mut self, kind: &str, name: &str, version: String, value: &[u8]) {
         self.versions.entry(kind.to_owned()).or_default().insert(name.to_owned(), version);
         if kind != url("eds") {
             return;
@@ -393,9 +402,9 @@
         self.endpoints.insert(name.to_owned(), endpoints);
     }
 
-    fn lose(&mut self, kind: &str, name: &str) {
-        if let Some(held) = self.versions.get_mut(kind) {
-            held.remove(name);
+    fn remove_resource(&mut self, kind: &str, name: &str) {
+        if let Some(known) = self.versions.get_mut(kind) {
+            known.remove(name);
         }
         if kind == url("eds") {
             self.endpoints.remove(name);
--- a/crates/testkit/src/scripted.rs
+++ b/crates/testkit/src/scripted.rs
@@ -26,7 +26,7 @@
         "eds" => "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
         "lds" => "type.googleapis.com/envoy.config.listener.v3.Listener",
         "rds" => "type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
-        other => panic!("no type `{other}`"),
+        other => panic!("unknown xDS type `{other}`"),
     }
 }
 
