--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -7,8 +7,8 @@
 use runtrack_rig::history::{self, Event};
 use runtrack_rig::script::Script;
 use runtrack_rig::{draw, measure, round};
-use runtrack_sim::campaign::{self, Pairs, Seeds, named, read, write};
-use runtrack_sim::shrink::fewer;
+use runtrack_sim::campaign::{self, FaultPairs, SeedArgs, read_script, with_path, write_script};
+use runtrack_sim::shrink::minimize_list;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::{Mutex, PoisonError};
@@ -47,7 +47,7 @@
     /// Run the rounds of many seeds and report those that violate a rule.
     Search {
         #[command(flatten)]
-        which: Seeds,
+        which: SeedArgs,
         /// Folder for the scripts and histories of rounds that violate a rule.
         #[arg(long, default_value = "found", value_name = "FOLDER")]
         out: PathBuf,
@@ -72,7 +72,7 @@
     /// Run rounds of controllers and agents of the fleet and report those that violate a rule.
     Fleet {
         #[command(flatten)]
-        which: Seeds,
+        which: SeedArgs,
         /// Folder for the scripts and histories of rounds that violate a rule.
         #[arg(long, default_value = "found", value_name = "FOLDER")]
         out: PathBuf,
@@ -136,13 +136,13 @@
 fn run_script(script: &Script, history: Option<&Path>, mutant: Option<&str>) -> Result<ExitCode, String> {
     let (events, verdict) = run_round(script, mutant)?;
     if let Some(path) = history {
-        history::write(path, &events).map_err(named(path))?;
+        history::write(path, &events).map_err(with_path(path))?;
     }
     Ok(report(&verdict))
 }
 
 fn main() -> ExitCode {
-    let cli: Cli = match campaign::parse() {
+    let cli: Cli = match campaign::parse_args() {
         Ok(cli) => cli,
         Err(code) => return code,
     };
@@ -150,20 +150,20 @@
     let done = match cli.command {
         Command::Run { seed, script, history } => {
             let drawn = draw::script(seed);
-            let saved = script.map_or(Ok(()), |path| write(&path, &drawn));
+            let saved = script.map_or(Ok(()), |path| write_script(&path, &drawn));
             saved.and_then(|()| run_script(&drawn, history.as_deref(), mutant))
         }
         Command::Search { which, out } => search(&which, &out, mutant),
         Command::Replay { script, history } => {
-            read(&script).and_then(|script| run_script(&script, history.as_deref(), mutant))
+            read_script(&script).and_then(|script| run_script(&script, history.as_deref(), mutant))
         }
         Command::Fleet { which, out } => fleet_verbs::search(&which, &out),
         Command::FleetReplay { script, history } => fleet_verbs::replay(&script, history.as_deref()),
         Command::FleetJudge { history } => fleet_verbs::recheck(&history),
         Command::Measure { kills, pools } => measure_costs(kills, pools),
-        Command::Judge { history } => {
-            history::read(&history).map_err(named(&history)).map(|events| report(&check_history(&events)))
-        }
+        Command::Judge { history } => history::read(&history)
+            .map_err(with_path(&history))
+            .map(|events| report(&check_history(&events))),
         Command::Shrink { script, rounds } => shrink(&script, rounds, mutant),
     };
     done.unwrap_or_else(|problem| {
@@ -174,17 +174,17 @@
 
 #[derive(Default)]
 struct Totals {
-    pairs: Pairs,
+    pairs: FaultPairs,
     events: usize,
     rounds_with_violations: u64,
     failed_to_run: u64,
 }
 
-fn search(which: &Seeds, out: &Path, mutant: Option<&str>) -> Result<ExitCode, String> {
-    std::fs::create_dir_all(out).map_err(named(out))?;
+fn search(which: &SeedArgs, out: &Path, mutant: Option<&str>) -> Result<ExitCode, String> {
+    std::fs::create_dir_all(out).map_err(with_path(out))?;
     let began = Instant::now();
     let totals: Mutex<Totals> = Mutex::default();
-    let done = campaign::search(which, "{bar:32} {pos}/{len} rounds {eta} {msg}", |seed, bar| {
+    let done = campaign::search_seeds(which, "{bar:32} {pos}/{len} rounds {eta} {msg}", |seed, bar| {
         let script = draw::script(seed);
         let runs = run_round(&script, mutant);
         let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
@@ -202,8 +202,8 @@
             totals.rounds_with_violations += 1;
             bar.suspend(|| println!("seed {seed}: {violation}"));
             let path = out.join(format!("rig-{seed}.history"));
-            let saved = write(&out.join(format!("rig-{seed}.json")), &script);
-            let saved = saved.and_then(|()| history::write(&path, &events).map_err(named(&path)));
+            let saved = write_script(&out.join(format!("rig-{seed}.json")), &script);
+            let saved = saved.and_then(|()| history::write(&path, &events).map_err(with_path(&path)));
             if let Err(problem) = saved {
                 bar.suspend(|| eprintln!("{problem}"));
             }
@@ -224,7 +224,7 @@
 /// Real processes are not deterministic: a round that violated a rule may not do so again. A fault is removed if the
 /// rule was violated at least once without it.
 fn shrink(path: &Path, rounds: usize, mutant: Option<&str>) -> Result<ExitCode, String> {
-    let script = read(path)?;
+    let script = read_script(path)?;
     let (_, verdict) = run_round(&script, mutant)?;
     let Some(rule) = verdict.violations.first().map(|violation| violation.rule) else {
         return Err("the script violated no rule in this run".to_owned());
@@ -237,9 +237,9 @@
         };
         runs <= rounds && run_round(candidate, mutant).is_ok_and(violates_rule)
     };
-    let small = fewer(script, |script: &mut Script| &mut script.faults, &mut still_violates);
+    let small = minimize_list(script, |script: &mut Script| &mut script.faults, &mut still_violates);
     let to = PathBuf::from(format!("{}.small", path.display()));
-    write(&to, &small)?;
+    write_script(&to, &small)?;
     println!(
         "{}: {} faults, after {runs} rounds, and {rule:?} is still violated",
         to.display(),
--- a/crates/rig/src/round/clients.rs
+++ b/crates/rig/src/round/clients.rs
@@ -184,7 +184,7 @@
             // The pool is named after the serial of the new version. If the first instance is behind the one that
             // planned, the version would carry an older name, which the check would take for a regression at the
             // proxies.
-            let Some(plan_made) = std::fs::read(&plan).ok().and_then(|bytes| Plan::read(&bytes).ok())
+            let Some(plan_made) = std::fs::read(&plan).ok().and_then(|bytes| Plan::from_bytes(&bytes).ok())
             else {
                 continue;
             };
