--- a/crates/sim/src/fleet/draw/failure_budget.rs
+++ b/crates/sim/src/fleet/draw/failure_budget.rs
@@ -8,6 +8,7 @@
 /// The times during which core machines are reserved for failures.
 pub struct FailureBudget {
     tolerance: u32,
+    /// Core machine, start and end of each reservation, in milliseconds.
     reserved: Vec<(u32, u32, u32)>,
 }
 
--- a/crates/sim/src/fleet/draw/mod.rs
+++ b/crates/sim/src/fleet/draw/mod.rs
@@ -34,8 +34,8 @@
 }
 
 /// Draws a theme; some scripts have none.
-fn theme_of(themes: &mut Draws) -> Option<Theme> {
-    match themes.of(0, 19) {
+fn theme_of(theme_draws: &mut Draws) -> Option<Theme> {
+    match theme_draws.of(0, 19) {
         0..8 => Some(Theme::Contact),
         8..15 => Some(Theme::Membership),
         15..19 => Some(Theme::Disks),
@@ -50,15 +50,15 @@
 
 /// The script of a seed, with the given theme or, if `None`, the theme that the seed draws.
 pub fn script_of(theme: Option<Theme>, seed: u64) -> Script {
-    let mut themes = Draws(Pcg32::seed_from_u64(seed ^ THEME_SEED));
-    let of_seed = theme_of(&mut themes);
-    draw_script(seed, theme.or(of_seed), themes)
+    let mut theme_draws = Draws(Pcg32::seed_from_u64(seed ^ THEME_SEED));
+    let of_seed = theme_of(&mut theme_draws);
+    draw_script(seed, theme.or(of_seed), theme_draws)
 }
 
-fn draw_script(seed: u64, theme: Option<Theme>, mut themes: Draws) -> Script {
+fn draw_script(seed: u64, theme: Option<Theme>, mut theme_draws: Draws) -> Script {
     let mut draws = Draws(Pcg32::seed_from_u64(seed ^ 0xf1ee7));
     // Five members tolerate slow disks in addition to a loss.
-    let has_five_cores = draws.one_in(6) || theme == Some(Theme::Membership) && themes.one_in(3);
+    let has_five_cores = draws.one_in(6) || theme == Some(Theme::Membership) && theme_draws.one_in(3);
     let min_latency = draws.of(1, 3);
     let mut script = Script {
         seed,
@@ -75,15 +75,15 @@
     let mut length = draws.of(6_000, 14_000);
     let mut budget = FailureBudget::new(script.tolerance);
     match theme {
-        Some(Theme::Contact) => contact::draw(&mut themes, &mut script, &mut budget),
-        Some(Theme::Membership) => membership::draw(&mut themes, &mut script, &mut budget, length),
-        Some(Theme::Disks) => disks::draw(&mut themes, &mut script, &mut budget, length),
+        Some(Theme::Contact) => contact::draw(&mut theme_draws, &mut script, &mut budget),
+        Some(Theme::Membership) => membership::draw(&mut theme_draws, &mut script, &mut budget, length),
+        Some(Theme::Disks) => disks::draw(&mut theme_draws, &mut script, &mut budget, length),
         None => {}
     }
     // A cluster of five machines has only three members until the first configuration is committed, and a
     // fault at any time may delay that.
     let may_mix = theme == Some(Theme::Contact) || script.tolerance == 1;
-    let mixed = may_mix && themes.one_in(3);
+    let mixed = may_mix && theme_draws.one_in(3);
     if theme.is_none() || mixed {
         faults::draw(&mut draws, &mut script, &mut budget, length);
     }
--- a/crates/sim/src/fleet/endpoint.rs
+++ b/crates/sim/src/fleet/endpoint.rs
@@ -103,7 +103,7 @@
         }
         Some((_, Departure::Crashes)) => {
             let now = world.now();
-            world.facts.borrow_mut().silent_since.insert(number, now);
+            world.facts.borrow_mut().crashed_at.insert(number, now);
         }
         None => {}
     }
--- a/crates/sim/src/fleet/facts.rs
+++ b/crates/sim/src/fleet/facts.rs
@@ -207,7 +207,7 @@
     /// Requests to controllers to terminate.
     pub terminations: Vec<Termination>,
     /// When each endpoint that crashed did so.
-    pub silent_since: BTreeMap<usize, Duration>,
+    pub crashed_at: BTreeMap<usize, Duration>,
     /// End of the run.
     pub end: Duration,
 }
--- a/crates/sim/src/fleet/observer.rs
+++ b/crates/sim/src/fleet/observer.rs
@@ -157,8 +157,9 @@
                 None
             }
             Message::Suspects(keys) => {
-                let silent = keys.items().iter().filter_map(|key| self.endpoints_by_key.get(key).copied());
-                self.record(Report::Suspects(silent.collect()));
+                let suspects =
+                    keys.items().iter().filter_map(|key| self.endpoints_by_key.get(key).copied());
+                self.record(Report::Suspects(suspects.collect()));
                 None
             }
             Message::Ping => Some(Message::Ping),
--- a/crates/sim/src/fleet/oracle/membership.rs
+++ b/crates/sim/src/fleet/oracle/membership.rs
@@ -99,8 +99,8 @@
             let Some(state) = disk_state_at(facts, *core, self.at) else { return false };
             let lacks = state.incarnation == *incarnation && state.sequence < sequence;
             // The others may not have learned of its current state before the previous change took effect.
-            let heard = disk_state_at(facts, *core, since.saturating_sub(PROBE_DELAY)).unwrap_or(state);
-            let overdue = lacks && missing_since(facts, heard) + COPY_WAIT <= self.at;
+            let known = disk_state_at(facts, *core, since.saturating_sub(PROBE_DELAY)).unwrap_or(state);
+            let overdue = lacks && missing_since(facts, known) + COPY_WAIT <= self.at;
             lacks && !overdue && is_connected(facts, *core, self.at)
         };
         let (core, _) = self.old.intersection(self.new).find(lacks)?;
@@ -118,8 +118,8 @@
         };
         let lacks = |member: &&MemberId| {
             let held_before = facts.disk_states.iter().any(|state| {
-                let heard = state.at + PROBE_DELAY >= self.at && state.at <= self.at;
-                state.core == member.0 && heard && !lacks_version_at(member, state.at)
+                let is_recent = state.at + PROBE_DELAY >= self.at && state.at <= self.at;
+                state.core == member.0 && is_recent && !lacks_version_at(member, state.at)
             });
             let held_before = held_before || !lacks_version_at(member, self.at.saturating_sub(PROBE_DELAY));
             lacks_version_at(member, self.at) && !held_before
--- a/crates/sim/src/fleet/oracle/silence.rs
+++ b/crates/sim/src/fleet/oracle/silence.rs
@@ -104,7 +104,7 @@
 
     /// An endpoint that crashed and is not suspected, though others kept sending heartbeats.
     pub(super) fn check_crashed_endpoints(&self) -> Option<Violation> {
-        self.facts.silent_since.iter().find_map(|(endpoint, since)| {
+        self.facts.crashed_at.iter().find_map(|(endpoint, since)| {
             let due = self.suspicion_due(*endpoint, *since)?;
             let suspected =
                 self.events.iter().rev().filter(|e| e.at <= due).find_map(|event| match &event.report {
--- a/crates/sim/src/fleet/run.rs
+++ b/crates/sim/src/fleet/run.rs
@@ -96,7 +96,7 @@
     for call in &facts.calls {
         hash = fnv1a(hash, format!("{call:?}").as_bytes());
     }
-    let report_text = |told: &Report| format!("{told:?}");
+    let report_text = |report: &Report| format!("{report:?}");
     for event in &facts.events {
         let at = event.at.as_micros().to_le_bytes();
         hash = fnv1a(fnv1a(hash, &at), report_text(&event.report).as_bytes());
--- a/crates/sim/src/fleet/timeline.rs
+++ b/crates/sim/src/fleet/timeline.rs
@@ -94,15 +94,18 @@
     let mut last: Vec<(u32, Report)> = Vec::new();
     let mut lines = Vec::new();
     for event in &facts.events {
-        let (agent, told) = (event.agent, &event.report);
-        let reported = (agent, told.clone());
+        let (agent, report) = (event.agent, &event.report);
+        let reported = (agent, report.clone());
         // Skips versions that repeat the agent's previous report.
-        if matches!(told, Report::Version(_))
+        if matches!(report, Report::Version(_))
             && last.iter().rev().find(|(a, _)| *a == agent) == Some(&reported)
         {
             continue;
         }
-        lines.push((event.at, format!("edge-{agent}    reports (start {}): {told:?}", event.start_number)));
+        lines.push((
+            event.at,
+            format!("edge-{agent}    reports (start {}): {report:?}", event.start_number),
+        ));
         last.push(reported);
     }
     lines
--- a/crates/sim/tests/fleet_oracle.rs
+++ b/crates/sim/tests/fleet_oracle.rs
@@ -187,9 +187,9 @@
     // The call waited in the member's buffers from before the member could have noticed the cut.
     let answers_after_freeze = |facts: &mut Facts, ended: u64| {
         facts.disruptions.push(Disruption { freezes: true, ..disruption(8_000, ended) });
-        let mut beat = call(CallKind::Heartbeat(0), 8_400, 200);
-        beat.ended = Some(ms(ended));
-        cut_off(facts, beat);
+        let mut heartbeat = call(CallKind::Heartbeat(0), 8_400, 200);
+        heartbeat.ended = Some(ms(ended));
+        cut_off(facts, heartbeat);
     };
     assert_violates(Rule::CutOffSilent, |facts| answers_after_freeze(facts, 9_200));
     assert_violates(Rule::CutOffSilent, |facts| {
@@ -297,8 +297,9 @@
 
 /// Adds heartbeats of an endpoint from 6 s to 14 s, acknowledged by core 1.
 fn add_heartbeats(facts: &mut Facts, endpoint: usize) {
-    let beats = (0..20).map(|beat| call(CallKind::Heartbeat(endpoint), 6_000 + beat * 400, 200));
-    facts.calls.extend(beats.map(|beat| Call { core: 1, ..beat }));
+    let heartbeats =
+        (0..20).map(|heartbeat| call(CallKind::Heartbeat(endpoint), 6_000 + heartbeat * 400, 200));
+    facts.calls.extend(heartbeats.map(|heartbeat| Call { core: 1, ..heartbeat }));
 }
 
 #[test]
@@ -336,7 +337,7 @@
         let mut facts = valid_facts();
         add_heartbeats(&mut facts, 0);
         facts.events.push(report(6_000, Report::Endpoint(1, 0)));
-        facts.silent_since.insert(1, ms(8_000));
+        facts.crashed_at.insert(1, ms(8_000));
         change(&mut facts);
         check(&script, &facts).into_iter().map(|violation| violation.rule).collect()
     };
