--- a/crates/sim/src/agreement/proxies.rs
+++ b/crates/sim/src/agreement/proxies.rs
@@ -72,7 +72,7 @@
             if is_older {
                 let version = response.version;
                 let detail = format!(
-                    "proxy {n} held {held_version} (serial {held_serial}) and was told {version} (serial {serial}) by {at}"
+                    "proxy {n} held {held_version} (serial {held_serial}) and was sent {version} (serial {serial}) by {at}"
                 );
                 self.report_violation(Rule::Back, detail);
                 return;
--- a/crates/sim/src/campaign.rs
+++ b/crates/sim/src/campaign.rs
@@ -129,7 +129,7 @@
     find: impl Fn(&str, u64) -> Option<(S, R)>,
     shrink: impl Fn(&str, S, R) -> String,
 ) -> ExitCode {
-    println!("| planted | rule | seeds until found, median of {starts} | worst | {left} left |");
+    println!("| mutant | rule | seeds until found, median of {starts} | worst | {left} left |");
     println!("| --- | --- | --- | --- | --- |");
     let mut missed = false;
     for name in names {
--- a/crates/sim/src/http.rs
+++ b/crates/sim/src/http.rs
@@ -16,7 +16,7 @@
 impl Message {
     /// A header's value.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(held, _)| held == name).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
     }
 
     /// The status code of a response; 0 if there is none.
--- a/crates/sim/src/mutants.rs
+++ b/crates/sim/src/mutants.rs
@@ -7,7 +7,7 @@
     ("unsaid-last-byte", "the last byte of a body is not noted as sent"),
     ("no-rest", "a connection is used again at once, whatever lies unread on it"),
     ("refuse-for-fail", "a failure is answered as a refusal"),
-    ("count-not-lowered", "the module is not told of an attempt that was reset"),
+    ("count-not-lowered", "the module is not notified of an attempt that was reset"),
     ("lost-on-term", "SIGTERM ends the process with requests open"),
     ("late-deadline", "a request may take three times the client's time"),
     ("smuggled", "a head with two lengths is accepted"),
--- a/crates/sim/src/oracle.rs
+++ b/crates/sim/src/oracle.rs
@@ -167,22 +167,26 @@
             let Some(process_run) = process_run else { return };
             let killed = process_run.ended.is_some_and(|until| {
                 // A sidecar that was paused after SIGTERM did not have the promised time until SIGKILL.
-                let robbed = process_run.drain_requested.is_some_and(|told| {
-                    deadline_excluding_pauses(facts, process_run.sidecar, told, until.saturating_sub(told))
-                        > until
+                let paused_in_grace = process_run.drain_requested.is_some_and(|drain_requested| {
+                    deadline_excluding_pauses(
+                        facts,
+                        process_run.sidecar,
+                        drain_requested,
+                        until.saturating_sub(drain_requested),
+                    ) > until
                 });
-                (process_run.killed || robbed) && until <= due
+                (process_run.killed || paused_in_grace) && until <= due
             });
             let disconnected = request.disconnected.is_some_and(|disconnected| disconnected < due);
-            let new_while_draining = facts.process_runs.iter().any(|process_run| {
-                let told = process_run.drain_requested.unwrap_or(Duration::MAX);
+            let ignored_while_draining = facts.process_runs.iter().any(|process_run| {
+                let drain_requested = process_run.drain_requested.unwrap_or(Duration::MAX);
                 process_run.sidecar == request.sidecar
-                    && told.saturating_add(Duration::from_millis(400)) < arrived
+                    && drain_requested.saturating_add(Duration::from_millis(400)) < arrived
                     && !request.read
             });
             // An unread request whose connection closed with nothing forwarded has failed cleanly and is not lost.
-            let crossed = request.connection_lost.is_some() && !request.read && unsent;
-            if crossed || killed || disconnected || new_while_draining {
+            let closed_unread = request.connection_lost.is_some() && !request.read && unsent;
+            if closed_unread || killed || disconnected || ignored_while_draining {
                 return;
             }
             let detail = match request.connection_lost {
@@ -248,13 +252,16 @@
         }
         return;
     }
-    let told = request.responses.iter().map(|answer| answer.completed).chain(request.connection_lost).min();
-    if told.is_none_or(|told| told > sent + BAD_CLIENT_TIMEOUT + TIME_SLACK + Duration::from_secs(2)) {
+    let notified =
+        request.responses.iter().map(|answer| answer.completed).chain(request.connection_lost).min();
+    if notified
+        .is_none_or(|notified| notified > sent + BAD_CLIENT_TIMEOUT + TIME_SLACK + Duration::from_secs(2))
+    {
         let detail = format!(
-            "{:?} at {}, told at {}",
+            "{:?} at {}, error or close at {}",
             request.behavior,
             format_seconds(sent),
-            told.map_or("no time".to_owned(), format_seconds)
+            notified.map_or("no time".to_owned(), format_seconds)
         );
         violations.push(violation(Rule::Bad, sent + BAD_CLIENT_TIMEOUT, id, detail));
     }
@@ -284,9 +291,9 @@
         attempt.last_byte.is_some_and(|last_byte| last_byte <= by)
             && attempt.rejected.is_none_or(|at| at > by)
     };
-    let told = |earlier: &Attempt| {
+    let describe_earlier = |earlier: &Attempt| {
         let last_byte = earlier.last_byte.map_or(String::new(), format_seconds);
-        format!("sent to endpoint {} whole at {last_byte}, may have run", earlier.endpoint)
+        format!("sent completely to endpoint {} at {last_byte}, may have run", earlier.endpoint)
     };
     for (n, later) in attempts.iter().enumerate() {
         let earlier = attempts[..n].iter().find(|earlier| may_have_run(earlier, later.first_byte));
@@ -300,7 +307,7 @@
                     Rule::Twice,
                     later.first_byte,
                     id,
-                    format!("{}, {again}", told(earlier)),
+                    format!("{}, {again}", describe_earlier(earlier)),
                 ));
             }
             Class::Pay => {
@@ -308,7 +315,7 @@
                 let last_byte = earlier.last_byte.unwrap_or(later.first_byte);
                 if elsewhere || later.first_byte > last_byte + window + TIME_SLACK {
                     let why = if elsewhere { "in another group" } else { "beyond the window" };
-                    let detail = format!("{}, {again}, {why}", told(earlier));
+                    let detail = format!("{}, {again}, {why}", describe_earlier(earlier));
                     violations.push(violation(Rule::Twice, later.first_byte, id, detail));
                 }
             }
@@ -319,7 +326,7 @@
         && request.class != Class::Quote
         && let Some(ran) = attempts.iter().find(|attempt| may_have_run(attempt, answer.completed))
     {
-        let detail = format!("{}, refused at {}", told(ran), format_seconds(answer.completed));
+        let detail = format!("{}, refused at {}", describe_earlier(ran), format_seconds(answer.completed));
         violations.push(violation(Rule::Twice, answer.completed, id, detail));
     }
     if let Some(late) = attempts.iter().find(|attempt| attempt.first_byte > answer.completed) {
@@ -337,13 +344,13 @@
 fn check_drains(facts: &Facts, violations: &mut Vec<Violation>) {
     for attempt in &facts.attempts {
         let (sidecar, endpoint) = (attempt.sidecar, attempt.endpoint);
-        let told = facts
+        let notice = facts
             .notices
             .iter()
             .filter(|t| t.sidecar == sidecar && t.endpoint == endpoint && t.at <= attempt.first_byte);
         // Of two notices with the same arrival time the later written one counts.
-        let told = told.max_by_key(|told| told.at);
-        let heard = told.filter(|told| !told.ready).map(|told| told.at);
+        let notice = notice.max_by_key(|notice| notice.at);
+        let last_drain_notice = notice.filter(|notice| !notice.ready).map(|notice| notice.at);
         let fact = facts
             .discovery_states
             .iter()
@@ -352,14 +359,14 @@
         // A drain that was not received counts as known once it could have been.
         let notice_due =
             fact.filter(|(.., ready)| !ready).and_then(|(_, at, _)| notice_deadline(facts, sidecar, *at));
-        let since = first_notice(facts, sidecar, endpoint, heard);
-        let told = [since, notice_due].into_iter().flatten().min();
-        let Some(told) = told else { continue };
-        let limit = deadline_excluding_pauses(facts, sidecar, told, world::DRAIN_GRACE + TIME_SLACK);
+        let since = first_notice(facts, sidecar, endpoint, last_drain_notice);
+        let known_since = [since, notice_due].into_iter().flatten().min();
+        let Some(known_since) = known_since else { continue };
+        let limit = deadline_excluding_pauses(facts, sidecar, known_since, world::DRAIN_GRACE + TIME_SLACK);
         if attempt.first_byte > limit {
             let detail = format!(
-                "told at {} that it drains, {} sent at {}",
-                format_seconds(told),
+                "sidecar knew at {} that it drains, {} sent at {}",
+                format_seconds(known_since),
                 attempt.id,
                 format_seconds(attempt.first_byte)
             );
@@ -374,24 +381,30 @@
 }
 
 /// The first of the consecutive drain notices that are in effect at this time.
-fn first_notice(facts: &Facts, sidecar: u32, endpoint: u32, heard: Option<Duration>) -> Option<Duration> {
-    let heard = heard?;
-    let mut told: Vec<_> = facts
+fn first_notice(
+    facts: &Facts,
+    sidecar: u32,
+    endpoint: u32,
+    last_drain_notice: Option<Duration>,
+) -> Option<Duration> {
+    let last_drain_notice = last_drain_notice?;
+    let mut notices: Vec<_> = facts
         .notices
         .iter()
-        .filter(|t| t.sidecar == sidecar && t.endpoint == endpoint && t.at <= heard)
+        .filter(|t| t.sidecar == sidecar && t.endpoint == endpoint && t.at <= last_drain_notice)
         .collect();
-    told.sort_by_key(|told| told.at);
-    let since = told.iter().rev().take_while(|told| !told.ready).last().map(|told| told.at)?;
+    notices.sort_by_key(|notices| notices.at);
+    let since =
+        notices.iter().rev().take_while(|notices| !notices.ready).last().map(|notices| notices.at)?;
     // A sidecar that restarted since can have learned of it only after the restart.
     let started = facts
         .process_runs
         .iter()
-        .filter(|l| l.sidecar == sidecar && l.started <= heard)
+        .filter(|l| l.sidecar == sidecar && l.started <= last_drain_notice)
         .map(|l| l.started)
         .max();
     if started.is_some_and(|from| from > since) {
-        return told.iter().filter(|t| Some(t.at) >= started && !t.ready).map(|t| t.at).min();
+        return notices.iter().filter(|t| Some(t.at) >= started && !t.ready).map(|t| t.at).min();
     }
     Some(since)
 }
--- a/crates/sim/src/run.rs
+++ b/crates/sim/src/run.rs
@@ -168,9 +168,9 @@
             match (step, &process) {
                 (Step::Pause | Step::Resume, Some(process)) => process.gate.pause(step == Step::Pause),
                 (Step::Term, Some(process)) => {
-                    let told =
+                    let drain_requested =
                         &mut world.facts.borrow_mut().process_runs[process.run_index].drain_requested;
-                    told.get_or_insert(world.now());
+                    drain_requested.get_or_insert(world.now());
                     let _ = process.commands.send(Command::Drain);
                 }
                 (Step::Move, running) => {
@@ -183,9 +183,11 @@
                 }
                 (Step::Kill | Step::KillAfterGrace, Some(running)) => {
                     // Killed only if its grace has passed: a process that was started since never got SIGTERM.
-                    let told = world.facts.borrow().process_runs[running.run_index].drain_requested;
-                    let due =
-                        step == Step::Kill || told.is_some_and(|told| told + SIGKILL_DELAY <= world.now());
+                    let drain_requested =
+                        world.facts.borrow().process_runs[running.run_index].drain_requested;
+                    let due = step == Step::Kill
+                        || drain_requested
+                            .is_some_and(|drain_requested| drain_requested + SIGKILL_DELAY <= world.now());
                     if let Some(process) = process.take_if(|_| due) {
                         self.kill(process, step == Step::Kill).await;
                     }
@@ -196,9 +198,9 @@
         }
         sleep_until(world.start + end).await;
         let Some(process) = process.filter(|process| !process.task.is_finished()) else { return };
-        let (ask, told) = oneshot::channel();
-        let _ = process.commands.send(Command::Report(ask));
-        let Ok(gauges) = told.await else { return }; // the process has just ended and recorded that itself
+        let (gauges_sender, gauges_receiver) = oneshot::channel();
+        let _ = process.commands.send(Command::Report(gauges_sender));
+        let Ok(gauges) = gauges_receiver.await else { return }; // the process has just ended and recorded that itself
         let mut open = Vec::new();
         let mut check_limit = |what: &str, count: usize, limit: usize| {
             if count > limit {
--- a/crates/sim/src/script.rs
+++ b/crates/sim/src/script.rs
@@ -136,7 +136,7 @@
     Hangs { endpoint: u32, at: u32, lasts: u32 },
     /// An endpoint's connections are reset.
     Resets { endpoint: u32, at: u32 },
-    /// Data from a sidecar to an endpoint is held back until the end, or the responses if `answers` is set.
+    /// Data from a sidecar to an endpoint is delayed until the end, or the responses if `answers` is set.
     Stalls { endpoint: u32, sidecar: u32, answers: bool, at: u32, lasts: u32 },
     /// An endpoint's process dies and restarts cold.
     Dies { endpoint: u32, at: u32, lasts: u32 },
@@ -164,7 +164,7 @@
     Kill { sidecar: u32, at: u32, lasts: u32 },
     /// All sidecars reload a configuration with another discovery server; the old one stops 1.5 s later.
     Moves { at: u32 },
-    /// Responses of a client's sidecar to the client's host are held back until the end.
+    /// Responses of a client's sidecar to the client's host are delayed until the end.
     ClientStalls { client: u32, at: u32, lasts: u32 },
 }
 
--- a/crates/sim/src/shrink.rs
+++ b/crates/sim/src/shrink.rs
@@ -44,8 +44,8 @@
         let mut at = 0;
         while at < list(&mut best).len() {
             let mut candidate = best.clone();
-            let held = list(&mut candidate);
-            held.drain(at..(at + part).min(held.len()));
+            let items = list(&mut candidate);
+            items.drain(at..(at + part).min(items.len()));
             match breaks(&candidate) {
                 true => best = candidate,
                 false => at += part,
--- a/crates/sim/src/timeline.rs
+++ b/crates/sim/src/timeline.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 fn state_name(ready: bool) -> &'static str {
-    if ready { "up" } else { "draining or gone" }
+    if ready { "up" } else { "draining or removed" }
 }
 
 fn events(outcome: &Outcome, subject: Option<&str>) -> Vec<(Duration, String)> {
@@ -23,8 +23,8 @@
                 request.class, request.behavior, request.timeout
             ),
         ));
-        if let Some(taken) = request.arrived.filter(|taken| *taken < outcome.virtual_duration) {
-            events.push((taken, format!("sidecar {}  has {id} whole", request.sidecar)));
+        if let Some(arrived) = request.arrived.filter(|arrived| *arrived < outcome.virtual_duration) {
+            events.push((arrived, format!("sidecar {}  has received {id} completely", request.sidecar)));
         }
         for answer in &request.responses {
             let what =
@@ -32,7 +32,7 @@
             events.push((answer.completed, what));
         }
         if let Some(disconnected) = request.disconnected {
-            events.push((disconnected, format!("client     leaves {id}")));
+            events.push((disconnected, format!("client     disconnects from {id}")));
         }
         if let Some(connection_lost) = request.connection_lost {
             events.push((connection_lost, format!("client     {id}'s connection has ended")));
@@ -48,11 +48,11 @@
         if let Some(last_byte) = attempt.last_byte {
             events.push((
                 last_byte,
-                format!("sidecar {sidecar}  has sent {id} to endpoint {endpoint} whole"),
+                format!("sidecar {sidecar}  has sent {id} to endpoint {endpoint} completely"),
             ));
         }
         if let Some(at) = attempt.rejected {
-            events.push((at, format!("endpoint {endpoint} turns {id} away")));
+            events.push((at, format!("endpoint {endpoint} rejects {id}")));
         }
     }
     for effect in facts.executions.iter().filter(|effect| wanted(&effect.id)) {
@@ -63,7 +63,7 @@
     }
     for notice in &facts.notices {
         let (sidecar, endpoint, state) = (notice.sidecar, notice.endpoint, state_name(notice.ready));
-        events.push((notice.at, format!("sidecar {sidecar}  is told: endpoint {endpoint} is {state}")));
+        events.push((notice.at, format!("sidecar {sidecar}  is notified: endpoint {endpoint} is {state}")));
     }
     for (endpoint, at) in &facts.endpoint_starts {
         events.push((*at, format!("endpoint {endpoint} starts, cold")));
@@ -73,14 +73,14 @@
         events.extend(
             process_run
                 .drain_requested
-                .map(|at| (at, format!("sidecar {}  is told to drain", process_run.sidecar))),
+                .map(|at| (at, format!("sidecar {}  gets the order to drain", process_run.sidecar))),
         );
         let how = if process_run.killed { "is killed" } else { "ends" };
         events.extend(process_run.ended.map(|at| (at, format!("sidecar {}  {how}", process_run.sidecar))));
     }
     for (sidecar, from, until) in &facts.pauses {
-        events.push((*from, format!("sidecar {sidecar}  gets no processor")));
-        events.push((*until, format!("sidecar {sidecar}  goes on")));
+        events.push((*from, format!("sidecar {sidecar}  is paused")));
+        events.push((*until, format!("sidecar {sidecar}  continues")));
     }
     events.sort_by_key(|(at, _)| *at);
     events
@@ -115,6 +115,6 @@
     for fault in &script.faults {
         let _ = writeln!(out, "  {}", serde_json::to_string(fault).unwrap_or_default());
     }
-    let _ = writeln!(out, "\nwhat led to it:");
+    let _ = writeln!(out, "\nevents before it:");
     out + &format_events(relevant)
 }
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -126,13 +126,14 @@
     }
 
     /// A sidecar's configuration, with the first or the second discovery server.
-    pub fn config(&self, sidecar: u32, life: usize, discovery: u32, known: &Value) -> Value {
+    pub fn config(&self, sidecar: u32, start_number: usize, discovery: u32, known: &Value) -> Value {
         let class = |name: &str, semantics: &str| {
             json!({"name": name, "semantics": semantics, "group": "zone",
                    "repeatWindowMs": f64::from(self.script.window_ms), "objectiveMs": 600.0,
                    "deadlineMs": MAX_DEADLINE.as_millis() as f64, "worth": 1.0, "lateValue": 0.5})
         };
-        let seed = self.script.seed.wrapping_add(u64::from(sidecar) << 32).wrapping_add(life as u64);
+        let seed =
+            self.script.seed.wrapping_add(u64::from(sidecar) << 32).wrapping_add(start_number as u64);
         json!({
             "name": format!("n{sidecar}"),
             "listen": SocketAddr::new(sidecar_ip(sidecar), PORT).to_string(),
--- a/crates/sim/tests/agreement.rs
+++ b/crates/sim/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! The agreement in virtual time: silent without planted errors, and each kind of them found.
+//! Simulation of the control cluster: no rule is violated without a mutant, and mutants are detected.
 
 use runtrack_sim::agreement::{Outcomes, Rule, Script, run, script};
 use runtrack_sim::mutants;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn no_seed_breaks_a_rule_and_equal_seeds_give_equal_runs() {
+fn no_seed_violates_a_rule_and_equal_seeds_give_equal_runs() {
     let mut answered = 0;
     for seed in 0..40 {
         let done = run(&script(seed));
@@ -20,10 +20,10 @@
     assert!(again.iter().all(|(a, b)| a == b) && again[0] != again[1]);
 }
 
-/// Found by searches: one that led applied its own removal, which another leader had put into the log, and the library
-/// can't go on with a leader that is none of its members; neither at the next message nor in the same turn.
+/// Guards against a panic of the consensus library: a leader applies its own removal, which an earlier leader had put into
+/// the log, and the library cannot continue with a leader that is not a member, at the next message or in the same tick.
 #[test]
-fn a_leader_that_was_removed_takes_no_part_any_more() {
+fn a_removed_leader_stops_participating() {
     let found = [
         include_str!("agreed/agreement-leader-removed.json"),
         include_str!("agreed/agreement-removed-in-a-turn.json"),
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn planted_errors_are_found_within_a_few_seeds() {
-    let planted = [
+fn mutants_are_found_within_a_few_seeds() {
+    let mutants_to_find = [
         ("entry-unsynced", Rule::Lost, 100),
         ("stale-read", Rule::Stale, 100),
         ("snapshot-forgets-writes", Rule::Lost, 10),
@@ -44,9 +44,9 @@
         ("goes-back", Rule::Back, 100),
         ("undrained", Rule::Undrained, 20),
     ];
-    // A member that panics has noticed something, which is what is asked for here.
+    // A panic of a member also counts as a detection; its message is suppressed.
     std::panic::set_hook(Box::new(|_| {}));
-    for (name, rule, most) in planted {
+    for (name, rule, most) in mutants_to_find {
         let found = (0..most).any(|seed| {
             let done = mutants::with(Some(name), || run(&script(seed)));
             violated_rules(&done).contains(&rule)
--- a/crates/sim/tests/http.rs
+++ b/crates/sim/tests/http.rs
@@ -1,9 +1,9 @@
-//! The stand-ins' reader of HTTP messages.
+//! HTTP parser of the simulated peers.
 
 use runtrack_sim::http::{MalformedMessage, Reader};
 
 #[test]
-fn messages_come_whole_with_their_places_whatever_the_pieces() {
+fn messages_and_offsets_do_not_depend_on_read_sizes() {
     let text = b"POST /a HTTP/1.1\r\nX-Id: 7\r\nContent-Length: 3\r\n\r\nabcGET /b HTTP/1.1\r\n\r\n";
     for piece in 1..text.len() {
         let (mut reader, mut found) = (Reader::default(), Vec::new());
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_is_no_message_is_said_to_be_none() {
+fn malformed_messages_are_rejected() {
     for bad in [&b"x\r\nno colon\r\n\r\n"[..], b"\xff\r\n\r\n", b"a b\r\nContent-Length: -1\r\n\r\n"] {
         let mut reader = Reader::default();
         reader.feed(bad);
--- a/crates/sim/tests/rules.rs
+++ b/crates/sim/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The oracle on facts made by hand: each rule kept by a hair, and broken by one.
+//! The oracle on hand-made facts: each rule just kept and just violated.
 
 use runtrack_sim::facts::{Attempt, EndpointNotice, Execution, Facts, ProcessRun, RequestRecord, Response};
 use runtrack_sim::oracle::{Rule, judge};
@@ -26,7 +26,7 @@
     }
 }
 
-/// A request of this class, taken at 1 s with a second's time, sent to endpoint 0, run and served.
+/// Facts of one request that arrives at 1 s with a timeout of 1 s and is served by endpoint 0.
 fn served(class: Class) -> Facts {
     let response = Response { completed: ms(1100), status: 200, body: "made".to_owned() };
     let request = RequestRecord {
@@ -80,7 +80,7 @@
     judge(&script(), facts).into_iter().map(|violation| violation.rule).collect()
 }
 
-/// These facts, changed.
+/// The rules that these facts violate after a change.
 fn with(class: Class, change: impl Fn(&mut Facts)) -> Vec<Rule> {
     let mut facts = served(class);
     change(&mut facts);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn rule_one_is_one_answer_in_time() {
+fn rule_one_requires_one_response_in_time() {
     assert_eq!(with(Class::Book, |_| {}), []);
     assert_eq!(
         with(Class::Book, |f| f.requests[0].responses[0].completed = ms(2050)),
@@ -105,12 +105,12 @@
     assert_eq!(
         with(Class::Quote, |f| f.attempts.push(attempt(1, 1101))),
         [Rule::Lost],
-        "sent after its answer"
+        "sent after its response"
     );
 }
 
 #[test]
-fn who_left_was_killed_or_paused_loses_nothing() {
+fn disconnects_kills_and_pauses_are_not_lost_responses() {
     let none = |f: &mut Facts| f.requests[0].responses.clear();
     assert_eq!(with(Class::Book, |f| (none(f), f.requests[0].disconnected = Some(ms(1200))).0), []);
     let killed = |f: &mut Facts, killed| {
@@ -118,7 +118,7 @@
         (f.process_runs[0].ended, f.process_runs[0].killed) = (Some(ms(1500)), killed);
     };
     assert_eq!(with(Class::Book, |f| killed(f, true)), []);
-    assert_eq!(with(Class::Book, |f| killed(f, false)), [Rule::Lost], "it ended by itself");
+    assert_eq!(with(Class::Book, |f| killed(f, false)), [Rule::Lost], "the process exited on its own");
     let paused = |f: &mut Facts, wrote| {
         f.pauses.push((0, ms(1500), ms(1700)));
         f.requests[0].responses[0].completed = ms(wrote);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn for_who_has_left_nothing_is_sent_on_later_than_a_moment_after() {
+fn nothing_is_forwarded_after_a_disconnect() {
     let left = |f: &mut Facts, first| {
         f.requests[0].responses.clear();
         f.requests[0].disconnected = Some(ms(1200));
@@ -137,27 +137,27 @@
     assert_eq!(with(Class::Quote, |f| left(f, 1550)), [], "with the slack");
     assert_eq!(with(Class::Quote, |f| left(f, 1551)), [Rule::Gone]);
     let paused = |f: &mut Facts, first| (left(f, first), f.pauses.push((0, ms(1210), ms(1310)))).0;
-    assert_eq!(with(Class::Quote, |f| paused(f, 1650)), [], "without a processor nobody acts");
+    assert_eq!(with(Class::Quote, |f| paused(f, 1650)), [], "paused time does not count");
     assert_eq!(with(Class::Quote, |f| paused(f, 1651)), [Rule::Gone]);
 }
 
 #[test]
-fn rule_two_is_no_effect_twice() {
+fn rule_two_forbids_a_second_execution() {
     let again = |f: &mut Facts| f.attempts.push(attempt(1, 1050));
     assert_eq!(with(Class::Book, again), [Rule::Twice]);
     assert_eq!(with(Class::Quote, again), [], "it may be repeated");
     assert_eq!(
         with(Class::Book, |f| (again(f), f.attempts[0].last_byte = None).0),
         [],
-        "never written whole"
+        "never written completely"
     );
     assert_eq!(with(Class::Book, |f| (again(f), f.attempts[0].rejected = Some(ms(1020))).0), []);
     let late = |f: &mut Facts| (again(f), f.attempts[0].rejected = Some(ms(1051))).0;
-    assert_eq!(with(Class::Book, late), [Rule::Twice], "said after it was sent again");
+    assert_eq!(with(Class::Book, late), [Rule::Twice], "rejected after the retry");
 }
 
 #[test]
-fn keyed_requests_are_repeated_in_their_group_and_window_alone() {
+fn keyed_requests_are_repeated_only_in_their_group_and_window() {
     let to = |endpoint, first| {
         move |f: &mut Facts| {
             f.attempts.push(attempt(endpoint, first));
@@ -166,11 +166,11 @@
     };
     assert_eq!(with(Class::Pay, to(2, 1300)), []);
     assert_eq!(with(Class::Pay, to(1, 1300)), [Rule::Twice], "another zone");
-    assert_eq!(with(Class::Pay, to(2, 1457)), [Rule::Twice], "beyond its window");
+    assert_eq!(with(Class::Pay, to(2, 1457)), [Rule::Twice], "after its window");
 }
 
 #[test]
-fn a_refusal_of_what_may_have_run_breaks_rule_two() {
+fn refusing_a_request_that_may_have_run_violates_rule_two() {
     let refused = |f: &mut Facts| {
         (f.requests[0].responses[0].status, f.requests[0].responses[0].body) = (503, String::new())
     };
@@ -181,18 +181,18 @@
 }
 
 #[test]
-fn answers_are_those_that_endpoints_made_for_the_request() {
+fn responses_must_come_from_an_endpoint_for_that_request() {
     assert_eq!(with(Class::Book, |f| f.requests[0].responses[0].body = "other".to_owned()), [Rule::Answer]);
     assert_eq!(with(Class::Book, |f| f.executions.clear()), [Rule::Answer], "served, and never ran");
     assert_eq!(
         with(Class::Book, |f| f.executions[0].response_valid = false),
         [Rule::Answer],
-        "it was spoilt"
+        "its response was corrupted"
     );
 }
 
 #[test]
-fn rule_three_counts_from_the_first_telling() {
+fn rule_three_counts_from_the_first_notice() {
     let notice = |at, ready| EndpointNotice { sidecar: 0, endpoint: 0, at: ms(at), ready };
     let at = |first: u64, notices: Vec<EndpointNotice>| {
         with(Class::Quote, |f| {
@@ -205,12 +205,12 @@
     };
     assert_eq!(at(5050, vec![notice(3000, false)]), []);
     assert_eq!(at(5051, vec![notice(3000, false)]), [Rule::Drain]);
-    assert_eq!(at(5051, vec![notice(3000, false), notice(4000, false)]), [Rule::Drain], "told again");
+    assert_eq!(at(5051, vec![notice(3000, false), notice(4000, false)]), [Rule::Drain], "notified again");
     assert_eq!(at(5051, vec![notice(3000, false), notice(4000, true)]), [], "it is up again");
 }
 
 #[test]
-fn a_drain_that_was_never_heard_counts_once_it_could_have_been() {
+fn an_unreceived_drain_counts_once_it_could_have_been_received() {
     let sent = |first: u64, dark: Option<(u64, u64)>| {
         with(Class::Quote, |f| {
             f.discovery_states = vec![(0, ms(1000), false)];
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn rule_four_sums_the_work_of_a_window() {
+fn rule_four_limits_the_work_within_a_window() {
     // 40% of two cores, twice that, over 1.5 s, with a quarter and 0.2 s of slack: 3.2 s of work at the start.
     let flood = |count: u64, gap: u64| {
         with(Class::Quote, |f| {
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn bad_clients_are_told_and_served_nothing() {
+fn malformed_requests_get_an_error_and_are_not_served() {
     let bad = |behavior, change: &dyn Fn(&mut RequestRecord)| {
         with(Class::Quote, |f| {
             f.attempts.clear();
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn what_is_left_open_is_told() {
+fn leftovers_and_crashes_are_reported() {
     assert_eq!(with(Class::Book, |f| f.leftovers.push("1 request".to_owned())), [Rule::Left]);
     assert_eq!(with(Class::Book, |f| f.crashes.push((0, ms(1), "a panic".to_owned()))), [Rule::Left]);
 }
--- a/crates/sim/tests/sources.rs
+++ b/crates/sim/tests/sources.rs
@@ -1,11 +1,11 @@
-//! Nothing that runs in a virtual world draws the runtime's own random numbers, which no seed sets: a `select!` that is not
-//! biased, and a `watch` channel, whose receivers wake in random order. What is read is the sources.
+//! Checks the sources of simulated code for uses of the runtime's own random numbers, which no seed controls: unbiased
+//! `select!`, and `watch` channels, whose receivers wake in random order.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The crates whose code runs in the worlds.
-const IN_WORLDS: [&str; 16] = [
+/// Crates whose code runs in a simulation.
+const SIMULATED_CRATES: [&str; 16] = [
     "agent",
     "config_delta",
     "controller",
@@ -23,11 +23,11 @@
     "sim",
     "balancer",
 ];
-/// Signals of the system, which no world has: what they wake is not part of a run.
-const SIGNALS: [&str; 2] = ["link/src/environment.rs", "runtrack/src/main.rs"];
+/// Sources that handle OS signals, which simulations do not have.
+const SIGNAL_SOURCES: [&str; 2] = ["link/src/environment.rs", "runtrack/src/main.rs"];
 
-/// Lines of a source that draw such numbers, without comments.
-fn drawing(source: &str) -> Vec<String> {
+/// Lines of a source, without comments, that use such random numbers.
+fn random_uses(source: &str) -> Vec<String> {
     let code: Vec<&str> =
         source.lines().map(|line| line.split("//").next().unwrap_or_default().trim()).collect();
     let draws = |(number, line): (usize, &&str)| {
@@ -48,33 +48,35 @@
 }
 
 #[test]
-fn nothing_in_the_worlds_draws_the_runtimes_random_numbers() {
+fn simulated_code_uses_no_random_numbers_of_the_runtime() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
-    for name in IN_WORLDS {
+    for name in SIMULATED_CRATES {
         let sources = sources_in(&crates.join(name).join("src"));
         assert!(!sources.is_empty(), "crate {name}");
-        for path in sources.iter().filter(|path| !SIGNALS.iter().any(|signals| path.ends_with(signals))) {
-            let found = drawing(&fs::read_to_string(path).expect("a source"));
+        for path in
+            sources.iter().filter(|path| !SIGNAL_SOURCES.iter().any(|signals| path.ends_with(signals)))
+        {
+            let found = random_uses(&fs::read_to_string(path).expect("a source"));
             assert!(found.is_empty(), "{}: {found:?}", path.display());
         }
     }
 }
 
 #[test]
-fn a_channel_or_a_selection_of_random_order_is_seen() {
-    let planted = [
+fn watch_channels_and_unbiased_selects_are_detected() {
+    let unordered = [
         "use tokio::sync::watch;",
         "use tokio::sync::{Notify, watch};",
         "let (sender, receiver) = watch::channel(0);",
         "tokio::select! {\n    () = one() => {}\n}",
         "tokio::select! {\n    // first\n    () = one() => {}\n}",
     ];
-    planted.iter().for_each(|source| assert_eq!(drawing(source).len(), 1, "{source}"));
+    unordered.iter().for_each(|source| assert_eq!(random_uses(source).len(), 1, "{source}"));
 }
 
 #[test]
-fn what_keeps_its_order_is_not_named() {
+fn ordered_constructs_are_not_reported() {
     let orderly = "use tokio::sync::{Notify, mpsc};\ntokio::select! {\n    // the first that is ready\n    biased;\n}\n\
                    // a `tokio::sync::watch` channel\nfn watch() {}";
-    assert_eq!(drawing(orderly), Vec::<String>::new());
+    assert_eq!(random_uses(orderly), Vec::<String>::new());
 }
--- a/crates/sim/tests/support/mod.rs
+++ b/crates/sim/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! What the tests of both simulations share: seeds over two threads, runs in another process, folders of scripts.
+//! Shared by the tests of both simulations: seeds on two threads, runs in another process, folders of scripts.
 
 use serde::de::DeserializeOwned;
 use std::ops::Range;
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Checks each seed, on two threads, as CI has two cores.
+/// Checks each seed, on two threads since CI has two cores.
 pub fn each(seeds: Range<u64>, check: impl Fn(u64) + Sync) {
     let middle = seeds.start + (seeds.end - seeds.start) / 2;
     std::thread::scope(|scope| {
@@ -21,7 +21,7 @@
     text.lines().last().expect("a summary").to_owned()
 }
 
-/// The scripts in a folder of `tests`, with their paths; there is one at least.
+/// The scripts in a folder of `tests`, with their paths; fails if there are none.
 pub fn scripts_in<S: DeserializeOwned>(folder: &str) -> Vec<(PathBuf, S)> {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests").join(folder);
     let mut scripts = Vec::new();
