--- a/crates/control/src/admin.rs
+++ b/crates/control/src/admin.rs
@@ -1,4 +1,4 @@
-//! What people and their tools may ask, as JSON over HTTP on loopback.
+//! The admin interface: JSON over HTTP, on loopback or a Unix socket.
 
 use crate::rollout::Rollout;
 use crate::shared::Shared;
@@ -21,10 +21,10 @@
 use std::time::Duration;
 use tokio::net::UnixListener;
 
-/// A resumption that is not agreed after so long may come to pass yet.
-const RESUME_MOST: Duration = Duration::from_secs(5);
+/// Time to wait for the cluster to commit a resumption; it may still be committed later.
+const RESUME_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Has a roll-out that has halted go on.
+/// Resumes a halted roll-out.
 async fn resume(State(shared): State<Arc<Shared>>) -> StatusCode {
     let halted = {
         let rollout = shared.rollout.lock().unwrap_or_else(PoisonError::into_inner);
@@ -34,7 +34,7 @@
     let Some((serial, stage)) = halted else { return StatusCode::CONFLICT };
     if let Some(cluster) = &shared.cluster {
         let step = RolloutStep { serial, stage, to: RolloutAction::Resume };
-        return match cluster.write("", Command::Rollout(step), RESUME_MOST).await {
+        return match cluster.write("", Command::Rollout(step), RESUME_TIMEOUT).await {
             Ok((_, outcome)) if outcome.is_done() => StatusCode::ACCEPTED,
             Ok(_) => StatusCode::CONFLICT,
             Err(_) => StatusCode::SERVICE_UNAVAILABLE,
@@ -44,15 +44,17 @@
     StatusCode::ACCEPTED
 }
 
-/// Ready is who can serve; in a cluster, who can decide with the others.
+/// Readiness: in a cluster, an instance is ready while it is in touch with a majority.
 async fn ready(State(shared): State<Arc<Shared>>) -> (StatusCode, String) {
     match shared.cluster.as_ref().filter(|handle| !handle.has_majority()) {
-        Some(handle) => (StatusCode::SERVICE_UNAVAILABLE, replicated::trouble_of(&handle.view()) + "\n"),
+        Some(handle) => {
+            (StatusCode::SERVICE_UNAVAILABLE, replicated::describe_trouble(&handle.view()) + "\n")
+        }
         None => (StatusCode::OK, "ready\n".to_owned()),
     }
 }
 
-/// Serves `GET /status`, `GET /ready` and `POST /rollout/resume`, and what a cluster has besides, at an address or a Unix socket.
+/// Serves `GET /status`, `GET /ready`, `POST /rollout/resume` and the routes of a cluster, on a TCP or a Unix listener.
 pub async fn serve<L: Listener<Addr: Debug>>(listener: L, shared: Arc<Shared>) {
     let cluster = shared.cluster.clone().map(cluster::router);
     let router = Router::new()
@@ -66,8 +68,8 @@
     }
 }
 
-/// A Unix socket that nobody but this user may ever connect to: it is made in a folder of this user's alone, and
-/// takes its place, that of an earlier one too, when its own permissions are set.
+/// Binds a Unix socket that only this user can connect to at any time: it is created in a private folder, and renamed
+/// to its path (replacing an earlier socket) once its own permissions are set.
 pub fn bind_socket(at: &Path) -> io::Result<UnixListener> {
     let folder = at.with_extension(format!("new-{}", std::process::id()));
     DirBuilder::new().mode(0o700).create(&folder)?;
@@ -84,7 +86,7 @@
     bound
 }
 
-/// All that the service knows of itself. Times are seconds ago.
+/// The status of the service as JSON. Times are ages in seconds.
 pub fn status(shared: &Shared) -> Value {
     let (hub_now, now) = (shared.hub.now(), shared.clock.now());
     let ago = |at: Duration| hub_now.saturating_sub(at).as_secs_f64();
@@ -99,7 +101,7 @@
         });
         pools.insert(name.clone(), pool);
     }
-    let fleet = shared.core.lock().unwrap_or_else(PoisonError::into_inner).fleet().hash();
+    let fleet = shared.fleet_state.lock().unwrap_or_else(PoisonError::into_inner).fleet().hash();
     let version = shared.version.lock().unwrap_or_else(PoisonError::into_inner).clone();
     let rollout = shared.rollout.lock().unwrap_or_else(PoisonError::into_inner).clone();
     let before = rollout.as_ref().map(|rollout| rollout.progress().from);
@@ -128,12 +130,12 @@
     });
     let newest = shared.hub.newest_line();
     let serial = version.as_ref().map(|version| version.serial);
-    // While a version is rolled out, who does not follow it has the one before.
+    // During a roll-out, proxies outside of the stage have the previous version.
     let serial_of = |line: u64| if line == newest { serial } else { before };
     let proxies: Vec<Value> = shared.hub.streams().iter().map(|stream| {
         let types: Vec<Value> = stream.standings.iter().map(|s| {
             json!({
-                "type": short(s.kind), "wildcard": s.wildcard, "names": s.names,
+                "type": type_name(s.kind), "wildcard": s.wildcard, "names": s.names,
                 "sent": s.sent.as_ref().map(|(version, at)| json!({"version": version, "ago_s": ago(*at)})),
                 "acked": s.acked.as_ref().map(|(version, at)| json!({"version": version, "ago_s": ago(*at)})),
                 "rejected": s.rejected.as_ref().map(|r| {
@@ -156,12 +158,12 @@
         .map(|ended| json!({"node": ended.node, "ago_s": ago(ended.at), "why": ended.why}))
         .collect();
     let (resources, epoch, seq, encodings) = shared.hub.cache(|cache| {
-        let count = |&kind: &Kind| (short(kind).to_owned(), json!(cache.len(kind)));
+        let count = |&kind: &Kind| (type_name(kind).to_owned(), json!(cache.len(kind)));
         let resources: serde_json::Map<String, Value> = Kind::ALL.iter().map(count).collect();
         (resources, cache.epoch(), cache.seq(), cache.encodings())
     });
     let troubles = shared.troubles.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    let cluster = shared.cluster.as_ref().map(cluster::standing);
+    let cluster = shared.cluster.as_ref().map(cluster::status);
     json!({
         "cluster": cluster, "epoch": epoch, "seq": seq, "encodings": encodings, "fleet": fleet,
         "serial": serial, "version": version, "rollout": rollout,
@@ -169,7 +171,7 @@
     })
 }
 
-fn short(kind: Kind) -> &'static str {
+fn type_name(kind: Kind) -> &'static str {
     match kind {
         Kind::Cluster => "cds",
         Kind::Endpoint => "eds",
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -1,14 +1,14 @@
-//! The service: sockets, signals, the clock and the disk round the core.
+//! The main loop of the service: sockets, signals, timers and the state source.
 
-use crate::core::Core;
 use crate::desired::{self, DesiredError};
-use crate::memory::{self, Memory};
+use crate::fleet_state::FleetState;
+use crate::persistence::{self, ListJournal};
 use crate::progress::ProgressFile;
 use crate::replicated::Replicated;
 use crate::settings::{Cluster, Settings, SettingsError};
 use crate::shared::Shared;
 use crate::single_instance::SingleInstance;
-use crate::source::{self, News, Sources};
+use crate::source::{self, SourceUpdate, Sources};
 use crate::{admin, cluster};
 use runtrack_agree::host::{Handle, View};
 use runtrack_discovery::{Clock, Update};
@@ -28,33 +28,33 @@
 use tokio::time::sleep_until;
 use tonic::transport::{Certificate, Identity, Server, ServerTlsConfig};
 
-/// Cold endpoints and doubted lists are looked at this often.
-const TICK: Duration = Duration::from_millis(500);
-/// News taken at once, before anything is published.
-const BATCH: usize = 1024;
-/// A proxy whose machine is gone says nothing: asked this often ...
-const PING: Duration = Duration::from_secs(20);
-/// ... and given up after so long without an answer.
-const PONG: Duration = Duration::from_secs(10);
+/// Interval of checks of warming endpoints, unconfirmed lists, the store and the roll-out.
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of updates that are handled before the next publication.
+const MAX_UPDATE_BATCH: usize = 1024;
+/// Interval of HTTP/2 keepalive pings, which detect proxies whose machine is gone.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(20);
+/// Time without a response to a keepalive ping after which a connection is closed.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Connections of other members at once: a few of each, as one that broke may not have been noticed yet.
-const PEERS_MOST: usize = 256;
+/// Maximum number of connections from other members: several per member, as a broken one may not be detected yet.
+const MAX_PEER_CONNECTIONS: usize = 256;
 
-/// Why the service can't start or go on.
+/// Why the service can't start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// A file is wrong.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// There is no desired state to begin with.
+    /// The desired fleet could not be read at start.
     #[error(transparent)]
     Desired(#[from] DesiredError),
-    /// The system refuses something.
+    /// An operating system call failed.
     #[error("{what}: {why}")]
     System {
-        /// What was wanted.
+        /// The operation.
         what: String,
-        /// The refusal.
+        /// The error.
         why: std::io::Error,
     },
     /// The gRPC server ended.
@@ -69,17 +69,17 @@
 /// Serves until SIGTERM or SIGINT.
 pub async fn serve(path: &Path) -> Result<(), ServeError> {
     let settings = Settings::read(path)?;
-    let mut hup = signal(SignalKind::hangup()).map_err(system("SIGHUP"))?;
-    let mut term = signal(SignalKind::terminate()).map_err(system("SIGTERM"))?;
-    let (shared, mut keeps) = match &settings.cluster {
+    let mut sighup = signal(SignalKind::hangup()).map_err(system("SIGHUP"))?;
+    let mut sigterm = signal(SignalKind::terminate()).map_err(system("SIGTERM"))?;
+    let (shared, mut state_source) = match &settings.cluster {
         Some(cluster) => replicated(cluster, &settings).await?,
         None => single_instance(&settings)?,
     };
     let (hub, clock) = (shared.hub.clone(), shared.clock);
-    let mut agreed = shared.cluster.as_ref().map(Handle::watch);
+    let mut state_changes = shared.cluster.as_ref().map(Handle::watch);
     let listener = TcpListener::bind(settings.listen).await;
     let listener = listener.map_err(system(format!("listen: {}", settings.listen)))?;
-    // The socket first: whoever finds the service at its address finds it there too.
+    // The Unix socket is bound before the service answers on TCP, so that clients find both.
     if let Some(at) = &settings.admin_socket {
         let socket = admin::bind_socket(at).map_err(system(format!("admin_socket: {}", at.display())))?;
         tokio::spawn(admin::serve(socket, shared.clone()));
@@ -88,9 +88,9 @@
         let admin = TcpListener::bind(at).await.map_err(system(format!("admin: {at}")))?;
         tokio::spawn(admin::serve(admin, shared.clone()));
     }
-    let mut server = server(&settings)?;
+    let mut grpc_server = grpc_server(&settings)?;
     let incoming = Incoming::new(listener, settings.limits.connections);
-    let router = server
+    let router = grpc_server
         .add_service(Discovery::<Aggregated>::new(hub.clone()))
         .add_service(Discovery::<Clusters>::new(hub.clone()))
         .add_service(Discovery::<Endpoints>::new(hub.clone()))
@@ -101,55 +101,55 @@
                 .max_decoding_message_size(settings.xds().request_bytes),
         )
         .add_service(ClientStatusDiscoveryServiceServer::new(ClientStatus::new(hub.clone())));
-    let mut serving = tokio::spawn(router.serve_with_incoming(incoming));
+    let mut server_task = tokio::spawn(router.serve_with_incoming(incoming));
 
-    let (told, mut news) = mpsc::unbounded_channel();
-    let wanted = source::follow(hub.cache(|cache| cache.epoch()), told)
+    let (update_sender, mut updates) = mpsc::unbounded_channel();
+    let source_sender = source::spawn(hub.cache(|cache| cache.epoch()), update_sender)
         .map_err(system("a thread for the sources"))?;
-    let _ = wanted.send(keeps.sources());
+    let _ = source_sender.send(state_source.sources());
     let epoch = hub.cache(|cache| cache.epoch());
     eprintln!("serving xDS on {}, epoch {epoch}", settings.listen);
 
     let push_every = settings.push_every();
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     let mut next_push = tokio::time::Instant::now();
-    let mut batch: Vec<News> = Vec::new();
+    let mut batch: Vec<SourceUpdate> = Vec::new();
     loop {
-        let dirty = keeps.is_dirty();
+        let dirty = state_source.is_dirty();
         tokio::select! {
-            taken = news.recv_many(&mut batch, BATCH) => {
+            taken = updates.recv_many(&mut batch, MAX_UPDATE_BATCH) => {
                 if taken == 0 {
-                    return Ok(()); // the sources' thread ends only with the process
+                    return Ok(()); // the sources' thread ends only at exit
                 }
                 let now = clock.now();
-                for News { pool, from, told } in batch.drain(..) {
-                    log(&pool, &told);
-                    keeps.told(now, &pool, from, told);
+                for SourceUpdate { pool, from, update } in batch.drain(..) {
+                    log_failure(&pool, &update);
+                    state_source.handle_update(now, &pool, from, update);
                 }
             }
             () = sleep_until(next_push), if dirty => {
-                if keeps.publish() {
-                    let _ = wanted.send(keeps.sources());
+                if state_source.publish() {
+                    let _ = source_sender.send(state_source.sources());
                 }
                 next_push = tokio::time::Instant::now() + push_every;
             }
             _ = ticks.tick() => {
-                if keeps.tick() {
-                    let _ = wanted.send(keeps.sources());
+                if state_source.tick() {
+                    let _ = source_sender.send(state_source.sources());
                 }
             }
-            () = news_of(&mut agreed) => {} // it is taken with the next push
-            () = shared.resume.notified() => keeps.resume(),
-            _ = hup.recv() => {
-                keeps.reload();
-                let _ = wanted.send(keeps.sources());
+            () = state_change(&mut state_changes) => {} // applied with the next push
+            () = shared.resume.notified() => state_source.resume(),
+            _ = sighup.recv() => {
+                state_source.reload();
+                let _ = source_sender.send(state_source.sources());
             }
-            _ = term.recv() => {
-                eprintln!("SIGTERM: proxies keep what they have");
+            _ = sigterm.recv() => {
+                eprintln!("SIGTERM: shutting down; proxies keep their last state");
                 return Ok(());
             }
             _ = tokio::signal::ctrl_c() => return Ok(()),
-            ended = &mut serving => {
+            ended = &mut server_task => {
                 return match ended {
                     Ok(ended) => Ok(ended?),
                     Err(e) => Err(system("the xDS server")(e.into())),
@@ -159,13 +159,13 @@
     }
 }
 
-/// Waits until something more is agreed; for ever, where this instance is alone.
-async fn news_of(agreed: &mut Option<watch::Receiver<Arc<View>>>) {
-    let heard = match agreed {
-        Some(agreed) => agreed.changed().await.is_ok(),
+/// Waits until the committed state changes; never returns for a single instance.
+async fn state_change(state_changes: &mut Option<watch::Receiver<Arc<View>>>) {
+    let changed = match state_changes {
+        Some(state_changes) => state_changes.changed().await.is_ok(),
         None => false,
     };
-    if !heard {
+    if !changed {
         std::future::pending().await
     }
 }
@@ -174,7 +174,7 @@
     let (now, epoch) = (clock.now(), hub.cache(|cache| cache.epoch()));
     Arc::new(Shared {
         hub,
-        core: Mutex::new(Core::new(Fleet::default(), BTreeMap::new(), epoch, now)),
+        fleet_state: Mutex::new(FleetState::new(Fleet::default(), BTreeMap::new(), epoch, now)),
         pools: Mutex::default(),
         version: Mutex::default(),
         rollout: Mutex::default(),
@@ -185,45 +185,57 @@
     })
 }
 
-/// One instance for itself, whose desired state comes from a file or a store.
+/// Sets up a single instance, with the desired fleet from a file or a store.
 fn single_instance(settings: &Settings) -> Result<(Arc<Shared>, StateSource), ServeError> {
-    let from = desired::Origin::settings(settings);
+    let from = desired::Origin::from_settings(settings);
     let desired = from.read()?;
-    let (epoch, memory, held) = match &settings.state {
+    let (epoch, journal, held) = match &settings.state {
         Some(folder) => {
-            let (memory, held) = Memory::open(folder).map_err(system(folder.display().to_string()))?;
-            let epoch = memory::next_epoch(folder).map_err(system(folder.display().to_string()))?;
-            (epoch, Some(memory), held)
+            let (journal, held) =
+                ListJournal::open(folder).map_err(system(folder.display().to_string()))?;
+            let epoch = persistence::next_epoch(folder).map_err(system(folder.display().to_string()))?;
+            (epoch, Some(journal), held)
         }
-        None => (memory::clock_epoch(), None, BTreeMap::new()),
+        None => (persistence::clock_epoch(), None, BTreeMap::new()),
     };
     let shared = shared(Hub::new(epoch, settings.xds()), Clock::start(), None);
     let progress = settings.state.as_deref().map(ProgressFile::new);
     let tolerance = settings.rollouts.tolerance();
-    let mut instance = SingleInstance::new(shared.clone(), from, memory, progress, epoch, tolerance);
+    let mut instance = SingleInstance::new(shared.clone(), from, journal, progress, epoch, tolerance);
     instance.start(desired, held);
     Ok((shared, StateSource::SingleInstance(Box::new(instance))))
 }
 
-/// One instance of a cluster. What is desired comes from what is agreed.
-async fn replicated(of: &Cluster, settings: &Settings) -> Result<(Arc<Shared>, StateSource), ServeError> {
-    let (handle, peers) = cluster::start(of, settings).map_err(system(of.member.display().to_string()))?;
-    let listener = TcpListener::bind(of.listen).await.map_err(system(format!("cluster: {}", of.listen)))?;
-    let router = server(settings)?.add_service(peers);
-    let incoming = Incoming::new(listener, PEERS_MOST);
+/// Sets up a cluster member, with the desired fleet from the committed state.
+async fn replicated(
+    cluster_settings: &Cluster,
+    settings: &Settings,
+) -> Result<(Arc<Shared>, StateSource), ServeError> {
+    let (handle, peers) = cluster::start(cluster_settings, settings)
+        .map_err(system(cluster_settings.member.display().to_string()))?;
+    let listener = TcpListener::bind(cluster_settings.listen)
+        .await
+        .map_err(system(format!("cluster: {}", cluster_settings.listen)))?;
+    let router = grpc_server(settings)?.add_service(peers);
+    let incoming = Incoming::new(listener, MAX_PEER_CONNECTIONS);
     tokio::spawn(async move {
         if let Err(problem) = router.serve_with_incoming(incoming).await {
             eprintln!("cluster: {problem}");
         }
     });
     let shared = shared(Hub::new(0, settings.xds()), Clock::start(), Some(handle.clone()));
-    let seed = memory::clock_epoch();
-    let replicated =
-        Replicated::new(shared.clone(), handle, &of.member, seed, settings.rollouts.tolerance());
+    let seed = persistence::clock_epoch();
+    let replicated = Replicated::new(
+        shared.clone(),
+        handle,
+        &cluster_settings.member,
+        seed,
+        settings.rollouts.tolerance(),
+    );
     Ok((shared, StateSource::Replicated(Box::new(replicated))))
 }
 
-/// What keeps what is served in step with what is desired.
+/// The source of the served state.
 enum StateSource {
     SingleInstance(Box<SingleInstance>),
     Replicated(Box<Replicated>),
@@ -244,14 +256,14 @@
         }
     }
 
-    fn told(&mut self, now: Duration, pool: &str, from: SocketAddr, told: Update) {
+    fn handle_update(&mut self, now: Duration, pool: &str, from: SocketAddr, update: Update) {
         match self {
-            StateSource::SingleInstance(instance) => instance.told(now, pool, from, told),
-            StateSource::Replicated(replicated) => replicated.told(now, pool, from, told),
+            StateSource::SingleInstance(instance) => instance.handle_update(now, pool, from, update),
+            StateSource::Replicated(replicated) => replicated.handle_update(now, pool, from, update),
         }
     }
 
-    /// Says whether the sources may have changed.
+    /// Returns whether the sources may have changed.
     fn tick(&mut self) -> bool {
         match self {
             StateSource::SingleInstance(instance) => instance.tick(),
@@ -259,7 +271,7 @@
         }
     }
 
-    /// Says whether the sources may have changed.
+    /// Returns whether the sources may have changed.
     fn publish(&mut self) -> bool {
         match self {
             StateSource::SingleInstance(instance) => {
@@ -272,22 +284,24 @@
 
     fn resume(&mut self) {
         if let StateSource::SingleInstance(instance) = self {
-            instance.resume(); // in a cluster it is agreed first
+            instance.resume(); // a cluster commits the resumption first
         }
     }
 
     fn reload(&mut self) {
         match self {
             StateSource::SingleInstance(instance) => drop(instance.reload()),
-            StateSource::Replicated(_) => eprintln!("SIGHUP: in a cluster there is no file to read again"),
+            StateSource::Replicated(_) => {
+                eprintln!("SIGHUP ignored: a cluster member has no fleet file to reload")
+            }
         }
     }
 }
 
-fn server(settings: &Settings) -> Result<Server, ServeError> {
-    let mut server = Server::builder()
-        .http2_keepalive_interval(Some(PING))
-        .http2_keepalive_timeout(Some(PONG))
+fn grpc_server(settings: &Settings) -> Result<Server, ServeError> {
+    let mut grpc_server = Server::builder()
+        .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
+        .http2_keepalive_timeout(Some(KEEPALIVE_TIMEOUT))
         .max_concurrent_streams(settings.xds().streams_of_connection);
     if let Some(tls) = &settings.tls {
         let read = |path: &PathBuf| std::fs::read(path).map_err(system(path.display().to_string()));
@@ -296,13 +310,13 @@
         if let Some(ca) = &tls.client_ca {
             config = config.client_ca_root(Certificate::from_pem(read(ca)?));
         }
-        server = server.tls_config(config)?;
+        grpc_server = grpc_server.tls_config(config)?;
     }
-    Ok(server)
+    Ok(grpc_server)
 }
 
-fn log(pool: &str, told: &Update) {
-    if let Update::Failed(why) = told {
-        eprintln!("pool {pool}: discovery: {why}; its last list stands");
+fn log_failure(pool: &str, update: &Update) {
+    if let Update::Failed(why) = update {
+        eprintln!("pool {pool}: discovery: {why}; keeping its last list");
     }
 }
--- a/crates/sim/src/agreement/faults.rs
+++ b/crates/sim/src/agreement/faults.rs
@@ -17,9 +17,9 @@
             }
             FaultKind::Crash(place) => self.crash(self.member_at(place), until),
             FaultKind::DiskFull(place, operations) | FaultKind::DiskCut(place, operations) => {
-                let (place, dead) = (self.member_at(place), matches!(fault.what, FaultKind::DiskCut(..)));
-                let disk = &self.disks[&place];
-                disk.fail(Some((disk.done() + operations as usize, dead)));
+                let (member, dead) = (self.member_at(place), matches!(fault.what, FaultKind::DiskCut(..)));
+                let disk = &self.disks[&member];
+                disk.fail_at(Some((disk.operations() + operations as usize, dead)));
             }
             FaultKind::Stall(place) => drop(self.stalled.insert(self.member_at(place), until)),
             FaultKind::Remove(place) if self.members.len() > 3 => {
--- a/crates/sim/src/agreement/recovery.rs
+++ b/crates/sim/src/agreement/recovery.rs
@@ -30,7 +30,7 @@
         self.active_faults.clear();
         self.stalled.clear();
         self.powered_off.values_mut().for_each(|until| *until = 0);
-        self.disks.values().for_each(|disk| disk.fail(None));
+        self.disks.values().for_each(|disk| disk.fail_at(None));
     }
 
     /// Continues pending writes and returns how many remain.
--- a/crates/sim/src/agreement/turn.rs
+++ b/crates/sim/src/agreement/turn.rs
@@ -85,7 +85,7 @@
     /// Handles a failure of a member's disk: power loss or a restart of the process.
     fn on_disk_failed(&mut self, member: MemberId) {
         let disk = self.disks[&member].clone();
-        disk.fail(None);
+        disk.fail_at(None);
         if self.draw_below(2) == 0 {
             return self.crash(member, self.now + REOPEN_TICKS);
         }
--- a/crates/sim/src/agreement/world.rs
+++ b/crates/sim/src/agreement/world.rs
@@ -135,7 +135,7 @@
             }
             Err(NodeError::Disk(DiskError::File { .. })) => {
                 // The disk is full or failed during the opening.
-                self.disks[&member].fail(None);
+                self.disks[&member].fail_at(None);
                 self.crash(member, self.now + REOPEN_TICKS);
             }
             Err(problem) => self.report_violation(Rule::Folder, format!("{member}: {problem}")),
@@ -170,7 +170,7 @@
 
     pub(super) fn crash(&mut self, member: MemberId, until: u64) {
         self.nodes.remove(&member);
-        let left = self.disks[&member].after_cut(&mut self.draws);
+        let left = self.disks[&member].after_power_loss(&mut self.draws);
         self.disks.insert(member, left);
         self.in_flight.retain(|_, message| message.to != member);
         self.accepted_changes.remove(&member);
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -66,9 +66,9 @@
     /// Simulate a cluster of control instances instead of the sidecar.
     #[command(subcommand)]
     Cluster(Cluster),
-    /// The fleet's controllers and agents, in place of the sidecar.
+    /// Simulate the fleet's controllers and agents instead of the sidecar.
     #[command(subcommand)]
-    Fleet(fleet::command::Fleet),
+    Fleet(fleet::command::Command),
     /// Enable each mutant in turn; count the seeds until it is found and the lines of its minimized script.
     Mutants(MutantArgs),
 }
@@ -133,7 +133,7 @@
 
 /// All mutants, with their effects.
 fn known_mutants() -> impl Iterator<Item = (&'static str, &'static str)> {
-    let of_fleet = fleet::MUTANTS.iter().map(|mutant| (mutant.name, mutant.what));
+    let of_fleet = fleet::MUTANTS.iter().map(|mutant| (mutant.name, mutant.effect));
     mutants::SIDECAR_MUTANTS.into_iter().chain(agreement::MUTANTS).chain(of_fleet)
 }
 
@@ -173,7 +173,7 @@
             report(&outcome)
         }),
         Command::Cluster(ask) => run_cluster_command(ask, mutant),
-        Command::Fleet(verb) => fleet::command::carry_out(verb, mutant),
+        Command::Fleet(verb) => fleet::command::execute(verb, mutant),
         Command::Mutants(starts) => Ok(measure_sidecar_mutants(starts)),
     };
     done.unwrap_or_else(|problem| {
