--- a/crates/sim/src/agreement/script.rs
+++ b/crates/sim/src/agreement/script.rs
@@ -1,98 +1,98 @@
-//! A run as data, and the run that a seed draws.
+//! Script of a run, and its generation from a seed.
 
 use super::{ENDPOINTS, PROXIES};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
 
-/// A run as data. Times are in ticks.
+/// The script of a run. Times are in ticks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Of every draw that the script leaves open.
+    /// Seed of everything the script leaves open.
     pub seed: u64,
-    /// Members at the start.
+    /// Number of members at the start.
     pub members: u64,
-    /// How long before everything is healed.
+    /// Duration until all faults end.
     pub lasts: u64,
-    /// A message takes from one to so many ticks.
+    /// Highest message delay; the lowest is one tick.
     pub late: u64,
-    /// What goes wrong, and what people do.
+    /// Faults and operator actions.
     pub faults: Vec<Fault>,
 }
 
-/// Something that happens at a tick, and may last.
+/// A fault or operator action.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When.
+    /// Its start.
     pub at: u64,
-    /// For how long.
+    /// Its duration.
     pub lasts: u64,
-    /// What.
-    pub what: What,
+    /// Its kind.
+    pub what: FaultKind,
 }
 
-/// What happens. Members are named by their place among those there are then; 99: whoever leads.
+/// Kind of a fault. Members are given by their position among the current members; 99 is the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
-    /// It is cut off from all others.
+pub enum FaultKind {
+    /// A member is partitioned from all others.
     Cut(u64),
-    /// What it sends is lost.
+    /// A member's outgoing messages are lost.
     Mute(u64),
-    /// What is sent to it is lost.
+    /// A member's incoming messages are lost.
     Deaf(u64),
-    /// Of a hundred messages so many are lost, everywhere.
+    /// This percentage of all messages is lost.
     Lossy(u64),
-    /// Its power goes, with what was not synced.
+    /// A member loses power, and with it unsynced data.
     Crash(u64),
-    /// An operation of its disk fails, so many from now.
+    /// A member's disk fails after this many further operations.
     DiskFull(u64, u64),
-    /// Its disk is cut off in the middle of an operation, so many from now, and its power goes.
+    /// A member loses power in the middle of a disk operation, after this many further ones.
     DiskCut(u64, u64),
-    /// It stops, and goes on with what it believed.
+    /// A member is paused, and continues with its old state.
     Stall(u64),
-    /// Whoever has given a vote loses its power at once, every other time.
+    /// A member that has granted a vote loses power at once, with a probability of one half.
     Flicker,
     /// A member is removed.
     Remove(u64),
-    /// A member is added, and promoted once it has caught up.
+    /// A member is added, and promoted once its folder is known.
     Add,
-    /// Leadership is handed over.
+    /// Leadership is transferred to a member.
     Transfer(u64),
     /// An endpoint drains.
     Drain(u64),
-    /// It hears nothing of discovery.
+    /// A member gets no news of discovery.
     Blind(u64),
-    /// A proxy goes over to a member.
+    /// A proxy moves its session to a member.
     Move(usize, u64),
 }
 
-impl What {
-    /// The kind, for what came together with what.
+impl FaultKind {
+    /// Name of the kind, for statistics of combinations.
     pub fn kind(&self) -> &'static str {
         match self {
-            What::Cut(_) => "cut",
-            What::Mute(_) => "mute",
-            What::Deaf(_) => "deaf",
-            What::Lossy(_) => "lossy",
-            What::Crash(_) => "crash",
-            What::DiskFull(..) => "disk full",
-            What::DiskCut(..) => "disk cut",
-            What::Stall(_) => "stall",
-            What::Flicker => "flicker",
-            What::Remove(_) => "remove",
-            What::Add => "add",
-            What::Transfer(_) => "transfer",
-            What::Drain(_) => "drain",
-            What::Blind(_) => "blind",
-            What::Move(..) => "move",
+            FaultKind::Cut(_) => "cut",
+            FaultKind::Mute(_) => "mute",
+            FaultKind::Deaf(_) => "deaf",
+            FaultKind::Lossy(_) => "lossy",
+            FaultKind::Crash(_) => "crash",
+            FaultKind::DiskFull(..) => "disk full",
+            FaultKind::DiskCut(..) => "disk cut",
+            FaultKind::Stall(_) => "stall",
+            FaultKind::Flicker => "flicker",
+            FaultKind::Remove(_) => "remove",
+            FaultKind::Add => "add",
+            FaultKind::Transfer(_) => "transfer",
+            FaultKind::Drain(_) => "drain",
+            FaultKind::Blind(_) => "blind",
+            FaultKind::Move(..) => "move",
         }
     }
 }
 
-/// The run of a seed.
+/// Generates the script of a seed.
 pub fn script(seed: u64) -> Script {
     let mut draws = Pcg32::seed_from_u64(seed ^ 0xa9ee);
     let mut below = |most: u64| u64::from(draws.next_u32()) % most.max(1);
@@ -101,33 +101,37 @@
     let late = 1 + below(4);
     let mut faults = Vec::new();
     for _ in 0..2 + below(5) {
-        let who = if below(2) == 0 { 99 } else { below(members) };
+        let place = if below(2) == 0 { 99 } else { below(members) };
         let what = match below(18) {
-            0 | 1 => What::Cut(who),
-            2 => What::Mute(who),
-            3 => What::Deaf(who),
-            4 => What::Lossy(5 + below(40)),
-            5..=7 => What::Crash(who),
-            8 => What::DiskFull(who, below(12)),
-            9 | 10 => What::DiskCut(who, below(12)),
-            11 | 12 => What::Stall(who),
-            13 => What::Remove(below(members)),
-            14 => What::Add,
-            15 => What::Transfer(below(members)),
-            _ => What::Blind(who),
+            0 | 1 => FaultKind::Cut(place),
+            2 => FaultKind::Mute(place),
+            3 => FaultKind::Deaf(place),
+            4 => FaultKind::Lossy(5 + below(40)),
+            5..=7 => FaultKind::Crash(place),
+            8 => FaultKind::DiskFull(place, below(12)),
+            9 | 10 => FaultKind::DiskCut(place, below(12)),
+            11 | 12 => FaultKind::Stall(place),
+            13 => FaultKind::Remove(below(members)),
+            14 => FaultKind::Add,
+            15 => FaultKind::Transfer(below(members)),
+            _ => FaultKind::Blind(place),
         };
         faults.push(Fault { at: 20 + below(lasts - 40), lasts: 10 + below(120), what });
     }
     if below(3) == 0 {
         let at = 20 + below(lasts - 40);
-        faults.push(Fault { at, lasts: 60 + below(120), what: What::Flicker });
-        faults.push(Fault { at: at + 5, lasts: 40, what: What::Cut(99) });
+        faults.push(Fault { at, lasts: 60 + below(120), what: FaultKind::Flicker });
+        faults.push(Fault { at: at + 5, lasts: 40, what: FaultKind::Cut(99) });
     }
     for _ in 0..1 + below(3) {
-        faults.push(Fault { at: 20 + below(lasts - 40), lasts: 0, what: What::Drain(below(ENDPOINTS)) });
+        faults.push(Fault {
+            at: 20 + below(lasts - 40),
+            lasts: 0,
+            what: FaultKind::Drain(below(ENDPOINTS)),
+        });
     }
     for _ in 0..below(4) {
-        let what = What::Move(below(PROXIES as u64) as usize, below(members));
+        let what = FaultKind::Move(below(PROXIES as u64) as usize, below(members));
         faults.push(Fault { at: 20 + below(lasts - 40), lasts: 0, what });
     }
     faults.sort_by_key(|fault| fault.at);
--- a/crates/sim/src/shrink.rs
+++ b/crates/sim/src/shrink.rs
@@ -1,31 +1,31 @@
-//! Makes a script that breaks a rule small: fewer faults, fewer requests, shorter and rounder times, with the same rule
-//! still broken (delta debugging, Zeller and Hildebrandt 2002).
+//! Minimizes a script that violates a rule: fewer faults and requests, shorter and rounder times, while the same rule is
+//! still violated (delta debugging, Zeller and Hildebrandt 2002).
 
 use crate::oracle::Rule;
 use crate::run::run;
 use crate::script::Script;
 
-/// Runs at most: enough for hundreds of requests, and an end in any case.
-const RUNS_MOST: usize = 3_000;
+/// Most runs: enough for scripts with hundreds of requests, and a bound in any case.
+const MAX_RUNS: usize = 3_000;
 
-/// The smaller script, and how many runs that took.
+/// Returns the minimized script and the number of runs.
 pub fn shrink(script: &Script, rule: Rule, mut progress: impl FnMut(usize)) -> (Script, usize) {
     let mut runs = 0;
     let mut breaks = |candidate: &Script| {
         runs += 1;
-        runs <= RUNS_MOST && run(candidate, false).breaches.iter().any(|breach| breach.rule == rule)
+        runs <= MAX_RUNS && run(candidate, false).violations.iter().any(|breach| breach.rule == rule)
     };
     let mut best = script.clone();
     loop {
         let before = best.clone();
         best = minimize_list(best, |s| &mut s.faults, &mut breaks);
         best = minimize_list(best, |s| &mut s.asks, &mut breaks);
-        for simpler in simpler(&best) {
+        for simpler in simplifications(&best) {
             if breaks(&simpler) {
                 best = simpler;
             }
         }
-        best = rounder(best, &mut breaks);
+        best = round_times(best, &mut breaks);
         progress(best.asks.len() + best.faults.len());
         if best == before {
             return (best, runs);
@@ -33,7 +33,7 @@
     }
 }
 
-/// Leaves out parts of a script's list, large ones first, for as long as what is left still breaks the rule.
+/// Removes parts of one list of a script, large ones first, as long as the rest still violates the rule.
 pub fn minimize_list<S: Clone, T>(
     mut best: S,
     list: impl Fn(&mut S) -> &mut Vec<T>,
@@ -44,8 +44,8 @@
         let mut at = 0;
         while at < list(&mut best).len() {
             let mut candidate = best.clone();
-            let held = list(&mut candidate);
-            held.drain(at..(at + part).min(held.len()));
+            let items = list(&mut candidate);
+            items.drain(at..(at + part).min(items.len()));
             match breaks(&candidate) {
                 true => best = candidate,
                 false => at += part,
@@ -56,8 +56,8 @@
     best
 }
 
-/// Scripts that differ in one setting, each simpler.
-fn simpler(script: &Script) -> Vec<Script> {
+/// Variants of the script with one setting simplified.
+fn simplifications(script: &Script) -> Vec<Script> {
     let with = |change: &dyn Fn(&mut Script)| {
         let mut changed = script.clone();
         change(&mut changed);
@@ -73,12 +73,12 @@
     candidates.into_iter().filter(|candidate| candidate != script).collect()
 }
 
-/// Times in whole tenths of a second, as early as they go.
-fn rounder(mut best: Script, breaks: &mut impl FnMut(&Script) -> bool) -> Script {
+/// Rounds times down to whole seconds, or else tenths, where the rule stays violated.
+fn round_times(mut best: Script, breaks: &mut impl FnMut(&Script) -> bool) -> Script {
     for n in 0..best.faults.len() {
         for unit in [1_000, 100] {
             let mut candidate = best.clone();
-            let (at, lasts) = candidate.faults[n].times();
+            let (at, lasts) = candidate.faults[n].timing_mut();
             *at -= *at % unit;
             if let Some(lasts) = lasts {
                 *lasts = (*lasts / unit).max(1) * unit;
