--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -22,7 +22,7 @@
 
 /// A fleet from its file.
 fn fleet(file: &Path) -> Result<Fleet, Failure> {
-    Fleet::read(&read(file)?).map_err(|problems| {
+    Fleet::from_toml(&read(file)?).map_err(|problems| {
         let lines: Vec<String> =
             problems.to_string().lines().map(|line| format!("{}:{line}", file.display())).collect();
         Failure::Fleet(lines.join("\n"))
@@ -179,7 +179,7 @@
         let entry =
             CommitInfo { author: &self.author, reason: &reason, at_ms: now_ms(), ..CommitInfo::default() };
         let (Applied::Now(serial) | Applied::Before(serial)) =
-            store.commit(version.serial, &before.canonical(), entry)?;
+            store.commit(version.serial, &before.to_canonical_json(), entry)?;
         println!("serial {serial}: as serial {} was, for all proxies at once", version.serial - 1);
         Ok(0)
     }
@@ -223,7 +223,7 @@
     /// `state export`.
     pub fn export(&self, serial: Option<u64>, out: Option<&Path>) -> Done {
         let store = self.open()?;
-        let text = current(&*store, serial.unwrap_or(store.serial()))?.canonical();
+        let text = current(&*store, serial.unwrap_or(store.serial()))?.to_canonical_json();
         match out {
             Some(out) => std::fs::write(out, text).map_err(Failure::file(out))?,
             None => println!("{text}"),
@@ -233,7 +233,7 @@
 
     /// `state import`.
     pub fn import(&self, file: &Path) -> Done {
-        let fleet = Fleet::from_canonical(&read(file)?)
+        let fleet = Fleet::from_canonical_json(&read(file)?)
             .map_err(|problem| Failure::Fleet(format!("{}: {problem}", file.display())))?;
         let (_lock, mut store) = self.open_locked()?;
         if store.serial() > 0 {
@@ -245,7 +245,7 @@
         let entry =
             CommitInfo { author: &self.author, reason: &reason, at_ms: now_ms(), ..CommitInfo::default() };
         let (Applied::Now(serial) | Applied::Before(serial)) =
-            store.commit(0, &fleet.canonical(), entry)?;
+            store.commit(0, &fleet.to_canonical_json(), entry)?;
         println!("serial {serial}: {}", fleet.hash());
         Ok(0)
     }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -68,7 +68,8 @@
 pub fn kills(folder: &Path, rounds: usize, pools: usize, seed: u64) -> (usize, usize) {
     let mut draws = Pcg32::seed_from_u64(seed);
     assert_eq!(code(&ctl(folder, &["init"])), 0);
-    let fleets = [fleet(pools, 100), fleet(pools, 200)].map(|text| Fleet::read(&text).expect("a fleet"));
+    let fleets =
+        [fleet(pools, 100), fleet(pools, 200)].map(|text| Fleet::from_toml(&text).expect("a fleet"));
     let plan = |which: usize| {
         let store = open(folder);
         let request = Request {
--- a/crates/control/src/admin.rs
+++ b/crates/control/src/admin.rs
@@ -10,7 +10,7 @@
 use axum::{Json, Router};
 use runtrack_agree::Command;
 use runtrack_agree::command::{RolloutAction, RolloutStep};
-use runtrack_xds::{Kind, Tally};
+use runtrack_xds::{RequestCounts, ResourceType};
 use serde_json::{Value, json};
 use std::fmt::Debug;
 use std::fs::{DirBuilder, Permissions};
@@ -113,11 +113,11 @@
         })
     });
     let loads = shared.hub.loads(|loads| {
-        let tally = |tally: Tally| json!({"ended": tally.ended, "failed": tally.failed});
+        let tally = |tally: RequestCounts| json!({"ended": tally.ended, "failed": tally.failed});
         let recent: serde_json::Map<String, Value> =
             loads.recent(hub_now).map(|(pool, sum)| (pool.to_owned(), tally(sum))).collect();
         let compared: serde_json::Map<String, Value> = loads
-            .compared()
+            .rollout_comparisons()
             .map(|(pool, sides)| {
                 let sides = json!({
                     "with": tally(sides.with), "without": tally(sides.without), "before": tally(sides.before),
@@ -125,15 +125,15 @@
                 (pool.to_owned(), sides)
             })
             .collect();
-        let (reports, unknown) = loads.taken();
+        let (reports, unknown) = loads.report_counts();
         json!({"reports": reports, "unknown_pools": unknown, "recent": recent, "rollout": compared})
     });
-    let newest = shared.hub.newest_line();
+    let newest = shared.hub.newest_version_id();
     let serial = version.as_ref().map(|version| version.serial);
     // During a roll-out, proxies outside of the stage have the previous version.
     let serial_of = |line: u64| if line == newest { serial } else { before };
     let proxies: Vec<Value> = shared.hub.streams().iter().map(|stream| {
-        let types: Vec<Value> = stream.standings.iter().map(|s| {
+        let types: Vec<Value> = stream.type_statuses.iter().map(|s| {
             json!({
                 "type": type_name(s.kind), "wildcard": s.wildcard, "names": s.names,
                 "sent": s.sent.as_ref().map(|(version, at)| json!({"version": version, "ago_s": ago(*at)})),
@@ -147,7 +147,7 @@
         }).collect();
         json!({
             "node": stream.node, "cluster": stream.cluster, "zone": stream.zone,
-            "serial": serial_of(stream.line), "incremental": stream.incremental, "for_s": ago(stream.since), "requests": stream.requests,
+            "serial": serial_of(stream.version_id), "incremental": stream.incremental, "for_s": ago(stream.since), "requests": stream.requests,
             "responses": stream.responses, "bytes": stream.bytes, "types": types,
         })
     }).collect();
@@ -158,8 +158,8 @@
         .map(|ended| json!({"node": ended.node, "ago_s": ago(ended.at), "why": ended.why}))
         .collect();
     let (resources, epoch, seq, encodings) = shared.hub.cache(|cache| {
-        let count = |&kind: &Kind| (type_name(kind).to_owned(), json!(cache.len(kind)));
-        let resources: serde_json::Map<String, Value> = Kind::ALL.iter().map(count).collect();
+        let count = |&kind: &ResourceType| (type_name(kind).to_owned(), json!(cache.len(kind)));
+        let resources: serde_json::Map<String, Value> = ResourceType::ALL.iter().map(count).collect();
         (resources, cache.epoch(), cache.seq(), cache.encodings())
     });
     let troubles = shared.troubles.lock().unwrap_or_else(PoisonError::into_inner).clone();
@@ -171,11 +171,11 @@
     })
 }
 
-fn type_name(kind: Kind) -> &'static str {
+fn type_name(kind: ResourceType) -> &'static str {
     match kind {
-        Kind::Cluster => "cds",
-        Kind::Endpoint => "eds",
-        Kind::Listener => "lds",
-        Kind::Route => "rds",
+        ResourceType::Cluster => "cds",
+        ResourceType::Endpoint => "eds",
+        ResourceType::Listener => "lds",
+        ResourceType::Route => "rds",
     }
 }
--- a/crates/control/src/desired.rs
+++ b/crates/control/src/desired.rs
@@ -63,7 +63,7 @@
     pub fn fleet_of(&self, serial: u64) -> Option<Fleet> {
         let Origin::Store(path) = self else { return None };
         let text = open(path).ok()?.text(serial).ok()?;
-        Fleet::from_canonical(&text).ok()
+        Fleet::from_canonical_json(&text).ok()
     }
 
     /// The serial at the head of the store; none for a file. Cheap enough to be polled twice a second.
@@ -77,7 +77,7 @@
 
 fn read_file(path: &Path) -> Result<Fleet, SettingsError> {
     let text = std::fs::read_to_string(path).map_err(|e| SettingsError::Unreadable(path.to_owned(), e))?;
-    Fleet::read(&text).map_err(|problems| {
+    Fleet::from_toml(&text).map_err(|problems| {
         let lines: Vec<String> = problems.to_string().lines().map(str::to_owned).collect();
         SettingsError::Invalid(path.to_owned(), lines.join(&format!("\n{}:", path.display())))
     })
@@ -98,7 +98,7 @@
         return Ok(Desired { fleet: Fleet::default(), version: None });
     };
     let text = store.text(version.serial).map_err(|e| DesiredError::Store(path.to_owned(), e))?;
-    let fleet = Fleet::from_canonical(&text)
+    let fleet = Fleet::from_canonical_json(&text)
         .map_err(|problem| DesiredError::InvalidFleet(path.to_owned(), version.serial, problem))?;
     Ok(Desired { fleet, version: Some(version) })
 }
--- a/crates/control/src/error_rate.rs
+++ b/crates/control/src/error_rate.rs
@@ -5,7 +5,7 @@
 //! pool that always failed more on one side must not halt it, and the last stage, which has no proxies without the
 //! version, still has a baseline). A pool without either baseline, a new one, is compared with all pools together.
 
-use runtrack_xds::{Compared, Tally};
+use runtrack_xds::{RequestCounts, RolloutComparison};
 
 /// Sample size below which a pool is not judged.
 const MIN_REQUESTS: u64 = 100;
@@ -30,17 +30,18 @@
 
 /// Describes the pool with the greatest increase of its error rate beyond the tolerance; none if there is none.
 pub fn failing<'a>(
-    pools: impl Iterator<Item = (&'a str, Compared)>,
+    pools: impl Iterator<Item = (&'a str, RolloutComparison)>,
     tolerance: Tolerance,
 ) -> Option<String> {
-    let pools: Vec<(&str, Compared)> = pools.collect();
-    let all =
-        pools.iter().fold(Tally::default(), |sum, (_, pool)| sum.plus(pool.without).plus(pool.before));
+    let pools: Vec<(&str, RolloutComparison)> = pools.collect();
+    let all = pools
+        .iter()
+        .fold(RequestCounts::default(), |sum, (_, pool)| sum.plus(pool.without).plus(pool.before));
     let increases = pools.iter().filter_map(|(name, pool)| {
         let baselines = [(pool.without, "without it"), (pool.before, "before it")];
         let baselines = baselines.into_iter().filter(|(tally, _)| tally.ended >= MIN_REQUESTS);
         let (baseline, baseline_name) = baselines
-            .max_by(|(a, _), (b, _)| a.share().unwrap_or(0.0).total_cmp(&b.share().unwrap_or(0.0)))
+            .max_by(|(a, _), (b, _)| a.fail_rate().unwrap_or(0.0).total_cmp(&b.fail_rate().unwrap_or(0.0)))
             .or((all.ended >= MIN_REQUESTS).then_some((all, "in all pools without it")))?;
         let rise = rise(pool.with, baseline, tolerance)?;
         Some((rise, name, pool.with, baseline, baseline_name))
@@ -54,31 +55,31 @@
 }
 
 /// The increase of the share of failures, if it exceeds the tolerance and is significant.
-fn rise(with: Tally, baseline: Tally, tolerance: Tolerance) -> Option<f64> {
+fn rise(with: RequestCounts, baseline: RequestCounts, tolerance: Tolerance) -> Option<f64> {
     if with.ended < MIN_REQUESTS || with.failed < MIN_FAILURES {
         return None;
     }
-    let rise = with.share()? - baseline.share()?;
-    let pooled_share = with.plus(baseline).share()?;
+    let rise = with.fail_rate()? - baseline.fail_rate()?;
+    let pooled_share = with.plus(baseline).fail_rate()?;
     let inverse_counts = 1.0 / with.ended as f64 + 1.0 / baseline.ended as f64;
     let standard_error = (pooled_share * (1.0 - pooled_share) * inverse_counts).sqrt();
     (rise > tolerance.rise && rise > MIN_STANDARD_ERRORS * standard_error).then_some(rise)
 }
 
-fn format_share(tally: Tally) -> String {
-    format!("{:.1}% of {}", tally.share().unwrap_or_default() * 100.0, tally.ended)
+fn format_share(tally: RequestCounts) -> String {
+    format!("{:.1}% of {}", tally.fail_rate().unwrap_or_default() * 100.0, tally.ended)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn tally(ended: u64, failed: u64) -> Tally {
-        Tally { ended, failed }
+    fn tally(ended: u64, failed: u64) -> RequestCounts {
+        RequestCounts { ended, failed }
     }
 
-    fn check(with: Tally, without: Tally, before: Tally) -> Option<String> {
-        failing([("p", Compared { with, without, before })].into_iter(), Tolerance::default())
+    fn check(with: RequestCounts, without: RequestCounts, before: RequestCounts) -> Option<String> {
+        failing([("p", RolloutComparison { with, without, before })].into_iter(), Tolerance::default())
     }
 
     #[test]
@@ -119,8 +120,9 @@
 
     #[test]
     fn a_new_pool_is_compared_with_all_pools() {
-        let old = Compared { with: tally(50, 0), without: tally(4000, 20), before: tally(9000, 40) };
-        let new = Compared { with: tally(300, 200), ..Compared::default() };
+        let old =
+            RolloutComparison { with: tally(50, 0), without: tally(4000, 20), before: tally(9000, 40) };
+        let new = RolloutComparison { with: tally(300, 200), ..RolloutComparison::default() };
         let message =
             failing([("old", old), ("new", new)].into_iter(), Tolerance::default()).expect("worse");
         assert!(message.contains("pool new") && message.contains("in all pools without it"), "{message}");
@@ -133,7 +135,8 @@
 
     #[test]
     fn a_tolerance_of_one_accepts_any_increase() {
-        let pool = Compared { with: tally(500, 500), without: tally(5000, 0), before: tally(0, 0) };
+        let pool =
+            RolloutComparison { with: tally(500, 500), without: tally(5000, 0), before: tally(0, 0) };
         assert_eq!(failing([("p", pool)].into_iter(), Tolerance { rise: 1.0 }), None);
     }
 }
--- a/crates/control/src/fleet_state.rs
+++ b/crates/control/src/fleet_state.rs
@@ -3,7 +3,7 @@
 use crate::pool::{PoolMembers, Stale};
 use runtrack_discovery::{List, Update};
 use runtrack_model::{Fleet, Pool, Source};
-use runtrack_xds::{Cache, Change, Kind, translate};
+use runtrack_xds::{Cache, Change, ResourceType, translate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -153,7 +153,7 @@
             }
             pending.changes.push(match members.members(now) {
                 Some(members) => translate::endpoints(&name, pool, &self.fleet, &members),
-                None => Change::Unknown(Kind::Endpoint, name),
+                None => Change::Unknown(ResourceType::Endpoint, name),
             });
         }
         pending
@@ -169,9 +169,9 @@
         for (name, listener) in &self.fleet.listeners {
             pending.changes.extend(translate::listener(name, listener, &self.fleet));
         }
-        let kept: BTreeSet<(Kind, &str)> = pending.changes.iter().map(Change::key).collect();
+        let kept: BTreeSet<(ResourceType, &str)> = pending.changes.iter().map(Change::key).collect();
         let mut gone = Vec::new();
-        for kind in Kind::ALL {
+        for kind in ResourceType::ALL {
             let names = served.names(kind).filter(|name| !kept.contains(&(kind, *name)));
             gone.extend(names.map(|name| Change::Remove(kind, name.to_owned())));
         }
--- a/crates/control/src/pool.rs
+++ b/crates/control/src/pool.rs
@@ -7,7 +7,7 @@
 };
 use runtrack_discovery::{List, State, Target, Update};
 use runtrack_model::{Fleet, Pool, Source};
-use runtrack_xds::translate::Member;
+use runtrack_xds::translate::ResolvedEndpoint;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -90,8 +90,8 @@
                 model: String::new(),
                 pod_group: 0,
                 state: match e.state {
-                    runtrack_model::State::Ready => State::Up,
-                    runtrack_model::State::Draining => State::Draining,
+                    runtrack_model::EndpointState::Ready => State::Up,
+                    runtrack_model::EndpointState::Draining => State::Draining,
                 },
                 capacity_hint: e.weight,
                 boot_ms: e.started_ms as f64,
@@ -286,7 +286,7 @@
     }
 
     /// The endpoints as published to proxies, by name; none before the first list.
-    pub fn members(&mut self, now: Duration) -> Option<Vec<Member>> {
+    pub fn members(&mut self, now: Duration) -> Option<Vec<ResolvedEndpoint>> {
         if !self.known {
             return None;
         }
@@ -294,14 +294,15 @@
         for (uid, target) in &self.targets {
             let id = self.ids.id(uid);
             let Some(status) = self.balancer.endpoint_status(now, id) else { continue };
-            members.push(Member {
+            members.push(ResolvedEndpoint {
                 name: uid.clone(),
                 address: target.endpoint,
                 zone: target.az.clone(),
                 weight: target.capacity_hint,
                 draining: status.info.state != EndpointState::Ready || self.held_back.contains(uid),
-                part: (status.capacity_fraction * WARMUP_STEPS).floor().max(1.0) / WARMUP_STEPS,
-                heat: status.failure_penalty,
+                capacity_fraction: (status.capacity_fraction * WARMUP_STEPS).floor().max(1.0)
+                    / WARMUP_STEPS,
+                failure_penalty: status.failure_penalty,
             });
         }
         Some(members)
@@ -370,7 +371,7 @@
 
     fn pool() -> PoolMembers {
         let text = "[[pool]]\nname = \"p\"\nplatform = \"127.0.0.1:1\"\npanic_hold = \"10s\"\n";
-        let fleet = Fleet::read(text).expect("sound");
+        let fleet = Fleet::from_toml(text).expect("sound");
         PoolMembers::new(&fleet.pools["p"], &fleet, 7, NOW)
     }
 
@@ -489,7 +490,8 @@
     fn a_cold_endpoint_warms_up_in_steps() {
         let cold = Target { boot_ms: NOW.as_millis() as f64, ..up("cold") };
         let mut members = with(vec![up("warm"), cold]);
-        let part = |members: &mut PoolMembers, now| members.members(now).expect("known")[0].part;
+        let part =
+            |members: &mut PoolMembers, now| members.members(now).expect("known")[0].capacity_fraction;
         assert_eq!(part(&mut members, NOW), 0.25);
         let mut steps = Vec::new();
         for second in 1..=40 {
--- a/crates/control/src/replicated.rs
+++ b/crates/control/src/replicated.rs
@@ -172,7 +172,7 @@
     ) -> Replicated {
         let now = shared.clock.now();
         let drains = read_drains(folder);
-        shared.hub.move_to(0, 0);
+        shared.hub.begin_update(0, 0);
         let mut replicated = Replicated {
             serving: ServingState::new(shared.clone(), seed),
             shared,
@@ -343,7 +343,7 @@
             self.serving.publish(false, drop);
             return false;
         }
-        self.shared.hub.move_to(state.epoch, state.served);
+        self.shared.hub.begin_update(state.epoch, state.served);
         let version = |state: &Agreed| (state.serial(), state.rollout.as_ref().map(|r| (r.serial, r.from)));
         let moved = before.as_ref().map(|before| version(before)) != Some(version(&state));
         if moved {
@@ -354,7 +354,7 @@
         self.update_held_back();
         self.serving.publish(moved, drop);
         self.apply_stage(&state);
-        self.shared.hub.arrive();
+        self.shared.hub.finish_update();
         moved
     }
 
@@ -365,7 +365,7 @@
         let read = state
             .text(serial)
             .ok_or_else(|| "it is no longer kept".to_owned())
-            .and_then(Fleet::from_canonical);
+            .and_then(Fleet::from_canonical_json);
         let problem = read.as_ref().err().map(|why| format!("serial {serial} can't be served: {why}"));
         self.shared.set_trouble("reload", problem);
         read.ok()
@@ -444,7 +444,7 @@
         self.shared.set_trouble("rollout", error_message);
         let pause = Duration::from_millis(version.pause_ms);
         let rollout = Rollout::new(progress, &version.stages, pause, self.stage_since);
-        self.shared.hub.set_share(rollout.share());
+        self.shared.hub.set_rollout_share(rollout.share());
         eprintln!("serial {}: {} of 10000 nodes", committed.serial, rollout.share());
         with_lock(&self.shared.rollout, |shown| *shown = Some(rollout));
     }
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -98,7 +98,7 @@
         .add_service(Discovery::<Routes>::new(hub.clone()))
         .add_service(
             LoadReportingServiceServer::new(LoadReporting::new(hub.clone()))
-                .max_decoding_message_size(settings.xds().request_bytes),
+                .max_decoding_message_size(settings.xds().max_request_bytes),
         )
         .add_service(ClientStatusDiscoveryServiceServer::new(ClientStatus::new(hub.clone())));
     let mut server_task = tokio::spawn(router.serve_with_incoming(incoming));
@@ -302,7 +302,7 @@
     let mut grpc_server = Server::builder()
         .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
         .http2_keepalive_timeout(Some(KEEPALIVE_TIMEOUT))
-        .max_concurrent_streams(settings.xds().streams_of_connection);
+        .max_concurrent_streams(settings.xds().max_streams_per_connection);
     if let Some(tls) = &settings.tls {
         let read = |path: &PathBuf| std::fs::read(path).map_err(system(path.display().to_string()));
         let identity = Identity::from_pem(read(&tls.certificate)?, read(&tls.key)?);
--- a/crates/control/src/serving_state.rs
+++ b/crates/control/src/serving_state.rs
@@ -7,7 +7,7 @@
 use crate::source::Sources;
 use runtrack_discovery::List;
 use runtrack_model::Fleet;
-use runtrack_xds::place;
+use runtrack_xds::rollout_bucket;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -63,7 +63,7 @@
 
     /// Serves the newest version to all proxies.
     pub fn finish_rollout(&mut self) {
-        self.shared.hub.settle();
+        self.shared.hub.finish_rollout();
         self.previous = None;
         with_lock(&self.shared.rollout, |rollout| *rollout = None);
     }
@@ -94,7 +94,7 @@
             false => self.fleet_state(|fleet_state| fleet_state.take_pending(now)),
         };
         let previous = self.previous.as_mut().map(|previous| match full {
-            true => hub.cache_before(|cache| previous.full_update(now, cache)),
+            true => hub.previous_cache(|cache| previous.full_update(now, cache)),
             false => previous.take_pending(now),
         });
         let previous = previous.unwrap_or_default();
@@ -108,7 +108,7 @@
         persist(lists);
         self.update_pool_status();
         hub.publish(changes);
-        hub.publish_before(previous.changes);
+        hub.publish_previous(previous.changes);
     }
 
     /// Updates the status of the pools, unless there are changes to commit first.
@@ -122,19 +122,19 @@
 
     /// The status of this instance's proxies in the current stage; rejections before `since` are ignored.
     pub fn cohort(&self, rollout: &Rollout, since: Duration, tolerance: Tolerance) -> Cohort {
-        let (newest, mut cohort) = (self.shared.hub.newest_line(), Cohort::default());
+        let (newest, mut cohort) = (self.shared.hub.newest_version_id(), Cohort::default());
         for stream in self.shared.hub.streams() {
-            if place(&stream.node) >= rollout.share() {
+            if rollout_bucket(&stream.node) >= rollout.share() {
                 continue;
             }
-            if stream.line != newest || stream.standings.iter().any(|standing| standing.behind) {
+            if stream.version_id != newest || stream.type_statuses.iter().any(|standing| standing.behind) {
                 cohort.behind.push(stream.node.clone());
             }
-            let rejected = stream.standings.iter().filter_map(|standing| standing.rejected.as_ref());
+            let rejected = stream.type_statuses.iter().filter_map(|standing| standing.rejected.as_ref());
             let counted = rejected.filter(|rejected| rejected.at >= since);
             cohort.rejected.extend(counted.map(|rejected| (stream.node.clone(), rejected.detail.clone())));
         }
-        cohort.failing = self.shared.hub.loads(|loads| failing(loads.compared(), tolerance));
+        cohort.failing = self.shared.hub.loads(|loads| failing(loads.rollout_comparisons(), tolerance));
         cohort
     }
 }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -64,7 +64,7 @@
 
 impl Default for Rollouts {
     fn default() -> Self {
-        let every = xds::Settings::default().report_every;
+        let every = xds::Settings::default().load_report_interval;
         Rollouts { reports_every_ms: every.as_millis() as u64, error_rise: Tolerance::default().rise }
     }
 }
@@ -152,11 +152,11 @@
         let defaults = xds::Settings::default();
         Limits {
             push_every_ms: 50,
-            streams: defaults.streams,
-            streams_of_node: defaults.streams_of_node,
-            names_of_stream: defaults.limits.names,
-            requests_per_s: defaults.requests_per_s,
-            connections: defaults.connections,
+            streams: defaults.max_streams,
+            streams_of_node: defaults.max_streams_per_node,
+            names_of_stream: defaults.limits.max_names,
+            requests_per_s: defaults.max_requests_per_s,
+            connections: defaults.max_connections,
         }
     }
 }
@@ -238,15 +238,15 @@
     pub fn xds(&self) -> xds::Settings {
         let defaults = xds::Settings::default();
         let access =
-            self.access.iter().map(|a| xds::Access { id: a.id.clone(), cluster: a.cluster.clone() });
+            self.access.iter().map(|a| xds::AccessRule { id: a.id.clone(), cluster: a.cluster.clone() });
         xds::Settings {
-            limits: xds::Limits { names: self.limits.names_of_stream, ..defaults.limits.clone() },
-            streams: self.limits.streams,
-            streams_of_node: self.limits.streams_of_node,
-            requests_per_s: self.limits.requests_per_s,
-            connections: self.limits.connections,
+            limits: xds::Limits { max_names: self.limits.names_of_stream, ..defaults.limits.clone() },
+            max_streams: self.limits.streams,
+            max_streams_per_node: self.limits.streams_of_node,
+            max_requests_per_s: self.limits.requests_per_s,
+            max_connections: self.limits.connections,
             access: access.collect(),
-            report_every: Duration::from_millis(self.rollouts.reports_every_ms),
+            load_report_interval: Duration::from_millis(self.rollouts.reports_every_ms),
             ..defaults
         }
     }
--- a/crates/control/src/single_instance.rs
+++ b/crates/control/src/single_instance.rs
@@ -182,7 +182,7 @@
         with_lock(&self.shared.version, |shown| *shown = Some(version));
         self.publish(true);
         self.save_progress(&rollout);
-        hub.set_share(rollout.share());
+        hub.set_rollout_share(rollout.share());
         with_lock(&self.shared.rollout, |shown| *shown = Some(rollout));
     }
 
@@ -205,7 +205,7 @@
             }
             None => eprintln!("serial {serial}: {} of 10000 nodes", rollout.share()),
         }
-        self.shared.hub.set_share(rollout.share());
+        self.shared.hub.set_rollout_share(rollout.share());
         with_lock(&self.shared.rollout, |shown| *shown = Some(rollout));
         if next == Decision::Done {
             self.end_rollout();
@@ -224,7 +224,7 @@
         });
         if let Some(rollout) = resumed {
             // Setting the share again discards the failures counted before the resumption.
-            self.shared.hub.set_share(rollout.share());
+            self.shared.hub.set_rollout_share(rollout.share());
             self.save_progress(&rollout);
             self.shared.set_trouble("rollout", None);
         }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -40,7 +40,7 @@
 
 /// Like [`apply_change`], with a staged roll-out.
 pub fn apply_staged_change(folder: &Path, wanted: &str, stages: &[u32], pause_ms: u64) -> u64 {
-    let wanted = Fleet::read(wanted).unwrap_or_else(|problems| panic!("{problems}"));
+    let wanted = Fleet::from_toml(wanted).unwrap_or_else(|problems| panic!("{problems}"));
     let mut store = Store::open_or_create(Files::new(folder).expect("a folder"), "l").expect("a store");
     let from = current(&store, store.serial()).expect("a fleet");
     let request = Request {
--- a/crates/control/tests/rollout.rs
+++ b/crates/control/tests/rollout.rs
@@ -7,7 +7,7 @@
     Control, Discovery, Folder, Proxy, ScriptedDelta, ScriptedLoad, connect, delta_request, target, until,
     url,
 };
-use runtrack_xds::place;
+use runtrack_xds::rollout_bucket;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,8 @@
 
 /// The n-th node id inside the first stage if `first`, else outside of it.
 fn id(first: bool, n: usize) -> String {
-    let mut ids = (0..).map(|n| format!("node-{n}")).filter(|id| (place(id) < FIRST_STAGE) == first);
+    let mut ids =
+        (0..).map(|n| format!("node-{n}")).filter(|id| (rollout_bucket(id) < FIRST_STAGE) == first);
     ids.nth(n).expect("there are enough")
 }
 
--- a/crates/model/src/check.rs
+++ b/crates/model/src/check.rs
@@ -10,7 +10,7 @@
 const TIME_MOST: Duration = Duration::from_secs(24 * 3600);
 
 /// The kinds of risks that a change can have, for `[risks]`.
-pub const RISKS: [&str; 12] = [
+pub const RISK_KINDS: [&str; 12] = [
     "capacity-lost",
     "class-time",
     "cold-together",
@@ -27,53 +27,53 @@
 
 /// Something that must not be, and where: a path like `pool.exchange.endpoint.x1.weight`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{path}: {what}")]
-pub struct Fault {
+#[error("{path}: {message}")]
+pub struct ValidationError {
     /// Where.
     pub path: String,
     /// What is wrong, and the way out.
-    pub what: String,
+    pub message: String,
 }
 
-struct Faults(Vec<Fault>);
+struct ErrorList(Vec<ValidationError>);
 
-impl Faults {
+impl ErrorList {
     fn check(&mut self, holds: bool, path: impl Into<String>, what: impl FnOnce() -> String) {
         if !holds {
-            self.0.push(Fault { path: path.into(), what: what() });
+            self.0.push(ValidationError { path: path.into(), message: what() });
         }
     }
 }
 
 impl Fleet {
     /// Everything that is wrong with it, in the order of the parts; none if it can be served.
-    pub fn faults(&self) -> Vec<Fault> {
-        let mut faults = Faults(Vec::new());
-        self.check_rules(&mut faults);
-        self.check_classes(&mut faults);
-        self.check_pools(&mut faults);
-        self.check_listeners(&mut faults);
-        let known = RISKS.map(str::to_owned);
+    pub fn validation_errors(&self) -> Vec<ValidationError> {
+        let mut errors = ErrorList(Vec::new());
+        self.check_rules(&mut errors);
+        self.check_classes(&mut errors);
+        self.check_pools(&mut errors);
+        self.check_listeners(&mut errors);
+        let known = RISK_KINDS.map(str::to_owned);
         for kind in self.risks.keys() {
-            faults.check(known.contains(kind), format!("risks.{kind}"), || {
+            errors.check(known.contains(kind), format!("risks.{kind}"), || {
                 format!("there is no risk `{kind}`{}", nearest(kind, &known))
             });
         }
-        faults.0
+        errors.0
     }
 
-    fn check_rules(&self, faults: &mut Faults) {
+    fn check_rules(&self, errors: &mut ErrorList) {
         let rules = &self.rules;
         let range = |least: f64, most: f64| move || format!("must lie between {least} and {most}");
-        faults.check((0.01..=1.0).contains(&rules.cold_share), "rules.cold_share", range(0.01, 1.0));
-        faults.check((0.0..=1.0).contains(&rules.retry_budget), "rules.retry_budget", range(0.0, 1.0));
-        faults.check(
+        errors.check((0.01..=1.0).contains(&rules.cold_share), "rules.cold_share", range(0.01, 1.0));
+        errors.check((0.0..=1.0).contains(&rules.retry_budget), "rules.retry_budget", range(0.0, 1.0));
+        errors.check(
             (1.0..=1000.0).contains(&rules.fall_multiple),
             "rules.fall_multiple",
             range(1.0, 1000.0),
         );
-        faults.check(rules.warm_within <= TIME_MOST, "rules.warm_within", too_long);
-        faults.check(
+        errors.check(rules.warm_within <= TIME_MOST, "rules.warm_within", too_long);
+        errors.check(
             rules.drain_grace >= Duration::from_millis(100) && rules.drain_grace <= TIME_MOST,
             "rules.drain_grace",
             || "must lie between 100 ms, the time that a push to all proxies needs, and a day".to_owned(),
@@ -81,94 +81,94 @@
         for (from, steps) in &self.zones {
             for to in steps.keys().filter(|to| !self.zones.contains_key(*to)) {
                 let what = || format!("zone `{to}` is not declared: add it to [zones]");
-                faults.check(false, format!("zones.{from}.{to}"), what);
+                errors.check(false, format!("zones.{from}.{to}"), what);
             }
         }
     }
 
-    fn check_classes(&self, faults: &mut Faults) {
+    fn check_classes(&self, errors: &mut ErrorList) {
         for (name, class) in &self.classes {
             let at = |field: &str| format!("class.{name}.{field}");
-            check_name(faults, name, &format!("class.{name}"));
-            faults
+            check_name(errors, name, &format!("class.{name}"));
+            errors
                 .check(!class.objective.is_zero(), at("objective"), || "must be longer than 0".to_owned());
-            faults.check(class.deadline <= TIME_MOST, at("deadline"), too_long);
-            faults.check(class.objective <= class.deadline, at("objective"), || {
+            errors.check(class.deadline <= TIME_MOST, at("deadline"), too_long);
+            errors.check(class.objective <= class.deadline, at("objective"), || {
                 format!("{:?} is longer than the deadline, {:?}", class.objective, class.deadline)
             });
-            faults.check((1..=10).contains(&class.attempts), at("attempts"), || {
+            errors.check((1..=10).contains(&class.attempts), at("attempts"), || {
                 format!("{} is out of range: 1 to 10, the first one included", class.attempts)
             });
             if let Semantics::Keyed { window, .. } = class.semantics {
-                faults.check(!window.is_zero(), at("window"), || "must be longer than 0".to_owned());
+                errors.check(!window.is_zero(), at("window"), || "must be longer than 0".to_owned());
             }
         }
     }
 
-    fn check_pools(&self, faults: &mut Faults) {
+    fn check_pools(&self, errors: &mut ErrorList) {
         for (name, pool) in &self.pools {
             let at = |field: &str| format!("pool.{name}.{field}");
-            check_name(faults, name, &format!("pool.{name}"));
+            check_name(errors, name, &format!("pool.{name}"));
             let whole = (0.0..=1.0).contains(&pool.panic_threshold);
-            faults.check(whole, at("panic_threshold"), || "must lie between 0 and 1".to_owned());
-            faults.check(pool.panic_hold <= TIME_MOST, at("panic_hold"), too_long);
+            errors.check(whole, at("panic_threshold"), || "must lie between 0 and 1".to_owned());
+            errors.check(pool.panic_hold <= TIME_MOST, at("panic_hold"), too_long);
             let connect =
                 !pool.connect_timeout.is_zero() && pool.connect_timeout <= Duration::from_secs(60);
-            faults.check(connect, at("connect_timeout"), || "must lie between 0 and a minute".to_owned());
+            errors.check(connect, at("connect_timeout"), || "must lie between 0 and a minute".to_owned());
             let limits = [
                 ("max_connections", pool.max_connections),
                 ("max_requests", pool.max_requests),
                 ("max_pending", pool.max_pending),
             ];
             for (field, limit) in limits {
-                faults
+                errors
                     .check(limit > 0, at(field), || "0 would refuse every request: at least 1".to_owned());
             }
             if pool.nearest_first && self.zones.is_empty() {
                 let what = || "there are no distances to go by: declare [zones]".to_owned();
-                faults.check(false, at("nearest_first"), what);
+                errors.check(false, at("nearest_first"), what);
             }
             let Source::Static(endpoints) = &pool.source else { continue };
             let mut taken = BTreeMap::new();
             for (id, endpoint) in endpoints {
                 let at = |field: &str| format!("pool.{name}.endpoint.{id}.{field}");
-                check_name(faults, id, &format!("pool.{name}.endpoint.{id}"));
+                check_name(errors, id, &format!("pool.{name}.endpoint.{id}"));
                 let weight = endpoint.weight > 0.0 && endpoint.weight <= 1000.0;
-                faults.check(weight, at("weight"), || {
+                errors.check(weight, at("weight"), || {
                     format!("{} is out of range: above 0, at most 1000", endpoint.weight)
                 });
                 let known = self.zones.is_empty()
                     || endpoint.zone.is_empty()
                     || self.zones.contains_key(&endpoint.zone);
-                faults.check(known, at("zone"), || {
+                errors.check(known, at("zone"), || {
                     format!("zone `{}` is not declared: add it to [zones]", endpoint.zone)
                 });
-                faults
+                errors
                     .check(endpoint.address.port() != 0, at("address"), || "port 0 is no port".to_owned());
                 if let Some(other) = taken.insert(endpoint.address, id) {
                     let what = || format!("{} is endpoint `{other}`'s already", endpoint.address);
-                    faults.check(false, at("address"), what);
+                    errors.check(false, at("address"), what);
                 }
             }
         }
     }
 
-    fn check_listeners(&self, faults: &mut Faults) {
+    fn check_listeners(&self, errors: &mut ErrorList) {
         let mut taken = BTreeMap::new();
         for (name, listener) in &self.listeners {
             let at = |field: &str| format!("listener.{name}.{field}");
-            check_name(faults, name, &format!("listener.{name}"));
-            faults.check(listener.address.is_some() || listener.api, format!("listener.{name}"), || {
+            check_name(errors, name, &format!("listener.{name}"));
+            errors.check(listener.address.is_some() || listener.api, format!("listener.{name}"), || {
                 "nobody can reach it: give it an `address`, `api = true`, or both".to_owned()
             });
             if let Some(address) = listener.address {
-                faults.check(address.port() != 0, at("address"), || "port 0 is no port".to_owned());
+                errors.check(address.port() != 0, at("address"), || "port 0 is no port".to_owned());
                 if let Some(other) = taken.insert(address, name) {
                     let what = || format!("{address} is listener `{other}`'s already");
-                    faults.check(false, at("address"), what);
+                    errors.check(false, at("address"), what);
                 }
             }
-            faults.check(!listener.routes.is_empty(), format!("listener.{name}"), || {
+            errors.check(!listener.routes.is_empty(), format!("listener.{name}"), || {
                 "has no route: it would answer every request 404".to_owned()
             });
             let mut names = BTreeSet::new();
@@ -176,50 +176,50 @@
             for route in &listener.routes {
                 let at = |field: &str| format!("listener.{name}.route.{}.{field}", route.name);
                 let here = format!("listener.{name}.route.{}", route.name);
-                check_name(faults, &route.name, &here);
-                faults.check(names.insert(&route.name), here.clone(), || {
+                check_name(errors, &route.name, &here);
+                errors.check(names.insert(&route.name), here.clone(), || {
                     "the listener has another route of this name".to_owned()
                 });
-                faults.check(route.prefix.starts_with('/'), at("prefix"), || {
+                errors.check(route.prefix.starts_with('/'), at("prefix"), || {
                     format!("`{}` does not begin with `/`", route.prefix)
                 });
-                faults.check(!route.hosts.is_empty(), at("hosts"), || {
+                errors.check(!route.hosts.is_empty(), at("hosts"), || {
                     "names no host: use \"*\" for all".to_owned()
                 });
                 for host in &route.hosts {
-                    faults.check(host_is_good(host), at("hosts"), || {
+                    errors.check(host_is_good(host), at("hosts"), || {
                         format!("`{host}` is no host: `name`, `*.suffix`, `prefix.*` or `*`")
                     });
                     if let Some(other) = matches.insert((host, &route.prefix), &route.name) {
                         let what = || format!("route `{other}` before it matches the same host and prefix");
-                        faults.check(other == &route.name, here.clone(), what);
+                        errors.check(other == &route.name, here.clone(), what);
                     }
                 }
-                faults.check(self.classes.contains_key(&route.class), at("class"), || {
+                errors.check(self.classes.contains_key(&route.class), at("class"), || {
                     format!(
                         "there is no class `{}`{}",
                         route.class,
                         nearest(&route.class, self.classes.keys())
                     )
                 });
-                faults.check(!route.to.is_empty(), here.clone(), || "goes to no pool".to_owned());
+                errors.check(!route.to.is_empty(), here.clone(), || "goes to no pool".to_owned());
                 let sum: u64 = route.to.iter().map(|share| u64::from(share.weight)).sum();
-                faults.check(route.to.is_empty() || sum > 0, at("pools"), || {
+                errors.check(route.to.is_empty() || sum > 0, at("pools"), || {
                     "the weights sum to 0: no pool would be sent to".to_owned()
                 });
-                faults.check(sum <= u64::from(u32::MAX), at("pools"), || {
+                errors.check(sum <= u64::from(u32::MAX), at("pools"), || {
                     format!("the weights sum to {sum}; proxies take at most {}", u32::MAX)
                 });
                 let mut seen = BTreeSet::new();
                 for share in &route.to {
-                    faults.check(self.pools.contains_key(&share.pool), at("pools"), || {
+                    errors.check(self.pools.contains_key(&share.pool), at("pools"), || {
                         format!(
                             "there is no pool `{}`{}",
                             share.pool,
                             nearest(&share.pool, self.pools.keys())
                         )
                     });
-                    faults.check(seen.insert(&share.pool), at("pools"), || {
+                    errors.check(seen.insert(&share.pool), at("pools"), || {
                         format!("names pool `{}` twice", share.pool)
                     });
                 }
@@ -232,10 +232,10 @@
     "is longer than a day".to_owned()
 }
 
-fn check_name(faults: &mut Faults, name: &str, path: &str) {
+fn check_name(errors: &mut ErrorList, name: &str, path: &str) {
     let good = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
     let fits = !name.is_empty() && name.len() <= NAME_MOST && name.chars().all(good);
-    faults.check(fits, path, || {
+    errors.check(fits, path, || {
         format!("`{name}` is no name: 1 to {NAME_MOST} letters, digits, `.`, `_` and `-`")
     });
 }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -9,7 +9,7 @@
 
 /// Everything the control service is told to hold: the desired state.
 ///
-/// Equal fleets have equal [canonical forms](Fleet::canonical) and [hashes](Fleet::hash), whatever the order,
+/// Equal fleets have equal [canonical forms](Fleet::to_canonical_json) and [hashes](Fleet::hash), whatever the order,
 /// comments and spelling of the files they were read from. Only the order of routes has a meaning.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
@@ -127,7 +127,7 @@
     /// Its size against others; one is the usual. `> 0`, `<= 1000`.
     pub weight: f64,
     /// Its standing.
-    pub state: State,
+    pub state: EndpointState,
     /// When its process last started, Unix time in milliseconds; 0 for long ago.
     pub started_ms: u64,
 }
@@ -135,7 +135,7 @@
 /// An endpoint's standing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum EndpointState {
     /// May be sent to.
     Ready,
     /// Finishes what it has; nothing new may be sent.
@@ -199,12 +199,12 @@
     /// Their class.
     pub class: String,
     /// The pools they go to.
-    pub to: Vec<Share>,
+    pub to: Vec<WeightedPool>,
 }
 
 /// A pool and its part of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct WeightedPool {
     /// The pool.
     pub pool: String,
     /// Its part, over the sum of the route's.
@@ -213,21 +213,21 @@
 
 impl Fleet {
     /// The one serialised form: JSON without white space, maps in the order of their keys, times in microseconds.
-    pub fn canonical(&self) -> String {
+    pub fn to_canonical_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default() // fails only for maps with keys that are no text
     }
 
     /// SHA-256 of the canonical form, in hex.
     pub fn hash(&self) -> String {
-        let digest = Sha256::digest(self.canonical());
+        let digest = Sha256::digest(self.to_canonical_json());
         digest.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
     /// Reads the canonical form and checks the whole: what is wrong with it, or the fleet.
-    pub fn from_canonical(text: &str) -> Result<Fleet, String> {
+    pub fn from_canonical_json(text: &str) -> Result<Fleet, String> {
         let fleet: Fleet = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        match fleet.faults().first() {
-            Some(fault) => Err(fault.to_string()),
+        match fleet.validation_errors().first() {
+            Some(error) => Err(error.to_string()),
             None => Ok(fleet),
         }
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,9 +1,9 @@
 //! What the control service knows by name: pools of endpoints, classes of requests, listeners and their routes,
-//! and the figures of the four rules. A [`Fleet`] is read from TOML with [`Fleet::read`], checked as a whole, and
+//! and the figures of the four rules. A [`Fleet`] is read from TOML with [`Fleet::from_toml`], checked as a whole, and
 //! has one canonical form with a content hash. Nothing here does I/O or reads a clock.
 //!
 //! ```
-//! let fleet = runtrack_model::Fleet::read(r#"
+//! let fleet = runtrack_model::Fleet::from_toml(r#"
 //!     [[pool]]
 //!     name = "exchange"
 //!     [[pool.endpoint]]
@@ -11,7 +11,7 @@
 //!     address = "127.0.0.1:9001"
 //! "#)?;
 //! assert_eq!(fleet.pools.len(), 1);
-//! # Ok::<(), runtrack_model::Problems>(())
+//! # Ok::<(), runtrack_model::Diagnostics>(())
 //! ```
 
 mod check;
@@ -20,8 +20,9 @@
 mod read;
 mod toml;
 
-pub use check::{Fault, RISKS};
+pub use check::{RISK_KINDS, ValidationError};
 pub use fleet::{
-    Class, Endpoint, Fleet, Listener, Pool, Route, Rules, Semantics, Severity, Share, Source, State, Zones,
+    Class, Endpoint, EndpointState, Fleet, Listener, Pool, Route, Rules, Semantics, Severity, Source,
+    WeightedPool, Zones,
 };
-pub use problem::{Problem, Problems};
+pub use problem::{Diagnostic, Diagnostics};
--- a/crates/model/src/read.rs
+++ b/crates/model/src/read.rs
@@ -1,7 +1,7 @@
 //! A fleet from TOML.
 
 use crate::fleet::*;
-use crate::problem::Problems;
+use crate::problem::Diagnostics;
 use crate::toml::{Table, Text};
 use runtrack_balancer::DedupScope;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 
 impl Fleet {
     /// Reads TOML and checks the whole; gives every problem at once, each with its place.
-    pub fn read(text: &str) -> Result<Fleet, Problems> {
+    pub fn from_toml(text: &str) -> Result<Fleet, Diagnostics> {
         let places = Text::new(text);
         let (table, errors) = DeTable::parse_recoverable(text);
         for error in errors {
@@ -19,16 +19,16 @@
         }
         let broken = places.into_problems();
         if !broken.is_empty() {
-            return Err(Problems(broken)); // what such a file would mean is a guess
+            return Err(Diagnostics(broken)); // what such a file would mean is a guess
         }
         let places = Text::new(text);
         let root = Table::new(&places, table.get_ref(), String::new(), 0);
         let fleet = fleet(&root);
-        for fault in fleet.faults() {
-            places.problem(places.find(&fault.path), &fault.path, fault.what);
+        for error in fleet.validation_errors() {
+            places.problem(places.find(&error.path), &error.path, error.message);
         }
         let problems = places.into_problems();
-        if problems.is_empty() { Ok(fleet) } else { Err(Problems(problems)) }
+        if problems.is_empty() { Ok(fleet) } else { Err(Diagnostics(problems)) }
     }
 }
 
@@ -170,8 +170,8 @@
         zone: table.string("zone").unwrap_or_default(),
         weight: table.float("weight").unwrap_or(1.0),
         state: table
-            .word("state", &[("ready", State::Ready), ("draining", State::Draining)])
-            .unwrap_or(State::Ready),
+            .word("state", &[("ready", EndpointState::Ready), ("draining", EndpointState::Draining)])
+            .unwrap_or(EndpointState::Ready),
         started_ms: table.whole("started_ms").unwrap_or(0),
     };
     table.done();
@@ -195,7 +195,7 @@
                 table.text.problem(table.at, &table.path, "has both `pool` and `pools`: keep one of them");
             }
             table.text.place(&table.join("pools"), table.text.find(&table.join("pool")));
-            vec![Share { pool, weight: 1 }]
+            vec![WeightedPool { pool, weight: 1 }]
         }
         None => Vec::new(),
     };
@@ -203,7 +203,7 @@
         let shares = pools
             .keys()
             .into_iter()
-            .filter_map(|pool| pools.u32(&pool).map(|weight| Share { pool, weight }));
+            .filter_map(|pool| pools.u32(&pool).map(|weight| WeightedPool { pool, weight }));
         shares.collect::<Vec<_>>()
     });
     let route = Route {
--- a/crates/model/src/toml.rs
+++ b/crates/model/src/toml.rs
@@ -1,7 +1,7 @@
 //! TOML with places: a table reader that gathers every problem instead of stopping at the first.
 
 use crate::check::nearest;
-use crate::problem::Problem;
+use crate::problem::Diagnostic;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 /// A text, what is wrong with it, and where the things that it names are.
 pub(crate) struct Text<'t> {
     text: &'t str,
-    problems: RefCell<Vec<Problem>>,
+    problems: RefCell<Vec<Diagnostic>>,
     places: RefCell<BTreeMap<String, usize>>,
 }
 
@@ -30,7 +30,7 @@
         let before = &self.text[..self.text.floor_char_boundary(at)];
         let line = before.matches('\n').count() + 1;
         let column = before.chars().rev().take_while(|&c| c != '\n').count() + 1;
-        let problem = Problem { line, column, path: path.to_owned(), what: what.into() };
+        let problem = Diagnostic { line, column, path: path.to_owned(), message: what.into() };
         self.problems.borrow_mut().push(problem);
     }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    pub(crate) fn into_problems(self) -> Vec<Problem> {
+    pub(crate) fn into_problems(self) -> Vec<Diagnostic> {
         let mut problems = self.problems.into_inner();
         problems.sort_by_key(|p| (p.line, p.column));
         problems.dedup();
--- a/crates/model/tests/files.rs
+++ b/crates/model/tests/files.rs
@@ -53,16 +53,16 @@
 
 #[test]
 fn the_example_is_sound() {
-    let fleet = Fleet::read(GOOD).expect("sound");
+    let fleet = Fleet::from_toml(GOOD).expect("sound");
     assert_eq!(fleet.classes["rate-quote"].deadline, Duration::from_secs(3));
     assert_eq!(fleet.classes["exchange-post"].semantics, Semantics::Unsafe);
     assert!(matches!(&fleet.pools["quotes"].source, Source::Static(endpoints) if endpoints.len() == 2));
-    Fleet::read(BASE).expect("sound");
+    Fleet::from_toml(BASE).expect("sound");
 }
 
 #[test]
 fn order_and_spelling_do_not_change_the_hash_but_meaning_does() {
-    let fleet = Fleet::read(BASE).expect("sound");
+    let fleet = Fleet::from_toml(BASE).expect("sound");
     let parts: Vec<&str> = BASE.split("[[class]]").collect();
     let pool = parts[2].find("[[pool]]").expect("there");
     let swapped = format!(
@@ -72,9 +72,9 @@
         parts[1].replace("\"1s\"", "\"1000ms\""),
         &parts[2][pool..]
     );
-    let same = Fleet::read(&swapped).expect("sound");
-    assert_eq!((same.canonical(), same.hash()), (fleet.canonical(), fleet.hash()));
-    let other = Fleet::read(&BASE.replace("\"1s\"", "\"1001ms\"")).expect("sound");
+    let same = Fleet::from_toml(&swapped).expect("sound");
+    assert_eq!((same.to_canonical_json(), same.hash()), (fleet.to_canonical_json(), fleet.hash()));
+    let other = Fleet::from_toml(&BASE.replace("\"1s\"", "\"1001ms\"")).expect("sound");
     assert_ne!(other.hash(), fleet.hash());
     assert_eq!(fleet.hash().len(), 64);
 }
@@ -82,10 +82,10 @@
 #[test]
 fn the_canonical_form_reads_back() {
     for text in [GOOD, BASE] {
-        let fleet = Fleet::read(text).expect("sound");
-        let back: Fleet = serde_json::from_str(&fleet.canonical()).expect("its own form");
+        let fleet = Fleet::from_toml(text).expect("sound");
+        let back: Fleet = serde_json::from_str(&fleet.to_canonical_json()).expect("its own form");
         assert_eq!(back, fleet);
-        assert_eq!(back.canonical(), fleet.canonical());
+        assert_eq!(back.to_canonical_json(), fleet.to_canonical_json());
     }
 }
 
@@ -162,7 +162,7 @@
     let mut wrong = Vec::new();
     for &(old, new, line, words) in BAD {
         assert!(BASE.contains(old), "`{old}` is in the file");
-        let Err(problems) = Fleet::read(&BASE.replacen(old, new, 1)) else {
+        let Err(problems) = Fleet::from_toml(&BASE.replacen(old, new, 1)) else {
             wrong.push(format!("`{new}` is accepted"));
             continue;
         };
@@ -181,6 +181,6 @@
 fn all_problems_are_told_at_once_in_the_files_order() {
     let text = BASE.replace("0.25", "7").replace("\"/quote\"", "\"quote\"").replace("\"two\"", "\"one\"");
     let text = text.replace("127.0.0.1:9002", "nowhere");
-    let lines: Vec<usize> = Fleet::read(&text).expect_err("bad").0.iter().map(|p| p.line).collect();
+    let lines: Vec<usize> = Fleet::from_toml(&text).expect_err("bad").0.iter().map(|p| p.line).collect();
     assert_eq!(lines, [3, 33, 41]);
 }
--- a/crates/plan/src/apply.rs
+++ b/crates/plan/src/apply.rs
@@ -141,7 +141,8 @@
     if serial == 0 {
         return Ok(Fleet::default());
     }
-    Fleet::from_canonical(&store.text(serial)?).map_err(|problem| ApplyError::NoFleet { serial, problem })
+    Fleet::from_canonical_json(&store.text(serial)?)
+        .map_err(|problem| ApplyError::NoFleet { serial, problem })
 }
 
 /// Carries a plan out as one commit. The caller holds the lock of a store in a folder.
@@ -184,7 +185,7 @@
     let (stages, pause_ms) = (plan.stages.as_slice(), plan.pause_ms);
     let entry =
         CommitInfo { author, reason: &plan.reason, at_ms: now_ms, plan: &plan.id, stages, pause_ms };
-    store.commit(plan.serial, &fleet.canonical(), entry)
+    store.commit(plan.serial, &fleet.to_canonical_json(), entry)
 }
 
 /// Who has moved the state, and what has changed.
--- a/crates/plan/src/diff.rs
+++ b/crates/plan/src/diff.rs
@@ -252,7 +252,7 @@
     }
     let whole = |problem| StepError { what: "the whole".to_owned(), problem };
     let fleet = all.into_fleet().map_err(whole)?;
-    match fleet.faults().first() {
+    match fleet.validation_errors().first() {
         Some(fault) => Err(whole(fault.to_string())),
         None => Ok(fleet),
     }
--- a/crates/plan/src/risk.rs
+++ b/crates/plan/src/risk.rs
@@ -2,7 +2,9 @@
 
 use crate::shadow::shadowed;
 use runtrack_balancer::DedupScope;
-use runtrack_model::{Class, Endpoint, Fleet, Listener, Pool, Route, Semantics, Severity, Source, State};
+use runtrack_model::{
+    Class, Endpoint, EndpointState, Fleet, Listener, Pool, Route, Semantics, Severity, Source,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -123,7 +125,7 @@
 
 fn ready(pool: &Pool) -> BTreeMap<&String, &Endpoint> {
     match &pool.source {
-        Source::Static(list) => list.iter().filter(|(_, e)| e.state == State::Ready).collect(),
+        Source::Static(list) => list.iter().filter(|(_, e)| e.state == EndpointState::Ready).collect(),
         Source::Platform(_) => BTreeMap::new(),
     }
 }
@@ -254,12 +256,12 @@
         let of = format!("pool.{pool}.endpoint.{id}");
         let figures = [("grace_s", seconds(grace)), ("drained_s", seconds(drained))];
         match endpoint.state {
-            State::Ready => {
+            EndpointState::Ready => {
                 let what =
                     "goes without having drained: requests that it holds may be cut off. Drain it first";
                 found.add("drain-short", &of, Severity::Medium, what.to_owned(), &figures[..1]);
             }
-            State::Draining if drained < grace => {
+            EndpointState::Draining if drained < grace => {
                 let what = format!(
                     "goes {:.1} s after its drain was applied, {:.1} s is the grace",
                     seconds(drained),
@@ -267,7 +269,7 @@
                 );
                 found.add("drain-short", &of, Severity::Medium, what, &figures);
             }
-            State::Draining => {}
+            EndpointState::Draining => {}
         }
     }
 }
--- a/crates/plan/tests/common/mod.rs
+++ b/crates/plan/tests/common/mod.rs
@@ -60,7 +60,7 @@
         address: ([127, 0, 0, 1], port as u16).into(),
         zone: ["", "a", "b"][draws.below(3)].to_owned(),
         weight: [1.0, 0.1, 2.5][draws.below(3)],
-        state: if draws.one_in(4) { State::Draining } else { State::Ready },
+        state: if draws.one_in(4) { EndpointState::Draining } else { EndpointState::Ready },
         started_ms: if draws.one_in(3) { NOW - 1000 * draws.below(60) as u64 } else { 0 },
     }
 }
@@ -99,7 +99,7 @@
         for route in some(draws, 8, 1) {
             let to = classes.keys().nth(draws.below(classes.len())).expect("there is one");
             let first = draws.below(pools.len());
-            let share = |n: usize, weight| Share {
+            let share = |n: usize, weight| WeightedPool {
                 pool: pools.keys().nth(n % pools.len()).expect("there is one").clone(),
                 weight,
             };
@@ -131,7 +131,7 @@
     }
     let rules = Rules { drain_grace: Duration::from_secs(1 + draws.below(2) as u64), ..Rules::default() };
     let fleet = Fleet { rules, zones, classes, pools, listeners, risks };
-    assert_eq!(fleet.faults(), [], "seed {seed}");
+    assert_eq!(fleet.validation_errors(), [], "seed {seed}");
     fleet
 }
 
@@ -154,6 +154,6 @@
 pub fn state_of(fleet: &Fleet) -> Store<Disk> {
     let mut store = Store::open_or_create(Disk::default(), "a-lineage").expect("a store in memory");
     let entry = CommitInfo { author: "nok", reason: "first", at_ms: NOW - HOUR, ..CommitInfo::default() };
-    store.commit(0, &fleet.canonical(), entry).expect("a first version");
+    store.commit(0, &fleet.to_canonical_json(), entry).expect("a first version");
     store
 }
--- a/crates/plan/tests/refusals.rs
+++ b/crates/plan/tests/refusals.rs
@@ -17,7 +17,7 @@
     to.pools.insert("other".to_owned(), pool.clone());
     to.pools.insert(name, runtrack_model::Pool { max_requests: 7, ..pool });
     to.classes.values_mut().for_each(|class| class.attempts += 1);
-    assert_eq!(to.faults(), []);
+    assert_eq!(to.validation_errors(), []);
     (from, to)
 }
 
--- a/crates/plan/tests/risks.rs
+++ b/crates/plan/tests/risks.rs
@@ -75,7 +75,7 @@
         assert!(text.contains(old), "{old}");
         text = text.replacen(old, new, 1);
     }
-    let read = |text: &str| Fleet::read(text).unwrap_or_else(|problems| panic!("{problems}"));
+    let read = |text: &str| Fleet::from_toml(text).unwrap_or_else(|problems| panic!("{problems}"));
     risks(&read(FLEET), &read(&text), Seen { load, since_ms: NOW - since_ms, now_ms: NOW })
 }
 
@@ -156,7 +156,7 @@
         .replace("127.0.0.1:1\", zone = \"\"", "127.0.0.1:1\", zone = \"a\"");
     let (old, new) =
         ("127.0.0.1:1\", zone = \"a\" }", "127.0.0.1:1\", zone = \"a\", state = \"draining\" }");
-    let read = |text: &str| Fleet::read(text).unwrap_or_else(|problems| panic!("{problems}"));
+    let read = |text: &str| Fleet::from_toml(text).unwrap_or_else(|problems| panic!("{problems}"));
     let seen = Seen { load: &Load::default(), since_ms: 0, now_ms: NOW };
     let risks = risks(&read(&zoned), &read(&zoned.replace(old, new)), seen);
     assert_eq!(one(&risks, "pool-thin/pool.q").severity, Severity::Medium);
@@ -290,6 +290,6 @@
 #[test]
 fn a_risk_that_does_not_exist_is_no_setting() {
     let text = FLEET.replace("[rules]", "[risks]\npool-emptid = \"high\"\n\n[rules]");
-    let problems = Fleet::read(&text).expect_err("no such risk").to_string();
+    let problems = Fleet::from_toml(&text).expect_err("no such risk").to_string();
     assert!(problems.starts_with("3:") && problems.contains("did you mean `pool-emptied`"), "{problems}");
 }
--- a/crates/plan/tests/ways.rs
+++ b/crates/plan/tests/ways.rs
@@ -38,7 +38,8 @@
 fn a_fleet_and_itself_differ_in_nothing_however_it_is_written() {
     for seed in 0..SEEDS {
         let one = fleet(seed);
-        let again = Fleet::from_canonical(&one.canonical()).expect("its canonical form reads back");
+        let again =
+            Fleet::from_canonical_json(&one.to_canonical_json()).expect("its canonical form reads back");
         assert_eq!(one.hash(), again.hash(), "seed {seed}");
         assert_eq!(diff(&one, &again), [], "seed {seed}");
         let plan = plan_on(&state_of(&one), &one, &again, "");
@@ -55,7 +56,7 @@
         // Where the steps happen to fit the other fleet as well, they may not lead to something broken.
         match replay(&other, &steps) {
             Err(_) => refused += 1,
-            Ok(fleet) => assert_eq!(fleet.faults(), [], "seed {seed}"),
+            Ok(fleet) => assert_eq!(fleet.validation_errors(), [], "seed {seed}"),
         }
         tried += 1;
     }
@@ -74,7 +75,7 @@
         name: format!("r{n}"),
         prefix: format!("/{n}/"),
         class: class.clone(),
-        to: vec![runtrack_model::Share { pool: pool.clone(), weight: 1 }],
+        to: vec![runtrack_model::WeightedPool { pool: pool.clone(), weight: 1 }],
         ..template.clone()
     };
     let routes = (0..10_000).map(route).collect();
--- a/crates/rig/src/world/figures.rs
+++ b/crates/rig/src/world/figures.rs
@@ -32,8 +32,8 @@
                 "[[pool]]\nname = \"q-{n}\"\n[[pool.endpoint]]\nname = \"e\"\naddress = \"127.0.0.1:9\"\n"
             ));
         }
-        let text = Fleet::read(&toml)
-            .map(|fleet| fleet.canonical())
+        let text = Fleet::from_toml(&toml)
+            .map(|fleet| fleet.to_canonical_json())
             .map_err(|e| io::Error::other(e.to_string()))?;
         let bytes = text.len();
         let began = Instant::now();
--- a/crates/rig/src/world/mod.rs
+++ b/crates/rig/src/world/mod.rs
@@ -92,7 +92,9 @@
 
 /// The fleet of a serial: the pool that proxies send to, and one whose name says the serial.
 fn fleet(discovery: SocketAddr, serial: u64) -> String {
-    Fleet::read(&fleet_toml(discovery, serial)).map(|fleet| fleet.canonical()).unwrap_or_default()
+    Fleet::from_toml(&fleet_toml(discovery, serial))
+        .map(|fleet| fleet.to_canonical_json())
+        .unwrap_or_default()
 }
 
 fn fleet_toml(discovery: SocketAddr, serial: u64) -> String {
--- a/crates/sim/src/agreement/mod.rs
+++ b/crates/sim/src/agreement/mod.rs
@@ -31,7 +31,7 @@
     PeerMessage, Proposal, SnapshotFetch, State, Tuning,
 };
 use runtrack_testkit::Disk;
-use runtrack_xds::{Cache, Change, Kind, Limits, Request, Response, Session};
+use runtrack_xds::{Cache, Change, Limits, Request, ResourceType, Response, Session};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/sim/src/agreement/proxies.rs
+++ b/crates/sim/src/agreement/proxies.rs
@@ -36,11 +36,11 @@
                 .map(|(uid, _)| uid.clone())
                 .collect();
             let text = format!("serial {} draining {}", state.serial(), draining.join(","));
-            serving.cache.move_to(state.epoch, state.served);
+            serving.cache.begin_update(state.epoch, state.served);
             serving
                 .cache
-                .apply(now, [Change::Set(Kind::Cluster, "c".to_owned(), text.into_bytes().into())]);
-            serving.cache.settle();
+                .apply(now, [Change::Set(ResourceType::Cluster, "c".to_owned(), text.into_bytes().into())]);
+            serving.cache.finish_update();
         }
         for n in 0..self.proxies.len() {
             self.poll(n, now);
@@ -85,7 +85,8 @@
     fn subscribe(&mut self, n: usize, cache: &Cache, now: Duration) {
         let incremental = is_incremental(n);
         self.session = Session::new(format!("p{n}"), incremental, None, Limits::default());
-        let mut request = Request { type_url: Kind::Cluster.url().to_owned(), ..Request::default() };
+        let mut request =
+            Request { type_url: ResourceType::Cluster.url().to_owned(), ..Request::default() };
         match (incremental, self.held.0.is_empty()) {
             (_, true) => {}
             (true, false) => drop(request.initial_versions.insert("c".to_owned(), self.held.0.clone())),
@@ -117,7 +118,7 @@
 
 fn acknowledgement(response: &Response) -> Request {
     Request {
-        type_url: Kind::Cluster.url().to_owned(),
+        type_url: ResourceType::Cluster.url().to_owned(),
         nonce: response.nonce.clone(),
         version: response.version.clone(),
         ..Request::default()
--- a/crates/sim/src/agreement/world.rs
+++ b/crates/sim/src/agreement/world.rs
@@ -130,7 +130,7 @@
                 self.nodes.insert(member, node);
                 *self.runs.entry(member).or_default() += 1;
                 let mut cache = Cache::new(0);
-                cache.move_to(0, 0);
+                cache.begin_update(0, 0);
                 self.serving.insert(member, Serving { cache, served: None });
             }
             Err(NodeError::Disk(DiskError::File { .. })) => {
--- a/crates/xds/src/accept.rs
+++ b/crates/xds/src/accept.rs
@@ -33,7 +33,7 @@
 }
 
 impl Stream for Incoming {
-    type Item = io::Result<Counted>;
+    type Item = io::Result<LimitedConnection>;
 
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         loop {
@@ -52,19 +52,19 @@
             let Ok(permit) = self.free.clone().try_acquire_owned() else { continue };
             // A drain is one small response: it must not wait for more to send.
             if stream.set_nodelay(true).is_ok() {
-                return Poll::Ready(Some(Ok(Counted { stream, _permit: permit })));
+                return Poll::Ready(Some(Ok(LimitedConnection { stream, _permit: permit })));
             }
         }
     }
 }
 
 /// A connection that counts for as long as it is open.
-pub struct Counted {
+pub struct LimitedConnection {
     stream: TcpStream,
     _permit: OwnedSemaphorePermit,
 }
 
-impl Connected for Counted {
+impl Connected for LimitedConnection {
     type ConnectInfo = TcpConnectInfo;
 
     fn connect_info(&self) -> TcpConnectInfo {
@@ -72,7 +72,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for LimitedConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -82,7 +82,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for LimitedConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/xds/src/cache.rs
+++ b/crates/xds/src/cache.rs
@@ -4,7 +4,7 @@
 //! so what a session lacks is the log behind its cursor, and neither a change nor a session costs more for a
 //! larger fleet. A session that falls so far behind that removals it needs were forgotten must begin anew.
 
-use crate::kind::Kind;
+use crate::kind::ResourceType;
 use crate::message::{AnyOut, ResourceOut};
 use bytes::Bytes;
 use prost::Message;
@@ -41,16 +41,16 @@
 #[derive(Clone, Debug)]
 pub enum Change {
     /// It is this from now on.
-    Set(Kind, String, Body),
+    Set(ResourceType, String, Body),
     /// It is gone.
-    Remove(Kind, String),
+    Remove(ResourceType, String),
     /// It exists, but what it is isn't known yet: proxies keep what they have.
-    Unknown(Kind, String),
+    Unknown(ResourceType, String),
 }
 
 impl Change {
     /// What it changes.
-    pub fn key(&self) -> (Kind, &str) {
+    pub fn key(&self) -> (ResourceType, &str) {
         match self {
             Change::Set(kind, name, _) | Change::Remove(kind, name) | Change::Unknown(kind, name) => {
                 (*kind, name)
@@ -136,14 +136,14 @@
     }
 
     /// From now on it is to hold what is agreed up to this index, in the cluster's epoch. Until it is
-    /// [`settled`](Self::settle) there, sessions are told nothing.
-    pub fn move_to(&mut self, epoch: u64, index: u64) {
+    /// [`settled`](Self::finish_update) there, sessions are told nothing.
+    pub fn begin_update(&mut self, epoch: u64, index: u64) {
         self.epoch = epoch;
         self.agreed = Some(Agreed { index, moving: true });
     }
 
     /// It holds what is agreed up to the index that it was moved to.
-    pub fn settle(&mut self) {
+    pub fn finish_update(&mut self) {
         if let Some(agreed) = &mut self.agreed {
             agreed.moving = false;
         }
@@ -194,17 +194,17 @@
     }
 
     /// Resources of a type.
-    pub fn len(&self, kind: Kind) -> usize {
+    pub fn len(&self, kind: ResourceType) -> usize {
         self.table(kind).live.len()
     }
 
     /// Names of a type's resources, in order.
-    pub fn names(&self, kind: Kind) -> impl Iterator<Item = &str> {
+    pub fn names(&self, kind: ResourceType) -> impl Iterator<Item = &str> {
         self.table(kind).live.keys().map(AsRef::as_ref)
     }
 
     /// The protobuf of a resource.
-    pub fn get(&self, kind: Kind, name: &str) -> Option<&Bytes> {
+    pub fn get(&self, kind: ResourceType, name: &str) -> Option<&Bytes> {
         self.table(kind).live.get(name).map(|entry| &entry.body.plain)
     }
 
@@ -226,7 +226,7 @@
         self.seq != before
     }
 
-    fn set(&mut self, kind: Kind, name: String, body: Body) {
+    fn set(&mut self, kind: ResourceType, name: String, body: Body) {
         let table = &mut self.tables[kind.index()];
         let known = table.unknown.remove(name.as_str());
         let old = table.live.get(name.as_str());
@@ -262,7 +262,7 @@
         table.live.insert(name, Entry { seq: self.seq, version, body, plain, zones });
     }
 
-    fn remove(&mut self, now: Duration, kind: Kind, name: &str) {
+    fn remove(&mut self, now: Duration, kind: ResourceType, name: &str) {
         let table = &mut self.tables[kind.index()];
         self.seq += u64::from(table.unknown.remove(name)); // sessions that waited for it look again
         let Some((name, entry)) = table.live.remove_entry(name) else { return };
@@ -272,35 +272,39 @@
         table.gone.insert(name, Gone { seq: self.seq, at: now, entry });
     }
 
-    fn table(&self, kind: Kind) -> &Table {
+    fn table(&self, kind: ResourceType) -> &Table {
         &self.tables[kind.index()]
     }
 
-    pub(crate) fn entry(&self, kind: Kind, name: &str) -> Option<(&Arc<str>, &Entry)> {
+    pub(crate) fn entry(&self, kind: ResourceType, name: &str) -> Option<(&Arc<str>, &Entry)> {
         self.table(kind).live.get_key_value(name)
     }
 
     /// Whether it exists, but isn't known.
-    pub(crate) fn is_unknown(&self, kind: Kind, name: &str) -> bool {
+    pub(crate) fn is_unknown(&self, kind: ResourceType, name: &str) -> bool {
         self.table(kind).unknown.contains(name)
     }
 
     /// What changed after one number, in the order of the changes.
-    pub(crate) fn changed(&self, kind: Kind, after: u64) -> impl Iterator<Item = (&Arc<str>, &Entry)> {
+    pub(crate) fn changed(
+        &self,
+        kind: ResourceType,
+        after: u64,
+    ) -> impl Iterator<Item = (&Arc<str>, &Entry)> {
         let table = self.table(kind);
         let names = table.log.range((Excluded(after), Included(u64::MAX))).map(|(_, name)| name);
         names.filter_map(|name| table.live.get(name).map(|entry| (name, entry)))
     }
 
     /// All of a type, by name.
-    pub(crate) fn all(&self, kind: Kind) -> impl Iterator<Item = (&Arc<str>, &Entry)> {
+    pub(crate) fn all(&self, kind: ResourceType) -> impl Iterator<Item = (&Arc<str>, &Entry)> {
         self.table(kind).live.iter()
     }
 
     /// What was removed after one number: name, number, when, and what it was.
     pub(crate) fn removed(
         &self,
-        kind: Kind,
+        kind: ResourceType,
         after: u64,
     ) -> impl Iterator<Item = (&Arc<str>, u64, Duration, &Entry)> {
         let table = self.table(kind);
@@ -309,7 +313,7 @@
     }
 
     /// Whether removals after this number are all remembered.
-    pub(crate) fn remembers(&self, kind: Kind, after: u64) -> bool {
+    pub(crate) fn remembers(&self, kind: ResourceType, after: u64) -> bool {
         after >= self.table(kind).floor
     }
 }
--- a/crates/xds/src/csds.rs
+++ b/crates/xds/src/csds.rs
@@ -3,9 +3,9 @@
 //! One entry for each stream and type, named by the stream, since a cursor is all that is kept of a proxy: whether
 //! a type is acknowledged as a whole is known, which of its resources is not.
 
-use crate::hub::{Hub, Stream};
+use crate::hub::{Hub, StreamInfo};
 use crate::server::Responses;
-use crate::session::Standing;
+use crate::session::TypeStatus;
 use envoy_types::pb;
 use pb::envoy::admin::v3::{ClientResourceStatus, UpdateFailureState};
 use pb::envoy::config::core::v3::{Locality, Node};
@@ -91,7 +91,7 @@
     }
 }
 
-fn client(stream: &Stream, clock: &Clock) -> ClientConfig {
+fn client(stream: &StreamInfo, clock: &Clock) -> ClientConfig {
     let locality = Some(Locality { zone: stream.zone.clone(), ..Default::default() });
     ClientConfig {
         node: Some(Node {
@@ -100,28 +100,28 @@
             locality,
             ..Default::default()
         }),
-        generic_xds_configs: stream.standings.iter().map(|s| config(stream, s, clock)).collect(),
+        generic_xds_configs: stream.type_statuses.iter().map(|s| config(stream, s, clock)).collect(),
         client_scope: if stream.incremental { "incremental" } else { "state-of-the-world" }.to_owned(),
         ..Default::default()
     }
 }
 
-fn config(stream: &Stream, standing: &Standing, clock: &Clock) -> GenericXdsConfig {
-    let (config_status, client_status) = match standing {
-        Standing { rejected: Some(_), .. } => (ConfigStatus::Error, ClientResourceStatus::Nacked),
-        Standing { sent: None, .. } => (ConfigStatus::NotSent, ClientResourceStatus::Requested),
-        Standing { behind: true, .. } => (ConfigStatus::Stale, ClientResourceStatus::Requested),
+fn config(stream: &StreamInfo, type_status: &TypeStatus, clock: &Clock) -> GenericXdsConfig {
+    let (config_status, client_status) = match type_status {
+        TypeStatus { rejected: Some(_), .. } => (ConfigStatus::Error, ClientResourceStatus::Nacked),
+        TypeStatus { sent: None, .. } => (ConfigStatus::NotSent, ClientResourceStatus::Requested),
+        TypeStatus { behind: true, .. } => (ConfigStatus::Stale, ClientResourceStatus::Requested),
         _ => (ConfigStatus::Synced, ClientResourceStatus::Acked),
     };
-    let last = standing.acked.as_ref().or(standing.sent.as_ref());
+    let last = type_status.acked.as_ref().or(type_status.sent.as_ref());
     GenericXdsConfig {
-        type_url: standing.kind.url().to_owned(),
+        type_url: type_status.kind.url().to_owned(),
         name: format!("stream {}", stream.number),
         version_info: last.map(|(version, _)| version.clone()).unwrap_or_default(),
         last_updated: last.map(|(_, at)| clock.timestamp(*at)),
         config_status: config_status as i32,
         client_status: client_status as i32,
-        error_state: standing.rejected.as_ref().map(|rejected| UpdateFailureState {
+        error_state: type_status.rejected.as_ref().map(|rejected| UpdateFailureState {
             details: rejected.detail.clone(),
             version_info: rejected.version.clone(),
             last_update_attempt: Some(clock.timestamp(rejected.at)),
--- a/crates/xds/src/kind.rs
+++ b/crates/xds/src/kind.rs
@@ -2,7 +2,7 @@
 
 /// A type of resource, in make-before-break order: what is referred to comes before what refers to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum ResourceType {
     /// CDS.
     Cluster,
     /// EDS.
@@ -13,29 +13,30 @@
     Route,
 }
 
-impl Kind {
+impl ResourceType {
     /// All, in make-before-break order.
-    pub const ALL: [Kind; 4] = [Kind::Cluster, Kind::Endpoint, Kind::Listener, Kind::Route];
+    pub const ALL: [ResourceType; 4] =
+        [ResourceType::Cluster, ResourceType::Endpoint, ResourceType::Listener, ResourceType::Route];
 
     /// Its type URL.
     pub fn url(self) -> &'static str {
         match self {
-            Kind::Cluster => "type.googleapis.com/envoy.config.cluster.v3.Cluster",
-            Kind::Endpoint => "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
-            Kind::Listener => "type.googleapis.com/envoy.config.listener.v3.Listener",
-            Kind::Route => "type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
+            ResourceType::Cluster => "type.googleapis.com/envoy.config.cluster.v3.Cluster",
+            ResourceType::Endpoint => "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
+            ResourceType::Listener => "type.googleapis.com/envoy.config.listener.v3.Listener",
+            ResourceType::Route => "type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
         }
     }
 
     /// The type with this URL.
-    pub fn from_url(url: &str) -> Option<Kind> {
-        Kind::ALL.into_iter().find(|kind| kind.url() == url)
+    pub fn from_url(url: &str) -> Option<ResourceType> {
+        ResourceType::ALL.into_iter().find(|kind| kind.url() == url)
     }
 
     /// Whether a state-of-the-world answer must hold all that is subscribed, so that what is missing is gone;
     /// the other types may be answered in part (xDS protocol, "Grouping Resources into Responses").
-    pub fn whole(self) -> bool {
-        matches!(self, Kind::Cluster | Kind::Listener)
+    pub fn requires_full_state(self) -> bool {
+        matches!(self, ResourceType::Cluster | ResourceType::Listener)
     }
 
     pub(crate) fn index(self) -> usize {
--- a/crates/xds/src/lrs.rs
+++ b/crates/xds/src/lrs.rs
@@ -1,8 +1,8 @@
-//! LRS: proxies are asked for the error shares of all pools, and their reports go to [`Loads`](crate::Loads).
+//! LRS: proxies are asked for the error shares of all pools, and their reports go to [`LoadStats`](crate::LoadStats).
 
 use crate::allowance::Allowance;
-use crate::hub::{Hub, place};
-use crate::load::Report;
+use crate::hub::{Hub, rollout_bucket};
+use crate::load::LoadReport;
 use crate::server::{Responses, first_request};
 use envoy_types::pb;
 use lrs::load_reporting_service_server::LoadReportingService;
@@ -18,7 +18,7 @@
 use tonic::{Request, Response, Status, Streaming};
 
 /// A report about more than this says nothing of now; it is taken as one of so long.
-const OVER_MOST: Duration = Duration::from_secs(3600);
+const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(3600);
 
 /// The load reporting service.
 pub struct LoadReporting {
@@ -44,7 +44,7 @@
         let (out, responses) = mpsc::channel(1);
         tokio::spawn(async move {
             if let Err(status) = take(&hub, requests, &out).await {
-                let _ = timeout(hub.settings.first_request, out.send(Err(status))).await;
+                let _ = timeout(hub.settings.first_request_timeout, out.send(Err(status))).await;
             }
         });
         Ok(Response::new(Responses::new(responses)))
@@ -57,8 +57,8 @@
 async fn take(hub: &Arc<Hub>, mut requests: Streaming<LoadStatsRequest>, out: &Out) -> Result<(), Status> {
     let Some(first) = first_request(hub, &mut requests).await? else { return Ok(()) };
     let node: Node = first.node.clone().unwrap_or_default();
-    let _open = hub.open_reporter(&node.id, &node.cluster)?;
-    let every = hub.settings.report_every;
+    let _open = hub.open_load_stream(&node.id, &node.cluster)?;
+    let every = hub.settings.load_report_interval;
     // Which pools there are changes; the proxy knows those that it uses.
     let ask = LoadStatsResponse {
         send_all_clusters: true,
@@ -71,17 +71,18 @@
     if out.send(Ok(ask)).await.is_err() {
         return Ok(());
     }
-    let place = place(&node.id);
-    let mut allowance = Allowance::new(hub.settings.requests_per_s);
+    let bucket = rollout_bucket(&node.id);
+    let mut allowance = Allowance::new(hub.settings.max_requests_per_s);
     let mut next = Some(first);
     while let Some(request) = next {
         if !allowance.take() {
-            let what = format!("more than {} reports a second", hub.settings.requests_per_s);
+            let what = format!("more than {} reports a second", hub.settings.max_requests_per_s);
             return Err(Status::resource_exhausted(what));
         }
-        let reports: Vec<Report> = request.cluster_stats.into_iter().map(report).collect();
+        let reports: Vec<LoadReport> = request.cluster_stats.into_iter().map(report).collect();
         if !reports.is_empty() {
-            hub.report(place, &reports).map_err(|problem| Status::invalid_argument(problem.to_string()))?;
+            hub.report(bucket, &reports)
+                .map_err(|problem| Status::invalid_argument(problem.to_string()))?;
         }
         next = tokio::select! {
             read = requests.message() => read?,
@@ -91,19 +92,20 @@
     Ok(())
 }
 
-fn report(stats: ClusterStats) -> Report {
+fn report(stats: ClusterStats) -> LoadReport {
     let sum = |of: fn(&pb::envoy::config::endpoint::v3::UpstreamLocalityStats) -> u64| {
         stats.upstream_locality_stats.iter().fold(0_u64, |sum, stats| sum.saturating_add(of(stats)))
     };
-    let over = stats.load_report_interval.as_ref().and_then(|over| {
-        let over = Duration::new(u64::try_from(over.seconds).ok()?, u32::try_from(over.nanos).ok()?);
-        Some(over.min(OVER_MOST))
+    let interval = stats.load_report_interval.as_ref().and_then(|interval| {
+        let interval =
+            Duration::new(u64::try_from(interval.seconds).ok()?, u32::try_from(interval.nanos).ok()?);
+        Some(interval.min(MAX_REPORT_INTERVAL))
     });
-    Report {
+    LoadReport {
         succeeded: sum(|stats| stats.total_successful_requests),
         failed: sum(|stats| stats.total_error_requests),
         dropped: stats.total_dropped_requests,
-        over,
+        interval,
         pool: stats.cluster_name,
     }
 }
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -1,10 +1,10 @@
 //! The thin shell: gRPC streams round sessions.
 
 use crate::allowance::Allowance;
-use crate::hub::{Hub, Line, NODE_NAME_MOST, Stream, place};
-use crate::kind::Kind;
+use crate::hub::{Hub, NODE_NAME_MOST, ServedVersion, StreamInfo, rollout_bucket};
+use crate::kind::ResourceType;
 use crate::message::{ControlPlaneOut, DeltaOut, WholeOut};
-use crate::session::{Refusal, Request, Response, Session};
+use crate::session::{Request, Response, Session, SessionError};
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use std::convert::Infallible;
@@ -36,11 +36,11 @@
 }
 
 /// Which service: its name, and its type if it has but one.
-pub trait Served: 'static {
+pub trait ServiceType: 'static {
     /// Its name in the public definitions.
     const NAME: &'static str;
     /// Its type; none: all.
-    const ONLY: Option<Kind>;
+    const RESOURCE_TYPE: Option<ResourceType>;
 }
 
 macro_rules! services {
@@ -49,9 +49,9 @@
         #[derive(Clone, Copy, Debug)]
         pub enum $service {}
 
-        impl Served for $service {
+        impl ServiceType for $service {
             const NAME: &'static str = $name;
-            const ONLY: Option<Kind> = $only;
+            const RESOURCE_TYPE: Option<ResourceType> = $only;
         }
     )* };
 }
@@ -60,27 +60,27 @@
     /// ADS: all types on one stream, in make-before-break order.
     Aggregated "envoy.service.discovery.v3.AggregatedDiscoveryService" None;
     /// CDS.
-    Clusters "envoy.service.cluster.v3.ClusterDiscoveryService" Some(Kind::Cluster);
+    Clusters "envoy.service.cluster.v3.ClusterDiscoveryService" Some(ResourceType::Cluster);
     /// EDS.
-    Endpoints "envoy.service.endpoint.v3.EndpointDiscoveryService" Some(Kind::Endpoint);
+    Endpoints "envoy.service.endpoint.v3.EndpointDiscoveryService" Some(ResourceType::Endpoint);
     /// LDS.
-    Listeners "envoy.service.listener.v3.ListenerDiscoveryService" Some(Kind::Listener);
+    Listeners "envoy.service.listener.v3.ListenerDiscoveryService" Some(ResourceType::Listener);
     /// RDS.
-    Routes "envoy.service.route.v3.RouteDiscoveryService" Some(Kind::Route);
+    Routes "envoy.service.route.v3.RouteDiscoveryService" Some(ResourceType::Route);
 }
 
-impl<S: Served> Discovery<S> {
+impl<S: ServiceType> Discovery<S> {
     /// The service, handing out what the hub holds.
     pub fn new(hub: Arc<Hub>) -> Self {
         Discovery { hub, of: PhantomData }
     }
 }
 
-impl<S: Served> NamedService for Discovery<S> {
+impl<S: ServiceType> NamedService for Discovery<S> {
     const NAME: &'static str = S::NAME;
 }
 
-impl<S: Served + Clone> Service<http::Request<Body>> for Discovery<S> {
+impl<S: ServiceType + Clone> Service<http::Request<Body>> for Discovery<S> {
     type Response = http::Response<Body>;
     type Error = Infallible;
     type Future = Pinned<Result<Self::Response, Infallible>>;
@@ -93,13 +93,13 @@
         let hub = self.hub.clone();
         let method = request.uri().path().rsplit('/').next().unwrap_or_default().to_owned();
         Box::pin(async move {
-            let most = hub.settings.request_bytes;
+            let most = hub.settings.max_request_bytes;
             Ok(if method.starts_with("Delta") {
-                let handler = Handler::<Incremental> { hub, only: S::ONLY, variant: PhantomData };
+                let handler = Handler::<Incremental> { hub, only: S::RESOURCE_TYPE, variant: PhantomData };
                 let codec = ProstCodec::<DeltaOut, DeltaDiscoveryRequest>::default();
                 Grpc::new(codec).max_decoding_message_size(most).streaming(handler, request).await
             } else if method.starts_with("Stream") {
-                let handler = Handler::<Whole> { hub, only: S::ONLY, variant: PhantomData };
+                let handler = Handler::<Whole> { hub, only: S::RESOURCE_TYPE, variant: PhantomData };
                 let codec = ProstCodec::<WholeOut, DiscoveryRequest>::default();
                 Grpc::new(codec).max_decoding_message_size(most).streaming(handler, request).await
             } else {
@@ -188,7 +188,7 @@
 
 struct Handler<V> {
     hub: Arc<Hub>,
-    only: Option<Kind>,
+    only: Option<ResourceType>,
     variant: PhantomData<fn() -> V>,
 }
 
@@ -212,7 +212,7 @@
 /// Runs a stream to its end.
 async fn drive<V: Variant>(
     hub: Arc<Hub>,
-    only: Option<Kind>,
+    only: Option<ResourceType>,
     mut requests: Streaming<V::In>,
     out: mpsc::Sender<Result<V::Out, Status>>,
 ) {
@@ -224,13 +224,13 @@
     hub.close(number, why);
     if let Some(status) = status {
         // A reader that takes nothing finds its stream ended all the same.
-        let _ = timeout(hub.settings.first_request, out.send(Err(status))).await;
+        let _ = timeout(hub.settings.first_request_timeout, out.send(Err(status))).await;
     }
 }
 
 /// The first request of a stream, which must not take long; none where the stream has ended.
 pub(crate) async fn first_request<T>(hub: &Hub, requests: &mut Streaming<T>) -> Result<Option<T>, Status> {
-    let wait = hub.settings.first_request;
+    let wait = hub.settings.first_request_timeout;
     let first = timeout(wait, requests.message()).await;
     first.map_err(|_| Status::deadline_exceeded(format!("no request within {wait:?}")))?
 }
@@ -238,24 +238,24 @@
 /// Waits for the first request, which names the node.
 async fn begin<V: Variant>(
     hub: &Hub,
-    only: Option<Kind>,
+    only: Option<ResourceType>,
     number: u64,
     requests: &mut Streaming<V::In>,
-) -> Result<(Follower, V::In), Status> {
+) -> Result<(VersionedSession, V::In), Status> {
     let first = first_request(hub, requests).await?;
     let mut first = first.ok_or_else(|| Status::invalid_argument("the stream ended with no request"))?;
     let node = V::node(&mut first).unwrap_or_default();
     let zone = node.locality.map(|locality| locality.zone).unwrap_or_default();
-    hub.admits(&node.id, &node.cluster)?;
+    hub.check_node(&node.id, &node.cluster)?;
     if zone.len() > NODE_NAME_MOST {
         return Err(Status::invalid_argument(format!("the zone is over {NODE_NAME_MOST} bytes")));
     }
     let stream = format!("{:x}.{number}", hub.run);
     let mut session = Session::new(stream, V::INCREMENTAL, only, hub.settings.limits.clone());
     session.set_zone(&zone);
-    let place = place(&node.id);
-    let line = hub.lines().of(place).id;
-    hub.open(Stream {
+    let bucket = rollout_bucket(&node.id);
+    let version_id = hub.versions().of(bucket).id;
+    hub.open(StreamInfo {
         number,
         node: node.id,
         cluster: node.cluster,
@@ -265,30 +265,30 @@
         requests: 0,
         responses: 0,
         bytes: 0,
-        line,
-        standings: Vec::new(),
+        version_id,
+        type_statuses: Vec::new(),
     })?;
-    Ok((Follower { session, place, line }, first))
+    Ok((VersionedSession { session, bucket, version_id }, first))
 }
 
-/// A session, and the line that it follows.
-struct Follower {
+/// A session, and the version that it follows.
+struct VersionedSession {
     session: Session,
-    place: u32,
-    line: u64,
+    bucket: u32,
+    version_id: u64,
 }
 
-impl Follower {
-    /// Goes over to the line that its node is to follow now; says whether that is another one.
-    fn follow(&mut self, line: &Line) -> Result<bool, Refusal> {
-        if self.line == line.id {
+impl VersionedSession {
+    /// Goes over to the version that its node is to follow now; says whether that is another one.
+    fn follow(&mut self, version: &ServedVersion) -> Result<bool, SessionError> {
+        if self.version_id == version.id {
             return Ok(false);
         }
-        match line.forked {
-            Some((parent, seq)) if parent == self.line => self.session.rewind(seq),
-            _ => return Err(Refusal::TooFarBehind), // two roll-outs while it was not looked at
+        match version.forked_from {
+            Some((parent, seq)) if parent == self.version_id => self.session.rewind(seq),
+            _ => return Err(SessionError::TooFarBehind), // two roll-outs while it was not looked at
         }
-        self.line = line.id;
+        self.version_id = version.id;
         Ok(true)
     }
 }
@@ -296,32 +296,32 @@
 async fn go_on<V: Variant>(
     hub: &Hub,
     number: u64,
-    mut follower: Follower,
+    mut versioned: VersionedSession,
     first: V::In,
     requests: &mut Streaming<V::In>,
     out: &mpsc::Sender<Result<V::Out, Status>>,
 ) -> (Option<Status>, String) {
     let mut head = hub.head();
-    let mut allowance = Allowance::new(hub.settings.requests_per_s);
+    let mut allowance = Allowance::new(hub.settings.max_requests_per_s);
     let mut request = Some(first);
     let mut look = true;
     loop {
         if let Some(request) = request.take() {
             if !allowance.take() {
-                let what = format!("more than {} requests a second", hub.settings.requests_per_s);
+                let what = format!("more than {} requests a second", hub.settings.max_requests_per_s);
                 return (Some(Status::resource_exhausted(&*what)), what);
             }
             let taken = {
-                let lines = hub.lines();
-                let line = lines.of(follower.place);
-                let taken = follower
-                    .follow(line)
-                    .and_then(|_| follower.session.request(&line.cache, hub.now(), V::request(request)));
-                let standings = follower.session.standings(&line.cache);
+                let versions = hub.versions();
+                let version = versions.of(versioned.bucket);
+                let taken = versioned.follow(version).and_then(|_| {
+                    versioned.session.request(&version.cache, hub.now(), V::request(request))
+                });
+                let type_statuses = versioned.session.type_statuses(&version.cache);
                 hub.update(number, |stream| {
                     stream.requests += 1;
-                    stream.line = follower.line;
-                    stream.standings = standings;
+                    stream.version_id = versioned.version_id;
+                    stream.type_statuses = type_statuses;
                 });
                 taken
             };
@@ -342,22 +342,22 @@
             permit = out.reserve(), if look => {
                 let Ok(permit) = permit else { return (None, "the proxy closed the stream".to_owned()) };
                 head.mark_unchanged();
-                let lines = hub.lines();
-                let line = lines.of(follower.place);
-                let polled = follower.follow(line).and_then(|moved| {
-                    let response = follower.session.poll(&line.cache, hub.now())?;
+                let versions = hub.versions();
+                let version = versions.of(versioned.bucket);
+                let polled = versioned.follow(version).and_then(|moved| {
+                    let response = versioned.session.poll(&version.cache, hub.now())?;
                     let told = response.is_some() || moved;
-                    Ok((response, told.then(|| follower.session.standings(&line.cache))))
+                    Ok((response, told.then(|| versioned.session.type_statuses(&version.cache))))
                 });
-                drop(lines);
-                if let Ok((response, Some(standings))) = &polled {
+                drop(versions);
+                if let Ok((response, Some(type_statuses))) = &polled {
                     let resources = response.iter().flat_map(|response| &response.resources);
                     let bytes: usize = resources.map(bytes::Bytes::len).sum();
                     hub.update(number, |stream| {
                         stream.responses += u64::from(response.is_some());
                         stream.bytes += bytes as u64;
-                        stream.line = follower.line;
-                        stream.standings.clone_from(standings);
+                        stream.version_id = versioned.version_id;
+                        stream.type_statuses.clone_from(type_statuses);
                     });
                 }
                 match polled.map(|(response, _)| response) {
@@ -370,17 +370,17 @@
                 }
             }
             _ = head.changed(), if !look => look = true,
-            () = sleep(RECHECK), if !look && follower.session.waits() => look = true,
+            () = sleep(RECHECK), if !look && versioned.session.has_pending_removals() => look = true,
             () = out.closed(), if !look => return (None, "the proxy closed the stream".to_owned()),
         }
     }
 }
 
-fn status(refusal: &Refusal) -> Status {
+fn status(refusal: &SessionError) -> Status {
     let what = refusal.to_string();
     match refusal {
-        Refusal::UnknownType(_) | Refusal::OtherType(..) => Status::invalid_argument(what),
-        Refusal::TooManyNames { .. } => Status::resource_exhausted(what),
-        Refusal::TooFarBehind => Status::aborted(what),
+        SessionError::UnknownType(_) | SessionError::WrongType(..) => Status::invalid_argument(what),
+        SessionError::TooManyNames { .. } => Status::resource_exhausted(what),
+        SessionError::TooFarBehind => Status::aborted(what),
     }
 }
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -9,7 +9,7 @@
 //! "Incremental xDS".
 
 use crate::cache::{Cache, Encoded, Entry, hash, is_version, version_text};
-use crate::kind::Kind;
+use crate::kind::ResourceType;
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -19,27 +19,27 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Names that a stream may subscribe to, of all types together. A stranger's names would fill the memory.
-    pub names: usize,
+    pub max_names: usize,
     /// Bytes of names that a stream may subscribe to.
-    pub name_bytes: usize,
+    pub max_name_bytes: usize,
     /// Bytes of resources in one response, where the protocol lets it be split. Each stream may hold two responses in
     /// memory, so that a thousand proxies that connect at once cost a thousand times this; gRPC clients take 4 MiB.
-    pub response_bytes: usize,
+    pub max_response_bytes: usize,
     /// A removal waits no longer than this for what refers to the resource to be acknowledged as gone; on streams
-    /// of a single type, which can't tell, it always waits for `linger`.
-    pub removal_hold: Duration,
+    /// of a single type, which can't tell, it always waits for [`single_type_removal_delay`](Self::single_type_removal_delay).
+    pub max_removal_delay: Duration,
     /// How long removals wait on streams of a single type.
-    pub linger: Duration,
+    pub single_type_removal_delay: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            names: 20_000,
-            name_bytes: 2 << 20,
-            response_bytes: 64 << 10,
-            removal_hold: Duration::from_secs(30),
-            linger: Duration::from_secs(2),
+            max_names: 20_000,
+            max_name_bytes: 2 << 20,
+            max_response_bytes: 64 << 10,
+            max_removal_delay: Duration::from_secs(30),
+            single_type_removal_delay: Duration::from_secs(2),
         }
     }
 }
@@ -55,13 +55,13 @@
 
 /// Why a stream is ended.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum SessionError {
     /// The type is none that is served.
     #[error("type `{0}` is not served here")]
     UnknownType(String),
     /// The stream is of one type, and another one was asked for.
     #[error("type `{0}` does not belong on a stream of {1}")]
-    OtherType(String, &'static str),
+    WrongType(String, &'static str),
     /// Too many names.
     #[error("the stream subscribes to more than {names} names or {bytes} bytes of names")]
     TooManyNames {
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
     /// Its type.
-    pub kind: Kind,
+    pub kind: ResourceType,
     /// Its nonce.
     pub nonce: String,
     /// Version of the whole.
@@ -122,9 +122,9 @@
 
 /// How a type stands on a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct TypeStatus {
     /// The type.
-    pub kind: Kind,
+    pub kind: ResourceType,
     /// All of it is subscribed.
     pub wildcard: bool,
     /// Names subscribed.
@@ -194,7 +194,7 @@
 pub struct Session {
     stream: String,
     incremental: bool,
-    only: Option<Kind>,
+    only: Option<ResourceType>,
     zone: String,
     limits: Limits,
     watches: [Option<Watch>; 4],
@@ -210,7 +210,7 @@
 impl Session {
     /// A stream with a name that no other one has, of the incremental variant or not, of one type or of all,
     /// of a proxy in this zone.
-    pub fn new(stream: String, incremental: bool, only: Option<Kind>, limits: Limits) -> Self {
+    pub fn new(stream: String, incremental: bool, only: Option<ResourceType>, limits: Limits) -> Self {
         Session {
             stream,
             incremental,
@@ -235,13 +235,13 @@
     ///
     /// What the proxy holds may be newer than what this instance knows: then nothing is said of what it asks for until
     /// that has changed.
-    pub fn request(&mut self, cache: &Cache, now: Duration, request: Request) -> Result<(), Refusal> {
+    pub fn request(&mut self, cache: &Cache, now: Duration, request: Request) -> Result<(), SessionError> {
         self.claim(cache, &request);
         if cache.reaches(self.floor) && self.early.is_empty() {
             return self.take(cache, now, request);
         }
         if self.early.len() >= EARLY_MOST {
-            return Err(Refusal::TooFarBehind);
+            return Err(SessionError::TooFarBehind);
         }
         self.early.push(request);
         Ok(())
@@ -253,17 +253,17 @@
     }
 
     /// The index that the proxy holds and this instance has yet to reach, if that is so.
-    pub fn awaits(&self, cache: &Cache) -> Option<u64> {
+    pub fn awaited_index(&self, cache: &Cache) -> Option<u64> {
         (!cache.reaches(self.floor)).then_some(self.floor)
     }
 
-    fn take(&mut self, cache: &Cache, now: Duration, request: Request) -> Result<(), Refusal> {
-        let kind = match (self.only, Kind::from_url(&request.type_url)) {
+    fn take(&mut self, cache: &Cache, now: Duration, request: Request) -> Result<(), SessionError> {
+        let kind = match (self.only, ResourceType::from_url(&request.type_url)) {
             (Some(only), _) if request.type_url.is_empty() => only,
             (Some(only), Some(kind)) if kind == only => only,
-            (Some(only), _) => return Err(Refusal::OtherType(clip(&request.type_url), only.url())),
+            (Some(only), _) => return Err(SessionError::WrongType(clip(&request.type_url), only.url())),
             (None, Some(kind)) => kind,
-            (None, None) => return Err(Refusal::UnknownType(clip(&request.type_url))),
+            (None, None) => return Err(SessionError::UnknownType(clip(&request.type_url))),
         };
         if self.watches[kind.index()].is_none() {
             return self.first(cache, kind, request);
@@ -297,9 +297,9 @@
     }
 
     /// The first request for a type.
-    fn first(&mut self, cache: &Cache, kind: Kind, request: Request) -> Result<(), Refusal> {
+    fn first(&mut self, cache: &Cache, kind: ResourceType, request: Request) -> Result<(), SessionError> {
         // Asking for nothing by name is asking for all, for the types that begin a chain of references.
-        let all = kind.whole() && request.names.is_empty();
+        let all = kind.requires_full_state() && request.names.is_empty();
         let mut watch =
             Watch { wildcard: all, owed: !self.incremental, claimed: request.version, ..Watch::default() };
         watch.from_future = epoch_of(&watch.claimed).is_some_and(|epoch| epoch > cache.epoch());
@@ -320,7 +320,7 @@
     }
 
     /// Takes an acknowledgement or rejection; tells whether the request answers the newest response.
-    fn answer(&mut self, kind: Kind, now: Duration, request: &Request) -> bool {
+    fn answer(&mut self, kind: ResourceType, now: Duration, request: &Request) -> bool {
         let number = request.nonce.strip_prefix(&self.stream).and_then(|rest| rest.strip_prefix('-'));
         let number: Option<u64> = number.and_then(|number| number.parse().ok());
         let Some(watch) = &mut self.watches[kind.index()] else { return false };
@@ -348,7 +348,7 @@
                 let detail = clip(detail);
                 watch.rejected = Some(Rejection { version: sent.version, detail, at: now });
                 // One bad resource must not keep the others of its response from the proxy, a drain among them.
-                let partial = self.incremental || !kind.whole();
+                let partial = self.incremental || !kind.requires_full_state();
                 if partial && sent.names.len() > 1 && watch.apart.len() + 2 <= APART_MOST {
                     let (a, b) = sent.names.split_at(sent.names.len() / 2);
                     watch.apart.push_back(a.to_vec());
@@ -362,10 +362,10 @@
     fn subscribe(
         &mut self,
         cache: &Cache,
-        kind: Kind,
+        kind: ResourceType,
         names: Vec<String>,
         first: bool,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), SessionError> {
         let Some(watch) = &mut self.watches[kind.index()] else { return Ok(()) };
         for name in names {
             if name == "*" {
@@ -400,15 +400,15 @@
                 self.names += 1;
                 self.name_bytes += bytes;
             }
-            if self.names > self.limits.names || self.name_bytes > self.limits.name_bytes {
-                let (names, bytes) = (self.limits.names, self.limits.name_bytes);
-                return Err(Refusal::TooManyNames { names, bytes });
+            if self.names > self.limits.max_names || self.name_bytes > self.limits.max_name_bytes {
+                let (names, bytes) = (self.limits.max_names, self.limits.max_name_bytes);
+                return Err(SessionError::TooManyNames { names, bytes });
             }
         }
         Ok(())
     }
 
-    fn unsubscribe(&mut self, cache: &Cache, kind: Kind, names: Vec<String>) {
+    fn unsubscribe(&mut self, cache: &Cache, kind: ResourceType, names: Vec<String>) {
         let Some(watch) = &mut self.watches[kind.index()] else { return };
         for name in names {
             if name == "*" && self.incremental {
@@ -427,7 +427,7 @@
 
     /// The next response, if anything is to be told: to be called when the stream can take one, and then until
     /// there is none.
-    pub fn poll(&mut self, cache: &Cache, now: Duration) -> Result<Option<Response>, Refusal> {
+    pub fn poll(&mut self, cache: &Cache, now: Duration) -> Result<Option<Response>, SessionError> {
         let early = std::mem::take(&mut self.early);
         // What they name could not be told from another cluster's while the epoch was not known.
         early.iter().for_each(|request| self.claim(cache, request));
@@ -440,7 +440,7 @@
         }
         loop {
             let before = self.settled();
-            for kind in Kind::ALL {
+            for kind in ResourceType::ALL {
                 let response = self.poll_kind(cache, kind, now)?;
                 if response.is_some() {
                     return Ok(response);
@@ -469,16 +469,21 @@
         std::array::from_fn(|i| self.watches[i].as_ref().map(|watch| watch.settled))
     }
 
-    fn poll_kind(&mut self, cache: &Cache, kind: Kind, now: Duration) -> Result<Option<Response>, Refusal> {
+    fn poll_kind(
+        &mut self,
+        cache: &Cache,
+        kind: ResourceType,
+        now: Duration,
+    ) -> Result<Option<Response>, SessionError> {
         let open = self.open_to(cache, kind, now);
         let Some(watch) = self.watches[kind.index()].as_mut() else { return Ok(None) };
         if watch.removed_to > 0 && !cache.remembers(kind, watch.removed_to) {
-            return Err(Refusal::TooFarBehind);
+            return Err(SessionError::TooFarBehind);
         }
-        let (zone, most) = (self.zone.as_str(), self.limits.response_bytes);
+        let (zone, most) = (self.zone.as_str(), self.limits.max_response_bytes);
         let mut batch = Batch { incremental: self.incremental, zone, most, ..Batch::default() };
         let before = watch.cursor;
-        let told = if !self.incremental && kind.whole() {
+        let told = if !self.incremental && kind.requires_full_state() {
             watch.whole(cache, kind, open, &mut batch)
         } else {
             watch.part(cache, kind, open, &mut batch)
@@ -504,7 +509,7 @@
         let (cursor, removed_to) = (watch.cursor, watch.removed_to);
         let sent = Sent { nonce, version: version.clone(), names: names.clone(), cursor, removed_to };
         watch.unacked.push_back(sent);
-        if kind == Kind::Cluster {
+        if kind == ResourceType::Cluster {
             self.warm(cache, &names, before);
         }
         Ok(Some(Response { kind, nonce: format!("{}-{nonce}", self.stream), version, resources, removed }))
@@ -512,10 +517,11 @@
 
     /// A proxy that takes in a changed cluster waits for its endpoints again: they follow, changed or not.
     fn warm(&mut self, cache: &Cache, clusters: &[Arc<str>], before: u64) {
-        let Some(watch) = &mut self.watches[Kind::Endpoint.index()] else { return };
+        let Some(watch) = &mut self.watches[ResourceType::Endpoint.index()] else { return };
         for name in clusters {
-            let changed = cache.entry(Kind::Cluster, name).is_some_and(|(_, entry)| entry.seq > before);
-            let endpoints = cache.entry(Kind::Endpoint, name);
+            let changed =
+                cache.entry(ResourceType::Cluster, name).is_some_and(|(_, entry)| entry.seq > before);
+            let endpoints = cache.entry(ResourceType::Endpoint, name);
             if changed && endpoints.is_some_and(|(name, entry)| watch.subscribed(name, entry)) {
                 watch.due.insert(name.clone());
             }
@@ -524,13 +530,13 @@
 
     /// The last removal of a type that may be told now: what refers to the resource must be gone first, that is,
     /// the proxy has acknowledged all types after this one in make-before-break order as of then.
-    fn open_to(&self, cache: &Cache, kind: Kind, now: Duration) -> u64 {
+    fn open_to(&self, cache: &Cache, kind: ResourceType, now: Duration) -> u64 {
         let Some(watch) = &self.watches[kind.index()] else { return 0 };
         let (gate, hold) = match self.only {
-            Some(_) => (0, self.limits.linger),
+            Some(_) => (0, self.limits.single_type_removal_delay),
             None => {
                 let later = self.watches[kind.index() + 1..].iter().flatten();
-                (later.map(|w| w.settled).min().unwrap_or(u64::MAX), self.limits.removal_hold)
+                (later.map(|w| w.settled).min().unwrap_or(u64::MAX), self.limits.max_removal_delay)
             }
         };
         let mut open = watch.removed_to;
@@ -544,16 +550,16 @@
     }
 
     /// Whether removals wait: the session is to be polled again within a second or so, though nothing happens.
-    pub fn waits(&self) -> bool {
+    pub fn has_pending_removals(&self) -> bool {
         self.watches.iter().flatten().any(|watch| watch.waiting)
     }
 
     /// How each type stands, for people.
-    pub fn standings(&self, cache: &Cache) -> Vec<Standing> {
-        let watches = Kind::ALL.into_iter().zip(&self.watches);
+    pub fn type_statuses(&self, cache: &Cache) -> Vec<TypeStatus> {
+        let watches = ResourceType::ALL.into_iter().zip(&self.watches);
         let watched = watches.filter_map(|(kind, watch)| watch.as_ref().map(|watch| (kind, watch)));
         watched
-            .map(|(kind, watch)| Standing {
+            .map(|(kind, watch)| TypeStatus {
                 kind,
                 wildcard: watch.wildcard,
                 names: watch.names.len(),
@@ -603,7 +609,7 @@
     }
 
     /// Everything subscribed, if any of it changed.
-    fn whole(&mut self, cache: &Cache, kind: Kind, open: u64, batch: &mut Batch) -> bool {
+    fn whole(&mut self, cache: &Cache, kind: ResourceType, open: u64, batch: &mut Batch) -> bool {
         let changed = cache.changed(kind, self.cursor).any(|(name, entry)| self.subscribed(name, entry));
         let gone = cache
             .removed(kind, self.removed_to)
@@ -638,7 +644,7 @@
     }
 
     /// What changed of what is subscribed, up to one response's size.
-    fn part(&mut self, cache: &Cache, kind: Kind, open: u64, batch: &mut Batch) -> bool {
+    fn part(&mut self, cache: &Cache, kind: ResourceType, open: u64, batch: &mut Batch) -> bool {
         if let Some(names) = self.apart.pop_front() {
             for name in names {
                 if let Some((name, entry)) = cache.entry(kind, &name) {
--- a/crates/xds/src/translate.rs
+++ b/crates/xds/src/translate.rs
@@ -4,7 +4,7 @@
 //! set. Messages hold maps nowhere, so that equal inputs give equal bytes.
 
 use crate::cache::{Body, Change};
-use crate::kind::Kind;
+use crate::kind::ResourceType;
 use envoy_types::pb;
 use pb::envoy::config::cluster::v3 as cds;
 use pb::envoy::config::core::v3 as core;
@@ -38,7 +38,7 @@
 
 /// An endpoint as its pool's balancer sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct ResolvedEndpoint {
     /// Its name.
     pub name: String,
     /// Where it listens.
@@ -50,9 +50,9 @@
     /// Nothing new may be sent to it.
     pub draining: bool,
     /// The part of its capacity that it surely has, `0.01..=1`.
-    pub part: f64,
+    pub capacity_fraction: f64,
     /// Recent failures as calls in flight.
-    pub heat: f64,
+    pub failure_penalty: f64,
 }
 
 /// The cluster of a pool.
@@ -119,7 +119,7 @@
         }),
         ..Default::default()
     };
-    set(Kind::Cluster, name, cluster.encode_to_vec())
+    set(ResourceType::Cluster, name, cluster.encode_to_vec())
 }
 
 /// SQ(2), and for clients that have no such policy, as gRPC's C core, the next best that all have: by turns, with
@@ -160,25 +160,25 @@
 
 /// The endpoints of a pool, in the order given; for each zone of the fleet with priorities of its own, if the pool
 /// wants the nearest first.
-pub fn endpoints(name: &str, pool: &Pool, fleet: &Fleet, members: &[Member]) -> Change {
-    let mut body = Body::from(assignment(name, members, |_| 0));
+pub fn endpoints(name: &str, pool: &Pool, fleet: &Fleet, endpoints: &[ResolvedEndpoint]) -> Change {
+    let mut body = Body::from(assignment(name, endpoints, |_| 0));
     if pool.nearest_first {
-        let zones: BTreeSet<&str> = members.iter().map(|m| m.zone.as_str()).collect();
+        let zones: BTreeSet<&str> = endpoints.iter().map(|m| m.zone.as_str()).collect();
         for (from, steps) in &fleet.zones {
             let distance =
                 |zone: &str| if zone == from { 0 } else { steps.get(zone).copied().unwrap_or(u32::MAX) };
             let ranks: BTreeSet<u32> = zones.iter().map(|zone| distance(zone)).collect();
             let rank = |zone: &str| ranks.range(..distance(zone)).count() as u32;
-            body.zones.insert(from.clone(), assignment(name, members, rank).into());
+            body.zones.insert(from.clone(), assignment(name, endpoints, rank).into());
         }
     }
-    Change::Set(Kind::Endpoint, name.to_owned(), body)
+    Change::Set(ResourceType::Endpoint, name.to_owned(), body)
 }
 
-fn assignment(name: &str, members: &[Member], priority: impl Fn(&str) -> u32) -> Vec<u8> {
+fn assignment(name: &str, endpoints: &[ResolvedEndpoint], priority: impl Fn(&str) -> u32) -> Vec<u8> {
     let mut localities: BTreeMap<&str, Vec<eds::LbEndpoint>> = BTreeMap::new();
-    for member in members {
-        localities.entry(&member.zone).or_default().push(endpoint(member));
+    for endpoint in endpoints {
+        localities.entry(&endpoint.zone).or_default().push(lb_endpoint(endpoint));
     }
     let localities = localities.into_iter().map(|(zone, lb_endpoints)| {
         let weight = |e: &eds::LbEndpoint| e.load_balancing_weight.map_or(0, |w| u64::from(w.value));
@@ -201,15 +201,18 @@
     assignment.encode_to_vec()
 }
 
-fn endpoint(member: &Member) -> eds::LbEndpoint {
-    let health = if member.draining { core::HealthStatus::Draining } else { core::HealthStatus::Healthy };
+fn lb_endpoint(endpoint: &ResolvedEndpoint) -> eds::LbEndpoint {
+    let health = if endpoint.draining { core::HealthStatus::Draining } else { core::HealthStatus::Healthy };
     // Heat counts like calls in flight: an endpoint with one more takes half as much.
-    let weight = (WEIGHT_ONE * member.weight * member.part / (1.0 + member.heat)).round().max(1.0);
+    let weight = (WEIGHT_ONE * endpoint.weight * endpoint.capacity_fraction
+        / (1.0 + endpoint.failure_penalty))
+        .round()
+        .max(1.0);
     eds::LbEndpoint {
         health_status: health as i32,
         load_balancing_weight: Some(number(weight as u32)),
         host_identifier: Some(eds::lb_endpoint::HostIdentifier::Endpoint(eds::Endpoint {
-            address: Some(address(member.address)),
+            address: Some(address(endpoint.address)),
             ..Default::default()
         })),
         ..Default::default()
@@ -219,7 +222,7 @@
 /// A listener and its routes: one resource for gRPC clients, by the listener's name, one for proxies that listen
 /// on a socket, and the routes of both.
 pub fn listener(name: &str, listener: &Listener, fleet: &Fleet) -> Vec<Change> {
-    let mut changes = vec![set(Kind::Route, name, routes(name, listener, fleet).encode_to_vec())];
+    let mut changes = vec![set(ResourceType::Route, name, routes(name, listener, fleet).encode_to_vec())];
     let manager = hcm::HttpConnectionManager {
         stat_prefix: name.to_owned(),
         http_filters: vec![hcm::HttpFilter {
@@ -242,7 +245,7 @@
         };
         // A proxy that asks for all listeners would reject one without an address.
         let body = Body { by_name_only: true, ..Body::from(api.encode_to_vec()) };
-        changes.push(Change::Set(Kind::Listener, name.to_owned(), body));
+        changes.push(Change::Set(ResourceType::Listener, name.to_owned(), body));
     }
     if let Some(at) = listener.address {
         let filter = lds::Filter {
@@ -256,7 +259,7 @@
             filter_chains: vec![lds::FilterChain { filters: vec![filter], ..Default::default() }],
             ..Default::default()
         };
-        changes.push(set(Kind::Listener, &name, socket.encode_to_vec()));
+        changes.push(set(ResourceType::Listener, &name, socket.encode_to_vec()));
     }
     changes
 }
@@ -366,7 +369,7 @@
     }
 }
 
-fn set(kind: Kind, name: &str, bytes: Vec<u8>) -> Change {
+fn set(kind: ResourceType, name: &str, bytes: Vec<u8>) -> Change {
     Change::Set(kind, name.to_owned(), bytes.into())
 }
 
--- a/crates/xds/tests/translate.rs
+++ b/crates/xds/tests/translate.rs
@@ -5,8 +5,8 @@
 use envoy_types::pb::envoy::config::route::v3::{RetryPolicy, RouteConfiguration, route, route_action};
 use prost::Message;
 use runtrack_model::Fleet;
-use runtrack_xds::translate::{self, Member};
-use runtrack_xds::{Change, Kind};
+use runtrack_xds::translate::{self, ResolvedEndpoint};
+use runtrack_xds::{Change, ResourceType};
 
 fn fleet(class: &str, routes: &str) -> Fleet {
     let text = format!(
@@ -15,7 +15,7 @@
          [[pool]]\nname = \"q\"\n[[pool.endpoint]]\nname = \"e\"\naddress = \"127.0.0.1:1\"\n\
          [[listener]]\nname = \"l\"\napi = true\n{routes}"
     );
-    Fleet::read(&text).unwrap_or_else(|problems| panic!("{problems}\n{text}"))
+    Fleet::from_toml(&text).unwrap_or_else(|problems| panic!("{problems}\n{text}"))
 }
 
 const ROUTE: &str = "[[listener.route]]\nname = \"r\"\nclass = \"k\"\npool = \"p\"\n";
@@ -23,7 +23,7 @@
 fn routes(fleet: &Fleet) -> RouteConfiguration {
     let changes = translate::listener("l", &fleet.listeners["l"], fleet);
     let body = changes.into_iter().find_map(|change| match change {
-        Change::Set(Kind::Route, _, body) => Some(body),
+        Change::Set(ResourceType::Route, _, body) => Some(body),
         _ => None,
     });
     RouteConfiguration::decode(body.expect("routes").plain).expect("RDS")
@@ -110,23 +110,31 @@
     assert_eq!(shares, [("p", 90), ("q", 10)]);
 }
 
-fn member(name: &str, zone: &str) -> Member {
+fn endpoint(name: &str, zone: &str) -> ResolvedEndpoint {
     let address = ([127, 0, 0, 1], 1).into();
     let (name, zone) = (name.to_owned(), zone.to_owned());
-    Member { name, address, zone, weight: 1.0, draining: false, part: 1.0, heat: 0.0 }
+    ResolvedEndpoint {
+        name,
+        address,
+        zone,
+        weight: 1.0,
+        draining: false,
+        capacity_fraction: 1.0,
+        failure_penalty: 0.0,
+    }
 }
 
 #[test]
 fn weights_follow_size_part_and_heat_and_never_vanish() {
     let fleet = fleet("semantics = \"safe\"", ROUTE);
-    let members = [
-        Member { weight: 2.0, ..member("large", "") },
-        Member { part: 0.25, ..member("cold", "") },
-        Member { heat: 3.0, ..member("ailing", "") },
-        Member { part: 0.01, weight: 0.01, ..member("tiny", "") },
-        Member { draining: true, ..member("leaving", "") },
+    let endpoints = [
+        ResolvedEndpoint { weight: 2.0, ..endpoint("large", "") },
+        ResolvedEndpoint { capacity_fraction: 0.25, ..endpoint("cold", "") },
+        ResolvedEndpoint { failure_penalty: 3.0, ..endpoint("ailing", "") },
+        ResolvedEndpoint { capacity_fraction: 0.01, weight: 0.01, ..endpoint("tiny", "") },
+        ResolvedEndpoint { draining: true, ..endpoint("leaving", "") },
     ];
-    let Change::Set(_, _, body) = translate::endpoints("q", &fleet.pools["q"], &fleet, &members) else {
+    let Change::Set(_, _, body) = translate::endpoints("q", &fleet.pools["q"], &fleet, &endpoints) else {
         panic!()
     };
     let eds = ClusterLoadAssignment::decode(body.plain).expect("EDS");
@@ -142,8 +150,9 @@
 #[test]
 fn priorities_follow_the_distance_from_the_proxys_zone_without_gaps() {
     let fleet = fleet("semantics = \"safe\"", ROUTE);
-    let members = [member("1", "a"), member("2", "b"), member("3", "c"), member("4", "elsewhere")];
-    let Change::Set(_, _, body) = translate::endpoints("p", &fleet.pools["p"], &fleet, &members) else {
+    let endpoints =
+        [endpoint("1", "a"), endpoint("2", "b"), endpoint("3", "c"), endpoint("4", "elsewhere")];
+    let Change::Set(_, _, body) = translate::endpoints("p", &fleet.pools["p"], &fleet, &endpoints) else {
         panic!()
     };
     let priorities = |bytes: &bytes::Bytes| {
@@ -166,11 +175,16 @@
 fn equal_input_gives_equal_bytes() {
     let text = include_str!("../../../examples/fleet.toml");
     let all = || {
-        let fleet = Fleet::read(text).expect("sound");
+        let fleet = Fleet::from_toml(text).expect("sound");
         let mut changes: Vec<Change> = Vec::new();
         for (name, pool) in &fleet.pools {
             changes.push(translate::cluster(name, pool, &fleet.rules));
-            changes.push(translate::endpoints(name, pool, &fleet, &[member("1", "a"), member("2", "b")]));
+            changes.push(translate::endpoints(
+                name,
+                pool,
+                &fleet,
+                &[endpoint("1", "a"), endpoint("2", "b")],
+            ));
         }
         for (name, listener) in &fleet.listeners {
             changes.extend(translate::listener(name, listener, &fleet));
