--- a/crates/sim/src/agreement/world.rs
+++ b/crates/sim/src/agreement/world.rs
@@ -53,7 +53,7 @@
     Identity { lineage: "l".to_owned(), member, ticket: text("t"), folder: text("f"), others: Vec::new() }
 }
 
-pub(super) fn fnv(hash: u64, bytes: &[u8]) -> u64 {
+pub(super) fn fnv1a(hash: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(hash ^ 0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
     })
@@ -135,7 +135,7 @@
             }
             Err(NodeError::Disk(DiskError::File { .. })) => {
                 // It is full, or has been cut off while it was opened.
-                self.disks[&member].fail(None);
+                self.disks[&member].fail_at(None);
                 self.crash(member, self.now + REOPENS);
             }
             Err(problem) => self.breach(Rule::Folder, format!("{member}: {problem}")),
@@ -167,7 +167,7 @@
 
     pub(super) fn crash(&mut self, member: MemberId, until: u64) {
         self.nodes.remove(&member);
-        let left = self.disks[&member].after_cut(&mut self.draws);
+        let left = self.disks[&member].after_power_loss(&mut self.draws);
         self.disks.insert(member, left);
         self.wire.retain(|_, message| message.to != member);
         self.accepted.remove(&member);
