--- a/crates/model/src/check.rs
+++ b/crates/model/src/check.rs
@@ -1,15 +1,15 @@
-//! What must hold of a fleet as a whole, wherever it was read from.
+//! Validation of a complete fleet configuration, independent of the format that it was read from.
 
 use crate::fleet::{Fleet, Semantics, Source};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// No name is longer: it goes into every message that speaks of the thing.
-const NAME_MOST: usize = 128;
-/// Longer waits than a day are a slip of the unit.
-const TIME_MOST: Duration = Duration::from_secs(24 * 3600);
+/// Names appear in every message about their object, so their length is bounded.
+const MAX_NAME_BYTES: usize = 128;
+/// A longer duration is assumed to be a mistake in the unit.
+const MAX_DURATION: Duration = Duration::from_secs(24 * 3600);
 
-/// The kinds of risks that a change can have, for `[risks]`.
+/// Kinds of risks that a change can have; the keys allowed in `[risks]`.
 pub const RISK_KINDS: [&str; 12] = [
     "capacity-lost",
     "class-time",
@@ -25,13 +25,13 @@
     "traffic-moved",
 ];
 
-/// Something that must not be, and where: a path like `pool.exchange.endpoint.x1.weight`.
+/// An invalid value and its path, such as `pool.exchange.endpoint.x1.weight`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {message}")]
 pub struct ValidationError {
-    /// Where.
+    /// Path of the invalid value.
     pub path: String,
-    /// What is wrong, and the way out.
+    /// What is wrong and how to correct it.
     pub message: String,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Fleet {
-    /// Everything that is wrong with it, in the order of the parts; none if it can be served.
+    /// Validates the configuration. Returns all errors in the order of the sections; empty if it is valid.
     pub fn validation_errors(&self) -> Vec<ValidationError> {
         let mut errors = ErrorList(Vec::new());
         self.check_rules(&mut errors);
@@ -56,7 +56,7 @@
         let known = RISK_KINDS.map(str::to_owned);
         for kind in self.risks.keys() {
             errors.check(known.contains(kind), format!("risks.{kind}"), || {
-                format!("there is no risk `{kind}`{}", nearest(kind, &known))
+                format!("there is no risk `{kind}`{}", suggest(kind, &known))
             });
         }
         errors.0
@@ -72,9 +72,9 @@
             "rules.fall_multiple",
             range(1.0, 1000.0),
         );
-        errors.check(rules.warm_within <= TIME_MOST, "rules.warm_within", too_long);
+        errors.check(rules.warm_within <= MAX_DURATION, "rules.warm_within", longer_than_a_day);
         errors.check(
-            rules.drain_grace >= Duration::from_millis(100) && rules.drain_grace <= TIME_MOST,
+            rules.drain_grace >= Duration::from_millis(100) && rules.drain_grace <= MAX_DURATION,
             "rules.drain_grace",
             || "must lie between 100 ms, the time that a push to all proxies needs, and a day".to_owned(),
         );
@@ -92,7 +92,7 @@
             check_name(errors, name, &format!("class.{name}"));
             errors
                 .check(!class.objective.is_zero(), at("objective"), || "must be longer than 0".to_owned());
-            errors.check(class.deadline <= TIME_MOST, at("deadline"), too_long);
+            errors.check(class.deadline <= MAX_DURATION, at("deadline"), longer_than_a_day);
             errors.check(class.objective <= class.deadline, at("objective"), || {
                 format!("{:?} is longer than the deadline, {:?}", class.objective, class.deadline)
             });
@@ -111,7 +111,7 @@
             check_name(errors, name, &format!("pool.{name}"));
             let whole = (0.0..=1.0).contains(&pool.panic_threshold);
             errors.check(whole, at("panic_threshold"), || "must lie between 0 and 1".to_owned());
-            errors.check(pool.panic_hold <= TIME_MOST, at("panic_hold"), too_long);
+            errors.check(pool.panic_hold <= MAX_DURATION, at("panic_hold"), longer_than_a_day);
             let connect =
                 !pool.connect_timeout.is_zero() && pool.connect_timeout <= Duration::from_secs(60);
             errors.check(connect, at("connect_timeout"), || "must lie between 0 and a minute".to_owned());
@@ -187,7 +187,7 @@
                     "names no host: use \"*\" for all".to_owned()
                 });
                 for host in &route.hosts {
-                    errors.check(host_is_good(host), at("hosts"), || {
+                    errors.check(is_valid_host(host), at("hosts"), || {
                         format!("`{host}` is no host: `name`, `*.suffix`, `prefix.*` or `*`")
                     });
                     if let Some(other) = matches.insert((host, &route.prefix), &route.name) {
@@ -199,7 +199,7 @@
                     format!(
                         "there is no class `{}`{}",
                         route.class,
-                        nearest(&route.class, self.classes.keys())
+                        suggest(&route.class, self.classes.keys())
                     )
                 });
                 errors.check(!route.to.is_empty(), here.clone(), || "goes to no pool".to_owned());
@@ -216,7 +216,7 @@
                         format!(
                             "there is no pool `{}`{}",
                             share.pool,
-                            nearest(&share.pool, self.pools.keys())
+                            suggest(&share.pool, self.pools.keys())
                         )
                     });
                     errors.check(seen.insert(&share.pool), at("pools"), || {
@@ -228,19 +228,19 @@
     }
 }
 
-fn too_long() -> String {
+fn longer_than_a_day() -> String {
     "is longer than a day".to_owned()
 }
 
 fn check_name(errors: &mut ErrorList, name: &str, path: &str) {
     let good = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
-    let fits = !name.is_empty() && name.len() <= NAME_MOST && name.chars().all(good);
+    let fits = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(good);
     errors.check(fits, path, || {
-        format!("`{name}` is no name: 1 to {NAME_MOST} letters, digits, `.`, `_` and `-`")
+        format!("`{name}` is no name: 1 to {MAX_NAME_BYTES} letters, digits, `.`, `_` and `-`")
     });
 }
 
-fn host_is_good(host: &str) -> bool {
+fn is_valid_host(host: &str) -> bool {
     let body = match (host.strip_prefix("*."), host.strip_suffix(".*")) {
         _ if host == "*" => return true,
         (Some(rest), _) | (None, Some(rest)) => rest,
@@ -249,17 +249,17 @@
     !body.is_empty() && body.chars().all(|c| c.is_ascii_alphanumeric() || "._-:".contains(c))
 }
 
-/// ` - did you mean ...?`, if one of these is close.
-pub(crate) fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a String>) -> String {
-    let close = known.into_iter().map(|k| (distance(name, k), k)).min();
+/// A suffix `: did you mean ...?` if a known name is within two edits, else empty.
+pub(crate) fn suggest<'a>(name: &str, known: impl IntoIterator<Item = &'a String>) -> String {
+    let close = known.into_iter().map(|k| (edit_distance(name, k), k)).min();
     match close {
         Some((steps, close)) if steps <= 2 => format!(": did you mean `{close}`?"),
         _ => String::new(),
     }
 }
 
-/// Edits from one text to another (Levenshtein).
-fn distance(a: &str, b: &str) -> usize {
+/// Levenshtein distance.
+fn edit_distance(a: &str, b: &str) -> usize {
     let mut row: Vec<usize> = (0..=b.chars().count()).collect();
     for (i, x) in a.chars().enumerate() {
         let mut corner = std::mem::replace(&mut row[0], i + 1);
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The nouns.
+//! Types of the configuration and their canonical JSON form.
 
 use runtrack_balancer::DedupScope;
 use serde::{Deserialize, Serialize};
@@ -7,41 +7,41 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Everything the control service is told to hold: the desired state.
+/// A complete fleet configuration: the desired state of the control service.
 ///
 /// Equal fleets have equal [canonical forms](Fleet::to_canonical_json) and [hashes](Fleet::hash), whatever the order,
-/// comments and spelling of the files they were read from. Only the order of routes has a meaning.
+/// comments and notation of the files they were read from. Only the order of routes is significant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// Figures of the four rules.
+    /// Parameters of the four load balancing rules.
     pub rules: Rules,
-    /// How far zones lie apart; empty where nothing is said.
+    /// Distances between zones; may be empty.
     pub zones: Zones,
-    /// Classes of requests, by name.
+    /// Request classes by name.
     pub classes: BTreeMap<String, Class>,
-    /// Pools, by name. Proxies know a pool as a cluster.
+    /// Pools by name. A pool is a cluster in xDS.
     pub pools: BTreeMap<String, Pool>,
-    /// Listeners, by name.
+    /// Listeners by name.
     pub listeners: BTreeMap<String, Listener>,
-    /// Risks of changes that weigh at least so much here, by the risk's kind.
+    /// Minimum severity of a kind of risk in this fleet, by kind.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub risks: BTreeMap<String, Severity>,
 }
 
-/// How much a risk weighs.
+/// Severity of a risk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Severity {
-    /// Worth knowing.
+    /// For information.
     Low,
-    /// Worth a second look.
+    /// Should be reviewed.
     Medium,
-    /// Must be accepted by name before it is applied.
+    /// Must be accepted explicitly before the change is applied.
     High,
 }
 
 impl Severity {
-    /// As it is written.
+    /// The name used in files and output.
     pub fn name(self) -> &'static str {
         match self {
             Severity::Low => "low",
@@ -51,20 +51,20 @@
     }
 }
 
-/// Figures of the four rules, the same for all pools.
+/// Parameters of the four load balancing rules, the same for all pools.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// After so long from being told of a drain nothing new may reach the endpoint.
+    /// Time after the announcement of a drain from which no new request may reach the endpoint.
     #[serde(with = "micros")]
     pub drain_grace: Duration,
-    /// A newly started endpoint has this part of its capacity, `0.01..=1` ...
+    /// Fraction of its capacity that a newly started endpoint has, `0.01..=1`.
     pub cold_share: f64,
-    /// ... and all of it after so long. Zero: endpoints are never cold.
+    /// Time after which a started endpoint has its full capacity. Zero disables the warm-up.
     #[serde(with = "micros")]
     pub warm_within: Duration,
-    /// A cold endpoint sent more than this multiple of its capacity falls over, `>= 1`.
+    /// Multiple of its current capacity at which a cold endpoint fails, `>= 1`.
     pub fall_multiple: f64,
-    /// Part of the requests in flight that may be repeats, `0..=1`.
+    /// Maximum fraction of the requests in flight that may be retries, `0..=1`.
     pub retry_budget: f64,
 }
 
@@ -80,150 +80,150 @@
     }
 }
 
-/// Distances between zones: from, to, steps. What is not said is the farthest.
+/// Distances between zones, by source and destination zone. A missing pair has the greatest distance.
 pub type Zones = BTreeMap<String, BTreeMap<String, u32>>;
 
-/// Endpoints that serve the same requests.
+/// A set of endpoints that serve the same requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Where its endpoints come from.
+    /// Source of the endpoints.
     pub source: Source,
-    /// Zones near the proxy are used first, farther ones when these fail.
+    /// Whether zones near the proxy are preferred and farther ones used for failover only.
     pub nearest_first: bool,
-    /// A connection not up after this long has failed.
+    /// Timeout for establishing a connection.
     #[serde(with = "micros")]
     pub connect_timeout: Duration,
-    /// Connections that one proxy may hold to the pool.
+    /// Maximum connections of one proxy to the pool.
     pub max_connections: u32,
-    /// Requests that one proxy may have in flight at the pool.
+    /// Maximum requests in flight from one proxy to the pool.
     pub max_requests: u32,
-    /// Requests that one proxy may have waiting for a connection.
+    /// Maximum requests of one proxy that wait for a connection.
     pub max_pending: u32,
-    /// A whole list that takes away more than this part of the endpoints at once is doubted first, `0..=1`.
-    /// One: never doubted.
+    /// A full list from discovery that removes more than this fraction of the endpoints at once is held back,
+    /// `0..=1`. One: lists are never held back.
     pub panic_threshold: f64,
-    /// A doubted list that still stands after this long is believed.
+    /// Time after which a list that is held back and still current is applied.
     #[serde(with = "micros")]
     pub panic_hold: Duration,
 }
 
-/// Where a pool's endpoints come from.
+/// Source of the endpoints of a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
-    /// They are written down, by name.
+    /// Endpoints listed in the configuration, by name.
     Static(BTreeMap<String, Endpoint>),
-    /// The platform's discovery, asked at this address.
+    /// The platform's discovery service at this address.
     Platform(SocketAddr),
 }
 
-/// An endpoint as written down.
+/// An endpoint listed in the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
-    /// Its zone; empty where there are none.
+    /// Zone; empty if none is configured.
     pub zone: String,
-    /// Its size against others; one is the usual. `> 0`, `<= 1000`.
+    /// Capacity relative to other endpoints; 1 by default. `> 0`, `<= 1000`.
     pub weight: f64,
-    /// Its standing.
+    /// Whether it accepts new requests.
     pub state: EndpointState,
-    /// When its process last started, Unix time in milliseconds; 0 for long ago.
+    /// Start of its process in Unix milliseconds; 0: long ago.
     pub started_ms: u64,
 }
 
-/// An endpoint's standing.
+/// Whether an endpoint accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// May be sent to.
+    /// Accepts new requests.
     Ready,
-    /// Finishes what it has; nothing new may be sent.
+    /// Finishes the requests it has and must not be sent new ones.
     Draining,
 }
 
-/// A class of requests.
+/// A request class: retry semantics and time limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// What a repeat may do.
+    /// Whether requests may be executed again.
     pub semantics: Semantics,
-    /// Answers within this time are worth the most.
+    /// Latency objective.
     #[serde(with = "micros")]
     pub objective: Duration,
-    /// The time a client waits in all.
+    /// Total time a client waits, over all attempts.
     #[serde(with = "micros")]
     pub deadline: Duration,
-    /// Attempts that a request may have, the first included, `1..=10`.
+    /// Maximum attempts per request, including the first, `1..=10`.
     pub attempts: u32,
 }
 
-/// Whether a request may run again.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Semantics {
-    /// Any repeat is harmless.
+    /// The request is idempotent.
     Safe,
-    /// Endpoints of one group drop repeats for a while.
+    /// Endpoints of one deduplication group discard duplicates within a time window.
     Keyed {
-        /// Which endpoints drop each other's repeats.
+        /// Scope of the deduplication.
         #[serde(with = "group")]
         group: DedupScope,
-        /// For how long, from the first send that may have run.
+        /// Length of the window, from the first attempt that may have been executed.
         #[serde(with = "micros")]
         window: Duration,
     },
-    /// Must never run twice.
+    /// The request must not be executed twice.
     Unsafe,
 }
 
-/// Where requests come in.
+/// Entry point for requests: an address, a name for proxyless gRPC clients, or both.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Listener {
-    /// The address a proxy listens on; none for gRPC clients alone.
+    /// Address that proxies listen on; `None` if the listener is for proxyless gRPC clients only.
     pub address: Option<SocketAddr>,
-    /// Proxyless gRPC clients find it as `xds:///NAME`.
+    /// Whether proxyless gRPC clients can use it as `xds:///NAME`.
     pub api: bool,
-    /// Its routes: of those whose host and prefix match, the first counts.
+    /// Routes; the first one whose host and prefix match applies.
     pub routes: Vec<Route>,
 }
 
-/// Requests of some hosts and paths, their class and where they go.
+/// A match on hosts and a path prefix, with the request class and the destination pools.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, unique in the listener.
+    /// Name, unique in the listener.
     pub name: String,
-    /// Hosts, each `name`, `*.suffix`, `prefix.*` or `*`.
+    /// Hosts to match, each `name`, `*.suffix`, `prefix.*` or `*`.
     pub hosts: Vec<String>,
-    /// Paths that begin with this.
+    /// Path prefix to match.
     pub prefix: String,
-    /// Their class.
+    /// Name of the request class.
     pub class: String,
-    /// The pools they go to.
+    /// Destination pools.
     pub to: Vec<WeightedPool>,
 }
 
-/// A pool and its part of a route's requests.
+/// A destination pool and its weight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedPool {
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
-    /// Its part, over the sum of the route's.
+    /// Weight relative to the sum over the route's pools.
     pub weight: u32,
 }
 
 impl Fleet {
-    /// The one serialised form: JSON without white space, maps in the order of their keys, times in microseconds.
+    /// The canonical form: JSON without white space, maps sorted by key, durations in microseconds.
     pub fn to_canonical_json(&self) -> String {
-        serde_json::to_string(self).unwrap_or_default() // fails only for maps with keys that are no text
+        serde_json::to_string(self).unwrap_or_default() // fails only for maps with keys that are not strings
     }
 
-    /// SHA-256 of the canonical form, in hex.
+    /// SHA-256 of the canonical form in hexadecimal.
     pub fn hash(&self) -> String {
         let digest = Sha256::digest(self.to_canonical_json());
         digest.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Reads the canonical form and checks the whole: what is wrong with it, or the fleet.
+    /// Reads and validates the canonical form. The error describes the first problem.
     pub fn from_canonical_json(text: &str) -> Result<Fleet, String> {
         let fleet: Fleet = serde_json::from_str(text).map_err(|e| e.to_string())?;
         match fleet.validation_errors().first() {
@@ -256,7 +256,7 @@
 
     pub fn deserialize<'d, D: Deserializer<'d>>(from: D) -> Result<DedupScope, D::Error> {
         let text = String::deserialize(from)?;
-        super::group_named(&text).ok_or_else(|| D::Error::custom(format!("no group `{text}`")))
+        super::group_from_name(&text).ok_or_else(|| D::Error::custom(format!("no group `{text}`")))
     }
 }
 
@@ -268,7 +268,7 @@
     }
 }
 
-pub(crate) fn group_named(name: &str) -> Option<DedupScope> {
+pub(crate) fn group_from_name(name: &str) -> Option<DedupScope> {
     [DedupScope::All, DedupScope::Zone, DedupScope::Cell]
         .into_iter()
         .find(|&group| group_name(group) == name)
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the control service knows by name: pools of endpoints, classes of requests, listeners and their routes,
-//! and the figures of the four rules. A [`Fleet`] is read from TOML with [`Fleet::from_toml`], checked as a whole, and
-//! has one canonical form with a content hash. Nothing here does I/O or reads a clock.
+//! Configuration model of the control service: pools of endpoints, request classes, listeners with their routes, and
+//! the parameters of the four load balancing rules. A [`Fleet`] is read from TOML with [`Fleet::from_toml`], validated
+//! as a whole, and has one canonical form with a content hash. Nothing here does I/O or reads a clock.
 //!
 //! ```
 //! let fleet = runtrack_model::Fleet::from_toml(r#"
--- a/crates/model/src/problem.rs
+++ b/crates/model/src/problem.rs
@@ -1,20 +1,20 @@
-//! What is wrong in a file, for the person who wrote it.
+//! Messages about problems in a configuration file.
 
 use std::fmt;
 
-/// A file with more problems than this shows the first so many.
-const SHOWN: usize = 50;
+/// Further problems are only counted.
+const MAX_SHOWN: usize = 50;
 
-/// Something wrong in a file.
+/// A problem in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
     /// Line, from 1.
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
-    /// What it concerns, such as `pool.exchange.endpoint.x1.weight`; empty for the file's form.
+    /// The path concerned, such as `pool.exchange.endpoint.x1.weight`; empty for a syntax error.
     pub path: String,
-    /// What is wrong, and the way out.
+    /// What is wrong and how to correct it.
     pub message: String,
 }
 
@@ -28,15 +28,15 @@
     }
 }
 
-/// All that is wrong in a file, in the file's order; never empty.
+/// All problems of a file in the order of their positions; never empty.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Diagnostics(pub Vec<Diagnostic>);
 
 impl fmt::Display for Diagnostics {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        let lines: Vec<String> = self.0.iter().take(SHOWN).map(Diagnostic::to_string).collect();
+        let lines: Vec<String> = self.0.iter().take(MAX_SHOWN).map(Diagnostic::to_string).collect();
         to.write_str(&lines.join("\n"))?;
-        match self.0.len().saturating_sub(SHOWN) {
+        match self.0.len().saturating_sub(MAX_SHOWN) {
             0 => Ok(()),
             more => write!(to, "\nand {more} more"),
         }
--- a/crates/model/src/toml.rs
+++ b/crates/model/src/toml.rs
@@ -1,6 +1,6 @@
-//! TOML with places: a table reader that gathers every problem instead of stopping at the first.
+//! A TOML table reader that records source positions and collects all problems instead of stopping at the first.
 
-use crate::check::nearest;
+use crate::check::suggest;
 use crate::problem::Diagnostic;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,23 +9,23 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// The units of a time.
-const UNITS: [(&str, u64); 5] =
+/// Units of durations, in microseconds.
+const DURATION_UNITS_US: [(&str, u64); 5] =
     [("us", 1), ("ms", 1_000), ("s", 1_000_000), ("m", 60_000_000), ("h", 3_600_000_000)];
 
-/// A text, what is wrong with it, and where the things that it names are.
-pub(crate) struct Text<'t> {
+/// A source text with the problems found in it and the offset of each path.
+pub(crate) struct SourceText<'t> {
     text: &'t str,
     problems: RefCell<Vec<Diagnostic>>,
-    places: RefCell<BTreeMap<String, usize>>,
+    offsets: RefCell<BTreeMap<String, usize>>,
 }
 
-impl<'t> Text<'t> {
+impl<'t> SourceText<'t> {
     pub(crate) fn new(text: &'t str) -> Self {
-        Text { text, problems: RefCell::default(), places: RefCell::default() }
+        SourceText { text, problems: RefCell::default(), offsets: RefCell::default() }
     }
 
-    /// Reports a problem at a byte of the text.
+    /// Reports a problem at a byte offset.
     pub(crate) fn problem(&self, at: usize, path: &str, what: impl Into<String>) {
         let before = &self.text[..self.text.floor_char_boundary(at)];
         let line = before.matches('\n').count() + 1;
@@ -34,23 +34,24 @@
         self.problems.borrow_mut().push(problem);
     }
 
-    /// Remembers where something is written; gives the earlier place if it was written before.
-    pub(crate) fn place(&self, path: &str, at: usize) -> Option<usize> {
-        let mut places = self.places.borrow_mut();
-        let before = places.get(path).copied();
-        places.entry(path.to_owned()).or_insert(at);
+    /// Records the byte offset of a path. Returns the earlier offset if the path is already recorded.
+    pub(crate) fn record_offset(&self, path: &str, at: usize) -> Option<usize> {
+        let mut offsets = self.offsets.borrow_mut();
+        let before = offsets.get(path).copied();
+        offsets.entry(path.to_owned()).or_insert(at);
         before
     }
 
+    /// Line number of a byte offset, from 1.
     pub(crate) fn line(&self, at: usize) -> usize {
         self.text[..self.text.floor_char_boundary(at)].matches('\n').count() + 1
     }
 
-    /// Where a path is written, or the nearest one round it.
-    pub(crate) fn find(&self, mut path: &str) -> usize {
-        let places = self.places.borrow();
+    /// Byte offset of a path, or of its closest recorded ancestor; 0 if there is none.
+    pub(crate) fn offset_of(&self, mut path: &str) -> usize {
+        let offsets = self.offsets.borrow();
         loop {
-            if let Some(&at) = places.get(path) {
+            if let Some(&at) = offsets.get(path) {
                 return at;
             }
             match path.rfind('.') {
@@ -68,21 +69,22 @@
     }
 }
 
-/// A table being read: what isn't asked for is unknown.
+/// A table being read. It tracks the keys that were read, so that the others can be reported as unknown.
 pub(crate) struct Table<'r, 't> {
-    pub(crate) text: &'r Text<'t>,
+    pub(crate) text: &'r SourceText<'t>,
     table: &'r DeTable<'t>,
     pub(crate) path: String,
     pub(crate) at: usize,
-    asked: RefCell<Vec<String>>,
+    read_keys: RefCell<Vec<String>>,
 }
 
 impl<'r, 't> Table<'r, 't> {
-    pub(crate) fn new(text: &'r Text<'t>, table: &'r DeTable<'t>, path: String, at: usize) -> Self {
-        text.place(&path, at);
-        Table { text, table, path, at, asked: RefCell::default() }
+    pub(crate) fn new(text: &'r SourceText<'t>, table: &'r DeTable<'t>, path: String, at: usize) -> Self {
+        text.record_offset(&path, at);
+        Table { text, table, path, at, read_keys: RefCell::default() }
     }
 
+    /// The path of a key in this table.
     pub(crate) fn join(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
@@ -92,19 +94,19 @@
         self.table.contains_key(key)
     }
 
-    fn wrong(&self, key: &str, at: usize, what: impl Into<String>) {
+    fn problem(&self, key: &str, at: usize, what: impl Into<String>) {
         self.text.problem(at, &self.join(key), what);
     }
 
-    /// Says that a key is known, whatever it holds.
-    pub(crate) fn know(&self, key: &str) {
-        self.asked.borrow_mut().push(key.to_owned());
+    /// Marks a key as known without reading its value.
+    pub(crate) fn mark_known(&self, key: &str) {
+        self.read_keys.borrow_mut().push(key.to_owned());
     }
 
     fn get(&self, key: &str) -> Option<&'r Spanned<DeValue<'t>>> {
-        self.know(key);
+        self.mark_known(key);
         let value = self.table.get(key)?;
-        self.text.place(&self.join(key), value.span().start);
+        self.text.record_offset(&self.join(key), value.span().start);
         Some(value)
     }
 
@@ -120,16 +122,16 @@
             Err(what) => {
                 let kind = value.get_ref().type_str();
                 let what = what.unwrap_or_else(|| format!("must be {wanted}, not a TOML {kind}"));
-                self.wrong(key, value.span().start, what);
+                self.problem(key, value.span().start, what);
                 None
             }
         }
     }
 
-    /// What a key must have; says so where it has nothing.
+    /// Returns the value read for a required key. Reports a missing key and returns the default for it.
     pub(crate) fn required<T: Default>(&self, key: &str, read: Option<T>) -> T {
         if read.is_none() && !self.has(key) {
-            self.wrong(key, self.at, format!("`{key}` is missing"));
+            self.problem(key, self.at, format!("`{key}` is missing"));
         }
         read.unwrap_or_default()
     }
@@ -155,16 +157,20 @@
     }
 
     pub(crate) fn u32(&self, key: &str) -> Option<u32> {
-        self.whole(key).and_then(|n| match u32::try_from(n) {
+        self.u64(key).and_then(|n| match u32::try_from(n) {
             Ok(n) => Some(n),
             Err(_) => {
-                self.wrong(key, self.text.find(&self.join(key)), format!("{n} is more than {}", u32::MAX));
+                self.problem(
+                    key,
+                    self.text.offset_of(&self.join(key)),
+                    format!("{n} is more than {}", u32::MAX),
+                );
                 None
             }
         })
     }
 
-    pub(crate) fn whole(&self, key: &str) -> Option<u64> {
+    pub(crate) fn u64(&self, key: &str) -> Option<u64> {
         self.read(key, "a whole number", |v| {
             let integer = v.as_integer().ok_or(None)?;
             u64::from_str_radix(&integer.as_str().replace('_', ""), integer.radix())
@@ -172,9 +178,9 @@
         })
     }
 
-    pub(crate) fn time(&self, key: &str) -> Option<Duration> {
+    pub(crate) fn duration(&self, key: &str) -> Option<Duration> {
         self.read(key, "a time such as \"250ms\" or \"2s\"", |v| match v {
-            DeValue::String(text) => parse_time(text).map_err(Some),
+            DeValue::String(text) => parse_duration(text).map_err(Some),
             DeValue::Integer(n) => {
                 Err(Some(format!("{0} of what? Write the unit: \"{0}ms\" or \"{0}s\"", n.as_str())))
             }
@@ -190,13 +196,13 @@
         })
     }
 
-    /// One of some words.
-    pub(crate) fn word<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Option<T> {
+    /// Reads a string that must be one of the given names and returns its value.
+    pub(crate) fn one_of<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Option<T> {
         self.read(key, "a string", |v| {
             let text = v.as_str().ok_or(None)?;
             let known: Vec<String> = words.iter().map(|(word, _)| (*word).to_owned()).collect();
             words.iter().find(|(word, _)| *word == text).map(|&(_, value)| value).ok_or_else(|| {
-                Some(format!("`{text}` is none of {}{}", known.join(", "), nearest(text, &known)))
+                Some(format!("`{text}` is none of {}{}", known.join(", "), suggest(text, &known)))
             })
         })
     }
@@ -214,30 +220,30 @@
             DeValue::Table(table) => Some(Table::new(self.text, table, self.join(key), value.span().start)),
             other => {
                 let what = format!("must be a table, not a TOML {}", other.type_str());
-                self.wrong(key, value.span().start, what);
+                self.problem(key, value.span().start, what);
                 None
             }
         }
     }
 
-    /// The tables of a list. Each goes by the name that it gives itself, else by its number.
+    /// The tables of an array. The path of each holds its `name`, or its position if it has none.
     pub(crate) fn tables(&self, key: &str) -> Vec<Table<'r, 't>> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let Some(list) = value.get_ref().as_array() else {
             let what = format!("must be a list: write [[{}]]", self.join(key));
-            self.wrong(key, value.span().start, what);
+            self.problem(key, value.span().start, what);
             return Vec::new();
         };
         let mut tables = Vec::new();
         for (number, entry) in list.iter().enumerate() {
             let Some(table) = entry.get_ref().as_table() else {
-                self.wrong(key, entry.span().start, "must hold tables");
+                self.problem(key, entry.span().start, "must hold tables");
                 continue;
             };
             let name = table.get("name").and_then(|name| name.get_ref().as_str());
             let name = name.map_or_else(|| format!("#{}", number + 1), str::to_owned);
             let path = format!("{}.{name}", self.join(key));
-            if let Some(before) = self.text.place(&path, entry.span().start) {
+            if let Some(before) = self.text.record_offset(&path, entry.span().start) {
                 let what =
                     format!("has its name in use: line {} has another `{name}`", self.text.line(before));
                 self.text.problem(entry.span().start, &path, what);
@@ -247,18 +253,18 @@
         tables
     }
 
-    /// All keys, for tables whose keys are names.
+    /// All keys, for tables whose keys are names chosen by the user.
     pub(crate) fn keys(&self) -> Vec<String> {
         self.table.keys().map(|key| key.get_ref().to_string()).collect()
     }
 
-    /// Reports the keys that nobody asked for.
-    pub(crate) fn done(&self) {
-        let asked = self.asked.borrow();
-        for key in self.table.keys().filter(|key| !asked.iter().any(|a| *a == key.get_ref().as_ref())) {
+    /// Reports all keys that were not read as unknown.
+    pub(crate) fn report_unknown_keys(&self) {
+        let read_keys = self.read_keys.borrow();
+        for key in self.table.keys().filter(|key| !read_keys.iter().any(|a| *a == key.get_ref().as_ref())) {
             let name = key.get_ref().to_string();
-            let hint = match nearest(&name, asked.iter()) {
-                hint if hint.is_empty() => format!(": it may have {}", asked.join(", ")),
+            let hint = match suggest(&name, read_keys.iter()) {
+                hint if hint.is_empty() => format!(": it may have {}", read_keys.join(", ")),
                 hint => hint,
             };
             self.text.problem(
@@ -270,11 +276,11 @@
     }
 }
 
-fn parse_time(text: &str) -> Result<Duration, String> {
+fn parse_duration(text: &str) -> Result<Duration, String> {
     let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let (number, unit) = text.split_at(digits);
     let units = "us, ms, s, m or h";
-    let Some(&(_, micros)) = UNITS.iter().find(|(name, _)| *name == unit) else {
+    let Some(&(_, micros)) = DURATION_UNITS_US.iter().find(|(name, _)| *name == unit) else {
         return Err(match unit {
             "" => format!("`{text}` has no unit: {units}"),
             _ => format!("`{text}` is no time: a number and one of {units}"),
--- a/crates/xds/src/accept.rs
+++ b/crates/xds/src/accept.rs
@@ -1,4 +1,4 @@
-//! Connections as they come in, no more than a stated number at once.
+//! Accepts TCP connections up to a maximum number of open ones.
 
 use futures_core::Stream;
 use std::future::Future;
@@ -13,11 +13,12 @@
 use tokio::time::{Sleep, sleep};
 use tonic::transport::server::{Connected, TcpConnectInfo};
 
-/// After an accept that failed, as for want of descriptors, the next one waits: it would fail at once, for ever.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept. Without it, an accept that fails for lack of file descriptors would be repeated in a
+/// busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts connections; those beyond the limit are closed at once, so that strangers who hold connections open
-/// can't fill the process's descriptors and memory.
+/// A stream of accepted connections. Connections beyond the limit are closed at once, so that clients which hold
+/// connections open can't exhaust the process's file descriptors and memory.
 pub struct Incoming {
     listener: TcpListener,
     free: Arc<Semaphore>,
@@ -25,10 +26,10 @@
 }
 
 impl Incoming {
-    /// Accepts so many at once.
+    /// Allows at most `connections` open connections.
     pub fn new(listener: TcpListener, connections: usize) -> Self {
-        let most = connections.min(Semaphore::MAX_PERMITS);
-        Incoming { listener, free: Arc::new(Semaphore::new(most)), pause: None }
+        let max = connections.min(Semaphore::MAX_PERMITS);
+        Incoming { listener, free: Arc::new(Semaphore::new(max)), pause: None }
     }
 }
 
@@ -45,12 +46,12 @@
                 Ok((stream, _)) => stream,
                 Err(problem) => {
                     eprintln!("accept: {problem}");
-                    self.pause = Some(Box::pin(sleep(PAUSE)));
+                    self.pause = Some(Box::pin(sleep(ACCEPT_RETRY_DELAY)));
                     continue;
                 }
             };
             let Ok(permit) = self.free.clone().try_acquire_owned() else { continue };
-            // A drain is one small response: it must not wait for more to send.
+            // A drain is one small response; Nagle's algorithm would delay it.
             if stream.set_nodelay(true).is_ok() {
                 return Poll::Ready(Some(Ok(LimitedConnection { stream, _permit: permit })));
             }
@@ -58,7 +59,7 @@
     }
 }
 
-/// A connection that counts for as long as it is open.
+/// A connection that counts towards the limit until it is dropped.
 pub struct LimitedConnection {
     stream: TcpStream,
     _permit: OwnedSemaphorePermit,
--- a/crates/xds/src/cache.rs
+++ b/crates/xds/src/cache.rs
@@ -1,11 +1,11 @@
-//! The resources that are served now, when each last changed, and what went lately.
+//! The served resources, the sequence number of each resource's last change, and recent removals.
 //!
-//! Each change takes the next number of one sequence. A table's log holds each resource once, at its last change:
-//! so what a session lacks is the log behind its cursor, and neither a change nor a session costs more for a
-//! larger fleet. A session that falls so far behind that removals it needs were forgotten must begin anew.
+//! Each change takes the next sequence number. The log of a resource type holds each resource once, at its last change,
+//! so a session needs only the part of the log after its cursor, and the cost of a change or a session doesn't grow
+//! with the fleet. A session that falls so far behind that removals it needs were discarded must reconnect.
 
-use crate::kind::ResourceType;
 use crate::message::{AnyOut, ResourceOut};
+use crate::resource_type::ResourceType;
 use bytes::Bytes;
 use prost::Message;
 use runtrack_net::mutant;
@@ -14,20 +14,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Removals remembered of each type: sessions further behind begin anew, with the versions that they hold.
-const GONE_MOST: usize = 16_384;
-/// What was removed stays readable for so long, for sessions that may not drop it yet: longer than any session
-/// may put a removal off.
-const GONE_KEPT: Duration = Duration::from_secs(120);
+/// Removals kept per type. Sessions further behind must reconnect with the versions that they hold.
+const MAX_REMOVALS: usize = 16_384;
+/// How long a removed resource stays readable for sessions that defer its removal. Longer than any session may defer a
+/// removal.
+const REMOVAL_RETENTION: Duration = Duration::from_secs(120);
 
-/// The protobuf of a resource, encoded once for all proxies.
+/// The encoded protobuf of a resource, shared by all proxies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Body {
-    /// For proxies anywhere.
+    /// Default encoding.
     pub plain: Bytes,
-    /// For proxies of one zone, where that differs.
+    /// Encodings for proxies of a zone, by zone, where they differ from the default.
     pub zones: BTreeMap<String, Bytes>,
-    /// Only those that ask for it by its name get it, not those that ask for all.
+    /// Sent only to clients that subscribe by name, not to wildcard subscriptions.
     pub by_name_only: bool,
 }
 
@@ -40,16 +40,16 @@
 /// A change of one resource.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// It is this from now on.
+    /// Adds or replaces the resource.
     Set(ResourceType, String, Body),
-    /// It is gone.
+    /// Removes the resource.
     Remove(ResourceType, String),
-    /// It exists, but what it is isn't known yet: proxies keep what they have.
+    /// The resource exists but its content isn't known yet; proxies keep what they have.
     Unknown(ResourceType, String),
 }
 
 impl Change {
-    /// What it changes.
+    /// The type and name of the changed resource.
     pub fn key(&self) -> (ResourceType, &str) {
         match self {
             Change::Set(kind, name, _) | Change::Remove(kind, name) | Change::Unknown(kind, name) => {
@@ -59,7 +59,7 @@
     }
 }
 
-/// A resource in the forms that responses carry.
+/// A resource encoded for both protocol variants.
 #[derive(Clone, Debug)]
 pub(crate) struct Encoded {
     /// As `google.protobuf.Any`.
@@ -68,12 +68,12 @@
     pub(crate) resource: Bytes,
 }
 
-/// A resource.
+/// A served resource.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
-    /// Its last change.
+    /// Sequence number of the last change.
     pub(crate) seq: u64,
-    /// Hash of what it is, the same after a restart, and at every instance of a cluster.
+    /// Content hash, the same after a restart and on every instance of a cluster.
     pub(crate) version: u64,
     body: Body,
     plain: Encoded,
@@ -85,14 +85,14 @@
         self.body.by_name_only
     }
 
-    /// What a proxy of this zone is sent.
+    /// The encoding for proxies of a zone.
     pub(crate) fn encoded(&self, zone: &str) -> &Encoded {
         self.zones.get(zone).unwrap_or(&self.plain)
     }
 }
 
 #[derive(Clone)]
-struct Gone {
+struct Removal {
     seq: u64,
     at: Duration,
     entry: Entry,
@@ -101,84 +101,84 @@
 #[derive(Clone, Default)]
 struct Table {
     live: BTreeMap<Arc<str>, Entry>,
-    /// Last change of each live resource.
+    /// Live resources by the sequence number of their last change.
     log: BTreeMap<u64, Arc<str>>,
-    gone: BTreeMap<Arc<str>, Gone>,
-    gone_log: BTreeMap<u64, Arc<str>>,
-    /// Removals up to here may have been forgotten.
-    floor: u64,
+    removals: BTreeMap<Arc<str>, Removal>,
+    removal_log: BTreeMap<u64, Arc<str>>,
+    /// Removals up to this sequence number may have been discarded.
+    discarded_to: u64,
     unknown: BTreeSet<Arc<str>>,
 }
 
-/// Where a cache stands in a log that several instances agree on.
+/// Position of a cache in the replicated log of a cluster.
 #[derive(Clone, Copy)]
-struct Agreed {
-    /// What is served holds all up to this index; 0: nothing is known yet.
+struct LogPosition {
+    /// The served state includes all entries up to this index; 0: nothing is known yet.
     index: u64,
-    /// It is being brought there.
-    moving: bool,
+    /// The cache is still being updated to the index.
+    updating: bool,
 }
 
-/// All resources of all types. Its clone shares their bytes.
+/// All resources of all types. A clone shares the encoded bytes.
 #[derive(Clone)]
 pub struct Cache {
     epoch: u64,
     seq: u64,
     encodings: u64,
-    agreed: Option<Agreed>,
+    position: Option<LogPosition>,
     tables: [Table; 4],
 }
 
 impl Cache {
-    /// An empty cache. The epoch orders its versions after those of earlier ones.
+    /// An empty cache. Versions of a later epoch are ordered after those of earlier epochs.
     pub fn new(epoch: u64) -> Self {
-        Cache { epoch, seq: 0, encodings: 0, agreed: None, tables: Default::default() }
+        Cache { epoch, seq: 0, encodings: 0, position: None, tables: Default::default() }
     }
 
-    /// From now on it is to hold what is agreed up to this index, in the cluster's epoch. Until it is
-    /// [`settled`](Self::finish_update) there, sessions are told nothing.
+    /// Starts the update to an index of the cluster's log, in the cluster's epoch. Sessions send nothing until
+    /// [`finish_update`](Self::finish_update) is called.
     pub fn begin_update(&mut self, epoch: u64, index: u64) {
         self.epoch = epoch;
-        self.agreed = Some(Agreed { index, moving: true });
+        self.position = Some(LogPosition { index, updating: true });
     }
 
-    /// It holds what is agreed up to the index that it was moved to.
+    /// Ends the update: the cache now holds the state at the index given to [`begin_update`](Self::begin_update).
     pub fn finish_update(&mut self) {
-        if let Some(agreed) = &mut self.agreed {
-            agreed.moving = false;
+        if let Some(position) = &mut self.position {
+            position.updating = false;
         }
     }
 
-    /// The index of the agreed log up to which all is served; none: what is served is this instance's alone.
+    /// Index of the cluster's log whose state is served; `None` for an instance that isn't part of a cluster.
     pub fn index(&self) -> Option<u64> {
-        self.agreed.map(|agreed| agreed.index)
+        self.position.map(|position| position.index)
     }
 
-    /// Whether a proxy that holds what was agreed up to an index may be told anything: no proxy goes back.
+    /// Whether a proxy that holds the state at `index` may be sent responses: no proxy may get an older state.
     pub(crate) fn reaches(&self, index: u64) -> bool {
         let least = if mutant("goes-back") { 1 } else { index.max(1) };
-        self.agreed.is_none_or(|agreed| !agreed.moving && agreed.index >= least)
+        self.position.is_none_or(|position| !position.updating && position.index >= least)
     }
 
-    /// Where it stands, as the first part of a version.
-    pub(crate) fn place(&self) -> String {
-        match self.agreed {
-            Some(agreed) => format!("{}.{}.{}", self.epoch, agreed.index, self.seq),
+    /// The position of the cache, used as the first part of a version.
+    pub(crate) fn version_prefix(&self) -> String {
+        match self.position {
+            Some(position) => format!("{}.{}.{}", self.epoch, position.index, self.seq),
             None => format!("{}.{}", self.epoch, self.seq),
         }
     }
 
-    /// The index that a version of this epoch names; 0 for any other, and where nothing is agreed with others.
+    /// The log index in a version of this epoch; 0 for other versions and outside a cluster.
     pub(crate) fn index_in(&self, version: &str) -> u64 {
-        let place = version.split('-').next().unwrap_or_default();
-        let mut numbers = place.split('.').map(|number| number.parse::<u64>().ok());
-        match (self.agreed, numbers.next().flatten(), numbers.next().flatten()) {
+        let prefix = version.split('-').next().unwrap_or_default();
+        let mut numbers = prefix.split('.').map(|number| number.parse::<u64>().ok());
+        match (self.position, numbers.next().flatten(), numbers.next().flatten()) {
             (Some(_), Some(epoch), Some(index)) if epoch == self.epoch => index,
             _ => 0,
         }
     }
 
-    /// Number of the last change.
+    /// Sequence number of the last change.
     pub fn seq(&self) -> u64 {
         self.seq
     }
@@ -188,27 +188,27 @@
         self.epoch
     }
 
-    /// Resources encoded so far, however many proxies took them.
+    /// Number of encodings so far, independent of the number of proxies.
     pub fn encodings(&self) -> u64 {
         self.encodings
     }
 
-    /// Resources of a type.
+    /// Number of resources of a type.
     pub fn len(&self, kind: ResourceType) -> usize {
         self.table(kind).live.len()
     }
 
-    /// Names of a type's resources, in order.
+    /// Sorted names of the resources of a type.
     pub fn names(&self, kind: ResourceType) -> impl Iterator<Item = &str> {
         self.table(kind).live.keys().map(AsRef::as_ref)
     }
 
-    /// The protobuf of a resource.
+    /// The default encoding of a resource.
     pub fn get(&self, kind: ResourceType, name: &str) -> Option<&Bytes> {
         self.table(kind).live.get(name).map(|entry| &entry.body.plain)
     }
 
-    /// Takes changes; tells whether anything differs from before.
+    /// Applies changes. Returns whether anything changed.
     pub fn apply(&mut self, now: Duration, changes: impl IntoIterator<Item = Change>) -> bool {
         let before = self.seq;
         for change in changes {
@@ -221,7 +221,7 @@
             }
         }
         for table in &mut self.tables {
-            table.forget(now);
+            table.discard_old_removals(now);
         }
         self.seq != before
     }
@@ -231,7 +231,7 @@
         let known = table.unknown.remove(name.as_str());
         let old = table.live.get(name.as_str());
         if old.is_some_and(|old| old.body == body) {
-            self.seq += u64::from(known); // sessions that waited for it look again
+            self.seq += u64::from(known); // wakes sessions that wait for it
             return;
         }
         self.seq += 1;
@@ -239,12 +239,12 @@
             Some(old) => table.log.remove(&old.seq).unwrap_or_else(|| name.into()),
             None => name.into(),
         };
-        if let Some(gone) = table.gone.remove(&name) {
-            table.gone_log.remove(&gone.seq);
+        if let Some(removal) = table.removals.remove(&name) {
+            table.removal_log.remove(&removal.seq);
         }
         let version = body.version();
-        let text = match self.agreed {
-            Some(agreed) => format!("{}.{}-{}", self.epoch, agreed.index, version_text(version)),
+        let text = match self.position {
+            Some(position) => format!("{}.{}-{}", self.epoch, position.index, version_text(version)),
             None => version_text(version),
         };
         let encode = |bytes: &Bytes| {
@@ -264,12 +264,12 @@
 
     fn remove(&mut self, now: Duration, kind: ResourceType, name: &str) {
         let table = &mut self.tables[kind.index()];
-        self.seq += u64::from(table.unknown.remove(name)); // sessions that waited for it look again
+        self.seq += u64::from(table.unknown.remove(name)); // wakes sessions that wait for it
         let Some((name, entry)) = table.live.remove_entry(name) else { return };
         self.seq += 1;
         table.log.remove(&entry.seq);
-        table.gone_log.insert(self.seq, name.clone());
-        table.gone.insert(name, Gone { seq: self.seq, at: now, entry });
+        table.removal_log.insert(self.seq, name.clone());
+        table.removals.insert(name, Removal { seq: self.seq, at: now, entry });
     }
 
     fn table(&self, kind: ResourceType) -> &Table {
@@ -280,12 +280,12 @@
         self.table(kind).live.get_key_value(name)
     }
 
-    /// Whether it exists, but isn't known.
+    /// Whether the resource exists but its content isn't known.
     pub(crate) fn is_unknown(&self, kind: ResourceType, name: &str) -> bool {
         self.table(kind).unknown.contains(name)
     }
 
-    /// What changed after one number, in the order of the changes.
+    /// Resources changed after a sequence number, in the order of the changes.
     pub(crate) fn changed(
         &self,
         kind: ResourceType,
@@ -296,51 +296,51 @@
         names.filter_map(|name| table.live.get(name).map(|entry| (name, entry)))
     }
 
-    /// All of a type, by name.
+    /// All resources of a type, sorted by name.
     pub(crate) fn all(&self, kind: ResourceType) -> impl Iterator<Item = (&Arc<str>, &Entry)> {
         self.table(kind).live.iter()
     }
 
-    /// What was removed after one number: name, number, when, and what it was.
+    /// Resources removed after a sequence number: name, sequence number and time of the removal, and last content.
     pub(crate) fn removed(
         &self,
         kind: ResourceType,
         after: u64,
     ) -> impl Iterator<Item = (&Arc<str>, u64, Duration, &Entry)> {
         let table = self.table(kind);
-        let names = table.gone_log.range((Excluded(after), Included(u64::MAX)));
-        names.filter_map(|(&seq, name)| table.gone.get(name).map(|g| (name, seq, g.at, &g.entry)))
+        let names = table.removal_log.range((Excluded(after), Included(u64::MAX)));
+        names.filter_map(|(&seq, name)| table.removals.get(name).map(|r| (name, seq, r.at, &r.entry)))
     }
 
-    /// Whether removals after this number are all remembered.
-    pub(crate) fn remembers(&self, kind: ResourceType, after: u64) -> bool {
-        after >= self.table(kind).floor
+    /// Whether all removals after a sequence number are still kept.
+    pub(crate) fn has_removals_since(&self, kind: ResourceType, after: u64) -> bool {
+        after >= self.table(kind).discarded_to
     }
 }
 
 impl Table {
-    fn forget(&mut self, now: Duration) {
-        while let Some((&seq, name)) = self.gone_log.first_key_value() {
-            let old = self.gone.get(name).is_none_or(|gone| gone.at + GONE_KEPT < now);
-            if !old && self.gone_log.len() <= GONE_MOST {
+    fn discard_old_removals(&mut self, now: Duration) {
+        while let Some((&seq, name)) = self.removal_log.first_key_value() {
+            let old = self.removals.get(name).is_none_or(|removal| removal.at + REMOVAL_RETENTION < now);
+            if !old && self.removal_log.len() <= MAX_REMOVALS {
                 break;
             }
-            self.gone.remove(name);
-            self.gone_log.remove(&seq);
-            self.floor = seq;
+            self.removals.remove(name);
+            self.removal_log.remove(&seq);
+            self.discarded_to = seq;
         }
     }
 }
 
 impl Body {
-    /// FNV-1a over all its forms: short, and the same on every machine and in every release.
+    /// FNV-1a over all encodings: short, and the same on every machine and in every release.
     fn version(&self) -> u64 {
         let zones = self.zones.iter().flat_map(|(zone, bytes)| [zone.as_bytes(), bytes.as_ref()]);
         hash([self.plain.as_ref()].into_iter().chain(zones))
     }
 }
 
-/// FNV-1a over parts and their lengths.
+/// FNV-1a over the parts, each prefixed with its length.
 pub(crate) fn hash<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     for part in parts {
@@ -351,7 +351,7 @@
     hash
 }
 
-/// Whether a version that a proxy holds is that of this content, wherever it was told.
+/// Whether a version held by a proxy has this content hash, whichever instance sent it.
 pub(crate) fn is_version(text: &str, version: u64) -> bool {
     text.rsplit('-').next() == Some(version_text(version).as_str())
 }
--- a/crates/xds/src/csds.rs
+++ b/crates/xds/src/csds.rs
@@ -1,7 +1,7 @@
-//! CSDS: what each proxy was sent, has acknowledged and has rejected, and since when.
+//! Client Status Discovery Service (CSDS): the versions that each proxy was sent, acknowledged and rejected.
 //!
-//! One entry for each stream and type, named by the stream, since a cursor is all that is kept of a proxy: whether
-//! a type is acknowledged as a whole is known, which of its resources is not.
+//! Reports one entry per stream and resource type, named after the stream. A session keeps only a cursor per type, so
+//! acknowledgements are known per type, not per resource.
 
 use crate::hub::{Hub, StreamInfo};
 use crate::server::Responses;
@@ -20,13 +20,13 @@
 use tokio::sync::mpsc;
 use tonic::{Request, Response, Status, Streaming};
 
-/// The status service.
+/// The CSDS implementation.
 pub struct ClientStatus {
     hub: Arc<Hub>,
 }
 
 impl ClientStatus {
-    /// The status of the hub's streams.
+    /// Reports the status of the hub's streams.
     pub fn new(hub: Arc<Hub>) -> Self {
         ClientStatus { hub }
     }
@@ -61,16 +61,16 @@
 }
 
 fn respond(hub: &Hub, request: &ClientStatusRequest) -> Result<ClientStatusResponse, Status> {
-    let wanted = request.node_matchers.iter().map(node_id).collect::<Result<Vec<_>, _>>()?;
+    let node_ids = request.node_matchers.iter().map(node_id).collect::<Result<Vec<_>, _>>()?;
     let clock =
         Clock { hub: hub.now(), unix: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() };
     let streams = hub.streams();
-    let streams = streams.iter().filter(|s| wanted.is_empty() || wanted.contains(&s.node.as_str()));
+    let streams = streams.iter().filter(|s| node_ids.is_empty() || node_ids.contains(&s.node.as_str()));
     let config = streams.map(|stream| client(stream, &clock)).collect();
     Ok(ClientStatusResponse { config })
 }
 
-/// The one form of matcher that is served: a node id, exactly.
+/// The node id of a matcher. Only exact matches of the node id are supported.
 fn node_id(matcher: &NodeMatcher) -> Result<&str, Status> {
     let pattern = matcher.node_id.as_ref().and_then(|id| id.match_pattern.as_ref());
     match pattern {
--- a/crates/xds/src/hub.rs
+++ b/crates/xds/src/hub.rs
@@ -1,8 +1,8 @@
 //! What all streams share: the cache, who is connected, and who may be.
 
 use crate::cache::{Cache, Change, hash};
-use crate::kind::ResourceType;
 use crate::load::{InvalidReport, LoadReport, LoadStats};
+use crate::resource_type::ResourceType;
 use crate::session::{Limits, TypeStatus};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
--- a/crates/xds/src/load.rs
+++ b/crates/xds/src/load.rs
@@ -1,30 +1,30 @@
-//! What proxies say of the requests that they sent (LRS): how many ended, and how many of those badly, by pool. While
-//! a version is handed out in stages these are told apart by whether the proxy has it. No I/O.
+//! Request counts from the load reports of proxies (LRS): completed and failed requests by pool. During a staged
+//! rollout they are counted separately for proxies with and without the new version. No I/O.
 //!
-//! Memory follows the pools that are served: reports of other names are not kept, and nothing is kept by proxy.
+//! Memory is proportional to the number of served pools: reports for other pools are discarded, and nothing is kept per
+//! proxy.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Shares from before a roll-out are taken from so many slots ...
+/// Number of time slots over which requests before a rollout are counted.
 const SLOT_COUNT: usize = 10;
-/// ... of so long each: long enough for a quiet pool, short enough to speak of now.
+/// Length of a slot. All slots together are long enough for a pool with little traffic and still recent.
 const SLOT_LENGTH: Duration = Duration::from_secs(60);
-/// More requests than this in one report are no count but a fault: a proxy would have to end ten million a second
-/// for a day.
+/// Reports with larger counts are rejected as invalid: a proxy would need ten million requests per second for a day.
 const MAX_REPORTED_REQUESTS: u64 = 1_000_000_000_000;
 
-/// Requests that have ended, and those of them that failed or were dropped by the proxy's limits.
+/// Counts of completed requests, and of those that failed or were dropped by the proxy's limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// All.
+    /// All completed requests.
     pub ended: u64,
-    /// Those with no good answer.
+    /// Requests without a successful response.
     pub failed: u64,
 }
 
 impl RequestCounts {
-    /// Both together.
+    /// The sum of both counts.
     pub fn plus(self, other: RequestCounts) -> RequestCounts {
         RequestCounts {
             ended: self.ended.saturating_add(other.ended),
@@ -32,75 +32,75 @@
         }
     }
 
-    /// The part that failed; none of nothing.
+    /// Fraction of failed requests; `None` without requests.
     pub fn fail_rate(self) -> Option<f64> {
         (self.ended > 0).then(|| self.failed as f64 / self.ended as f64)
     }
 }
 
-/// A pool's requests, seen from a roll-out.
+/// Requests of a pool during a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RolloutComparison {
-    /// Of proxies that have the new version, since the stage began.
+    /// Proxies with the new version, since the stage began.
     pub with: RequestCounts,
-    /// Of the others, since the stage began.
+    /// Proxies without the new version, since the stage began.
     pub without: RequestCounts,
-    /// Of all, in the ten minutes before the roll-out.
+    /// All proxies, in the ten minutes before the rollout.
     pub before: RequestCounts,
 }
 
-/// What one proxy says of one pool.
+/// Load report of one proxy for one pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
-    /// Requests with a good answer.
+    /// Requests with a successful response.
     pub succeeded: u64,
-    /// Requests without.
+    /// Requests without a successful response.
     pub failed: u64,
     /// Requests that the proxy's own limits dropped.
     pub dropped: u64,
-    /// The time that it is about, up to now; none: as long as was asked for.
+    /// The period that it covers, up to now; `None`: the requested interval.
     pub interval: Option<Duration>,
 }
 
-/// A report that can't be true.
+/// A report with implausible counts.
 #[derive(Clone, Debug, thiserror::Error, PartialEq, Eq)]
 #[error("pool `{0}`: a report of more than {MAX_REPORTED_REQUESTS} requests")]
 pub struct InvalidReport(pub String);
 
 #[derive(Clone, Debug)]
 struct Stage {
-    /// The part of the nodes that have the new version, in 10,000.
+    /// Share of the nodes that have the new version, in 1/10,000.
     share: u32,
     since: Duration,
 }
 
-/// What is known of all pools' requests.
+/// Request counts of all pools.
 #[derive(Clone, Debug)]
 pub struct LoadStats {
-    /// How often proxies are asked to report.
-    every: Duration,
+    /// The requested report interval.
+    interval: Duration,
     stage: Option<Stage>,
     pools: BTreeMap<String, Pool>,
-    /// Reports taken, and the pools in them that are not served here.
+    /// Number of reports received, and of entries for pools that are not served here.
     report_counts: (u64, u64),
 }
 
 #[derive(Clone, Debug, Default)]
 struct Pool {
-    /// Slots with the time that each began, the newest last; none while a version is handed out.
+    /// Slots with their start times, the newest last; empty during a rollout.
     slots: VecDeque<(Duration, RequestCounts)>,
     compared: RolloutComparison,
 }
 
 impl LoadStats {
-    /// Nothing is known yet.
-    pub fn new(every: Duration) -> LoadStats {
-        LoadStats { every, stage: None, pools: BTreeMap::new(), report_counts: (0, 0) }
+    /// Empty counts.
+    pub fn new(interval: Duration) -> LoadStats {
+        LoadStats { interval, stage: None, pools: BTreeMap::new(), report_counts: (0, 0) }
     }
 
-    /// Takes a proxy's report, of the pools that are `served`.
+    /// Adds the report of a proxy, given its rollout bucket. Ignores pools for which `served` is false.
     pub fn report(
         &mut self,
         now: Duration,
@@ -122,10 +122,10 @@
             }
             let failed = report.failed + report.dropped;
             let tally = RequestCounts { ended: report.succeeded + failed, failed };
-            let interval = report.interval.unwrap_or(self.every);
+            let interval = report.interval.unwrap_or(self.interval);
             let pool = self.pools.entry(report.pool.clone()).or_default();
             match &self.stage {
-                // A report that reaches back to before the stage mixes what it is to tell apart.
+                // A report that begins before the stage covers requests of both versions.
                 Some(stage) if now.saturating_sub(interval) < stage.since => {}
                 Some(stage) => {
                     let side = match bucket < stage.share {
@@ -140,8 +140,7 @@
         Ok(())
     }
 
-    /// A version is handed out from now on, to nobody yet. What is known of the time before stands beside it to the
-    /// end.
+    /// Starts a rollout with a share of 0. The counts of the last ten minutes are kept as its baseline.
     pub fn start_rollout(&mut self, now: Duration) {
         for pool in self.pools.values_mut() {
             pool.compared = RolloutComparison { before: pool.recent(now), ..RolloutComparison::default() };
@@ -150,7 +149,7 @@
         self.stage = Some(Stage { share: 0, since: now });
     }
 
-    /// So many of 10,000 nodes have it from now on; or the same as before, looked at anew.
+    /// Starts a stage with a share of the nodes in 1/10,000, or restarts the current one. Resets the stage's counts.
     pub fn start_stage(&mut self, now: Duration, share: u32) {
         if let Some(stage) = &mut self.stage {
             *stage = Stage { share, since: now };
@@ -160,7 +159,7 @@
         }
     }
 
-    /// All have it, or nobody ever will. Pools that are served no more are forgotten.
+    /// Ends the rollout, completed or aborted. Discards pools that are no longer served.
     pub fn finish_rollout(&mut self, served: impl Fn(&str) -> bool) {
         self.stage = None;
         self.pools.retain(|name, _| served(name));
@@ -169,18 +168,18 @@
         }
     }
 
-    /// How the pools stand in the roll-out that is under way; nothing where there is none.
+    /// Comparison of each pool in the current rollout; empty if there is none.
     pub fn rollout_comparisons(&self) -> impl Iterator<Item = (&str, RolloutComparison)> {
         let pools = self.pools.iter().filter(|_| self.stage.is_some());
         pools.map(|(name, pool)| (name.as_str(), pool.compared))
     }
 
-    /// The last ten minutes of each pool, where no version is handed out.
+    /// Counts of the last ten minutes by pool; not updated during a rollout.
     pub fn recent(&self, now: Duration) -> impl Iterator<Item = (&str, RequestCounts)> {
         self.pools.iter().map(move |(name, pool)| (name.as_str(), pool.recent(now)))
     }
 
-    /// Reports taken, and the pools named in them that are not served.
+    /// Number of reports received, and of entries for pools that are not served.
     pub fn report_counts(&self) -> (u64, u64) {
         self.report_counts
     }
@@ -217,11 +216,11 @@
         Duration::from_secs(seconds)
     }
 
-    fn of(pool: &str, succeeded: u64, failed: u64) -> LoadReport {
+    fn load_report(pool: &str, succeeded: u64, failed: u64) -> LoadReport {
         LoadReport { pool: pool.to_owned(), succeeded, failed, dropped: 0, interval: None }
     }
 
-    fn say(loads: &mut LoadStats, now: u64, bucket: u32, report: LoadReport) {
+    fn send_report(loads: &mut LoadStats, now: u64, bucket: u32, report: LoadReport) {
         loads.report(at(now), bucket, &[report], |pool| pool != "ghost").expect("possible");
     }
 
@@ -230,18 +229,18 @@
     }
 
     #[test]
-    fn a_roll_out_tells_who_has_it_from_who_has_not_and_from_before() {
+    fn rollout_counts_are_separated_by_version_and_baseline() {
         let mut loads = LoadStats::new(EVERY);
-        say(&mut loads, 100, 1, of("p", 90, 10));
-        say(&mut loads, 200, 9000, of("p", 100, 0));
-        assert_eq!(loads.rollout_comparisons().count(), 0, "there is no roll-out");
+        send_report(&mut loads, 100, 1, load_report("p", 90, 10));
+        send_report(&mut loads, 200, 9000, load_report("p", 100, 0));
+        assert_eq!(loads.rollout_comparisons().count(), 0, "there is no rollout");
         loads.start_rollout(at(210));
         loads.start_stage(at(210), 1000);
-        say(&mut loads, 215, 1, of("p", 7, 7));
+        send_report(&mut loads, 215, 1, load_report("p", 7, 7));
         assert_eq!(p(&loads).with, RequestCounts::default(), "half of that report is from before");
-        say(&mut loads, 220, 999, of("p", 5, 1));
-        say(&mut loads, 221, 1000, of("p", 50, 2));
-        say(&mut loads, 222, 1, LoadReport { dropped: 3, ..of("p", 1, 0) });
+        send_report(&mut loads, 220, 999, load_report("p", 5, 1));
+        send_report(&mut loads, 221, 1000, load_report("p", 50, 2));
+        send_report(&mut loads, 222, 1, LoadReport { dropped: 3, ..load_report("p", 1, 0) });
         let expected = RolloutComparison {
             with: RequestCounts { ended: 10, failed: 4 },
             without: RequestCounts { ended: 52, failed: 2 },
@@ -256,10 +255,10 @@
     }
 
     #[test]
-    fn the_time_before_is_the_last_ten_minutes_and_no_more() {
+    fn the_baseline_covers_the_last_ten_minutes() {
         let mut loads = LoadStats::new(EVERY);
         for minute in 0..1000 {
-            say(&mut loads, minute * 60, 1, of("p", 1, 0));
+            send_report(&mut loads, minute * 60, 1, load_report("p", 1, 0));
         }
         assert!(loads.pools["p"].slots.len() <= SLOT_COUNT + 1, "{:?}", loads.pools["p"].slots);
         assert_eq!(loads.recent(at(999 * 60)).next(), Some(("p", RequestCounts { ended: 11, failed: 0 })));
@@ -269,25 +268,27 @@
     }
 
     #[test]
-    fn strangers_names_leave_nothing_and_impossible_counts_are_refused() {
+    fn unknown_pools_are_not_stored_and_invalid_counts_are_rejected() {
         let mut loads = LoadStats::new(EVERY);
         for n in 0..1000 {
-            loads.report(at(1), n, &[of(&format!("ghost-{n}"), 1, 1)], |_| false).expect("possible");
+            loads
+                .report(at(1), n, &[load_report(&format!("ghost-{n}"), 1, 1)], |_| false)
+                .expect("possible");
         }
         assert!(loads.pools.is_empty());
         assert_eq!(loads.report_counts(), (1000, 1000));
-        let below_zero = of("p", (-1_i64) as u64, 0);
+        let below_zero = load_report("p", (-1_i64) as u64, 0);
         assert_eq!(loads.report(at(1), 1, &[below_zero], |_| true), Err(InvalidReport("p".to_owned())));
-        let huge = LoadReport { dropped: MAX_REPORTED_REQUESTS + 1, ..of("p", 0, 0) };
+        let huge = LoadReport { dropped: MAX_REPORTED_REQUESTS + 1, ..load_report("p", 0, 0) };
         assert_eq!(loads.report(at(1), 1, &[huge], |_| true), Err(InvalidReport("p".to_owned())));
         assert!(loads.pools.is_empty(), "nothing of it is kept");
     }
 
     #[test]
-    fn pools_that_are_gone_are_forgotten() {
+    fn removed_pools_are_discarded_after_a_rollout() {
         let mut loads = LoadStats::new(EVERY);
-        say(&mut loads, 1, 1, of("p", 1, 0));
-        say(&mut loads, 1, 1, of("q", 1, 0));
+        send_report(&mut loads, 1, 1, load_report("p", 1, 0));
+        send_report(&mut loads, 1, 1, load_report("q", 1, 0));
         loads.start_rollout(at(2));
         loads.finish_rollout(|pool| pool == "q");
         assert_eq!(loads.recent(at(2)).map(|(name, _)| name).collect::<Vec<_>>(), ["q"]);
--- a/crates/xds/src/lrs.rs
+++ b/crates/xds/src/lrs.rs
@@ -1,8 +1,8 @@
-//! LRS: proxies are asked for the error shares of all pools, and their reports go to [`LoadStats`](crate::LoadStats).
+//! Load Reporting Service (LRS): requests reports for all pools and passes them to [`LoadStats`](crate::LoadStats).
 
-use crate::allowance::Allowance;
 use crate::hub::{Hub, rollout_bucket};
 use crate::load::LoadReport;
+use crate::rate_limit::TokenBucket;
 use crate::server::{Responses, first_request};
 use envoy_types::pb;
 use lrs::load_reporting_service_server::LoadReportingService;
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 use tonic::{Request, Response, Status, Streaming};
 
-/// A report about more than this says nothing of now; it is taken as one of so long.
+/// Upper bound of a report's interval; longer ones are shortened to it.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(3600);
 
 /// The load reporting service.
@@ -26,7 +26,7 @@
 }
 
 impl LoadReporting {
-    /// Reports go to this hub.
+    /// Passes reports to this hub.
     pub fn new(hub: Arc<Hub>) -> Self {
         LoadReporting { hub }
     }
@@ -43,7 +43,7 @@
         let (hub, requests) = (self.hub.clone(), request.into_inner());
         let (out, responses) = mpsc::channel(1);
         tokio::spawn(async move {
-            if let Err(status) = take(&hub, requests, &out).await {
+            if let Err(status) = receive_reports(&hub, requests, &out).await {
                 let _ = timeout(hub.settings.first_request_timeout, out.send(Err(status))).await;
             }
         });
@@ -53,13 +53,17 @@
 
 type Out = mpsc::Sender<Result<LoadStatsResponse, Status>>;
 
-/// Takes a stream's reports to its end.
-async fn take(hub: &Arc<Hub>, mut requests: Streaming<LoadStatsRequest>, out: &Out) -> Result<(), Status> {
+/// Processes the reports of a stream until it ends.
+async fn receive_reports(
+    hub: &Arc<Hub>,
+    mut requests: Streaming<LoadStatsRequest>,
+    out: &Out,
+) -> Result<(), Status> {
     let Some(first) = first_request(hub, &mut requests).await? else { return Ok(()) };
     let node: Node = first.node.clone().unwrap_or_default();
     let _open = hub.open_load_stream(&node.id, &node.cluster)?;
     let every = hub.settings.load_report_interval;
-    // Which pools there are changes; the proxy knows those that it uses.
+    // Asks for all clusters, since the set of pools changes and the proxy knows which ones it uses.
     let ask = LoadStatsResponse {
         send_all_clusters: true,
         load_reporting_interval: Some(ProtoDuration {
@@ -72,10 +76,10 @@
         return Ok(());
     }
     let bucket = rollout_bucket(&node.id);
-    let mut allowance = Allowance::new(hub.settings.max_requests_per_s);
+    let mut tokens = TokenBucket::new(hub.settings.max_requests_per_s);
     let mut next = Some(first);
     while let Some(request) = next {
-        if !allowance.take() {
+        if !tokens.take() {
             let what = format!("more than {} reports a second", hub.settings.max_requests_per_s);
             return Err(Status::resource_exhausted(what));
         }
--- a/crates/xds/src/message.rs
+++ b/crates/xds/src/message.rs
@@ -1,7 +1,7 @@
-//! Messages that share their resources' bytes.
+//! Protobuf messages of responses, whose resources share their encoded bytes.
 //!
-//! The tags are those of the public definitions (`envoy/service/discovery/v3/discovery.proto`); nested messages
-//! are bytes here, which is the same on the wire. So a resource is encoded once for all proxies.
+//! The tags are those of `envoy/service/discovery/v3/discovery.proto`. Nested messages are declared as bytes, which has
+//! the same wire format, so that a resource is encoded once for all proxies.
 
 use bytes::Bytes;
 use prost::Message;
@@ -35,7 +35,7 @@
 
 /// `envoy.service.discovery.v3.DiscoveryResponse`; the resources are `Any`s.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct WholeOut {
+pub(crate) struct SotwOut {
     #[prost(string, tag = "1")]
     pub(crate) version_info: String,
     #[prost(bytes = "bytes", repeated, tag = "2")]
--- a/crates/xds/src/kind.rs
+++ b/crates/xds/src/resource_type.rs
@@ -1,6 +1,6 @@
-//! The types of resources.
+//! Resource types.
 
-/// A type of resource, in make-before-break order: what is referred to comes before what refers to it.
+/// A resource type, in make-before-break order: referenced types precede the types that refer to them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ResourceType {
     /// CDS.
@@ -14,11 +14,11 @@
 }
 
 impl ResourceType {
-    /// All, in make-before-break order.
+    /// All types in make-before-break order.
     pub const ALL: [ResourceType; 4] =
         [ResourceType::Cluster, ResourceType::Endpoint, ResourceType::Listener, ResourceType::Route];
 
-    /// Its type URL.
+    /// The type URL.
     pub fn url(self) -> &'static str {
         match self {
             ResourceType::Cluster => "type.googleapis.com/envoy.config.cluster.v3.Cluster",
@@ -33,8 +33,8 @@
         ResourceType::ALL.into_iter().find(|kind| kind.url() == url)
     }
 
-    /// Whether a state-of-the-world answer must hold all that is subscribed, so that what is missing is gone;
-    /// the other types may be answered in part (xDS protocol, "Grouping Resources into Responses").
+    /// Whether a state-of-the-world response must hold all subscribed resources, so that a missing one counts as
+    /// removed. Responses of the other types may be partial (xDS protocol, "Grouping Resources into Responses").
     pub fn requires_full_state(self) -> bool {
         matches!(self, ResourceType::Cluster | ResourceType::Listener)
     }
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -1,9 +1,9 @@
-//! The thin shell: gRPC streams round sessions.
+//! gRPC discovery services, which run a [`Session`] per stream.
 
-use crate::allowance::Allowance;
 use crate::hub::{Hub, NODE_NAME_MOST, ServedVersion, StreamInfo, rollout_bucket};
-use crate::kind::ResourceType;
-use crate::message::{ControlPlaneOut, DeltaOut, WholeOut};
+use crate::message::{ControlPlaneOut, DeltaOut, SotwOut};
+use crate::rate_limit::TokenBucket;
+use crate::resource_type::ResourceType;
 use crate::session::{Request, Response, Session, SessionError};
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
@@ -23,23 +23,23 @@
 use tonic_prost::ProstCodec;
 use tower_service::Service;
 
-/// Removals that wait for acknowledgements are looked at again this often.
-const RECHECK: Duration = Duration::from_millis(250);
+/// Interval at which pending removals are checked again.
+const REMOVAL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 type Pinned<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// A discovery service: aggregated, or of one type.
+/// A discovery service for all resource types (aggregated) or for one.
 #[derive(Clone)]
 pub struct Discovery<S> {
     hub: Arc<Hub>,
     of: PhantomData<fn() -> S>,
 }
 
-/// Which service: its name, and its type if it has but one.
+/// Name and resource type of a discovery service.
 pub trait ServiceType: 'static {
-    /// Its name in the public definitions.
+    /// Full gRPC service name.
     const NAME: &'static str;
-    /// Its type; none: all.
+    /// The resource type served; `None`: all.
     const RESOURCE_TYPE: Option<ResourceType>;
 }
 
@@ -70,7 +70,7 @@
 }
 
 impl<S: ServiceType> Discovery<S> {
-    /// The service, handing out what the hub holds.
+    /// Serves the resources of the hub.
     pub fn new(hub: Arc<Hub>) -> Self {
         Discovery { hub, of: PhantomData }
     }
@@ -93,15 +93,16 @@
         let hub = self.hub.clone();
         let method = request.uri().path().rsplit('/').next().unwrap_or_default().to_owned();
         Box::pin(async move {
-            let most = hub.settings.max_request_bytes;
+            let max_bytes = hub.settings.max_request_bytes;
             Ok(if method.starts_with("Delta") {
                 let handler = Handler::<Incremental> { hub, only: S::RESOURCE_TYPE, variant: PhantomData };
                 let codec = ProstCodec::<DeltaOut, DeltaDiscoveryRequest>::default();
-                Grpc::new(codec).max_decoding_message_size(most).streaming(handler, request).await
+                Grpc::new(codec).max_decoding_message_size(max_bytes).streaming(handler, request).await
             } else if method.starts_with("Stream") {
-                let handler = Handler::<Whole> { hub, only: S::RESOURCE_TYPE, variant: PhantomData };
-                let codec = ProstCodec::<WholeOut, DiscoveryRequest>::default();
-                Grpc::new(codec).max_decoding_message_size(most).streaming(handler, request).await
+                let handler =
+                    Handler::<StateOfTheWorld> { hub, only: S::RESOURCE_TYPE, variant: PhantomData };
+                let codec = ProstCodec::<SotwOut, DiscoveryRequest>::default();
+                Grpc::new(codec).max_decoding_message_size(max_bytes).streaming(handler, request).await
             } else {
                 Status::unimplemented(format!("`{method}` is not served: use the streams")).into_http()
             })
@@ -109,7 +110,7 @@
     }
 }
 
-/// A variant of the protocol.
+/// A protocol variant: state-of-the-world or incremental.
 trait Variant: Send + 'static {
     type In: Send + 'static;
     type Out: Send + 'static;
@@ -119,12 +120,12 @@
     fn response(response: Response, control_plane: ControlPlaneOut) -> Self::Out;
 }
 
-struct Whole;
+struct StateOfTheWorld;
 struct Incremental;
 
-impl Variant for Whole {
+impl Variant for StateOfTheWorld {
     type In = DiscoveryRequest;
-    type Out = WholeOut;
+    type Out = SotwOut;
     const INCREMENTAL: bool = false;
 
     fn node(request: &mut Self::In) -> Option<Node> {
@@ -142,8 +143,8 @@
         }
     }
 
-    fn response(response: Response, control_plane: ControlPlaneOut) -> WholeOut {
-        WholeOut {
+    fn response(response: Response, control_plane: ControlPlaneOut) -> SotwOut {
+        SotwOut {
             version_info: response.version,
             resources: response.resources,
             type_url: response.kind.url().to_owned(),
@@ -199,9 +200,9 @@
 
     fn call(&mut self, request: tonic::Request<Streaming<V::In>>) -> Self::Future {
         let (hub, only) = (self.hub.clone(), self.only);
-        // Room for one response: the next one is made when this one is taken, from the newest state.
+        // A capacity of one: the next response is built from the newest state when this one has been taken.
         let (out, responses) = mpsc::channel(1);
-        tokio::spawn(drive::<V>(hub, only, request.into_inner(), out));
+        tokio::spawn(run_stream::<V>(hub, only, request.into_inner(), out));
         Box::pin(async move { Ok(tonic::Response::new(Responses::new(responses))) })
     }
 }
@@ -209,34 +210,34 @@
 /// The responses of a stream.
 pub(crate) type Responses<T> = ReceiverStream<Result<T, Status>>;
 
-/// Runs a stream to its end.
-async fn drive<V: Variant>(
+/// Runs a stream until it ends.
+async fn run_stream<V: Variant>(
     hub: Arc<Hub>,
     only: Option<ResourceType>,
     mut requests: Streaming<V::In>,
     out: mpsc::Sender<Result<V::Out, Status>>,
 ) {
     let number = hub.number();
-    let (status, why) = match begin::<V>(&hub, only, number, &mut requests).await {
-        Ok((session, first)) => go_on::<V>(&hub, number, session, first, &mut requests, &out).await,
+    let (status, why) = match open_session::<V>(&hub, only, number, &mut requests).await {
+        Ok((session, first)) => serve_session::<V>(&hub, number, session, first, &mut requests, &out).await,
         Err(status) => (Some(status.clone()), status.message().to_owned()),
     };
     hub.close(number, why);
     if let Some(status) = status {
-        // A reader that takes nothing finds its stream ended all the same.
+        // Bounded, so that a client which doesn't read can't keep the task alive.
         let _ = timeout(hub.settings.first_request_timeout, out.send(Err(status))).await;
     }
 }
 
-/// The first request of a stream, which must not take long; none where the stream has ended.
+/// Waits for the first request of a stream, with a timeout. `None` if the stream has ended.
 pub(crate) async fn first_request<T>(hub: &Hub, requests: &mut Streaming<T>) -> Result<Option<T>, Status> {
     let wait = hub.settings.first_request_timeout;
     let first = timeout(wait, requests.message()).await;
     first.map_err(|_| Status::deadline_exceeded(format!("no request within {wait:?}")))?
 }
 
-/// Waits for the first request, which names the node.
-async fn begin<V: Variant>(
+/// Waits for the first request, which identifies the node, and opens the session.
+async fn open_session<V: Variant>(
     hub: &Hub,
     only: Option<ResourceType>,
     number: u64,
@@ -271,7 +272,7 @@
     Ok((VersionedSession { session, bucket, version_id }, first))
 }
 
-/// A session, and the version that it follows.
+/// A session and the served version that it is based on.
 struct VersionedSession {
     session: Session,
     bucket: u32,
@@ -279,21 +280,21 @@
 }
 
 impl VersionedSession {
-    /// Goes over to the version that its node is to follow now; says whether that is another one.
-    fn follow(&mut self, version: &ServedVersion) -> Result<bool, SessionError> {
+    /// Switches to the version that is current for the node. Returns whether it changed.
+    fn switch_to(&mut self, version: &ServedVersion) -> Result<bool, SessionError> {
         if self.version_id == version.id {
             return Ok(false);
         }
         match version.forked_from {
             Some((parent, seq)) if parent == self.version_id => self.session.rewind(seq),
-            _ => return Err(SessionError::TooFarBehind), // two roll-outs while it was not looked at
+            _ => return Err(SessionError::TooFarBehind), // two rollouts since the last poll
         }
         self.version_id = version.id;
         Ok(true)
     }
 }
 
-async fn go_on<V: Variant>(
+async fn serve_session<V: Variant>(
     hub: &Hub,
     number: u64,
     mut versioned: VersionedSession,
@@ -302,19 +303,19 @@
     out: &mpsc::Sender<Result<V::Out, Status>>,
 ) -> (Option<Status>, String) {
     let mut head = hub.head();
-    let mut allowance = Allowance::new(hub.settings.max_requests_per_s);
+    let mut tokens = TokenBucket::new(hub.settings.max_requests_per_s);
     let mut request = Some(first);
-    let mut look = true;
+    let mut poll = true;
     loop {
         if let Some(request) = request.take() {
-            if !allowance.take() {
+            if !tokens.take() {
                 let what = format!("more than {} requests a second", hub.settings.max_requests_per_s);
                 return (Some(Status::resource_exhausted(&*what)), what);
             }
             let taken = {
                 let versions = hub.versions();
                 let version = versions.of(versioned.bucket);
-                let taken = versioned.follow(version).and_then(|_| {
+                let taken = versioned.switch_to(version).and_then(|_| {
                     versioned.session.request(&version.cache, hub.now(), V::request(request))
                 });
                 let type_statuses = versioned.session.type_statuses(&version.cache);
@@ -328,7 +329,7 @@
             if let Err(refusal) = taken {
                 return (Some(status(&refusal)), refusal.to_string());
             }
-            look = true;
+            poll = true;
         }
         tokio::select! {
             read = requests.message() => match read {
@@ -339,15 +340,15 @@
                     return (Some(problem), why);
                 }
             },
-            permit = out.reserve(), if look => {
+            permit = out.reserve(), if poll => {
                 let Ok(permit) = permit else { return (None, "the proxy closed the stream".to_owned()) };
                 head.mark_unchanged();
                 let versions = hub.versions();
                 let version = versions.of(versioned.bucket);
-                let polled = versioned.follow(version).and_then(|moved| {
+                let polled = versioned.switch_to(version).and_then(|moved| {
                     let response = versioned.session.poll(&version.cache, hub.now())?;
-                    let told = response.is_some() || moved;
-                    Ok((response, told.then(|| versioned.session.type_statuses(&version.cache))))
+                    let changed = response.is_some() || moved;
+                    Ok((response, changed.then(|| versioned.session.type_statuses(&version.cache))))
                 });
                 drop(versions);
                 if let Ok((response, Some(type_statuses))) = &polled {
@@ -365,13 +366,13 @@
                         let identifier = hub.settings.identifier.clone();
                         permit.send(Ok(V::response(response, ControlPlaneOut { identifier })));
                     }
-                    Ok(None) => look = false,
+                    Ok(None) => poll = false,
                     Err(refusal) => return (Some(status(&refusal)), refusal.to_string()),
                 }
             }
-            _ = head.changed(), if !look => look = true,
-            () = sleep(RECHECK), if !look && versioned.session.has_pending_removals() => look = true,
-            () = out.closed(), if !look => return (None, "the proxy closed the stream".to_owned()),
+            _ = head.changed(), if !poll => poll = true,
+            () = sleep(REMOVAL_CHECK_INTERVAL), if !poll && versioned.session.has_pending_removals() => poll = true,
+            () = out.closed(), if !poll => return (None, "the proxy closed the stream".to_owned()),
         }
     }
 }
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -9,7 +9,7 @@
 //! "Incremental xDS".
 
 use crate::cache::{Cache, Encoded, Entry, hash, is_version, version_text};
-use crate::kind::ResourceType;
+use crate::resource_type::ResourceType;
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -477,7 +477,7 @@
     ) -> Result<Option<Response>, SessionError> {
         let open = self.open_to(cache, kind, now);
         let Some(watch) = self.watches[kind.index()].as_mut() else { return Ok(None) };
-        if watch.removed_to > 0 && !cache.remembers(kind, watch.removed_to) {
+        if watch.removed_to > 0 && !cache.has_removals_since(kind, watch.removed_to) {
             return Err(SessionError::TooFarBehind);
         }
         let (zone, most) = (self.zone.as_str(), self.limits.max_response_bytes);
@@ -497,8 +497,8 @@
         self.next_nonce += 1;
         let nonce = self.next_nonce;
         let version = match watch.tag.take() {
-            Some(tag) => format!("{}-{}", cache.place(), version_text(tag)),
-            None => cache.place(),
+            Some(tag) => format!("{}-{}", cache.version_prefix(), version_text(tag)),
+            None => cache.version_prefix(),
         };
         let Batch { resources, names, removed, .. } = batch;
         watch.sent = Some((version.clone(), now));
--- a/crates/xds/src/translate.rs
+++ b/crates/xds/src/translate.rs
@@ -4,7 +4,7 @@
 //! set. Messages hold maps nowhere, so that equal inputs give equal bytes.
 
 use crate::cache::{Body, Change};
-use crate::kind::ResourceType;
+use crate::resource_type::ResourceType;
 use envoy_types::pb;
 use pb::envoy::config::cluster::v3 as cds;
 use pb::envoy::config::core::v3 as core;
