--- a/crates/xds/src/hub.rs
+++ b/crates/xds/src/hub.rs
@@ -1,4 +1,4 @@
-//! What all streams share: the cache, who is connected, and who may be.
+//! State shared by all streams: the served versions, the open streams, access rules and load reports.
 
 use crate::cache::{Cache, Change, hash};
 use crate::load::{InvalidReport, LoadReport, LoadStats};
@@ -11,31 +11,30 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Settings of the service; each limit guards against proxies that are many, broken or hostile.
+/// Settings of the service. The limits protect it from too many, faulty or malicious clients.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What the service calls itself in responses.
+    /// Control plane identifier in responses.
     pub identifier: String,
-    /// Limits of each stream.
+    /// Limits per stream.
     pub limits: Limits,
-    /// Streams in all. Against thousands of streams from one place that would fill the memory.
+    /// Maximum open streams. Bounds the memory that a client with thousands of streams can take.
     pub max_streams: usize,
-    /// Streams of one node id: one of each type and one aggregated, twice over for a reconnection.
+    /// Maximum streams per node id: one per type and one aggregated, doubled for reconnections.
     pub max_streams_per_node: usize,
-    /// Streams of one connection.
+    /// Maximum streams per connection.
     pub max_streams_per_connection: u32,
-    /// Connections in all.
+    /// Maximum open connections.
     pub max_connections: usize,
-    /// Longest request, in bytes.
+    /// Maximum size of a request in bytes.
     pub max_request_bytes: usize,
-    /// Requests that a stream may send a second on average, and ten times as many at once. Against those that
-    /// send without pause.
+    /// Maximum average rate of requests per stream; bursts of up to ten seconds' worth are allowed.
     pub max_requests_per_s: f64,
-    /// A stream that says nothing for so long at first is ended.
+    /// A stream without a first request within this time is closed.
     pub first_request_timeout: Duration,
-    /// Nodes that may connect; empty: all.
+    /// Nodes that may connect; empty: all nodes.
     pub access: Vec<AccessRule>,
-    /// How often proxies are asked to report how their requests ended.
+    /// Interval requested for load reports.
     pub load_report_interval: Duration,
 }
 
@@ -57,12 +56,12 @@
     }
 }
 
-/// Nodes that may connect. A text that ends in `*` stands for all that begin like it.
+/// Nodes that may connect. A pattern that ends in `*` matches by prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccessRule {
-    /// Their ids.
+    /// Pattern for node ids.
     pub id: String,
-    /// Their clusters.
+    /// Pattern for clusters.
     pub cluster: String,
 }
 
@@ -76,10 +75,10 @@
     }
 }
 
-/// A connected stream.
+/// An open stream, for status output.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StreamInfo {
-    /// Its number, unique in this run of the service.
+    /// Number, unique in this run of the service.
     pub number: u64,
     /// The node's id.
     pub node: String,
@@ -87,48 +86,48 @@
     pub cluster: String,
     /// The node's zone.
     pub zone: String,
-    /// Incremental or state-of-the-world.
+    /// Whether the stream uses the incremental variant; else state-of-the-world.
     pub incremental: bool,
-    /// Since when, on the hub's clock.
+    /// Start, on the hub's clock.
     pub since: Duration,
-    /// Requests taken.
+    /// Requests received.
     pub requests: u64,
-    /// Responses handed to the connection, and their resources' bytes.
+    /// Responses passed to the connection.
     pub responses: u64,
-    /// Bytes of resources handed to the connection.
+    /// Bytes of resources passed to the connection.
     pub bytes: u64,
-    /// The version that it follows: [`Hub::newest_version_id`] or the one before.
+    /// Id of the served version: [`Hub::newest_version_id`] or the previous one.
     pub version_id: u64,
-    /// How each type stands.
+    /// Status per resource type.
     pub type_statuses: Vec<TypeStatus>,
 }
 
-/// How a stream that has ended did so.
+/// A closed stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedStream {
     /// The node's id.
     pub node: String,
-    /// When, on the hub's clock.
+    /// End, on the hub's clock.
     pub at: Duration,
-    /// Why.
+    /// Reason.
     pub why: String,
 }
 
-/// Longest node id, cluster or zone that is taken.
-pub(crate) const NODE_NAME_MOST: usize = 256;
-/// Ended streams remembered for people.
-const ENDED_MOST: usize = 64;
+/// Maximum length of a node id, cluster or zone.
+pub(crate) const MAX_NODE_NAME_BYTES: usize = 256;
+/// Closed streams kept for status output.
+const MAX_ENDED_STREAMS: usize = 64;
 
 #[derive(Default)]
 struct Streams {
     open: BTreeMap<u64, StreamInfo>,
     of_node: BTreeMap<String, usize>,
     ended: std::collections::VecDeque<EndedStream>,
-    /// Streams that report loads, by node.
+    /// Number of open load reporting streams by node.
     load_streams: BTreeMap<String, usize>,
 }
 
-/// A node has one stream less.
+/// Decrements the number of streams of a node.
 fn decrement_stream_count(of_node: &mut BTreeMap<String, usize>, node: &str) {
     if let Some(count) = of_node.get_mut(node) {
         *count -= 1;
@@ -138,7 +137,7 @@
     }
 }
 
-/// A stream that reports loads, while it is open.
+/// An open load reporting stream. Unregisters it when dropped.
 pub(crate) struct LoadStream {
     hub: Arc<Hub>,
     node: String,
@@ -150,24 +149,24 @@
     }
 }
 
-/// A state that is served, and where it parted from the one before.
+/// A served version of the resources, and the version that it was forked from.
 pub(crate) struct ServedVersion {
     pub(crate) id: u64,
     pub(crate) cache: Cache,
-    /// The version that it was the same as, up to this change.
+    /// Id of the parent version, and the sequence number of the last change that both have.
     pub(crate) forked_from: Option<(u64, u64)>,
 }
 
-/// What is served: one version, or two while a version is rolled out.
+/// The served versions: one, or two during a rollout.
 pub(crate) struct ServedVersions {
     main: ServedVersion,
-    /// The newer one, and the part of the nodes that follow it, in 10,000.
+    /// The new version and the share of the nodes that are served it, in 1/10,000.
     next: Option<(ServedVersion, u32)>,
 }
 
 impl ServedVersions {
-    /// What a node of this bucket follows.
-    pub(crate) fn of(&self, bucket: u32) -> &ServedVersion {
+    /// The version for nodes of a bucket.
+    pub(crate) fn for_bucket(&self, bucket: u32) -> &ServedVersion {
         self.next.as_ref().filter(|(_, share)| bucket < *share).map_or(&self.main, |(version, _)| version)
     }
 
@@ -181,12 +180,13 @@
     }
 }
 
-/// A node's bucket among all, `0..10_000`: a part of the nodes are those below it. The same in every run.
+/// The rollout bucket of a node, `0..10_000`, from a hash of its id. A share of the nodes is the buckets below it. The
+/// same in every run.
 pub fn rollout_bucket(node: &str) -> u32 {
     (hash([node.as_bytes()]) % 10_000) as u32
 }
 
-/// What all streams share.
+/// State shared by all streams.
 pub struct Hub {
     pub(crate) settings: Settings,
     versions: RwLock<ServedVersions>,
@@ -194,13 +194,13 @@
     streams: Mutex<Streams>,
     loads: Mutex<LoadStats>,
     next_stream: AtomicU64,
-    /// No other run of an instance has the same: streams are named after it.
+    /// Random id of this run, unique among all runs; part of the names of streams.
     pub(crate) run: u64,
     started: Instant,
 }
 
 impl Hub {
-    /// A hub whose versions are ordered after those of all earlier epochs.
+    /// An empty hub. Its versions are ordered after those of all earlier epochs.
     pub fn new(epoch: u64, settings: Settings) -> Arc<Hub> {
         Arc::new(Hub {
             loads: Mutex::new(LoadStats::new(settings.load_report_interval)),
@@ -217,13 +217,13 @@
         })
     }
 
-    /// Time on the hub's clock.
+    /// Time since the creation of the hub.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Takes changes of the newest version, all at once: no proxy sees some without the others. Tells whether anything
-    /// differs.
+    /// Applies changes to the newest version atomically: no proxy sees only some of them. Returns whether anything
+    /// changed.
     pub fn publish(&self, changes: impl IntoIterator<Item = Change>) -> bool {
         let now = self.now();
         self.change(|versions| match &mut versions.next {
@@ -232,13 +232,13 @@
         })
     }
 
-    /// Takes changes of the version before the newest, where there are two.
+    /// Applies changes to the previous version during a rollout.
     pub fn publish_previous(&self, changes: impl IntoIterator<Item = Change>) -> bool {
         let now = self.now();
         self.change(|versions| versions.next.is_some() && versions.main.cache.apply(now, changes))
     }
 
-    /// Parts a new version from the one that is served, for nobody yet. Where there are two already, nothing happens.
+    /// Forks a new version from the served one, with a rollout share of 0. No effect during a rollout.
     pub fn fork(&self) {
         self.change(|versions| {
             if versions.next.is_none() {
@@ -251,7 +251,7 @@
         });
     }
 
-    /// Gives the newest version to so many of 10,000 nodes, by their [`rollout_bucket`].
+    /// Serves the newest version to a share of the nodes in 1/10,000, by their [`rollout_bucket`].
     pub fn set_rollout_share(&self, share: u32) {
         self.change(|versions| {
             versions.next.as_mut().is_some_and(|(_, was)| std::mem::replace(was, share) != share)
@@ -259,7 +259,7 @@
         self.loads(|loads| loads.start_stage(self.now(), share));
     }
 
-    /// Gives the newest version to all, and forgets the one before.
+    /// Serves the newest version to all nodes and discards the previous one.
     pub fn finish_rollout(&self) {
         self.change(|versions| {
             let next = versions.next.take();
@@ -284,8 +284,8 @@
         changed
     }
 
-    /// From now on what is served is to hold what is agreed up to this index of a cluster's log. No stream is told
-    /// anything until it is [`settled`](Self::finish_update) there.
+    /// Starts the update of the served versions to an index of the cluster's log. Streams are sent nothing until
+    /// [`finish_update`](Self::finish_update) is called.
     pub fn begin_update(&self, epoch: u64, index: u64) {
         self.change(|versions| {
             versions.caches().for_each(|cache| cache.begin_update(epoch, index));
@@ -293,7 +293,7 @@
         });
     }
 
-    /// What is served holds what is agreed up to the index that it was moved to.
+    /// Ends the update: the served versions hold the state at the index given to [`begin_update`](Self::begin_update).
     pub fn finish_update(&self) {
         self.change(|versions| {
             versions.caches().for_each(Cache::finish_update);
@@ -301,31 +301,31 @@
         });
     }
 
-    /// Looks at what the newest version serves.
+    /// Gives access to the cache of the newest version.
     pub fn cache<T>(&self, with: impl FnOnce(&Cache) -> T) -> T {
         with(&self.versions().newest().cache)
     }
 
-    /// Looks at what the version before the newest serves, or the only one.
+    /// Gives access to the cache of the previous version during a rollout, else of the only one.
     pub fn previous_cache<T>(&self, with: impl FnOnce(&Cache) -> T) -> T {
         with(&self.versions().main.cache)
     }
 
-    /// Looks at what proxies report of their requests. Where the versions are locked too, they come first.
+    /// Gives access to the load statistics. Lock order: the versions before the load statistics.
     pub fn loads<T>(&self, with: impl FnOnce(&mut LoadStats) -> T) -> T {
         with(&mut self.loads.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Takes a report of a node of this [`rollout_bucket`].
+    /// Adds the reports of a node with this [`rollout_bucket`].
     pub(crate) fn report(&self, bucket: u32, reports: &[LoadReport]) -> Result<(), InvalidReport> {
         let (now, versions) = (self.now(), self.versions());
-        let cache = &versions.of(bucket).cache;
+        let cache = &versions.for_bucket(bucket).cache;
         self.loads(|loads| {
             loads.report(now, bucket, reports, |pool| cache.get(ResourceType::Cluster, pool).is_some())
         })
     }
 
-    /// Takes a stream in that reports loads, or says why not.
+    /// Registers a load reporting stream. Fails if the node is refused or a limit is reached.
     pub(crate) fn open_load_stream(
         self: &Arc<Hub>,
         node: &str,
@@ -344,14 +344,14 @@
         Ok(LoadStream { hub: self.clone(), node: node.to_owned() })
     }
 
-    /// Whether a node may connect: its names are of a length that can be kept, and the settings allow it.
+    /// Checks that a node may connect: its names are within the length limit and an access rule allows it.
     pub(crate) fn check_node(&self, node: &str, cluster: &str) -> Result<(), tonic::Status> {
         if node.is_empty() {
             let what = "the first request must name the node: `node.id` is empty";
             return Err(tonic::Status::invalid_argument(what));
         }
-        if [node, cluster].iter().any(|name| name.len() > NODE_NAME_MOST) {
-            let what = format!("a name of the node is over {NODE_NAME_MOST} bytes");
+        if [node, cluster].iter().any(|name| name.len() > MAX_NODE_NAME_BYTES) {
+            let what = format!("a name of the node is over {MAX_NODE_NAME_BYTES} bytes");
             return Err(tonic::Status::invalid_argument(what));
         }
         let access = &self.settings.access;
@@ -362,7 +362,7 @@
         Ok(())
     }
 
-    /// The newest version, as [`StreamInfo::version_id`] names it.
+    /// Id of the newest version, comparable to [`StreamInfo::version_id`].
     pub fn newest_version_id(&self) -> u64 {
         self.versions().newest().id
     }
@@ -371,12 +371,12 @@
         self.versions.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The streams that are open, by number.
+    /// The open streams, sorted by number.
     pub fn streams(&self) -> Vec<StreamInfo> {
         self.lock().open.values().cloned().collect()
     }
 
-    /// Streams that ended lately, the last one last.
+    /// The last closed streams, the most recent last.
     pub fn ended(&self) -> Vec<EndedStream> {
         self.lock().ended.iter().cloned().collect()
     }
@@ -389,7 +389,7 @@
         self.next_stream.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Takes a stream in, or says why not.
+    /// Registers a stream. Fails if the node is refused or a limit is reached.
     pub(crate) fn open(&self, stream: StreamInfo) -> Result<(), tonic::Status> {
         let (node, settings) = (stream.node.clone(), &self.settings);
         self.check_node(&node, &stream.cluster)?;
@@ -419,7 +419,7 @@
         let mut streams = self.lock();
         let Some(stream) = streams.open.remove(&number) else { return };
         decrement_stream_count(&mut streams.of_node, &stream.node);
-        if streams.ended.len() == ENDED_MOST {
+        if streams.ended.len() == MAX_ENDED_STREAMS {
             streams.ended.pop_front();
         }
         streams.ended.push_back(EndedStream { node: stream.node, at, why });
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -1,6 +1,6 @@
 //! gRPC discovery services, which run a [`Session`] per stream.
 
-use crate::hub::{Hub, NODE_NAME_MOST, ServedVersion, StreamInfo, rollout_bucket};
+use crate::hub::{Hub, MAX_NODE_NAME_BYTES, ServedVersion, StreamInfo, rollout_bucket};
 use crate::message::{ControlPlaneOut, DeltaOut, SotwOut};
 use crate::rate_limit::TokenBucket;
 use crate::resource_type::ResourceType;
@@ -248,14 +248,14 @@
     let node = V::node(&mut first).unwrap_or_default();
     let zone = node.locality.map(|locality| locality.zone).unwrap_or_default();
     hub.check_node(&node.id, &node.cluster)?;
-    if zone.len() > NODE_NAME_MOST {
-        return Err(Status::invalid_argument(format!("the zone is over {NODE_NAME_MOST} bytes")));
+    if zone.len() > MAX_NODE_NAME_BYTES {
+        return Err(Status::invalid_argument(format!("the zone is over {MAX_NODE_NAME_BYTES} bytes")));
     }
     let stream = format!("{:x}.{number}", hub.run);
     let mut session = Session::new(stream, V::INCREMENTAL, only, hub.settings.limits.clone());
     session.set_zone(&zone);
     let bucket = rollout_bucket(&node.id);
-    let version_id = hub.versions().of(bucket).id;
+    let version_id = hub.versions().for_bucket(bucket).id;
     hub.open(StreamInfo {
         number,
         node: node.id,
@@ -314,7 +314,7 @@
             }
             let taken = {
                 let versions = hub.versions();
-                let version = versions.of(versioned.bucket);
+                let version = versions.for_bucket(versioned.bucket);
                 let taken = versioned.switch_to(version).and_then(|_| {
                     versioned.session.request(&version.cache, hub.now(), V::request(request))
                 });
@@ -344,7 +344,7 @@
                 let Ok(permit) = permit else { return (None, "the proxy closed the stream".to_owned()) };
                 head.mark_unchanged();
                 let versions = hub.versions();
-                let version = versions.of(versioned.bucket);
+                let version = versions.for_bucket(versioned.bucket);
                 let polled = versioned.switch_to(version).and_then(|moved| {
                     let response = versioned.session.poll(&version.cache, hub.now())?;
                     let changed = response.is_some() || moved;
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -1,10 +1,10 @@
-//! One stream of one proxy, as a state machine: requests go in, responses come out when there is room for one.
+//! State machine of one xDS stream: takes requests and returns responses when the stream can take one.
 //!
-//! A session holds no queue. For each type it keeps how far in the cache's sequence it has told its proxy;
-//! what it tells next is made when the stream can take it, from the newest state. So a slow reader misses
-//! states in between, never the last one, and costs no memory for being slow.
+//! A session has no queue. For each resource type it keeps a cursor in the cache's sequence of changes. A response is
+//! built from the newest state when the stream can take it, so a slow reader skips intermediate states, always gets the
+//! last one, and takes no extra memory.
 //!
-//! Both variants of the protocol run here. State-of-the-world: <https://www.envoyproxy.io/docs/envoy/latest/api-docs/xds_protocol>,
+//! Implements both protocol variants. State-of-the-world: <https://www.envoyproxy.io/docs/envoy/latest/api-docs/xds_protocol>,
 //! "Four Variants", "ACK/NACK and resource type instance version", "When to send an update"; incremental: ibid.,
 //! "Incremental xDS".
 
@@ -15,20 +15,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Named limits of a session.
+/// Limits of a session.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Names that a stream may subscribe to, of all types together. A stranger's names would fill the memory.
+    /// Maximum names that a stream may subscribe to, over all types. Bounds the memory that a client can take.
     pub max_names: usize,
-    /// Bytes of names that a stream may subscribe to.
+    /// Maximum total length in bytes of the names that a stream may subscribe to.
     pub max_name_bytes: usize,
-    /// Bytes of resources in one response, where the protocol lets it be split. Each stream may hold two responses in
-    /// memory, so that a thousand proxies that connect at once cost a thousand times this; gRPC clients take 4 MiB.
+    /// Target size in bytes of the resources of one response, where the protocol allows splitting. Each stream may hold
+    /// two responses in memory, so memory at a mass reconnection is proportional to this; gRPC clients accept 4 MiB.
     pub max_response_bytes: usize,
-    /// A removal waits no longer than this for what refers to the resource to be acknowledged as gone; on streams
-    /// of a single type, which can't tell, it always waits for [`single_type_removal_delay`](Self::single_type_removal_delay).
+    /// Maximum time that a removal is deferred until the removal of references to the resource is acknowledged. On
+    /// streams of a single type, where this isn't known, the delay is always [`single_type_removal_delay`](Self::single_type_removal_delay).
     pub max_removal_delay: Duration,
-    /// How long removals wait on streams of a single type.
+    /// Delay of removals on streams of a single type.
     pub single_type_removal_delay: Duration,
 }
 
@@ -44,108 +44,108 @@
     }
 }
 
-/// Responses whose acknowledgement is remembered, of each type: one that never comes must not fill the memory.
-const UNACKED_MOST: usize = 8;
-/// Parts into which what was rejected is taken at most.
-const APART_MOST: usize = 64;
-/// Requests that wait for this instance to know what the proxy knows: a few for each type.
-const EARLY_MOST: usize = 64;
-/// Of a proxy's words on why it rejects so many bytes are kept.
-const DETAIL_MOST: usize = 1024;
+/// Maximum unacknowledged responses kept per type, so that missing acknowledgements can't exhaust memory.
+const MAX_UNACKED: usize = 8;
+/// Maximum parts into which a rejected response is split.
+const MAX_REJECTED_PARTS: usize = 64;
+/// Maximum requests kept until this instance has caught up with the state that the proxy holds; a few per type.
+const MAX_DEFERRED_REQUESTS: usize = 64;
+/// Maximum bytes kept of a rejection's error detail.
+const MAX_DETAIL_BYTES: usize = 1024;
 
-/// Why a stream is ended.
+/// Reason for which the service closes a stream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SessionError {
-    /// The type is none that is served.
+    /// The resource type isn't served.
     #[error("type `{0}` is not served here")]
     UnknownType(String),
-    /// The stream is of one type, and another one was asked for.
+    /// A request for another type on a stream of a single type.
     #[error("type `{0}` does not belong on a stream of {1}")]
     WrongType(String, &'static str),
-    /// Too many names.
+    /// The limit on subscribed names is exceeded.
     #[error("the stream subscribes to more than {names} names or {bytes} bytes of names")]
     TooManyNames {
-        /// Names allowed.
+        /// Maximum names.
         names: usize,
-        /// Bytes allowed.
+        /// Maximum bytes of names.
         bytes: usize,
     },
-    /// Removals that it needs are forgotten.
+    /// Removals that the session has yet to send were discarded.
     #[error("the stream fell too far behind: reconnect")]
     TooFarBehind,
 }
 
-/// A request, of either variant.
+/// A request of either protocol variant.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     /// Type URL; may be empty on streams of a single type.
     pub type_url: String,
-    /// Nonce of the response that this acknowledges or rejects; empty for neither.
+    /// Nonce of the response that this acknowledges or rejects; empty if none.
     pub nonce: String,
-    /// Why the response is rejected; none: it isn't.
+    /// Error detail of a rejection (NACK).
     pub error: Option<String>,
-    /// State-of-the-world: the version held.
+    /// State-of-the-world: the version that the client holds.
     pub version: String,
-    /// State-of-the-world: all names; incremental: names added.
+    /// State-of-the-world: all subscribed names; incremental: names to subscribe to.
     pub names: Vec<String>,
-    /// Incremental: names taken back.
+    /// Incremental: names to unsubscribe from.
     pub unsubscribe: Vec<String>,
-    /// Incremental: versions held from an earlier stream.
+    /// Incremental: versions that the client holds from an earlier stream, by name.
     pub initial_versions: BTreeMap<String, String>,
 }
 
-/// A response, of either variant.
+/// A response of either protocol variant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// Its type.
+    /// Resource type.
     pub kind: ResourceType,
-    /// Its nonce.
+    /// Nonce.
     pub nonce: String,
-    /// Version of the whole.
+    /// Version of the response.
     pub version: String,
-    /// Resources, encoded for the session's variant and shared with all others.
+    /// Resources encoded for the session's variant; the bytes are shared by all sessions.
     pub resources: Vec<Bytes>,
-    /// Incremental: names of resources that are gone.
+    /// Incremental: names of removed resources.
     pub removed: Vec<String>,
 }
 
-/// What a proxy rejected.
+/// A rejection (NACK).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The version.
+    /// The rejected version.
     pub version: String,
-    /// Why, in the proxy's words.
+    /// Error detail from the proxy.
     pub detail: String,
-    /// When.
+    /// Time of the rejection.
     pub at: Duration,
 }
 
-/// How a type stands on a stream.
+/// Status of a resource type on a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TypeStatus {
-    /// The type.
+    /// Resource type.
     pub kind: ResourceType,
-    /// All of it is subscribed.
+    /// Whether there is a wildcard subscription.
     pub wildcard: bool,
-    /// Names subscribed.
+    /// Number of subscribed names.
     pub names: usize,
-    /// The last version sent, and when.
+    /// The last version sent, with the time.
     pub sent: Option<(String, Duration)>,
-    /// The last version acknowledged, and when.
+    /// The last version acknowledged, with the time.
     pub acked: Option<(String, Duration)>,
-    /// The last rejection, if nothing was acknowledged since.
+    /// The last rejection, unless a later response was acknowledged.
     pub rejected: Option<Rejection>,
-    /// Rejections in all.
+    /// Number of rejections.
     pub rejections: u64,
-    /// Requests that answered another stream's response, or one long past.
+    /// Number of requests with the nonce of another stream or of an old response.
     pub stale: u64,
-    /// The proxy held a version of a later epoch than this service's.
+    /// Whether the proxy held a version of a later epoch than this service's.
     pub from_future: bool,
-    /// Changes that are not yet acknowledged.
+    /// Whether there are changes that aren't acknowledged yet.
     pub behind: bool,
 }
 
-struct Sent {
+struct SentResponse {
     nonce: u64,
     version: String,
     names: Vec<Arc<str>>,
@@ -154,28 +154,28 @@
 }
 
 #[derive(Default)]
-struct Watch {
+struct Subscription {
     wildcard: bool,
     names: BTreeSet<Arc<str>>,
-    /// Changes up to here are told.
+    /// Changes up to this sequence number are sent.
     cursor: u64,
-    /// Removals up to here are told.
+    /// Removals up to this sequence number are sent.
     removed_to: u64,
-    /// Up to here all is told and acknowledged.
-    settled: u64,
-    /// To be told whatever the cursor says, in whole or part.
+    /// Everything up to this sequence number is sent and acknowledged.
+    acked_to: u64,
+    /// Names to send regardless of the cursor.
     due: BTreeSet<Arc<str>>,
-    /// A whole answer is owed.
-    owed: bool,
-    /// Versions held from an earlier stream, until the cursor has passed what there was then.
+    /// A full response must be sent.
+    full_due: bool,
+    /// Versions that the client holds from an earlier stream; cleared once the cursor has reached the present.
     held: BTreeMap<String, String>,
-    /// Names held that are gone.
-    lost: BTreeSet<String>,
-    /// Parts of what was rejected, to be told apart.
-    apart: VecDeque<Vec<Arc<str>>>,
-    unacked: VecDeque<Sent>,
-    /// State-of-the-world: the version held, from an earlier stream.
-    claimed: String,
+    /// Names that the client holds but that no longer exist.
+    removed_before: BTreeSet<String>,
+    /// Parts of a rejected response, to be sent separately.
+    rejected_parts: VecDeque<Vec<Arc<str>>>,
+    unacked: VecDeque<SentResponse>,
+    /// State-of-the-world: the version that the client holds from an earlier stream.
+    held_version: String,
     sent: Option<(String, Duration)>,
     acked: Option<(String, Duration)>,
     rejected: Option<Rejection>,
@@ -183,33 +183,33 @@
     stale: u64,
     from_future: bool,
     /// Number of the last response.
-    last: Option<u64>,
-    /// Hash of the whole answer being made.
-    tag: Option<u64>,
-    /// Removals wait for other types.
-    waiting: bool,
+    last_nonce: Option<u64>,
+    /// Hash of the full response being built.
+    full_hash: Option<u64>,
+    /// Removals are deferred until other types are acknowledged.
+    removals_pending: bool,
 }
 
-/// One stream.
+/// The session of one stream.
 pub struct Session {
     stream: String,
     incremental: bool,
     only: Option<ResourceType>,
     zone: String,
     limits: Limits,
-    watches: [Option<Watch>; 4],
+    subscriptions: [Option<Subscription>; 4],
     next_nonce: u64,
     names: usize,
     name_bytes: usize,
-    /// The proxy holds what was agreed up to this index: with less it is told nothing.
-    floor: u64,
-    /// Requests that wait until the cache has come there.
-    early: Vec<Request>,
+    /// Index of the log whose state the proxy holds; nothing is sent from an older state.
+    held_index: u64,
+    /// Requests deferred until the cache has reached `held_index`.
+    deferred: Vec<Request>,
 }
 
 impl Session {
-    /// A stream with a name that no other one has, of the incremental variant or not, of one type or of all,
-    /// of a proxy in this zone.
+    /// A session with a unique stream name, of the incremental or state-of-the-world variant, for the type `only` or for
+    /// all types.
     pub fn new(stream: String, incremental: bool, only: Option<ResourceType>, limits: Limits) -> Self {
         Session {
             stream,
@@ -217,142 +217,165 @@
             only,
             zone: String::new(),
             limits,
-            watches: Default::default(),
+            subscriptions: Default::default(),
             next_nonce: 0,
             names: 0,
             name_bytes: 0,
-            floor: 0,
-            early: Vec::new(),
+            held_index: 0,
+            deferred: Vec::new(),
         }
     }
 
-    /// The proxy's zone, which its first request tells.
+    /// Sets the proxy's zone, known from its first request.
     pub fn set_zone(&mut self, zone: &str) {
         zone.clone_into(&mut self.zone);
     }
 
-    /// Takes a request. A refusal ends the stream.
+    /// Processes a request. An error closes the stream.
     ///
-    /// What the proxy holds may be newer than what this instance knows: then nothing is said of what it asks for until
-    /// that has changed.
+    /// If the proxy holds a newer state than this instance, its requests are deferred until the instance has caught up.
     pub fn request(&mut self, cache: &Cache, now: Duration, request: Request) -> Result<(), SessionError> {
-        self.claim(cache, &request);
-        if cache.reaches(self.floor) && self.early.is_empty() {
-            return self.take(cache, now, request);
+        self.note_held_index(cache, &request);
+        if cache.reaches(self.held_index) && self.deferred.is_empty() {
+            return self.process(cache, now, request);
         }
-        if self.early.len() >= EARLY_MOST {
+        if self.deferred.len() >= MAX_DEFERRED_REQUESTS {
             return Err(SessionError::TooFarBehind);
         }
-        self.early.push(request);
+        self.deferred.push(request);
         Ok(())
     }
 
-    fn claim(&mut self, cache: &Cache, request: &Request) {
+    fn note_held_index(&mut self, cache: &Cache, request: &Request) {
         let held = request.initial_versions.values().chain([&request.version]);
-        self.floor = held.map(|version| cache.index_in(version)).fold(self.floor, u64::max);
+        self.held_index = held.map(|version| cache.index_in(version)).fold(self.held_index, u64::max);
     }
 
-    /// The index that the proxy holds and this instance has yet to reach, if that is so.
+    /// The index that the proxy holds, if this instance has yet to reach it.
     pub fn awaited_index(&self, cache: &Cache) -> Option<u64> {
-        (!cache.reaches(self.floor)).then_some(self.floor)
+        (!cache.reaches(self.held_index)).then_some(self.held_index)
     }
 
-    fn take(&mut self, cache: &Cache, now: Duration, request: Request) -> Result<(), SessionError> {
+    fn process(&mut self, cache: &Cache, now: Duration, request: Request) -> Result<(), SessionError> {
         let kind = match (self.only, ResourceType::from_url(&request.type_url)) {
             (Some(only), _) if request.type_url.is_empty() => only,
             (Some(only), Some(kind)) if kind == only => only,
-            (Some(only), _) => return Err(SessionError::WrongType(clip(&request.type_url), only.url())),
+            (Some(only), _) => {
+                return Err(SessionError::WrongType(truncate(&request.type_url), only.url()));
+            }
             (None, Some(kind)) => kind,
-            (None, None) => return Err(SessionError::UnknownType(clip(&request.type_url))),
+            (None, None) => return Err(SessionError::UnknownType(truncate(&request.type_url))),
         };
-        if self.watches[kind.index()].is_none() {
-            return self.first(cache, kind, request);
+        if self.subscriptions[kind.index()].is_none() {
+            return self.first_request(cache, kind, request);
         }
-        let fresh = self.answer(kind, now, &request);
+        let fresh = self.process_ack(kind, now, &request);
         if self.incremental {
             let (add, remove) = (request.names, request.unsubscribe);
             self.unsubscribe(cache, kind, remove);
             return self.subscribe(cache, kind, add, false);
         }
-        // What answers an older response was sent before the newest one was seen: another request follows.
+        // A request that answers an older response was sent before the newest one arrived; another one follows.
         if !fresh {
             return Ok(());
         }
         let names: BTreeSet<Arc<str>> = request.names.into_iter().map(Arc::from).collect();
-        let Some(watch) = &self.watches[kind.index()] else { return Ok(()) };
-        if watch.wildcard && names.is_empty() {
-            return Ok(()); // the old way to ask for all, which holds for as long as no name is given
-        }
-        let dropped: Vec<String> =
-            watch.names.iter().filter(|name| !names.contains(*name)).map(|name| name.to_string()).collect();
-        let added =
-            names.iter().filter(|name| !watch.names.contains(*name)).map(|n| n.to_string()).collect();
+        let Some(subscription) = &self.subscriptions[kind.index()] else { return Ok(()) };
+        if subscription.wildcard && names.is_empty() {
+            return Ok(()); // legacy wildcard, which applies until names are given
+        }
+        let dropped: Vec<String> = subscription
+            .names
+            .iter()
+            .filter(|name| !names.contains(*name))
+            .map(|name| name.to_string())
+            .collect();
+        let added = names
+            .iter()
+            .filter(|name| !subscription.names.contains(*name))
+            .map(|n| n.to_string())
+            .collect();
         let all = names.contains("*");
         self.unsubscribe(cache, kind, dropped);
         self.subscribe(cache, kind, added, false)?;
-        if let Some(watch) = &mut self.watches[kind.index()] {
-            watch.wildcard = all;
+        if let Some(subscription) = &mut self.subscriptions[kind.index()] {
+            subscription.wildcard = all;
         }
         Ok(())
     }
 
-    /// The first request for a type.
-    fn first(&mut self, cache: &Cache, kind: ResourceType, request: Request) -> Result<(), SessionError> {
-        // Asking for nothing by name is asking for all, for the types that begin a chain of references.
+    /// Processes the first request for a type.
+    fn first_request(
+        &mut self,
+        cache: &Cache,
+        kind: ResourceType,
+        request: Request,
+    ) -> Result<(), SessionError> {
+        // For clusters and listeners, a first request without names is a wildcard subscription.
         let all = kind.requires_full_state() && request.names.is_empty();
-        let mut watch =
-            Watch { wildcard: all, owed: !self.incremental, claimed: request.version, ..Watch::default() };
-        watch.from_future = epoch_of(&watch.claimed).is_some_and(|epoch| epoch > cache.epoch());
-        // What was removed before is no news, but for names that the proxy says it holds.
-        (watch.removed_to, watch.cursor) = (cache.seq(), if all { 0 } else { cache.seq() });
+        let mut subscription = Subscription {
+            wildcard: all,
+            full_due: !self.incremental,
+            held_version: request.version,
+            ..Subscription::default()
+        };
+        subscription.from_future =
+            epoch_of(&subscription.held_version).is_some_and(|epoch| epoch > cache.epoch());
+        // Earlier removals matter only for names that the proxy holds.
+        (subscription.removed_to, subscription.cursor) = (cache.seq(), if all { 0 } else { cache.seq() });
         for (name, version) in request.initial_versions {
             let unknown = cache.is_unknown(kind, &name);
             match cache.entry(kind, &name) {
-                Some(_) => drop(watch.held.insert(name, version)),
+                Some(_) => drop(subscription.held.insert(name, version)),
                 None if unknown => {}
-                None => drop(watch.lost.insert(name)),
+                None => drop(subscription.removed_before.insert(name)),
             }
         }
         let subscribed: BTreeSet<&str> = request.names.iter().map(String::as_str).collect();
-        watch.lost.retain(|name| all || subscribed.contains("*") || subscribed.contains(name.as_str()));
-        self.watches[kind.index()] = Some(watch);
+        subscription
+            .removed_before
+            .retain(|name| all || subscribed.contains("*") || subscribed.contains(name.as_str()));
+        self.subscriptions[kind.index()] = Some(subscription);
         self.subscribe(cache, kind, request.names, true)
     }
 
-    /// Takes an acknowledgement or rejection; tells whether the request answers the newest response.
-    fn answer(&mut self, kind: ResourceType, now: Duration, request: &Request) -> bool {
+    /// Processes an acknowledgement or rejection. Returns whether the request answers the newest response.
+    fn process_ack(&mut self, kind: ResourceType, now: Duration, request: &Request) -> bool {
         let number = request.nonce.strip_prefix(&self.stream).and_then(|rest| rest.strip_prefix('-'));
         let number: Option<u64> = number.and_then(|number| number.parse().ok());
-        let Some(watch) = &mut self.watches[kind.index()] else { return false };
+        let Some(subscription) = &mut self.subscriptions[kind.index()] else { return false };
         if request.nonce.is_empty() {
-            return watch.sent.is_none() || self.incremental;
-        }
-        let place = watch.unacked.iter().position(|sent| Some(sent.nonce) == number);
-        let newest = place.is_some_and(|place| place + 1 == watch.unacked.len());
-        let Some(sent) = place.and_then(|place| watch.unacked.drain(..=place).next_back()) else {
-            // An answer that was taken already may come again with other names.
-            let again = number.is_some() && number == watch.last;
-            watch.stale += u64::from(!again);
+            return subscription.sent.is_none() || self.incremental;
+        }
+        let place = subscription.unacked.iter().position(|sent| Some(sent.nonce) == number);
+        let newest = place.is_some_and(|place| place + 1 == subscription.unacked.len());
+        let Some(sent) = place.and_then(|place| subscription.unacked.drain(..=place).next_back()) else {
+            // A repeated nonce of the last response may carry other names.
+            let again = number.is_some() && number == subscription.last_nonce;
+            subscription.stale += u64::from(!again);
             return again;
         };
         match &request.error {
             None => {
-                watch.settled = watch.settled.max(sent.cursor.min(sent.removed_to));
-                watch.acked = Some((sent.version, now));
-                if watch.apart.is_empty() {
-                    watch.rejected = None;
+                subscription.acked_to = subscription.acked_to.max(sent.cursor.min(sent.removed_to));
+                subscription.acked = Some((sent.version, now));
+                if subscription.rejected_parts.is_empty() {
+                    subscription.rejected = None;
                 }
             }
             Some(detail) => {
-                watch.rejections += 1;
-                let detail = clip(detail);
-                watch.rejected = Some(Rejection { version: sent.version, detail, at: now });
-                // One bad resource must not keep the others of its response from the proxy, a drain among them.
+                subscription.rejections += 1;
+                let detail = truncate(detail);
+                subscription.rejected = Some(Rejection { version: sent.version, detail, at: now });
+                // Splits the response: one invalid resource must not block the others, such as a drain.
                 let partial = self.incremental || !kind.requires_full_state();
-                if partial && sent.names.len() > 1 && watch.apart.len() + 2 <= APART_MOST {
+                if partial
+                    && sent.names.len() > 1
+                    && subscription.rejected_parts.len() + 2 <= MAX_REJECTED_PARTS
+                {
                     let (a, b) = sent.names.split_at(sent.names.len() / 2);
-                    watch.apart.push_back(a.to_vec());
-                    watch.apart.push_back(b.to_vec());
+                    subscription.rejected_parts.push_back(a.to_vec());
+                    subscription.rejected_parts.push_back(b.to_vec());
                 }
             }
         }
@@ -366,13 +389,13 @@
         names: Vec<String>,
         first: bool,
     ) -> Result<(), SessionError> {
-        let Some(watch) = &mut self.watches[kind.index()] else { return Ok(()) };
+        let Some(subscription) = &mut self.subscriptions[kind.index()] else { return Ok(()) };
         for name in names {
             if name == "*" {
-                if !watch.wildcard {
-                    watch.wildcard = true;
-                    watch.cursor = 0;
-                    watch.owed |= !self.incremental;
+                if !subscription.wildcard {
+                    subscription.wildcard = true;
+                    subscription.cursor = 0;
+                    subscription.full_due |= !self.incremental;
                 }
                 if self.incremental {
                     continue;
@@ -380,23 +403,24 @@
             }
             let name: Arc<str> = match cache.entry(kind, &name) {
                 Some((known, entry)) => {
-                    // What the proxy holds already needs no sending: only on a first request can it say so.
-                    let same = first && watch.held.get(&name).is_some_and(|v| is_version(v, entry.version));
+                    // A resource that the proxy holds already isn't sent; only a first request lists these.
+                    let same =
+                        first && subscription.held.get(&name).is_some_and(|v| is_version(v, entry.version));
                     if !same && name != "*" {
-                        watch.due.insert(known.clone());
+                        subscription.due.insert(known.clone());
                     }
                     known.clone()
                 }
                 None => {
                     let name: Arc<str> = name.into();
                     if &*name != "*" {
-                        watch.due.insert(name.clone());
+                        subscription.due.insert(name.clone());
                     }
                     name
                 }
             };
             let bytes = name.len();
-            if watch.names.insert(name) {
+            if subscription.names.insert(name) {
                 self.names += 1;
                 self.name_bytes += bytes;
             }
@@ -409,64 +433,64 @@
     }
 
     fn unsubscribe(&mut self, cache: &Cache, kind: ResourceType, names: Vec<String>) {
-        let Some(watch) = &mut self.watches[kind.index()] else { return };
+        let Some(subscription) = &mut self.subscriptions[kind.index()] else { return };
         for name in names {
             if name == "*" && self.incremental {
-                watch.wildcard = false;
+                subscription.wildcard = false;
             }
-            if let Some(name) = watch.names.take(name.as_str()) {
+            if let Some(name) = subscription.names.take(name.as_str()) {
                 self.names -= 1;
                 self.name_bytes -= name.len();
-                watch.due.remove(&name);
-                if self.incremental && watch.wildcard && cache.entry(kind, &name).is_some() {
-                    watch.due.insert(name); // it is still among all: the proxy may have dropped it
+                subscription.due.remove(&name);
+                if self.incremental && subscription.wildcard && cache.entry(kind, &name).is_some() {
+                    subscription.due.insert(name); // still part of the wildcard subscription, but the proxy may have dropped it
                 }
             }
         }
     }
 
-    /// The next response, if anything is to be told: to be called when the stream can take one, and then until
-    /// there is none.
+    /// Returns the next response, if there is anything to send. To be called when the stream can take a response, until
+    /// it returns `None`.
     pub fn poll(&mut self, cache: &Cache, now: Duration) -> Result<Option<Response>, SessionError> {
-        let early = std::mem::take(&mut self.early);
-        // What they name could not be told from another cluster's while the epoch was not known.
-        early.iter().for_each(|request| self.claim(cache, request));
-        if !cache.reaches(self.floor) {
-            self.early = early;
+        let deferred = std::mem::take(&mut self.deferred);
+        // Their versions could not be assigned to this cluster while its epoch was unknown.
+        deferred.iter().for_each(|request| self.note_held_index(cache, request));
+        if !cache.reaches(self.held_index) {
+            self.deferred = deferred;
             return Ok(None);
         }
-        for request in early {
-            self.take(cache, now, request)?;
+        for request in deferred {
+            self.process(cache, now, request)?;
         }
         loop {
-            let before = self.settled();
+            let before = self.acked_positions();
             for kind in ResourceType::ALL {
                 let response = self.poll_kind(cache, kind, now)?;
                 if response.is_some() {
                     return Ok(response);
                 }
             }
-            // What one type has settled may let another one's removals go.
-            if self.settled() == before {
+            // The acknowledged position of one type may release deferred removals of another.
+            if self.acked_positions() == before {
                 return Ok(None);
             }
         }
     }
 
-    /// Goes over to a cache that was the same up to this change: all that is different since is told anew.
+    /// Switches to a cache that is equal up to this sequence number: later differences are sent again.
     pub fn rewind(&mut self, to: u64) {
-        for watch in self.watches.iter_mut().flatten() {
-            watch.cursor = watch.cursor.min(to);
-            watch.removed_to = watch.removed_to.min(to);
-            watch.settled = watch.settled.min(to);
-            for sent in &mut watch.unacked {
+        for subscription in self.subscriptions.iter_mut().flatten() {
+            subscription.cursor = subscription.cursor.min(to);
+            subscription.removed_to = subscription.removed_to.min(to);
+            subscription.acked_to = subscription.acked_to.min(to);
+            for sent in &mut subscription.unacked {
                 (sent.cursor, sent.removed_to) = (sent.cursor.min(to), sent.removed_to.min(to));
             }
         }
     }
 
-    fn settled(&self) -> [Option<u64>; 4] {
-        std::array::from_fn(|i| self.watches[i].as_ref().map(|watch| watch.settled))
+    fn acked_positions(&self) -> [Option<u64>; 4] {
+        std::array::from_fn(|i| self.subscriptions[i].as_ref().map(|subscription| subscription.acked_to))
     }
 
     fn poll_kind(
@@ -475,72 +499,73 @@
         kind: ResourceType,
         now: Duration,
     ) -> Result<Option<Response>, SessionError> {
-        let open = self.open_to(cache, kind, now);
-        let Some(watch) = self.watches[kind.index()].as_mut() else { return Ok(None) };
-        if watch.removed_to > 0 && !cache.has_removals_since(kind, watch.removed_to) {
+        let open = self.removable_to(cache, kind, now);
+        let Some(subscription) = self.subscriptions[kind.index()].as_mut() else { return Ok(None) };
+        if subscription.removed_to > 0 && !cache.has_removals_since(kind, subscription.removed_to) {
             return Err(SessionError::TooFarBehind);
         }
-        let (zone, most) = (self.zone.as_str(), self.limits.max_response_bytes);
-        let mut batch = Batch { incremental: self.incremental, zone, most, ..Batch::default() };
-        let before = watch.cursor;
+        let (zone, max_bytes) = (self.zone.as_str(), self.limits.max_response_bytes);
+        let mut batch = Batch { incremental: self.incremental, zone, max_bytes, ..Batch::default() };
+        let before = subscription.cursor;
         let told = if !self.incremental && kind.requires_full_state() {
-            watch.whole(cache, kind, open, &mut batch)
+            subscription.full_state(cache, kind, open, &mut batch)
         } else {
-            watch.part(cache, kind, open, &mut batch)
+            subscription.partial_state(cache, kind, open, &mut batch)
         };
         if !told {
-            if watch.unacked.is_empty() && watch.rejected.is_none() {
-                watch.settled = watch.cursor.min(watch.removed_to);
+            if subscription.unacked.is_empty() && subscription.rejected.is_none() {
+                subscription.acked_to = subscription.cursor.min(subscription.removed_to);
             }
             return Ok(None);
         }
         self.next_nonce += 1;
         let nonce = self.next_nonce;
-        let version = match watch.tag.take() {
-            Some(tag) => format!("{}-{}", cache.version_prefix(), version_text(tag)),
+        let version = match subscription.full_hash.take() {
+            Some(full_hash) => format!("{}-{}", cache.version_prefix(), version_text(full_hash)),
             None => cache.version_prefix(),
         };
         let Batch { resources, names, removed, .. } = batch;
-        watch.sent = Some((version.clone(), now));
-        watch.last = Some(nonce);
-        if watch.unacked.len() == UNACKED_MOST {
-            watch.unacked.pop_front();
-        }
-        let (cursor, removed_to) = (watch.cursor, watch.removed_to);
-        let sent = Sent { nonce, version: version.clone(), names: names.clone(), cursor, removed_to };
-        watch.unacked.push_back(sent);
+        subscription.sent = Some((version.clone(), now));
+        subscription.last_nonce = Some(nonce);
+        if subscription.unacked.len() == MAX_UNACKED {
+            subscription.unacked.pop_front();
+        }
+        let (cursor, removed_to) = (subscription.cursor, subscription.removed_to);
+        let sent =
+            SentResponse { nonce, version: version.clone(), names: names.clone(), cursor, removed_to };
+        subscription.unacked.push_back(sent);
         if kind == ResourceType::Cluster {
-            self.warm(cache, &names, before);
+            self.resend_endpoints(cache, &names, before);
         }
         Ok(Some(Response { kind, nonce: format!("{}-{nonce}", self.stream), version, resources, removed }))
     }
 
-    /// A proxy that takes in a changed cluster waits for its endpoints again: they follow, changed or not.
-    fn warm(&mut self, cache: &Cache, clusters: &[Arc<str>], before: u64) {
-        let Some(watch) = &mut self.watches[ResourceType::Endpoint.index()] else { return };
+    /// A proxy that receives a changed cluster waits for its endpoints, so they are sent again even if unchanged.
+    fn resend_endpoints(&mut self, cache: &Cache, clusters: &[Arc<str>], before: u64) {
+        let Some(subscription) = &mut self.subscriptions[ResourceType::Endpoint.index()] else { return };
         for name in clusters {
             let changed =
                 cache.entry(ResourceType::Cluster, name).is_some_and(|(_, entry)| entry.seq > before);
             let endpoints = cache.entry(ResourceType::Endpoint, name);
-            if changed && endpoints.is_some_and(|(name, entry)| watch.subscribed(name, entry)) {
-                watch.due.insert(name.clone());
+            if changed && endpoints.is_some_and(|(name, entry)| subscription.subscribed(name, entry)) {
+                subscription.due.insert(name.clone());
             }
         }
     }
 
-    /// The last removal of a type that may be told now: what refers to the resource must be gone first, that is,
-    /// the proxy has acknowledged all types after this one in make-before-break order as of then.
-    fn open_to(&self, cache: &Cache, kind: ResourceType, now: Duration) -> u64 {
-        let Some(watch) = &self.watches[kind.index()] else { return 0 };
+    /// Sequence number up to which removals of a type may be sent now. References to the resource must be removed first:
+    /// the proxy must have acknowledged the later types in make-before-break order up to the removal.
+    fn removable_to(&self, cache: &Cache, kind: ResourceType, now: Duration) -> u64 {
+        let Some(subscription) = &self.subscriptions[kind.index()] else { return 0 };
         let (gate, hold) = match self.only {
             Some(_) => (0, self.limits.single_type_removal_delay),
             None => {
-                let later = self.watches[kind.index() + 1..].iter().flatten();
-                (later.map(|w| w.settled).min().unwrap_or(u64::MAX), self.limits.max_removal_delay)
+                let later = self.subscriptions[kind.index() + 1..].iter().flatten();
+                (later.map(|w| w.acked_to).min().unwrap_or(u64::MAX), self.limits.max_removal_delay)
             }
         };
-        let mut open = watch.removed_to;
-        for (_, seq, at, _) in cache.removed(kind, watch.removed_to) {
+        let mut open = subscription.removed_to;
+        for (_, seq, at, _) in cache.removed(kind, subscription.removed_to) {
             if seq > gate && at + hold > now {
                 return open;
             }
@@ -549,40 +574,44 @@
         cache.seq().max(open)
     }
 
-    /// Whether removals wait: the session is to be polled again within a second or so, though nothing happens.
+    /// Whether removals are deferred. The session must then be polled again after a short time even without events.
     pub fn has_pending_removals(&self) -> bool {
-        self.watches.iter().flatten().any(|watch| watch.waiting)
+        self.subscriptions.iter().flatten().any(|subscription| subscription.removals_pending)
     }
 
-    /// How each type stands, for people.
+    /// Status of each type, for status output.
     pub fn type_statuses(&self, cache: &Cache) -> Vec<TypeStatus> {
-        let watches = ResourceType::ALL.into_iter().zip(&self.watches);
-        let watched = watches.filter_map(|(kind, watch)| watch.as_ref().map(|watch| (kind, watch)));
-        watched
-            .map(|(kind, watch)| TypeStatus {
+        let subscriptions = ResourceType::ALL.into_iter().zip(&self.subscriptions);
+        let active = subscriptions.filter_map(|(kind, subscription)| {
+            subscription.as_ref().map(|subscription| (kind, subscription))
+        });
+        active
+            .map(|(kind, subscription)| TypeStatus {
                 kind,
-                wildcard: watch.wildcard,
-                names: watch.names.len(),
-                sent: watch.sent.clone(),
-                acked: watch.acked.clone(),
-                rejected: watch.rejected.clone(),
-                rejections: watch.rejections,
-                stale: watch.stale,
-                from_future: watch.from_future,
-                behind: !watch.unacked.is_empty()
-                    || !watch.due.is_empty()
-                    || cache.changed(kind, watch.cursor).any(|(name, entry)| watch.subscribed(name, entry)),
+                wildcard: subscription.wildcard,
+                names: subscription.names.len(),
+                sent: subscription.sent.clone(),
+                acked: subscription.acked.clone(),
+                rejected: subscription.rejected.clone(),
+                rejections: subscription.rejections,
+                stale: subscription.stale,
+                from_future: subscription.from_future,
+                behind: !subscription.unacked.is_empty()
+                    || !subscription.due.is_empty()
+                    || cache
+                        .changed(kind, subscription.cursor)
+                        .any(|(name, entry)| subscription.subscribed(name, entry)),
             })
             .collect()
     }
 }
 
-/// A response being put together.
+/// A response being built.
 #[derive(Default)]
 struct Batch<'a> {
     incremental: bool,
     zone: &'a str,
-    most: usize,
+    max_bytes: usize,
     bytes: usize,
     resources: Vec<Bytes>,
     names: Vec<Arc<str>>,
@@ -599,17 +628,17 @@
     }
 
     fn full(&self) -> bool {
-        self.bytes >= self.most
+        self.bytes >= self.max_bytes
     }
 }
 
-impl Watch {
+impl Subscription {
     fn subscribed(&self, name: &str, entry: &Entry) -> bool {
         (self.wildcard && !entry.by_name_only()) || self.names.contains(name)
     }
 
-    /// Everything subscribed, if any of it changed.
-    fn whole(&mut self, cache: &Cache, kind: ResourceType, open: u64, batch: &mut Batch) -> bool {
+    /// Adds all subscribed resources if any of them changed. Returns whether there is anything to send.
+    fn full_state(&mut self, cache: &Cache, kind: ResourceType, open: u64, batch: &mut Batch) -> bool {
         let changed = cache.changed(kind, self.cursor).any(|(name, entry)| self.subscribed(name, entry));
         let gone = cache
             .removed(kind, self.removed_to)
@@ -617,35 +646,37 @@
         let due = self.due.iter().any(|name| !cache.is_unknown(kind, name));
         self.cursor = cache.seq();
         self.removed_to = open;
-        self.waiting = cache.removed(kind, open).any(|(name, _, _, entry)| self.subscribed(name, entry));
-        if !(self.owed || changed || gone || due) {
+        self.removals_pending =
+            cache.removed(kind, open).any(|(name, _, _, entry)| self.subscribed(name, entry));
+        if !(self.full_due || changed || gone || due) {
             return false;
         }
         self.due.retain(|name| cache.is_unknown(kind, name));
         for (name, entry) in cache.all(kind).filter(|(name, entry)| self.subscribed(name, entry)) {
             batch.add(name, entry);
         }
-        // What is gone, but may not be dropped yet.
+        // Removed resources whose removal is deferred.
         for (name, _, _, entry) in
             cache.removed(kind, open).filter(|(name, _, _, entry)| self.subscribed(name, entry))
         {
             batch.add(name, entry);
         }
         let parts = batch.resources.iter().map(|bytes| bytes.as_ref());
-        let tag = hash(parts);
-        self.tag = Some(tag);
-        let claimed = std::mem::take(&mut self.claimed);
-        let same = claimed.rsplit_once('-').is_some_and(|(_, held)| held == version_text(tag));
-        if std::mem::take(&mut self.owed) && same {
-            self.tag = None; // it holds just this, from an earlier stream
+        let full_hash = hash(parts);
+        self.full_hash = Some(full_hash);
+        let held_version = std::mem::take(&mut self.held_version);
+        let same = held_version.rsplit_once('-').is_some_and(|(_, held)| held == version_text(full_hash));
+        if std::mem::take(&mut self.full_due) && same {
+            self.full_hash = None; // the client holds this state from an earlier stream
             return false;
         }
         true
     }
 
-    /// What changed of what is subscribed, up to one response's size.
-    fn part(&mut self, cache: &Cache, kind: ResourceType, open: u64, batch: &mut Batch) -> bool {
-        if let Some(names) = self.apart.pop_front() {
+    /// Adds changed resources that are subscribed, up to the size of a response. Returns whether there is anything to
+    /// send.
+    fn partial_state(&mut self, cache: &Cache, kind: ResourceType, open: u64, batch: &mut Batch) -> bool {
+        if let Some(names) = self.rejected_parts.pop_front() {
             for name in names {
                 if let Some((name, entry)) = cache.entry(kind, &name) {
                     batch.add(name, entry);
@@ -664,7 +695,7 @@
                 Some((name, entry)) => batch.add(name, entry),
                 None if cache.is_unknown(kind, &name) => continue,
                 None if batch.incremental => batch.removed.push(name.to_string()),
-                None => {} // a state-of-the-world answer has no words for what doesn't exist
+                None => {} // state-of-the-world responses can't express a missing resource
             }
             self.due.remove(&name);
         }
@@ -682,7 +713,7 @@
         self.cursor = cache.seq();
         self.held.clear();
         if batch.incremental {
-            batch.removed.extend(std::mem::take(&mut self.lost));
+            batch.removed.extend(std::mem::take(&mut self.removed_before));
             for (name, seq, _, entry) in cache.removed(kind, self.removed_to) {
                 if seq <= open && self.subscribed(name, entry) {
                     batch.removed.push(name.to_string());
@@ -690,17 +721,17 @@
             }
         }
         self.removed_to = open;
-        self.waiting = batch.incremental
+        self.removals_pending = batch.incremental
             && cache.removed(kind, open).any(|(name, _, _, entry)| self.subscribed(name, entry));
         !batch.names.is_empty() || !batch.removed.is_empty()
     }
 }
 
-/// The epoch of a version of this service's.
+/// The epoch of a version issued by this service.
 fn epoch_of(version: &str) -> Option<u64> {
     version.split_once('.').and_then(|(epoch, _)| epoch.parse().ok())
 }
 
-fn clip(text: &str) -> String {
-    text[..text.floor_char_boundary(DETAIL_MOST)].to_owned()
+fn truncate(text: &str) -> String {
+    text[..text.floor_char_boundary(MAX_DETAIL_BYTES)].to_owned()
 }
