--- a/crates/rig/src/round/mod.rs
+++ b/crates/rig/src/round/mod.rs
@@ -93,7 +93,9 @@
 
 /// The configuration of a serial, with the pool that proxies use and one whose name contains the serial.
 fn canonical_fleet(discovery: SocketAddr, serial: u64) -> String {
-    Fleet::read(&fleet_toml(discovery, serial)).map(|fleet| fleet.canonical()).unwrap_or_default()
+    Fleet::from_toml(&fleet_toml(discovery, serial))
+        .map(|fleet| fleet.to_canonical_json())
+        .unwrap_or_default()
 }
 
 fn fleet_toml(discovery: SocketAddr, serial: u64) -> String {
--- a/crates/xds/src/csds.rs
+++ b/crates/xds/src/csds.rs
@@ -1,11 +1,11 @@
-//! CSDS: what each proxy was sent, has acknowledged and has rejected, and since when.
+//! Client Status Discovery Service (CSDS): the versions that each proxy was sent, acknowledged and rejected.
 //!
-//! One entry for each stream and type, named by the stream, since a cursor is all that is kept of a proxy: whether
-//! a type is acknowledged as a whole is known, which of its resources is not.
+//! Reports one entry per stream and resource type, named after the stream. A session keeps only a cursor per type, so
+//! acknowledgements are known per type, not per resource.
 
-use crate::hub::{Hub, Stream};
+use crate::hub::{Hub, StreamInfo};
 use crate::server::Responses;
-use crate::session::Standing;
+use crate::session::TypeStatus;
 use envoy_types::pb;
 use pb::envoy::admin::v3::{ClientResourceStatus, UpdateFailureState};
 use pb::envoy::config::core::v3::{Locality, Node};
@@ -20,13 +20,13 @@
 use tokio::sync::mpsc;
 use tonic::{Request, Response, Status, Streaming};
 
-/// The status service.
+/// The CSDS implementation.
 pub struct ClientStatus {
     hub: Arc<Hub>,
 }
 
 impl ClientStatus {
-    /// The status of the hub's streams.
+    /// Reports the status of the hub's streams.
     pub fn new(hub: Arc<Hub>) -> Self {
         ClientStatus { hub }
     }
@@ -61,16 +61,16 @@
 }
 
 fn respond(hub: &Hub, request: &ClientStatusRequest) -> Result<ClientStatusResponse, Status> {
-    let wanted = request.node_matchers.iter().map(node_id).collect::<Result<Vec<_>, _>>()?;
+    let node_ids = request.node_matchers.iter().map(node_id).collect::<Result<Vec<_>, _>>()?;
     let clock =
         Clock { hub: hub.now(), unix: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() };
     let streams = hub.streams();
-    let streams = streams.iter().filter(|s| wanted.is_empty() || wanted.contains(&s.node.as_str()));
+    let streams = streams.iter().filter(|s| node_ids.is_empty() || node_ids.contains(&s.node.as_str()));
     let config = streams.map(|stream| client(stream, &clock)).collect();
     Ok(ClientStatusResponse { config })
 }
 
-/// The one form of matcher that is served: a node id, exactly.
+/// The node id of a matcher. Only exact matches of the node id are supported.
 fn node_id(matcher: &NodeMatcher) -> Result<&str, Status> {
     let pattern = matcher.node_id.as_ref().and_then(|id| id.match_pattern.as_ref());
     match pattern {
@@ -91,7 +91,7 @@
     }
 }
 
-fn client(stream: &Stream, clock: &Clock) -> ClientConfig {
+fn client(stream: &StreamInfo, clock: &Clock) -> ClientConfig {
     let locality = Some(Locality { zone: stream.zone.clone(), ..Default::default() });
     ClientConfig {
         node: Some(Node {
@@ -100,28 +100,28 @@
             locality,
             ..Default::default()
         }),
-        generic_xds_configs: stream.standings.iter().map(|s| config(stream, s, clock)).collect(),
+        generic_xds_configs: stream.type_statuses.iter().map(|s| config(stream, s, clock)).collect(),
         client_scope: if stream.incremental { "incremental" } else { "state-of-the-world" }.to_owned(),
         ..Default::default()
     }
 }
 
-fn config(stream: &Stream, standing: &Standing, clock: &Clock) -> GenericXdsConfig {
-    let (config_status, client_status) = match standing {
-        Standing { rejected: Some(_), .. } => (ConfigStatus::Error, ClientResourceStatus::Nacked),
-        Standing { sent: None, .. } => (ConfigStatus::NotSent, ClientResourceStatus::Requested),
-        Standing { behind: true, .. } => (ConfigStatus::Stale, ClientResourceStatus::Requested),
+fn config(stream: &StreamInfo, type_status: &TypeStatus, clock: &Clock) -> GenericXdsConfig {
+    let (config_status, client_status) = match type_status {
+        TypeStatus { rejected: Some(_), .. } => (ConfigStatus::Error, ClientResourceStatus::Nacked),
+        TypeStatus { sent: None, .. } => (ConfigStatus::NotSent, ClientResourceStatus::Requested),
+        TypeStatus { behind: true, .. } => (ConfigStatus::Stale, ClientResourceStatus::Requested),
         _ => (ConfigStatus::Synced, ClientResourceStatus::Acked),
     };
-    let last = standing.acked.as_ref().or(standing.sent.as_ref());
+    let last = type_status.acked.as_ref().or(type_status.sent.as_ref());
     GenericXdsConfig {
-        type_url: standing.kind.url().to_owned(),
+        type_url: type_status.kind.url().to_owned(),
         name: format!("stream {}", stream.number),
         version_info: last.map(|(version, _)| version.clone()).unwrap_or_default(),
         last_updated: last.map(|(_, at)| clock.timestamp(*at)),
         config_status: config_status as i32,
         client_status: client_status as i32,
-        error_state: standing.rejected.as_ref().map(|rejected| UpdateFailureState {
+        error_state: type_status.rejected.as_ref().map(|rejected| UpdateFailureState {
             details: rejected.detail.clone(),
             version_info: rejected.version.clone(),
             last_update_attempt: Some(clock.timestamp(rejected.at)),
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -1,10 +1,10 @@
-//! The thin shell: gRPC streams round sessions.
+//! gRPC discovery services, which run a [`Session`] per stream.
 
-use crate::allowance::Allowance;
-use crate::hub::{Hub, Line, NODE_NAME_MOST, Stream, place};
-use crate::kind::Kind;
-use crate::message::{ControlPlaneOut, DeltaOut, WholeOut};
-use crate::session::{Refusal, Request, Response, Session};
+use crate::hub::{Hub, MAX_NODE_NAME_BYTES, ServedVersion, StreamInfo, rollout_bucket};
+use crate::message::{ControlPlaneOut, DeltaOut, SotwOut};
+use crate::rate_limit::TokenBucket;
+use crate::resource_type::ResourceType;
+use crate::session::{Request, Response, Session, SessionError};
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
 use std::convert::Infallible;
@@ -23,24 +23,24 @@
 use tonic_prost::ProstCodec;
 use tower_service::Service;
 
-/// Removals that wait for acknowledgements are looked at again this often.
-const RECHECK: Duration = Duration::from_millis(250);
+/// Interval at which pending removals are checked again.
+const REMOVAL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 type Pinned<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// A discovery service: aggregated, or of one type.
+/// A discovery service for all resource types (aggregated) or for one.
 #[derive(Clone)]
 pub struct Discovery<S> {
     hub: Arc<Hub>,
     of: PhantomData<fn() -> S>,
 }
 
-/// Which service: its name, and its type if it has but one.
-pub trait Served: 'static {
-    /// Its name in the public definitions.
+/// Name and resource type of a discovery service.
+pub trait ServiceType: 'static {
+    /// Full gRPC service name.
     const NAME: &'static str;
-    /// Its type; none: all.
-    const ONLY: Option<Kind>;
+    /// The resource type served; `None`: all.
+    const RESOURCE_TYPE: Option<ResourceType>;
 }
 
 macro_rules! services {
@@ -49,9 +49,9 @@
         #[derive(Clone, Copy, Debug)]
         pub enum $service {}
 
-        impl Served for $service {
+        impl ServiceType for $service {
             const NAME: &'static str = $name;
-            const ONLY: Option<Kind> = $only;
+            const RESOURCE_TYPE: Option<ResourceType> = $only;
         }
     )* };
 }
@@ -60,27 +60,27 @@
     /// ADS: all types on one stream, in make-before-break order.
     Aggregated "envoy.service.discovery.v3.AggregatedDiscoveryService" None;
     /// CDS.
-    Clusters "envoy.service.cluster.v3.ClusterDiscoveryService" Some(Kind::Cluster);
+    Clusters "envoy.service.cluster.v3.ClusterDiscoveryService" Some(ResourceType::Cluster);
     /// EDS.
-    Endpoints "envoy.service.endpoint.v3.EndpointDiscoveryService" Some(Kind::Endpoint);
+    Endpoints "envoy.service.endpoint.v3.EndpointDiscoveryService" Some(ResourceType::Endpoint);
     /// LDS.
-    Listeners "envoy.service.listener.v3.ListenerDiscoveryService" Some(Kind::Listener);
+    Listeners "envoy.service.listener.v3.ListenerDiscoveryService" Some(ResourceType::Listener);
     /// RDS.
-    Routes "envoy.service.route.v3.RouteDiscoveryService" Some(Kind::Route);
+    Routes "envoy.service.route.v3.RouteDiscoveryService" Some(ResourceType::Route);
 }
 
-impl<S: Served> Discovery<S> {
-    /// The service, handing out what the hub holds.
+impl<S: ServiceType> Discovery<S> {
+    /// Serves the resources of the hub.
     pub fn new(hub: Arc<Hub>) -> Self {
         Discovery { hub, of: PhantomData }
     }
 }
 
-impl<S: Served> NamedService for Discovery<S> {
+impl<S: ServiceType> NamedService for Discovery<S> {
     const NAME: &'static str = S::NAME;
 }
 
-impl<S: Served + Clone> Service<http::Request<Body>> for Discovery<S> {
+impl<S: ServiceType + Clone> Service<http::Request<Body>> for Discovery<S> {
     type Response = http::Response<Body>;
     type Error = Infallible;
     type Future = Pinned<Result<Self::Response, Infallible>>;
@@ -93,15 +93,16 @@
         let hub = self.hub.clone();
         let method = request.uri().path().rsplit('/').next().unwrap_or_default().to_owned();
         Box::pin(async move {
-            let most = hub.settings.request_bytes;
+            let max_bytes = hub.settings.max_request_bytes;
             Ok(if method.starts_with("Delta") {
-                let handler = Handler::<Incremental> { hub, only: S::ONLY, variant: PhantomData };
+                let handler = Handler::<Incremental> { hub, only: S::RESOURCE_TYPE, variant: PhantomData };
                 let codec = ProstCodec::<DeltaOut, DeltaDiscoveryRequest>::default();
-                Grpc::new(codec).max_decoding_message_size(most).streaming(handler, request).await
+                Grpc::new(codec).max_decoding_message_size(max_bytes).streaming(handler, request).await
             } else if method.starts_with("Stream") {
-                let handler = Handler::<Whole> { hub, only: S::ONLY, variant: PhantomData };
-                let codec = ProstCodec::<WholeOut, DiscoveryRequest>::default();
-                Grpc::new(codec).max_decoding_message_size(most).streaming(handler, request).await
+                let handler =
+                    Handler::<StateOfTheWorld> { hub, only: S::RESOURCE_TYPE, variant: PhantomData };
+                let codec = ProstCodec::<SotwOut, DiscoveryRequest>::default();
+                Grpc::new(codec).max_decoding_message_size(max_bytes).streaming(handler, request).await
             } else {
                 Status::unimplemented(format!("`{method}` is not served: use the streams")).into_http()
             })
@@ -109,7 +110,7 @@
     }
 }
 
-/// A variant of the protocol.
+/// A protocol variant: state-of-the-world or incremental.
 trait Variant: Send + 'static {
     type In: Send + 'static;
     type Out: Send + 'static;
@@ -119,12 +120,12 @@
     fn response(response: Response, control_plane: ControlPlaneOut) -> Self::Out;
 }
 
-struct Whole;
+struct StateOfTheWorld;
 struct Incremental;
 
-impl Variant for Whole {
+impl Variant for StateOfTheWorld {
     type In = DiscoveryRequest;
-    type Out = WholeOut;
+    type Out = SotwOut;
     const INCREMENTAL: bool = false;
 
     fn node(request: &mut Self::In) -> Option<Node> {
@@ -142,8 +143,8 @@
         }
     }
 
-    fn response(response: Response, control_plane: ControlPlaneOut) -> WholeOut {
-        WholeOut {
+    fn response(response: Response, control_plane: ControlPlaneOut) -> SotwOut {
+        SotwOut {
             version_info: response.version,
             resources: response.resources,
             type_url: response.kind.url().to_owned(),
@@ -188,7 +189,7 @@
 
 struct Handler<V> {
     hub: Arc<Hub>,
-    only: Option<Kind>,
+    only: Option<ResourceType>,
     variant: PhantomData<fn() -> V>,
 }
 
@@ -199,9 +200,9 @@
 
     fn call(&mut self, request: tonic::Request<Streaming<V::In>>) -> Self::Future {
         let (hub, only) = (self.hub.clone(), self.only);
-        // Room for one response: the next one is made when this one is taken, from the newest state.
+        // A capacity of one: the next response is built from the newest state when this one has been taken.
         let (out, responses) = mpsc::channel(1);
-        tokio::spawn(drive::<V>(hub, only, request.into_inner(), out));
+        tokio::spawn(run_stream::<V>(hub, only, request.into_inner(), out));
         Box::pin(async move { Ok(tonic::Response::new(Responses::new(responses))) })
     }
 }
@@ -209,53 +210,53 @@
 /// The responses of a stream.
 pub(crate) type Responses<T> = ReceiverStream<Result<T, Status>>;
 
-/// Runs a stream to its end.
-async fn drive<V: Variant>(
+/// Runs a stream until it ends.
+async fn run_stream<V: Variant>(
     hub: Arc<Hub>,
-    only: Option<Kind>,
+    only: Option<ResourceType>,
     mut requests: Streaming<V::In>,
     out: mpsc::Sender<Result<V::Out, Status>>,
 ) {
     let number = hub.number();
-    let (status, why) = match begin::<V>(&hub, only, number, &mut requests).await {
-        Ok((session, first)) => go_on::<V>(&hub, number, session, first, &mut requests, &out).await,
+    let (status, why) = match open_session::<V>(&hub, only, number, &mut requests).await {
+        Ok((session, first)) => serve_session::<V>(&hub, number, session, first, &mut requests, &out).await,
         Err(status) => (Some(status.clone()), status.message().to_owned()),
     };
     hub.close(number, why);
     if let Some(status) = status {
-        // A reader that takes nothing finds its stream ended all the same.
-        let _ = timeout(hub.settings.first_request, out.send(Err(status))).await;
+        // Bounded, so that a client which doesn't read can't keep the task alive.
+        let _ = timeout(hub.settings.first_request_timeout, out.send(Err(status))).await;
     }
 }
 
-/// The first request of a stream, which must not take long; none where the stream has ended.
+/// Waits for the first request of a stream, with a timeout. `None` if the stream has ended.
 pub(crate) async fn first_request<T>(hub: &Hub, requests: &mut Streaming<T>) -> Result<Option<T>, Status> {
-    let wait = hub.settings.first_request;
+    let wait = hub.settings.first_request_timeout;
     let first = timeout(wait, requests.message()).await;
     first.map_err(|_| Status::deadline_exceeded(format!("no request within {wait:?}")))?
 }
 
-/// Waits for the first request, which names the node.
-async fn begin<V: Variant>(
+/// Waits for the first request, which identifies the node, and opens the session.
+async fn open_session<V: Variant>(
     hub: &Hub,
-    only: Option<Kind>,
+    only: Option<ResourceType>,
     number: u64,
     requests: &mut Streaming<V::In>,
-) -> Result<(Follower, V::In), Status> {
+) -> Result<(VersionedSession, V::In), Status> {
     let first = first_request(hub, requests).await?;
     let mut first = first.ok_or_else(|| Status::invalid_argument("the stream ended with no request"))?;
     let node = V::node(&mut first).unwrap_or_default();
     let zone = node.locality.map(|locality| locality.zone).unwrap_or_default();
-    hub.admits(&node.id, &node.cluster)?;
-    if zone.len() > NODE_NAME_MOST {
-        return Err(Status::invalid_argument(format!("the zone is over {NODE_NAME_MOST} bytes")));
+    hub.check_node(&node.id, &node.cluster)?;
+    if zone.len() > MAX_NODE_NAME_BYTES {
+        return Err(Status::invalid_argument(format!("the zone is over {MAX_NODE_NAME_BYTES} bytes")));
     }
     let stream = format!("{:x}.{number}", hub.run);
     let mut session = Session::new(stream, V::INCREMENTAL, only, hub.settings.limits.clone());
     session.set_zone(&zone);
-    let place = place(&node.id);
-    let line = hub.lines().of(place).id;
-    hub.open(Stream {
+    let bucket = rollout_bucket(&node.id);
+    let version_id = hub.versions().for_bucket(bucket).id;
+    hub.open(StreamInfo {
         number,
         node: node.id,
         cluster: node.cluster,
@@ -265,70 +266,70 @@
         requests: 0,
         responses: 0,
         bytes: 0,
-        line,
-        standings: Vec::new(),
+        version_id,
+        type_statuses: Vec::new(),
     })?;
-    Ok((Follower { session, place, line }, first))
+    Ok((VersionedSession { session, bucket, version_id }, first))
 }
 
-/// A session, and the line that it follows.
-struct Follower {
+/// A session and the served version that it is based on.
+struct VersionedSession {
     session: Session,
-    place: u32,
-    line: u64,
+    bucket: u32,
+    version_id: u64,
 }
 
-impl Follower {
-    /// Goes over to the line that its node is to follow now; says whether that is another one.
-    fn follow(&mut self, line: &Line) -> Result<bool, Refusal> {
-        if self.line == line.id {
+impl VersionedSession {
+    /// Switches to the version that is current for the node. Returns whether it changed.
+    fn switch_to(&mut self, version: &ServedVersion) -> Result<bool, SessionError> {
+        if self.version_id == version.id {
             return Ok(false);
         }
-        match line.forked {
-            Some((parent, seq)) if parent == self.line => self.session.rewind(seq),
-            _ => return Err(Refusal::TooFarBehind), // two roll-outs while it was not looked at
+        match version.forked_from {
+            Some((parent, seq)) if parent == self.version_id => self.session.rewind(seq),
+            _ => return Err(SessionError::TooFarBehind), // two rollouts since the last poll
         }
-        self.line = line.id;
+        self.version_id = version.id;
         Ok(true)
     }
 }
 
-async fn go_on<V: Variant>(
+async fn serve_session<V: Variant>(
     hub: &Hub,
     number: u64,
-    mut follower: Follower,
+    mut versioned: VersionedSession,
     first: V::In,
     requests: &mut Streaming<V::In>,
     out: &mpsc::Sender<Result<V::Out, Status>>,
 ) -> (Option<Status>, String) {
     let mut head = hub.head();
-    let mut allowance = Allowance::new(hub.settings.requests_per_s);
+    let mut tokens = TokenBucket::new(hub.settings.max_requests_per_s);
     let mut request = Some(first);
-    let mut look = true;
+    let mut poll = true;
     loop {
         if let Some(request) = request.take() {
-            if !allowance.take() {
-                let what = format!("more than {} requests a second", hub.settings.requests_per_s);
+            if !tokens.take() {
+                let what = format!("more than {} requests a second", hub.settings.max_requests_per_s);
                 return (Some(Status::resource_exhausted(&*what)), what);
             }
             let taken = {
-                let lines = hub.lines();
-                let line = lines.of(follower.place);
-                let taken = follower
-                    .follow(line)
-                    .and_then(|_| follower.session.request(&line.cache, hub.now(), V::request(request)));
-                let standings = follower.session.standings(&line.cache);
+                let versions = hub.versions();
+                let version = versions.for_bucket(versioned.bucket);
+                let taken = versioned.switch_to(version).and_then(|_| {
+                    versioned.session.request(&version.cache, hub.now(), V::request(request))
+                });
+                let type_statuses = versioned.session.type_statuses(&version.cache);
                 hub.update(number, |stream| {
                     stream.requests += 1;
-                    stream.line = follower.line;
-                    stream.standings = standings;
+                    stream.version_id = versioned.version_id;
+                    stream.type_statuses = type_statuses;
                 });
                 taken
             };
             if let Err(refusal) = taken {
                 return (Some(status(&refusal)), refusal.to_string());
             }
-            look = true;
+            poll = true;
         }
         tokio::select! {
             read = requests.message() => match read {
@@ -339,25 +340,25 @@
                     return (Some(problem), why);
                 }
             },
-            permit = out.reserve(), if look => {
+            permit = out.reserve(), if poll => {
                 let Ok(permit) = permit else { return (None, "the proxy closed the stream".to_owned()) };
                 head.mark_unchanged();
-                let lines = hub.lines();
-                let line = lines.of(follower.place);
-                let polled = follower.follow(line).and_then(|moved| {
-                    let response = follower.session.poll(&line.cache, hub.now())?;
-                    let told = response.is_some() || moved;
-                    Ok((response, told.then(|| follower.session.standings(&line.cache))))
+                let versions = hub.versions();
+                let version = versions.for_bucket(versioned.bucket);
+                let polled = versioned.switch_to(version).and_then(|moved| {
+                    let response = versioned.session.poll(&version.cache, hub.now())?;
+                    let changed = response.is_some() || moved;
+                    Ok((response, changed.then(|| versioned.session.type_statuses(&version.cache))))
                 });
-                drop(lines);
-                if let Ok((response, Some(standings))) = &polled {
+                drop(versions);
+                if let Ok((response, Some(type_statuses))) = &polled {
                     let resources = response.iter().flat_map(|response| &response.resources);
                     let bytes: usize = resources.map(bytes::Bytes::len).sum();
                     hub.update(number, |stream| {
                         stream.responses += u64::from(response.is_some());
                         stream.bytes += bytes as u64;
-                        stream.line = follower.line;
-                        stream.standings.clone_from(standings);
+                        stream.version_id = versioned.version_id;
+                        stream.type_statuses.clone_from(type_statuses);
                     });
                 }
                 match polled.map(|(response, _)| response) {
@@ -365,22 +366,22 @@
                         let identifier = hub.settings.identifier.clone();
                         permit.send(Ok(V::response(response, ControlPlaneOut { identifier })));
                     }
-                    Ok(None) => look = false,
+                    Ok(None) => poll = false,
                     Err(refusal) => return (Some(status(&refusal)), refusal.to_string()),
                 }
             }
-            _ = head.changed(), if !look => look = true,
-            () = sleep(RECHECK), if !look && follower.session.waits() => look = true,
-            () = out.closed(), if !look => return (None, "the proxy closed the stream".to_owned()),
+            _ = head.changed(), if !poll => poll = true,
+            () = sleep(REMOVAL_CHECK_INTERVAL), if !poll && versioned.session.has_pending_removals() => poll = true,
+            () = out.closed(), if !poll => return (None, "the proxy closed the stream".to_owned()),
         }
     }
 }
 
-fn status(refusal: &Refusal) -> Status {
+fn status(refusal: &SessionError) -> Status {
     let what = refusal.to_string();
     match refusal {
-        Refusal::UnknownType(_) | Refusal::OtherType(..) => Status::invalid_argument(what),
-        Refusal::TooManyNames { .. } => Status::resource_exhausted(what),
-        Refusal::TooFarBehind => Status::aborted(what),
+        SessionError::UnknownType(_) | SessionError::WrongType(..) => Status::invalid_argument(what),
+        SessionError::TooManyNames { .. } => Status::resource_exhausted(what),
+        SessionError::TooFarBehind => Status::aborted(what),
     }
 }
