--- a/crates/controller/src/components.rs
+++ b/crates/controller/src/components.rs
@@ -107,7 +107,7 @@
     fn on_message(&self, gossip: &Rc<Gossip>, session: &Rc<Session>, message: Message) {
         match message {
             Message::Request(number, request) => {
-                if mutant("told-before-committed") {
+                if mutant("announced-before-committed") {
                     announce_accepted(gossip, &request);
                 }
                 let session = session.clone();
--- a/crates/controller/tests/contact.rs
+++ b/crates/controller/tests/contact.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use runtrack_link::slog::{Discard, Logger, o};
-use runtrack_link::{Gossip, dial_for_ever};
+use runtrack_link::{Gossip, maintain_link};
 use runtrack_message::{EndpointState, Hello, Member, Role, WIRE_VERSION};
 use runtrack_registry::key_of;
 use std::rc::Rc;
@@ -145,7 +145,7 @@
     spawn_local(gossip.clone().run());
     for machine in machines {
         let address = cluster.member(*machine).parse().expect("an address");
-        spawn_local(dial_for_ever(gossip.clone(), address));
+        spawn_local(maintain_link(gossip.clone(), address));
     }
     gossip
 }
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -133,7 +133,7 @@
 }
 
 /// Keeps a link to a peer up, dialling again whenever it ends, until the future is dropped.
-pub async fn dial_for_ever(gossip: Rc<Gossip>, to: SocketAddrV4) {
+pub async fn maintain_link(gossip: Rc<Gossip>, to: SocketAddrV4) {
     loop {
         let connecting = gossip.network().connect(to.into());
         if let Ok(Ok(connection)) = timeout(CONNECT_TIMEOUT, connecting).await {
--- a/crates/link/src/dials.rs
+++ b/crates/link/src/dials.rs
@@ -1,6 +1,6 @@
 //! The set of peers that this process keeps links to.
 
-use crate::connection::dial_for_ever;
+use crate::connection::maintain_link;
 use crate::gossip::Gossip;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +33,7 @@
         for address in wanted {
             tasks
                 .entry(*address)
-                .or_insert_with(|| spawn_local(dial_for_ever(self.gossip.clone(), *address)));
+                .or_insert_with(|| spawn_local(maintain_link(self.gossip.clone(), *address)));
         }
     }
 }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -17,7 +17,7 @@
 mod trust;
 
 pub use changes::{ChangeReceiver, Changes};
-pub use connection::{CONNECT_TIMEOUT, PING_INTERVAL, dial_for_ever, listen};
+pub use connection::{CONNECT_TIMEOUT, PING_INTERVAL, listen, maintain_link};
 pub use dials::Dials;
 pub use environment::{Environment, ProcessEvent, ProcessEvents};
 pub use gossip::{Gossip, MessageHandler};
--- a/crates/link/tests/support/mod.rs
+++ b/crates/link/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 use bytes::BufMut;
 use runtrack_link::slog::{Discard, Logger, o};
-use runtrack_link::{Environment, Gossip, PING_INTERVAL, dial_for_ever};
+use runtrack_link::{Environment, Gossip, PING_INTERVAL, maintain_link};
 use runtrack_message::{Hello, Member, Message, Role, StateSummary, WIRE_VERSION, decode, encode};
 use runtrack_net::{Connecting, Connection, Listener, Network, PeekStatus};
 use std::cell::RefCell;
@@ -107,7 +107,7 @@
         let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, last), 7660);
         let (dialled, dials) = unbounded_channel();
         self.network.0.borrow_mut().insert(address.into(), dialled);
-        spawn_local(dial_for_ever(self.gossip.clone(), address));
+        spawn_local(maintain_link(self.gossip.clone(), address));
         Controller { address, dials }
     }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -34,7 +34,7 @@
 use crate::ingress::IngressServer;
 use crate::state::State;
 use runtrack_fleetconfig::Node;
-use runtrack_link::{Gossip, MessageHandler, Session, Signals, dial_for_ever, json_logger};
+use runtrack_link::{Gossip, MessageHandler, Session, Signals, json_logger, maintain_link};
 use runtrack_message::{Hello, Member, Message, Role, WIRE_VERSION};
 use slog::info;
 use std::cell::OnceCell;
@@ -74,7 +74,7 @@
     let state_cell = Rc::new(StateCell::default());
     let gossip =
         Gossip::new(hello, node.heartbeat, logger.clone(), Box::new(ReportHandler(state_cell.clone())));
-    spawn_local(dial_for_ever(gossip.clone(), node.feed));
+    spawn_local(maintain_link(gossip.clone(), node.feed));
     spawn_local(gossip.clone().run());
     let state = State::new(gossip, &node);
     let _ = state_cell.set(state.clone());
--- a/crates/sim/src/fleet/mod.rs
+++ b/crates/sim/src/fleet/mod.rs
@@ -150,7 +150,7 @@
     },
     Mutant {
         point: 5,
-        name: "told-before-committed",
+        name: "announced-before-committed",
         effect: "agents receive a value when a member is asked to accept it, before it is committed",
     },
     Mutant {
--- a/crates/sim/tests/fleet.rs
+++ b/crates/sim/tests/fleet.rs
@@ -162,7 +162,7 @@
     ("older-disk-goes-on", 30),
     ("ballot-without-boot", 0),
     ("commit-of-any-ballot", 3),
-    ("told-before-committed", 10),
+    ("announced-before-committed", 10),
     ("confirmed-when-asked", 11),
     ("confirmed-before-merged", 189),
     ("leave-confirmed-before-durable", 58),
