--- a/crates/cli/benches/kills.rs
+++ b/crates/cli/benches/kills.rs
@@ -7,7 +7,7 @@
 mod common;
 
 use runtrack_store::{Files, Folder as StoreFolder, Store};
-use runtrack_testkit::Folder;
+use runtrack_testkit::TempDir;
 use std::path::Path;
 use std::time::Instant;
 
@@ -18,7 +18,7 @@
         "pools", "plan ms", "apply ms", "plan bytes", "state bytes"
     );
     for pools in [10, 1000, 10_000] {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         measure_plan_and_apply(folder.path(), pools);
     }
     let (commit, plain) = measure_commits();
@@ -32,7 +32,7 @@
     }
     println!("\nkills, at random times over a whole apply:");
     for (pools, rounds) in [(10, 300), (1000, 200)] {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let (committed, inconsistent) = common::kill_applies(folder.path(), rounds, pools, 1);
         println!(
             "{pools:>8} pools: {rounds} kills, {committed} had committed, {inconsistent} inconsistent"
@@ -76,7 +76,7 @@
 
 /// Median times of a commit and of a plain write and sync of the same bytes, alternating, in milliseconds.
 fn measure_commits() -> (f64, f64) {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let files = || StoreFolder::new(folder.path()).expect("a folder");
     let mut store = Store::open_or_create(files(), "l").expect("a store");
     let text = "x".repeat(100_000);
@@ -104,7 +104,7 @@
 
 /// Median time to open a state with a number of versions and read its current text, in milliseconds.
 fn measure_open(versions: u64) -> f64 {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let files = || StoreFolder::new(folder.path()).expect("a folder");
     let mut store = Store::open_or_create(files(), "l").expect("a store");
     let text = "x".repeat(100_000);
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -69,7 +69,7 @@
     let mut random = Pcg32::seed_from_u64(seed);
     assert_eq!(code(&ctl(folder, &["init"])), 0);
     let fleets = [fleet(pools, 100), fleet(pools, 200)]
-        .map(|text| Fleet::read(&text).expect("failed to read the fleet"));
+        .map(|text| Fleet::from_toml(&text).expect("failed to read the fleet"));
     let plan = |index: usize| {
         let store = open(folder);
         let request = PlanRequest {
--- a/crates/cli/tests/ctl.rs
+++ b/crates/cli/tests/ctl.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use runtrack_store::Lock;
-use runtrack_testkit::Folder;
+use runtrack_testkit::TempDir;
 use std::path::Path;
 use std::process::Stdio;
 
@@ -33,7 +33,7 @@
 "#;
 
 /// Writes `SMALL` to `fleet.toml` and applies it to a new state.
-fn apply_small_fleet(folder: &Folder) {
+fn apply_small_fleet(folder: &TempDir) {
     folder.write("fleet.toml", SMALL);
     for args in [&["init"][..], &["plan", "fleet.toml", "-o", "first.plan"], &["apply", "first.plan"]] {
         let done = ctl(folder.path(), args);
@@ -56,7 +56,7 @@
 
 #[test]
 fn plan_apply_and_rollback() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     apply_small_fleet(&folder);
     let path = folder.path();
     assert_eq!(code(&ctl(path, &["plan", "fleet.toml", "--detailed-exitcode"])), 0, "nothing to change");
@@ -118,7 +118,7 @@
 
 #[test]
 fn each_refusal_has_its_exit_code_and_message() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     apply_small_fleet(&folder);
     let path = folder.path();
     let refused = |args: &[&str], wanted: i32, message: &str| {
@@ -163,7 +163,7 @@
 /// Two applies, or an apply and a rollback, run at the same time.
 #[test]
 fn of_two_concurrent_writers_one_commits_and_the_other_fails() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     apply_small_fleet(&folder);
     let path = folder.path();
     for round in 0..8 {
@@ -197,7 +197,7 @@
 
 #[test]
 fn a_staged_change_is_shown_and_aborted_as_one_commit() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     apply_small_fleet(&folder);
     let path = folder.path();
     assert_eq!(code(&ctl(path, &["rollout", "abort"])), 1, "there is no staged roll-out");
@@ -223,7 +223,7 @@
 /// A failed write to the state folder: the exit code says so, and the state stays unchanged.
 #[test]
 fn a_failed_write_leaves_the_state_unchanged() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     apply_small_fleet(&folder);
     let path = folder.path();
     folder.write("a.toml", &SMALL.replace("deadline = \"3s\"", "deadline = \"4s\""));
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use runtrack_plan::{Applied, Load, Plan, PlanRequest, apply, fleet_at};
 use runtrack_store::{Folder as Files, Store};
 pub use runtrack_testkit::platform_fleet;
-use runtrack_testkit::{Control, Proxy, ProxyTo};
+use runtrack_testkit::{Control, Proxy, ProxyConfig};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -26,7 +26,7 @@
 }
 
 pub fn proxy(control: &Control, id: &str, incremental: bool) -> Proxy {
-    Proxy::start(ProxyTo { control: control.xds, id: id.to_owned(), zone: String::new(), incremental })
+    Proxy::start(ProxyConfig { control: control.xds, id: id.to_owned(), zone: String::new(), incremental })
 }
 
 fn now_ms() -> u64 {
@@ -40,7 +40,7 @@
 
 /// Like [`apply_change`], with a staged roll-out.
 pub fn apply_staged_change(folder: &Path, wanted: &str, stages: &[u32], pause_ms: u64) -> u64 {
-    let wanted = Fleet::read(wanted).unwrap_or_else(|problems| panic!("{problems}"));
+    let wanted = Fleet::from_toml(wanted).unwrap_or_else(|problems| panic!("{problems}"));
     let mut store = Store::open_or_create(Files::new(folder).expect("a folder"), "l").expect("a store");
     let from = fleet_at(&store, store.serial()).expect("a fleet");
     let request = PlanRequest {
--- a/crates/plan/src/apply.rs
+++ b/crates/plan/src/apply.rs
@@ -142,7 +142,7 @@
     if serial == 0 {
         return Ok(Fleet::default());
     }
-    Fleet::from_canonical(&store.text(serial)?)
+    Fleet::from_canonical_json(&store.text(serial)?)
         .map_err(|problem| ApplyError::InvalidFleet { serial, problem })
 }
 
@@ -187,7 +187,7 @@
     let (stages, pause_ms) = (plan.stages.as_slice(), plan.pause_ms);
     let entry =
         CommitInfo { author, reason: &plan.reason, at_ms: now_ms, plan: &plan.id, stages, pause_ms };
-    store.commit(plan.serial, &fleet.canonical(), entry)
+    store.commit(plan.serial, &fleet.to_canonical_json(), entry)
 }
 
 /// Error for a state that has changed, with the author of the current version and the changed objects.
--- a/crates/plan/src/diff.rs
+++ b/crates/plan/src/diff.rs
@@ -276,7 +276,7 @@
     }
     let invalid = |problem| StepError { subject: "the whole".to_owned(), problem };
     let fleet = target.into_fleet().map_err(invalid)?;
-    match fleet.faults().first() {
+    match fleet.validation_errors().first() {
         Some(fault) => Err(invalid(fault.to_string())),
         None => Ok(fleet),
     }
--- a/crates/plan/src/risk.rs
+++ b/crates/plan/src/risk.rs
@@ -2,7 +2,9 @@
 
 use crate::shadow::shadowed;
 use runtrack_balancer::DedupScope;
-use runtrack_model::{Class, Endpoint, Fleet, Listener, Pool, Route, Semantics, Severity, Source, State};
+use runtrack_model::{
+    Class, Endpoint, EndpointState, Fleet, Listener, Pool, Route, Semantics, Severity, Source,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -131,7 +133,7 @@
 
 fn ready_endpoints(pool: &Pool) -> BTreeMap<&String, &Endpoint> {
     match &pool.source {
-        Source::Static(list) => list.iter().filter(|(_, e)| e.state == State::Ready).collect(),
+        Source::Static(list) => list.iter().filter(|(_, e)| e.state == EndpointState::Ready).collect(),
         Source::Platform(_) => BTreeMap::new(),
     }
 }
@@ -295,7 +297,7 @@
         let subject = format!("pool.{pool}.endpoint.{id}");
         let figures = [("grace_s", as_seconds(grace)), ("drained_s", as_seconds(drained))];
         match endpoint.state {
-            State::Ready => {
+            EndpointState::Ready => {
                 let description =
                     "is removed without draining: its requests in flight may be aborted. Drain it first";
                 collector.add(
@@ -306,7 +308,7 @@
                     &figures[..1],
                 );
             }
-            State::Draining if drained < grace => {
+            EndpointState::Draining if drained < grace => {
                 let description = format!(
                     "is removed {:.1} s after its drain was applied; the grace period is {:.1} s",
                     as_seconds(drained),
@@ -314,7 +316,7 @@
                 );
                 collector.add("drain-short", &subject, Severity::Medium, description, &figures);
             }
-            State::Draining => {}
+            EndpointState::Draining => {}
         }
     }
 }
--- a/crates/plan/tests/common/mod.rs
+++ b/crates/plan/tests/common/mod.rs
@@ -60,7 +60,7 @@
         address: ([127, 0, 0, 1], port as u16).into(),
         zone: ["", "a", "b"][random.below(3)].to_owned(),
         weight: [1.0, 0.1, 2.5][random.below(3)],
-        state: if random.one_in(4) { State::Draining } else { State::Ready },
+        state: if random.one_in(4) { EndpointState::Draining } else { EndpointState::Ready },
         started_ms: if random.one_in(3) { NOW - 1000 * random.below(60) as u64 } else { 0 },
     }
 }
@@ -99,7 +99,7 @@
         for route in random_selection(random, 8, 1) {
             let to = classes.keys().nth(random.below(classes.len())).expect("index out of range");
             let first = random.below(pools.len());
-            let share = |n: usize, weight| Share {
+            let share = |n: usize, weight| WeightedPool {
                 pool: pools.keys().nth(n % pools.len()).expect("index out of range").clone(),
                 weight,
             };
@@ -131,7 +131,7 @@
     }
     let rules = Rules { drain_grace: Duration::from_secs(1 + random.below(2) as u64), ..Rules::default() };
     let fleet = Fleet { rules, zones, classes, pools, listeners, risks };
-    assert_eq!(fleet.faults(), [], "seed {seed}");
+    assert_eq!(fleet.validation_errors(), [], "seed {seed}");
     fleet
 }
 
@@ -155,6 +155,6 @@
     let mut store =
         Store::open_or_create(Disk::default(), "a-lineage").expect("failed to create the store");
     let entry = CommitInfo { author: "nok", reason: "first", at_ms: NOW - HOUR, ..CommitInfo::default() };
-    store.commit(0, &fleet.canonical(), entry).expect("failed to commit the first version");
+    store.commit(0, &fleet.to_canonical_json(), entry).expect("failed to commit the first version");
     store
 }
--- a/crates/plan/tests/risks.rs
+++ b/crates/plan/tests/risks.rs
@@ -75,7 +75,7 @@
         assert!(text.contains(old), "{old}");
         text = text.replacen(old, new, 1);
     }
-    let read = |text: &str| Fleet::read(text).unwrap_or_else(|problems| panic!("{problems}"));
+    let read = |text: &str| Fleet::from_toml(text).unwrap_or_else(|problems| panic!("{problems}"));
     assess_risks(&read(FLEET), &read(&text), RiskContext { load, applied_at_ms: NOW - age_ms, now_ms: NOW })
 }
 
@@ -159,7 +159,7 @@
         .replace("127.0.0.1:1\", zone = \"\"", "127.0.0.1:1\", zone = \"a\"");
     let (old, new) =
         ("127.0.0.1:1\", zone = \"a\" }", "127.0.0.1:1\", zone = \"a\", state = \"draining\" }");
-    let read = |text: &str| Fleet::read(text).unwrap_or_else(|problems| panic!("{problems}"));
+    let read = |text: &str| Fleet::from_toml(text).unwrap_or_else(|problems| panic!("{problems}"));
     let seen = RiskContext { load: &Load::default(), applied_at_ms: 0, now_ms: NOW };
     let risks = assess_risks(&read(&zoned), &read(&zoned.replace(old, new)), seen);
     assert_eq!(risk_with_id(&risks, "pool-thin/pool.q").severity, Severity::Medium);
@@ -301,6 +301,6 @@
 #[test]
 fn an_unknown_risk_in_the_fleet_file_is_rejected() {
     let text = FLEET.replace("[rules]", "[risks]\npool-emptid = \"high\"\n\n[rules]");
-    let problems = Fleet::read(&text).expect_err("an unknown risk is accepted").to_string();
+    let problems = Fleet::from_toml(&text).expect_err("an unknown risk is accepted").to_string();
     assert!(problems.starts_with("3:") && problems.contains("did you mean `pool-emptied`"), "{problems}");
 }
--- a/crates/plan/tests/round_trip.rs
+++ b/crates/plan/tests/round_trip.rs
@@ -42,8 +42,8 @@
 fn a_fleet_does_not_differ_from_its_canonical_form() {
     for seed in 0..SEEDS {
         let original = fleet(seed);
-        let reread =
-            Fleet::from_canonical(&original.canonical()).expect("failed to read the canonical form");
+        let reread = Fleet::from_canonical_json(&original.to_canonical_json())
+            .expect("failed to read the canonical form");
         assert_eq!(original.hash(), reread.hash(), "seed {seed}");
         assert_eq!(diff(&original, &reread), [], "seed {seed}");
         let plan = plan_on(&store_with(&original), &original, &reread, "");
@@ -60,7 +60,7 @@
         // If the steps happen to match the other fleet as well, the result must still be valid.
         match apply_steps(&other, &steps) {
             Err(_) => refused += 1,
-            Ok(fleet) => assert_eq!(fleet.faults(), [], "seed {seed}"),
+            Ok(fleet) => assert_eq!(fleet.validation_errors(), [], "seed {seed}"),
         }
         total += 1;
     }
@@ -81,7 +81,7 @@
         name: format!("r{n}"),
         prefix: format!("/{n}/"),
         class: class.clone(),
-        to: vec![runtrack_model::Share { pool: pool.clone(), weight: 1 }],
+        to: vec![runtrack_model::WeightedPool { pool: pool.clone(), weight: 1 }],
         ..template.clone()
     };
     let routes = (0..10_000).map(route).collect();
--- a/crates/rig/src/fleet/cluster.rs
+++ b/crates/rig/src/fleet/cluster.rs
@@ -1,12 +1,12 @@
-//! The processes of a round, their addresses, settings and disks.
+//! Processes of a round, with their addresses, settings and disks.
 
 use super::cuts::Cuts;
 use super::history::History;
 use super::script::Script;
-use crate::link::{Greeting, Links, locked};
-use crate::process::{Process, program};
+use crate::link::{Handshake, Links, locked};
+use crate::process::{Process, program_path};
 use runtrack_message::{Message, decode};
-use runtrack_testkit::Folder;
+use runtrack_testkit::TempDir;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -19,94 +19,94 @@
 const CONTROL_PORT: u16 = 8146;
 const FIRST_PORT: u16 = 7660;
 const LAST_PORT: u16 = 7675;
-/// Endpoints tell that they are there this often.
+/// Interval of endpoint heartbeats.
 pub const HEARTBEAT: Duration = Duration::from_millis(400);
-/// Host numbers: machines as others see them, where their controllers bind, and agents.
+/// First host numbers: machines as others address them, the addresses that their controllers bind, and agents.
 const MACHINE_HOST: u32 = 1;
 const BIND_HOST: u32 = 101;
 const AGENT_HOST: u32 = 201;
-/// Second bytes of loopback addresses that rounds use, and how many.
-const NETWORKS: (u32, u32) = (200, 50);
-/// The longest first frame of a link.
-const MAX_HELLO: usize = 8 << 10;
-/// How often a wait looks whether it is over.
-const LOOK: Duration = Duration::from_millis(20);
+/// First value and number of values of the second octet of the loopback addresses.
+const LOOPBACK_SECOND_OCTETS: (u32, u32) = (200, 50);
+/// Maximum size of the first frame of a connection.
+const MAX_HELLO_BYTES: usize = 8 << 10;
+/// Poll interval of [`Cluster::sleep_until_healing`].
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Who connects, by the first frame of a link.
-fn greeting(bytes: &[u8]) -> Greeting {
-    let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Greeting::Incomplete };
+/// Parses the first frame of a connection, which names its source.
+fn parse_handshake(bytes: &[u8]) -> Handshake {
+    let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Handshake::Incomplete };
     let length = u32::from_le_bytes(*length) as usize;
-    if length > MAX_HELLO {
-        return Greeting::Malformed;
+    if length > MAX_HELLO_BYTES {
+        return Handshake::Malformed;
     }
-    let Some(frame) = rest.get(..length) else { return Greeting::Incomplete };
+    let Some(frame) = rest.get(..length) else { return Handshake::Incomplete };
     match decode(frame) {
-        Ok(Message::Hello(hello)) => Greeting::From(hello.node.as_string()),
-        _ => Greeting::Malformed,
+        Ok(Message::Hello(hello)) => Handshake::From(hello.node.as_string()),
+        _ => Handshake::Malformed,
     }
 }
 
-/// A place among the members: a machine, and what runs there.
-struct Place {
+/// A member slot: its current machine and process. A replacement takes over the slot.
+struct MemberSlot {
     machine: u32,
     process: Process,
     disk: PathBuf,
     _links: JoinSet<()>,
 }
 
-struct AgentPlace {
+struct AgentSlot {
     process: Process,
-    life: u64,
+    incarnation: u64,
 }
 
-/// What all tasks of a round share.
+/// State shared by all tasks of a round.
 pub struct Cluster {
-    /// The round.
+    /// The script of the round.
     pub script: Script,
-    /// All links between processes.
+    /// Links between processes.
     pub links: Links,
-    /// Cuts of links that are in force.
+    /// Active cuts of links.
     pub cuts: Cuts,
-    /// What happened so far.
+    /// Events recorded so far.
     pub history: History,
-    folder: Folder,
+    folder: TempDir,
     network: u32,
     controller: PathBuf,
-    places: Mutex<Vec<Place>>,
-    agents: Mutex<Vec<AgentPlace>>,
+    slots: Mutex<Vec<MemberSlot>>,
+    agents: Mutex<Vec<AgentSlot>>,
     machines: AtomicU32,
     healing: AtomicBool,
-    over: AtomicBool,
+    stopping: AtomicBool,
 }
 
 impl Cluster {
-    /// Machines and agents with nothing running.
+    /// Allocates machines and agents without starting any process.
     pub async fn new(script: &Script) -> io::Result<Cluster> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let round = NEXT.fetch_add(1, Ordering::Relaxed);
-        let second = NETWORKS.0 + std::process::id() % NETWORKS.1;
+        let second = LOOPBACK_SECOND_OCTETS.0 + std::process::id() % LOOPBACK_SECOND_OCTETS.1;
         let cluster = Cluster {
             script: script.clone(),
             links: Links::default(),
             cuts: Cuts::default(),
             history: History::default(),
-            folder: Folder::new(),
+            folder: TempDir::new(),
             network: (127 << 24) | (second << 16) | ((round & 0xff) << 8),
-            controller: program("runtrack-controller")?,
-            places: Mutex::default(),
+            controller: program_path("runtrack-controller")?,
+            slots: Mutex::default(),
             agents: Mutex::default(),
             machines: AtomicU32::new(0),
             healing: AtomicBool::new(false),
-            over: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
         };
         for _ in 0..script.members {
-            let place = cluster.machine().await?;
-            locked(&cluster.places).push(place);
+            let slot = cluster.new_machine().await?;
+            locked(&cluster.slots).push(slot);
         }
-        let agent = program("runtrack-agent")?;
+        let agent = program_path("runtrack-agent")?;
         for number in 0..script.agents {
             let process = cluster.process(&agent, &format!("a{number}"));
-            locked(&cluster.agents).push(AgentPlace { process, life: 0 });
+            locked(&cluster.agents).push(AgentSlot { process, incarnation: 0 });
         }
         Ok(cluster)
     }
@@ -115,54 +115,55 @@
         SocketAddrV4::new(Ipv4Addr::from(self.network + host), port)
     }
 
-    fn settings(&self, name: &str) -> PathBuf {
+    fn settings_path(&self, name: &str) -> PathBuf {
         self.folder.path().join(format!("{name}.conf"))
     }
 
     fn process(&self, program: &Path, name: &str) -> Process {
         let log = self.folder.path().join(format!("{name}.log"));
-        let settings = self.settings(name).display().to_string();
+        let settings = self.settings_path(name).display().to_string();
         Process::new(program.to_owned(), Vec::new(), &log, None)
             .with_variable("RUNTRACK_NODE_FILE", &settings)
     }
 
-    /// A new machine with an empty disk, behind a link of the rig's.
-    async fn machine(&self) -> io::Result<Place> {
+    /// Allocates a machine with an empty disk, behind a link of the rig.
+    async fn new_machine(&self) -> io::Result<MemberSlot> {
         let machine = self.machines.fetch_add(1, Ordering::SeqCst);
         let name = format!("m{machine}");
         let disk = self.folder.path().join(format!("disk-{machine}"));
         std::fs::create_dir_all(&disk)?;
         let dialled = self.address(MACHINE_HOST + machine, FIRST_PORT);
         let bound = self.address(BIND_HOST + machine, FIRST_PORT);
-        let links = self.links.stand_before_greeted(&name, dialled.into(), bound.into(), greeting).await?;
-        Ok(Place { machine, process: self.process(&self.controller, &name), disk, _links: links })
+        let links =
+            self.links.intercept_identified(&name, dialled.into(), bound.into(), parse_handshake).await?;
+        Ok(MemberSlot { machine, process: self.process(&self.controller, &name), disk, _links: links })
     }
 
-    /// Name of a member's machine, as links know it.
-    pub fn name(&self, member: usize) -> String {
-        format!("m{}", locked(&self.places)[member].machine)
+    /// Name of a member's machine in links.
+    pub fn machine_name(&self, member: usize) -> String {
+        format!("m{}", locked(&self.slots)[member].machine)
     }
 
-    /// Where a member takes calls.
-    pub fn control(&self, member: usize) -> SocketAddr {
-        self.address(MACHINE_HOST + locked(&self.places)[member].machine, CONTROL_PORT).into()
+    /// Address for calls to a member.
+    pub fn control_address(&self, member: usize) -> SocketAddr {
+        self.address(MACHINE_HOST + locked(&self.slots)[member].machine, CONTROL_PORT).into()
     }
 
-    /// Where an agent tells what it knows.
-    pub fn feed(&self, agent: usize) -> SocketAddr {
+    /// Address of an agent's feed.
+    pub fn feed_address(&self, agent: usize) -> SocketAddr {
         self.address(AGENT_HOST + agent as u32, FIRST_PORT + 1).into()
     }
 
-    /// The life of an agent.
-    pub fn life(&self, agent: usize) -> u64 {
-        locked(&self.agents)[agent].life
+    /// Incarnation of an agent: number of its starts.
+    pub fn incarnation(&self, agent: usize) -> u64 {
+        locked(&self.agents)[agent].incarnation
     }
 
-    /// Control addresses of the first three of those that are members now.
+    /// Control addresses of the first three current members.
     fn seeds(&self) -> String {
-        let places = locked(&self.places);
+        let slots = locked(&self.slots);
         let first =
-            places.iter().take(3).map(|place| self.address(MACHINE_HOST + place.machine, CONTROL_PORT));
+            slots.iter().take(3).map(|slot| self.address(MACHINE_HOST + slot.machine, CONTROL_PORT));
         first.map(|address| address.to_string()).collect::<Vec<_>>().join(",")
     }
 
@@ -173,14 +174,14 @@
             self.seeds(),
             HEARTBEAT.as_millis(),
         );
-        std::fs::write(self.settings(name), text)
+        std::fs::write(self.settings_path(name), text)
     }
 
-    /// Starts a member unless it runs.
+    /// Starts a member unless it is running.
     pub fn start(&self, member: usize, first_boot: bool) -> io::Result<()> {
         let (machine, disk) = {
-            let places = locked(&self.places);
-            (places[member].machine, places[member].disk.clone())
+            let slots = locked(&self.slots);
+            (slots[member].machine, slots[member].disk.clone())
         };
         let name = format!("m{machine}");
         let more = format!(
@@ -191,95 +192,95 @@
             (self.script.members - 1) / 2,
         );
         self.write_settings(&name, MACHINE_HOST + machine, &more)?;
-        let process = &mut locked(&self.places)[member].process;
-        if process.pid().is_none() || process.has_ended() {
+        let process = &mut locked(&self.slots)[member].process;
+        if process.pid().is_none() || process.has_exited() {
             process.start()?;
         }
         Ok(())
     }
 
-    /// Starts members again whose processes have ended by themselves, as a supervisor does; gives their places.
+    /// Restarts members whose processes have exited by themselves, as a supervisor does; returns their slots.
     pub fn restart_ended(&self) -> io::Result<Vec<usize>> {
-        let ended = |process: &mut Process| process.pid().is_some() && process.has_ended();
-        let places: Vec<usize> = {
-            let mut places = locked(&self.places);
-            (0..places.len()).filter(|member| ended(&mut places[*member].process)).collect()
+        let ended = |process: &mut Process| process.pid().is_some() && process.has_exited();
+        let slots: Vec<usize> = {
+            let mut slots = locked(&self.slots);
+            (0..slots.len()).filter(|member| ended(&mut slots[*member].process)).collect()
         };
-        places.iter().try_for_each(|member| self.start(*member, false))?;
-        Ok(places)
+        slots.iter().try_for_each(|member| self.start(*member, false))?;
+        Ok(slots)
     }
 
-    /// Starts an agent unless it runs.
+    /// Starts an agent unless it is running.
     pub fn start_agent(&self, agent: usize) -> io::Result<()> {
         let name = format!("a{agent}");
-        let more = format!("listen.feed={}\nfirstBoot=false\n", self.feed(agent));
+        let more = format!("listen.feed={}\nfirstBoot=false\n", self.feed_address(agent));
         self.write_settings(&name, AGENT_HOST + agent as u32, &more)?;
-        let place = &mut locked(&self.agents)[agent];
-        if place.process.pid().is_none() || place.process.has_ended() {
-            place.life += 1;
-            place.process.start()?;
+        let slot = &mut locked(&self.agents)[agent];
+        if slot.process.pid().is_none() || slot.process.has_exited() {
+            slot.incarnation += 1;
+            slot.process.start()?;
         }
         Ok(())
     }
 
-    /// Does something with a member's process.
+    /// Applies a function to a member's process.
     pub fn with_member(&self, member: usize, act: impl FnOnce(&mut Process)) {
-        act(&mut locked(&self.places)[member].process);
+        act(&mut locked(&self.slots)[member].process);
     }
 
-    /// Does something with an agent's process.
+    /// Applies a function to an agent's process.
     pub fn with_agent(&self, agent: usize, act: impl FnOnce(&mut Process)) {
         act(&mut locked(&self.agents)[agent].process);
     }
 
-    /// A member's disk.
-    pub fn disk(&self, member: usize) -> PathBuf {
-        locked(&self.places)[member].disk.clone()
+    /// Path of a member's disk.
+    pub fn disk_path(&self, member: usize) -> PathBuf {
+        locked(&self.slots)[member].disk.clone()
     }
 
-    /// A new machine takes the place of one that is gone for good.
+    /// Puts a new machine into the slot of one that is permanently lost.
     pub async fn replace(&self, member: usize) -> io::Result<()> {
-        let place = self.machine().await?;
-        locked(&self.places)[member] = place;
+        let slot = self.new_machine().await?;
+        locked(&self.slots)[member] = slot;
         Ok(())
     }
 
-    /// Whether everything is to be healed.
+    /// Whether all faults are to be ended.
     pub fn is_healing(&self) -> bool {
         self.healing.load(Ordering::SeqCst)
     }
 
-    /// Everything is to be healed from now on.
+    /// Ends all faults from now on.
     pub fn heal(&self) {
         self.healing.store(true, Ordering::SeqCst);
         self.links.heal();
     }
 
-    /// Whether operators and endpoints are to end.
-    pub fn is_over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    /// Whether the tasks of the round are to stop.
+    pub fn is_stopping(&self) -> bool {
+        self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Operators and endpoints are to end.
-    pub fn end(&self) {
-        self.over.store(true, Ordering::SeqCst);
+    /// Tells the tasks of the round to stop.
+    pub fn stop_clients(&self) {
+        self.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// Waits, at most until everything is healed.
-    pub async fn lasts(&self, time: Duration) {
+    /// Sleeps, at most until all faults are to be ended.
+    pub async fn sleep_until_healing(&self, time: Duration) {
         let end = Instant::now() + time;
         while Instant::now() < end && !self.is_healing() {
-            sleep(LOOK.min(end - Instant::now())).await;
+            sleep(POLL_INTERVAL.min(end - Instant::now())).await;
         }
     }
 
-    /// The last lines of all logs.
+    /// The last lines of the members' logs.
     pub fn logs(&self) -> String {
         let last = |log: String| {
             let lines: Vec<&str> = log.lines().collect();
             lines[lines.len().saturating_sub(20)..].join("\n")
         };
-        let places = locked(&self.places);
-        places.iter().map(|place| format!("m{}:\n{}\n", place.machine, last(place.process.log()))).collect()
+        let slots = locked(&self.slots);
+        slots.iter().map(|slot| format!("m{}:\n{}\n", slot.machine, last(slot.process.log()))).collect()
     }
 }
--- a/crates/sim/src/facts.rs
+++ b/crates/sim/src/facts.rs
@@ -1,162 +1,168 @@
-//! What happened in a run, as the world saw it. Nothing here comes from the code under test but the gauges at the end.
+//! Events of a run as the simulation recorded them. Only the gauges at the end come from the code under test.
 
-use crate::script::{Class, Manner};
+use crate::script::{Class, ClientBehavior};
 use std::time::Duration;
 
-/// A request at a sidecar. Times are from the run's start.
+/// A client's request to a sidecar. Times are since the start of the run.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestRecord {
     /// Its id.
     pub id: String,
     /// Its class.
     pub class: Class,
     /// The sidecar.
     pub sidecar: u32,
-    /// How the client goes about it.
-    pub manner: Manner,
-    /// When its client began, for those who owe no request.
-    pub began: Duration,
+    /// How the client sends it.
+    pub behavior: ClientBehavior,
+    /// When its client started to connect.
+    pub started: Duration,
     /// When its last byte was sent.
     pub sent: Option<Duration>,
-    /// When its last byte was at the sidecar's machine; none: it never came.
-    pub taken: Option<Duration>,
-    /// Whether the sidecar has read it whole.
+    /// When its last byte arrived at the sidecar's host; `None` if it never did.
+    pub arrived: Option<Duration>,
+    /// Whether the sidecar has read all of it.
     pub read: bool,
-    /// For how long its client waits from then.
-    pub wait: Duration,
-    /// When the client left by itself.
-    pub left: Option<Duration>,
-    /// When the connection ended with no whole answer.
-    pub broke: Option<Duration>,
-    /// The connection that it went on, and how much had been answered on that before.
-    pub on: Option<(u64, u64)>,
-    /// The answers that were written for it.
-    pub answers: Vec<Answered>,
+    /// How long the client waits after the arrival.
+    pub timeout: Duration,
+    /// When the client gave up and disconnected.
+    pub disconnected: Option<Duration>,
+    /// When the connection ended without a complete response.
+    pub connection_lost: Option<Duration>,
+    /// Its connection, and the offset in the response stream before its response.
+    pub connection: Option<(u64, u64)>,
+    /// The responses that were written for it.
+    pub responses: Vec<Response>,
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct Response {
     /// When the sidecar wrote its last byte.
-    pub wrote: Duration,
+    pub completed: Duration,
     /// Its status.
     pub status: u16,
     /// Its body.
     pub body: String,
 }
 
-/// An attempt, as it is written to an endpoint.
+/// An attempt at a request, as written to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request.
+    /// Id of the request.
     pub id: String,
-    /// Who sent it.
+    /// The sidecar that sent it.
     pub sidecar: u32,
     /// The endpoint.
     pub endpoint: u32,
     /// The connection.
-    pub link: u64,
+    pub connection: u64,
     /// When its first byte was written.
-    pub first: Duration,
-    /// When its last byte was written; none: it never was.
-    pub whole: Option<Duration>,
-    /// When the endpoint wrote that it has turned it away.
-    pub turned_away: Option<Duration>,
+    pub first_byte: Duration,
+    /// When its last byte was written; `None` if it was not.
+    pub last_byte: Option<Duration>,
+    /// When the endpoint wrote that it rejected the request without running it.
+    pub rejected: Option<Duration>,
 }
 
-/// A request that has run at an endpoint.
+/// One execution of a request at an endpoint.
 #[derive(Clone, Debug)]
-pub struct Effect {
-    /// The request.
+pub struct Execution {
+    /// Id of the request.
     pub id: String,
-    /// Where.
+    /// The endpoint.
     pub endpoint: u32,
     /// When it began.
     pub at: Duration,
-    /// The body of its answer.
+    /// The body of its response.
     pub body: String,
-    /// Whether that was or will be sent as a good answer.
-    pub answers: bool,
+    /// Whether the endpoint sends that body in a valid response.
+    pub response_valid: bool,
 }
 
-/// What a sidecar was told of an endpoint.
+/// Notice to a sidecar of an endpoint's state.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct EndpointNotice {
     /// The sidecar.
     pub sidecar: u32,
     /// The endpoint.
     pub endpoint: u32,
-    /// When it had come.
+    /// When it arrived.
     pub at: Duration,
-    /// Whether new requests may go there.
+    /// Whether the endpoint accepts new requests.
     pub ready: bool,
 }
 
-/// A span of a sidecar's life.
+/// One run of a sidecar process.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct ProcessRun {
     /// The sidecar.
     pub sidecar: u32,
-    /// When it was ready.
-    pub from: Duration,
-    /// When it ended, or was killed.
-    pub until: Option<Duration>,
-    /// When it was told to drain.
-    pub told: Option<Duration>,
-    /// Whether it was killed.
+    /// When it started.
+    pub started: Duration,
+    /// When it exited or was killed.
+    pub ended: Option<Duration>,
+    /// When it received the order to drain (SIGTERM).
+    pub drain_requested: Option<Duration>,
+    /// Whether it was killed without warning.
     pub killed: bool,
 }
 
-/// An answer as it was written to a client's connection.
+/// A response as written to a client's connection.
 #[derive(Clone, Debug)]
-pub struct Written {
-    /// The connection, and the offset of the answer's first byte.
-    pub at: (u64, u64),
-    /// The answer.
-    pub answer: Answered,
+pub struct WrittenResponse {
+    /// The connection, and the offset of the response's first byte.
+    pub position: (u64, u64),
+    /// The response.
+    pub response: Response,
 }
 
 /// All facts of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
     /// Requests.
-    pub asked: Vec<Asked>,
+    pub requests: Vec<RequestRecord>,
     /// Attempts.
     pub attempts: Vec<Attempt>,
-    /// What sidecars wrote to clients.
-    pub written: Vec<Written>,
-    /// What ran.
-    pub effects: Vec<Effect>,
-    /// What was told.
-    pub told: Vec<Told>,
-    /// What discovery knew: endpoint, when, ready.
-    pub known: Vec<(u32, Duration, bool)>,
-    /// When discovery answered nobody, or not with what it knew.
-    pub dark: Vec<(Duration, Duration)>,
-    /// When endpoints started, those that did so during the run.
-    pub started: Vec<(u32, Duration)>,
-    /// The sidecars' lives.
-    pub lives: Vec<Life>,
-    /// When sidecars had no processor.
+    /// Responses that sidecars wrote to clients.
+    pub written_responses: Vec<WrittenResponse>,
+    /// Executions at endpoints.
+    pub executions: Vec<Execution>,
+    /// Notices to sidecars.
+    pub notices: Vec<EndpointNotice>,
+    /// State changes known to discovery: endpoint, time, ready.
+    pub discovery_states: Vec<(u32, Duration, bool)>,
+    /// Periods in which discovery was down or lagged.
+    pub discovery_outages: Vec<(Duration, Duration)>,
+    /// Endpoint starts during the run.
+    pub endpoint_starts: Vec<(u32, Duration)>,
+    /// Runs of the sidecar processes.
+    pub process_runs: Vec<ProcessRun>,
+    /// Periods in which a sidecar was paused.
     pub pauses: Vec<(u32, Duration, Duration)>,
-    /// What was still open at the end, in words.
-    pub open: Vec<String>,
-    /// Sidecars that ended with a problem of their own.
-    pub crashed: Vec<(u32, Duration, String)>,
+    /// Descriptions of what was still open at the end.
+    pub leftovers: Vec<String>,
+    /// Sidecars that ended with an error: number, time, message.
+    pub crashes: Vec<(u32, Duration, String)>,
 }
 
 impl Facts {
-    /// Gives each request that keeps to the protocol the answers that were written behind it on its connection, and
-    /// before those of the next one there.
-    pub fn assign(&mut self) {
-        let ons: Vec<(u64, u64)> = self.asked.iter().filter_map(|asked| asked.on).collect();
-        for asked in &mut self.asked {
-            let Some((link, from)) = asked.on else { continue };
-            let next =
-                ons.iter().filter(|(other, at)| *other == link && *at > from).map(|(_, at)| *at).min();
+    /// Assigns each valid request the responses that were written on its connection between it and the next request.
+    pub fn assign_responses(&mut self) {
+        let connections: Vec<(u64, u64)> =
+            self.requests.iter().filter_map(|request| request.connection).collect();
+        for request in &mut self.requests {
+            let Some((link, from)) = request.connection else { continue };
+            let next = connections
+                .iter()
+                .filter(|(other, at)| *other == link && *at > from)
+                .map(|(_, at)| *at)
+                .min();
             let until = next.unwrap_or(u64::MAX);
-            let here = self.written.iter().filter(|w| w.at.0 == link && w.at.1 >= from && w.at.1 < until);
-            asked.answers = here.map(|written| written.answer.clone()).collect();
+            let here = self
+                .written_responses
+                .iter()
+                .filter(|w| w.position.0 == link && w.position.1 >= from && w.position.1 < until);
+            request.responses = here.map(|written| written.response.clone()).collect();
         }
     }
 }
--- a/crates/sim/src/fleet/host.rs
+++ b/crates/sim/src/fleet/host.rs
@@ -1,5 +1,5 @@
-//! A simulated machine and the process on it: the real program in a task set of its own, which can be killed, stopped
-//! where it is, told to end, and started again.
+//! A simulated machine and its process: the production code in a task set of its own, which can be killed,
+//! frozen, asked to terminate, and restarted.
 
 use crate::fleet::disk::SimDisk;
 use crate::fleet::timeline;
@@ -14,7 +14,7 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::sleep;
 
-/// Which program a machine runs.
+/// The program that a machine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Program {
     /// The controller of a core machine.
@@ -23,31 +23,31 @@
     Agent(u32),
 }
 
-/// A controller that ended by itself is started again after this.
-const RESTART: Duration = Duration::from_millis(100);
+/// Delay before a controller that ended by itself is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(100);
 
 struct Process {
     gate: Rc<Gate>,
-    /// Where the process that runs now takes its events.
+    /// Channel for the events of the current process.
     events: Rc<RefCell<UnboundedSender<ProcessEvent>>>,
     task: JoinHandle<()>,
 }
 
-/// A machine.
+/// A simulated machine.
 pub struct Host {
     world: Rc<World>,
     program: Program,
-    /// The disk of a core machine.
+    /// The disk; used by core machines only.
     pub disk: Rc<SimDisk>,
     process: RefCell<Option<Process>>,
-    life: Cell<u32>,
+    start_number: Cell<u32>,
     frozen: Cell<bool>,
-    /// Faults that hold it down.
-    held: Cell<u32>,
+    /// Number of active faults that keep the machine down.
+    hold_count: Cell<u32>,
 }
 
 impl Host {
-    /// A machine with nothing running.
+    /// Creates a machine without a running process.
     pub fn new(world: Rc<World>, program: Program) -> Rc<Self> {
         let seed = match program {
             Program::Controller(core) => u64::from(core) + 1,
@@ -58,7 +58,7 @@
             world.script.seed ^ (seed << 32),
             Box::new(move |incarnation, value| {
                 if let Program::Controller(core) = program {
-                    watched.disk_holds(core, incarnation, value);
+                    watched.record_disk_state(core, incarnation, value);
                 }
             }),
         );
@@ -67,13 +67,13 @@
             program,
             disk,
             process: RefCell::default(),
-            life: Cell::new(0),
+            start_number: Cell::new(0),
             frozen: Cell::new(false),
-            held: Cell::new(0),
+            hold_count: Cell::new(0),
         })
     }
 
-    /// Its address.
+    /// The machine's address.
     pub fn ip(&self) -> Ipv4Addr {
         match self.program {
             Program::Controller(core) => core_ip(core),
@@ -81,21 +81,22 @@
         }
     }
 
-    /// How often its program has been started.
-    pub fn life(&self) -> u32 {
-        self.life.get()
+    /// Number of times that the program has been started.
+    pub fn start_number(&self) -> u32 {
+        self.start_number.get()
     }
 
-    /// Whether a process is there.
+    /// Whether the process is running.
     pub fn is_running(&self) -> bool {
         self.process.borrow().as_ref().is_some_and(|process| !process.task.is_finished())
     }
 
-    /// A fault holds it down, or does no longer; whether none does.
-    pub fn hold(&self, down: bool) -> bool {
-        let held = if down { self.held.get() + 1 } else { self.held.get().saturating_sub(1) };
-        self.held.set(held);
-        held == 0
+    /// Adds or removes a fault that keeps the machine down; returns whether none is left.
+    pub fn set_held(&self, down: bool) -> bool {
+        let hold_count =
+            if down { self.hold_count.get() + 1 } else { self.hold_count.get().saturating_sub(1) };
+        self.hold_count.set(hold_count);
+        hold_count == 0
     }
 
     fn name(&self) -> String {
@@ -105,12 +106,12 @@
         }
     }
 
-    /// Starts its program.
+    /// Starts the program unless it is running.
     pub fn start(&self, first_boot: bool) {
         if self.is_running() {
             return;
         }
-        self.life.set(self.life.get() + 1);
+        self.start_number.set(self.start_number.get() + 1);
         let (world, name) = (self.world.clone(), self.name());
         if let Program::Agent(agent) = self.program {
             let now = world.now();
@@ -120,7 +121,7 @@
             network: world.network(self.ip()),
             logger: timeline::logger(&name, world.traced),
         };
-        let (events, told) = unbounded_channel();
+        let (events, receiver) = unbounded_channel();
         let events = Rc::new(RefCell::new(events));
         let process = Supervised {
             world,
@@ -130,39 +131,39 @@
             environment,
             events: events.clone(),
         };
-        let process = process.run(told, first_boot);
+        let process = process.run(receiver, first_boot);
         let gate: Rc<Gate> = Rc::default();
         let task = spawn_local(Gated { gate: gate.clone(), inner: Box::pin(process) });
         gate.pause(self.frozen.get());
         *self.process.borrow_mut() = Some(Process { gate, events, task });
     }
 
-    /// Ends its process at once; with a loss of power nobody hears of it.
-    pub async fn kill(&self, power: bool) {
+    /// Kills the process at once. After a loss of power its peers are not notified.
+    pub async fn kill(&self, power_lost: bool) {
         let process = self.process.borrow_mut().take();
         let Some(process) = process else { return };
-        if power {
-            self.world.wires.lost_power(self.ip().into());
+        if power_lost {
+            self.world.network.lost_power(self.ip().into());
         } else {
-            self.world.wires.died(self.ip().into());
+            self.world.network.process_died(self.ip().into());
         }
         process.task.abort();
-        let _ = process.task.await; // an error says that it was aborted
-        self.disk.interrupted(power);
+        let _ = process.task.await; // fails with "cancelled", as the task was aborted
+        self.disk.process_stopped(power_lost);
     }
 
-    /// Tells its process something.
-    pub fn tell(&self, event: ProcessEvent) {
+    /// Sends an event to the process.
+    pub fn send_event(&self, event: ProcessEvent) {
         if let (ProcessEvent::Terminate, Program::Controller(core)) = (&event, self.program) {
-            self.world.told_to_end(core);
+            self.world.record_termination_request(core);
         }
         if let Some(process) = &*self.process.borrow() {
-            let _ = process.events.borrow().send(event); // it may just have ended
+            let _ = process.events.borrow().send(event); // fails if the process has just ended
         }
     }
 
-    /// Stops its process where it is, or lets it go on.
-    pub fn freeze(&self, frozen: bool) {
+    /// Freezes the process, or lets it resume.
+    pub fn set_frozen(&self, frozen: bool) {
         self.frozen.set(frozen);
         if let Some(process) = &*self.process.borrow() {
             process.gate.pause(frozen);
@@ -170,7 +171,7 @@
     }
 }
 
-/// A program with what starts it again where it is a controller that ends by itself.
+/// A program that is restarted if it is a controller and ends with an error.
 struct Supervised {
     world: Rc<World>,
     name: String,
@@ -181,31 +182,31 @@
 }
 
 impl Supervised {
-    async fn run(self, mut told: ProcessEvents, first_boot: bool) {
-        while let Err(problem) = self.run_once(told, first_boot).await {
+    async fn run(self, mut receiver: ProcessEvents, first_boot: bool) {
+        while let Err(problem) = self.run_once(receiver, first_boot).await {
             let now = self.world.now();
-            self.world.facts.borrow_mut().crashed.push((self.name.clone(), now, problem));
+            self.world.facts.borrow_mut().exits.push((self.name.clone(), now, problem));
             if matches!(self.program, Program::Agent(_)) {
                 return;
             }
-            sleep(RESTART).await;
-            let (events, heard) = unbounded_channel();
+            sleep(RESTART_DELAY).await;
+            let (events, new_receiver) = unbounded_channel();
             *self.events.borrow_mut() = events;
-            told = heard;
+            receiver = new_receiver;
         }
         if let Program::Controller(core) = self.program {
-            self.world.ended(core);
+            self.world.record_termination(core);
         }
     }
 
-    async fn run_once(&self, told: ProcessEvents, first_boot: bool) -> Result<(), String> {
+    async fn run_once(&self, receiver: ProcessEvents, first_boot: bool) -> Result<(), String> {
         if let Program::Controller(core) = self.program {
             let now = self.world.now();
             self.world.facts.borrow_mut().core_starts.push((core, now));
         }
         let set = LocalSet::new();
         let (world, disk) = (self.world.clone(), self.disk.clone());
-        let running = run(world, self.program, disk, self.environment.clone(), told, first_boot);
+        let running = run(world, self.program, disk, self.environment.clone(), receiver, first_boot);
         set.run_until(running).await
     }
 }
--- a/crates/sim/tests/fleet.rs
+++ b/crates/sim/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The control plane in virtual time: fixed seeds, the same run for the same seed, and planted errors.
+//! Tests of the control plane's simulator: fixed seeds break no rule, runs are reproducible, and planted
+//! errors are found.
 
 mod support;
 
@@ -11,68 +12,68 @@
 use support::{each, last_line_of, scripts_in};
 
 #[test]
-fn no_seed_of_the_fixed_set_breaks_a_rule() {
+fn fixed_seeds_break_no_rule() {
     each(0..100, |seed| {
         let outcome = run(&draw::script(seed), false);
-        assert!(outcome.breaches.is_empty(), "seed {seed}: {}", outcome.breaches[0]);
-        assert!(outcome.facts.last_acknowledged, "seed {seed}: nothing was acknowledged at the end");
+        assert!(outcome.violations.is_empty(), "seed {seed}: {}", outcome.violations[0]);
+        assert!(outcome.facts.last_acknowledged, "seed {seed}: the final change was not acknowledged");
     });
 }
 
-/// The last line of `fleet play`, which has the hash of all that went over the network and all that was seen.
-fn in_a_process(seed: u64) -> String {
+/// The last line printed by `fleet play`, which contains the hash of the run.
+fn last_line_of_play(seed: u64) -> String {
     last_line_of(&["fleet", "play", &seed.to_string()])
 }
 
 #[test]
-fn the_same_seed_is_the_same_run_in_another_process() {
+fn a_seed_gives_the_same_run_in_another_process() {
     each(0..16, |seed| {
-        let there = in_a_process(seed);
+        let there = last_line_of_play(seed);
         let here = format!("hash {:016x};", run(&draw::script(seed), false).hash);
         assert!(there.contains(&here), "seed {seed}: {there}, here {here}");
     });
-    assert_ne!(in_a_process(1), in_a_process(2));
+    assert_ne!(last_line_of_play(1), last_line_of_play(2));
 }
 
-/// Seeds in which several tasks of a controller wait for one write of leaves.
-const LEAVES_AT_ONCE: [u64; 4] = [12, 20, 22, 24];
-/// Where such waiters woke in random order, each of these seeds had two hashes or more, the rarer one in 3 of 8 runs at
-/// least: with this many runs the first three alone miss that once in some 8,000 times.
-const RUNS: usize = 6;
+/// Seeds in which several tasks of a controller wait for the same write of leaves.
+const CONCURRENT_LEAVE_SEEDS: [u64; 4] = [12, 20, 22, 24];
+/// When such waiters woke in random order, each of these seeds gave two hashes or more, the rarer one in at
+/// least 3 of 8 runs. With this many runs, the first three seeds alone miss that once in some 8,000 times.
+const REPEATS: usize = 6;
 
 #[test]
-fn a_run_is_the_same_each_time_though_leaves_wait_for_a_disk_together() {
-    each(0..LEAVES_AT_ONCE.len() as u64, |number| {
-        let script = draw::script(LEAVES_AT_ONCE[number as usize]);
-        let hashes: BTreeSet<u64> = (0..RUNS).map(|_| run(&script, false).hash).collect();
+fn concurrent_waits_for_a_disk_do_not_change_a_run() {
+    each(0..CONCURRENT_LEAVE_SEEDS.len() as u64, |number| {
+        let script = draw::script(CONCURRENT_LEAVE_SEEDS[number as usize]);
+        let hashes: BTreeSet<u64> = (0..REPEATS).map(|_| run(&script, false).hash).collect();
         assert_eq!(hashes.len(), 1, "seed {}: {hashes:x?}", script.seed);
     });
 }
 
 #[test]
-fn what_is_written_down_is_what_was_drawn() {
+fn scripts_survive_serialization() {
     for seed in 0..100 {
         let script = draw::script(seed);
-        let text = serde_json::to_string(&script).expect("a script is data");
-        assert_eq!(serde_json::from_str::<Script>(&text).expect("the same"), script);
+        let text = serde_json::to_string(&script).expect("scripts can be serialized");
+        assert_eq!(serde_json::from_str::<Script>(&text).expect("the script is valid JSON"), script);
     }
 }
 
-/// A lost disk counts as lost for so long after its machine is back.
-const SETTLE: u32 = 4_000;
-/// Nothing else is harmed for so long before an older disk is put back.
-const QUIET: u32 = 5_000;
+/// A lost disk counts as lost for this long after its machine is back, in milliseconds.
+const REPAIR_MS: u32 = 4_000;
+/// No other fault occurs for this long before a disk is rolled back, in milliseconds.
+const QUIET_MS: u32 = 5_000;
 
-/// Losses of disks: when, and until when they count.
+/// Start of each loss of a disk, and the time until which it counts, in milliseconds.
 fn lost_disks(script: &Script) -> Vec<(u32, u32)> {
     let lost = script.faults.iter().filter(|fault| {
         matches!(fault, Fault::Wipe { .. } | Fault::Replace { .. } | Fault::OlderDisk { .. })
     });
-    lost.map(|fault| (fault.span().0, fault.span().0 + fault.span().1 + SETTLE)).collect()
+    lost.map(|fault| (fault.span().0, fault.span().0 + fault.span().1 + REPAIR_MS)).collect()
 }
 
 #[test]
-fn no_more_disks_are_lost_at_once_than_the_tolerance_bears() {
+fn concurrent_disk_losses_stay_within_the_tolerance() {
     let mut most = 0;
     for seed in 0..3_000 {
         let script = draw::script(seed);
@@ -83,15 +84,15 @@
             most = most.max(at_once);
         }
     }
-    assert_eq!(most, 2, "two at once where five machines bear that");
+    assert_eq!(most, 2, "five machines tolerate two losses at once");
 }
 
 #[test]
-fn older_disks_are_drawn_and_nothing_else_is_harmed_shortly_before() {
+fn disk_rollbacks_are_generated_without_other_faults_nearby() {
     let mut drawn = 0;
     for seed in 0..1_000 {
         let script = draw::script(seed);
-        let harmful = |fault: &&Fault| {
+        let is_harmful = |fault: &&Fault| {
             !matches!(
                 fault,
                 Fault::SlowLinks { .. }
@@ -103,13 +104,14 @@
                     | Fault::AgentFreeze { .. }
             )
         };
-        for older in script.faults.iter().filter(|fault| matches!(fault, Fault::OlderDisk { .. })) {
-            let (at, lasts) = older.span();
-            let near = |fault: &&Fault| {
+        for rollback in script.faults.iter().filter(|fault| matches!(fault, Fault::OlderDisk { .. })) {
+            let (at, lasts) = rollback.span();
+            let overlaps = |fault: &&Fault| {
                 let (from, lasting) = fault.span();
-                from < at + lasts + SETTLE && from + lasting + QUIET > at
+                from < at + lasts + REPAIR_MS && from + lasting + QUIET_MS > at
             };
-            let others = script.faults.iter().filter(|fault| *fault != older).filter(harmful).filter(near);
+            let others =
+                script.faults.iter().filter(|fault| *fault != rollback).filter(is_harmful).filter(overlaps);
             assert_eq!(others.count(), 0, "seed {seed}");
             drawn += 1;
         }
@@ -118,23 +120,23 @@
 }
 
 #[test]
-fn scripts_of_what_was_found_and_mended_break_no_rule() {
+fn scripts_of_fixed_faults_break_no_rule() {
     for (path, script) in scripts_in::<Script>("fleet_scripts") {
         let outcome = run(&script, false);
-        assert!(outcome.breaches.is_empty(), "{}: {}", path.display(), outcome.breaches[0]);
+        assert!(outcome.violations.is_empty(), "{}: {}", path.display(), outcome.violations[0]);
     }
 }
 
 #[test]
-fn a_leave_that_is_not_read_at_the_start_is_found() {
+fn leaves_not_read_at_start_are_found() {
     let text = include_str!("fleet_scripts/frozen_agent_and_all_killed.json");
     let script: Script = serde_json::from_str(text).expect("a script");
     let outcome = mutants::with(Some("leaves-not-read"), || run(&script, false));
-    assert!(outcome.breaches.iter().any(|breach| breach.rule == Rule::LeaverHeard));
+    assert!(outcome.violations.iter().any(|violation| violation.rule == Rule::LeaverHeard));
 }
 
-/// Seeds that show a planted error; `runtrack-sim fleet mutants` measures how many it takes.
-const SHOWN_BY: [(&str, u64); 30] = [
+/// Seeds that find a planted error; `runtrack-sim fleet mutants` measures how many seeds that takes.
+const MUTANT_SEEDS: [(&str, u64); 30] = [
     ("amendment-loses-items", 6),
     ("heartbeats-out-of-contact", 14),
     ("contact-of-one-side", 25),
@@ -160,39 +162,39 @@
     ("older-disk-goes-on", 30),
     ("ballot-without-boot", 0),
     ("commit-of-any-ballot", 3),
-    ("told-before-committed", 10),
+    ("announced-before-committed", 10),
     ("confirmed-when-asked", 11),
     ("confirmed-before-merged", 189),
     ("leave-confirmed-before-durable", 58),
     ("leaves-not-read", 2),
 ];
-/// Runs that the test of shrinking may take.
+/// Most runs that shrinking may take in the test.
 const SHRINK_RUNS: usize = 40;
 
 #[test]
 fn each_planted_error_is_found_by_its_seed() {
     let names: Vec<&str> = MUTANTS.iter().map(|mutant| mutant.name).collect();
-    each(0..SHOWN_BY.len() as u64, |number| {
-        let (name, seed) = SHOWN_BY[number as usize];
+    each(0..MUTANT_SEEDS.len() as u64, |number| {
+        let (name, seed) = MUTANT_SEEDS[number as usize];
         assert!(names.contains(&name), "{name}");
         let outcome = mutants::with(Some(name), || run(&draw::script(seed), false));
-        assert!(!outcome.breaches.is_empty(), "{name}: seed {seed} breaks nothing");
+        assert!(!outcome.violations.is_empty(), "{name}: seed {seed} breaks no rule");
     });
 }
 
 #[test]
-fn a_script_that_breaks_a_rule_becomes_a_small_one_with_a_timeline() {
-    let (name, seed) = SHOWN_BY[0];
+fn a_failing_script_is_shrunk_and_has_a_timeline() {
+    let (name, seed) = MUTANT_SEEDS[0];
     let script = draw::script(seed);
     let (small, again) = mutants::with(Some(name), || {
-        let rule = run(&script, false).breaches.first().expect("it breaks a rule").rule;
+        let rule = run(&script, false).violations.first().expect("it breaks a rule").rule;
         let (small, _) = shrink::shrink(&script, rule, SHRINK_RUNS);
         let again = run(&small, true);
-        assert!(again.breaches.iter().any(|breach| breach.rule == rule));
+        assert!(again.violations.iter().any(|violation| violation.rule == rule));
         (small, again)
     });
     assert!(small.faults.len() + small.requests.len() < script.faults.len() + script.requests.len());
-    let text = timeline::whole(&small, &again.facts, &again.log, &again.breaches);
+    let text = timeline::render(&small, &again.facts, &again.log, &again.violations);
     assert!(text.contains("controller.start") && text.contains("BROKEN"), "{text}");
-    assert!(run(&small, false).breaches.is_empty(), "without the error it breaks nothing");
+    assert!(run(&small, false).violations.is_empty(), "without the planted error it breaks no rule");
 }
--- a/crates/sim/tests/fleet_oracle_disks.rs
+++ b/crates/sim/tests/fleet_oracle_disks.rs
@@ -1,9 +1,11 @@
-//! The oracle of the control plane, shown what disks of members held: histories that break a promise about copies and
-//! changes of members, each beside a sound one.
+//! Tests of the control plane's oracle on what members' disks held: for each rule about copies and
+//! membership changes, a record that breaks it and one that does not.
 
 use runtrack_sim::fleet::draw;
-use runtrack_sim::fleet::facts::{Answer, Asked, Call, DiskState, Ending, Facts, MemberId, Order, PutBack};
-use runtrack_sim::fleet::oracle::{Rule, judge};
+use runtrack_sim::fleet::facts::{
+    Answer, Call, CallKind, ConfigChange, DiskRollback, DiskState, Facts, MemberId, Termination,
+};
+use runtrack_sim::fleet::oracle::{Rule, check};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -15,21 +17,21 @@
     members.iter().map(|core| (*core, 0)).collect()
 }
 
-/// What a disk holds: a value of this sequence number and version, with the first members.
+/// A disk holds a value with this sequence number and version, with the initial members.
 fn state(core: u32, at: u64, sequence: u64, version: u64) -> DiskState {
     let sets = vec![set(&[0, 1, 2])];
     DiskState { core, at: ms(at), incarnation: 0, sequence, version, sets }
 }
 
-/// A change of members as a disk shows it.
+/// A membership change as a disk shows it.
 fn change(core: u32, at: u64, sequence: u64, sets: &[&[u32]]) -> DiskState {
     let sets = sets.iter().map(|members| set(members)).collect();
     DiskState { sets, ..state(core, at, sequence, 2) }
 }
 
-fn replace(order: usize, began: u64) -> Call {
+fn replace(change: usize, began: u64) -> Call {
     Call {
-        asked: Asked::Replace(order),
+        asked: CallKind::Replace(change),
         core: 0,
         began: ms(began),
         ended: Some(ms(began + 10)),
@@ -41,112 +43,127 @@
 }
 
 /// Two acknowledged versions, on all disks.
-fn sound() -> Facts {
-    let order = |base, marker| Order { base, version: base + 1, marker, valid: true };
+fn valid_facts() -> Facts {
+    let config_change = |base, marker| ConfigChange { base, version: base + 1, marker, valid: true };
     let mut facts = Facts {
-        orders: vec![order(0, 0), order(1, 1)],
+        changes: vec![config_change(0, 0), config_change(1, 1)],
         calls: vec![replace(0, 100), replace(1, 5_000)],
         last_acknowledged: true,
-        healed: ms(12_000),
+        healed_at: ms(12_000),
         end: ms(20_000),
         ..Facts::default()
     };
     for core in 0..3 {
-        facts.disks.insert(core, Some((2, 1)));
+        facts.final_disks.insert(core, Some((2, 1)));
         facts.disk_states.extend([state(core, 0, 0, 0), state(core, 105, 1, 1), state(core, 5_005, 2, 2)]);
     }
     facts.disk_states.sort_by_key(|state| state.at);
     facts
 }
 
-fn broken(change: impl Fn(&mut Facts)) -> Vec<Rule> {
+fn violated_rules(change: impl Fn(&mut Facts)) -> Vec<Rule> {
     let mut script = draw::script(0);
     (script.cores, script.tolerance, script.agents) = (3, 1, 0);
-    let mut facts = sound();
+    let mut facts = valid_facts();
     change(&mut facts);
-    judge(&script, &facts).into_iter().map(|breach| breach.rule).collect()
+    check(&script, &facts).into_iter().map(|violation| violation.rule).collect()
 }
 
-/// One history breaks the rule, and the other one does not.
+/// Asserts that the first record breaks the rule and the second does not.
 #[track_caller]
-fn tells_apart(rule: Rule, bad: impl Fn(&mut Facts), good: impl Fn(&mut Facts)) {
-    let (bad, good) = (broken(bad), broken(good));
+fn assert_distinguishes(rule: Rule, bad: impl Fn(&mut Facts), good: impl Fn(&mut Facts)) {
+    let (bad, good) = (violated_rules(bad), violated_rules(good));
     assert!(bad.contains(&rule), "{bad:?}");
     assert!(!good.contains(&rule), "{good:?}");
 }
 
-/// This disk has missed the second version.
-fn misses(facts: &mut Facts, core: u32) {
+/// Makes a disk lack the second version.
+fn lose_second_version(facts: &mut Facts, core: u32) {
     facts.disk_states.retain(|state| state.core != core || state.sequence < 2);
 }
 
 #[test]
-fn a_sound_history_breaks_nothing() {
-    assert_eq!(broken(|_| {}), []);
+fn a_valid_record_breaks_no_rule() {
+    assert_eq!(violated_rules(|_| {}), []);
 }
 
 #[test]
-fn a_member_that_goes_on_with_an_older_disk_is_found_and_another_one_there_is_not() {
-    let goes_on = |facts: &mut Facts, incarnation: u64| {
-        let back = PutBack { core: 0, at: ms(6_000), incarnation: 0, sequence: 1, older: true };
-        facts.put_backs.push(back);
+fn a_member_that_resumes_from_an_older_disk_is_found() {
+    let resumes = |facts: &mut Facts, incarnation: u64| {
+        let back = DiskRollback { core: 0, at: ms(6_000), incarnation: 0, sequence: 1, is_stale: true };
+        facts.disk_rollbacks.push(back);
         facts
             .disk_states
             .extend([state(0, 6_000, 1, 1), DiskState { incarnation, ..state(0, 6_500, 3, 2) }]);
     };
-    tells_apart(Rule::OlderDisk, |facts| goes_on(facts, 0), |facts| goes_on(facts, 7));
+    assert_distinguishes(Rule::OlderDisk, |facts| resumes(facts, 0), |facts| resumes(facts, 7));
     let current = |facts: &mut Facts| {
-        goes_on(facts, 0);
-        facts.put_backs[0].older = false;
+        resumes(facts, 0);
+        facts.disk_rollbacks[0].is_stale = false;
     };
-    assert_eq!(broken(current), [], "nothing was missing on the copy");
+    assert_eq!(violated_rules(current), [], "the restored state was current");
 }
 
 #[test]
-fn only_an_older_disk_ends_a_process() {
-    let ends = |facts: &mut Facts| facts.crashed.push(("core-0".to_owned(), ms(6_100), "why".to_owned()));
+fn a_process_may_end_only_after_a_disk_rollback() {
+    let ends = |facts: &mut Facts| facts.exits.push(("core-0".to_owned(), ms(6_100), "why".to_owned()));
     let older = |facts: &mut Facts| {
         ends(facts);
-        facts.put_backs.push(PutBack { core: 0, at: ms(6_000), incarnation: 0, sequence: 1, older: true });
+        facts.disk_rollbacks.push(DiskRollback {
+            core: 0,
+            at: ms(6_000),
+            incarnation: 0,
+            sequence: 1,
+            is_stale: true,
+        });
     };
-    tells_apart(Rule::Runs, ends, older);
+    assert_distinguishes(Rule::Runs, ends, older);
 }
 
 #[test]
-fn a_member_that_ends_before_the_others_hold_its_value_is_found() {
+fn termination_before_the_others_hold_the_value_is_found() {
     let ends = |facts: &mut Facts, ended: u64| {
-        misses(facts, 1);
-        facts.endings.push(Ending { core: 0, told: ms(8_000), ended: Some(ms(ended)) });
+        lose_second_version(facts, 1);
+        facts.terminations.push(Termination { core: 0, requested: ms(8_000), ended: Some(ms(ended)) });
     };
-    tells_apart(Rule::HandsOver, |facts| ends(facts, 8_400), |facts| ends(facts, 10_000));
+    assert_distinguishes(Rule::HandsOver, |facts| ends(facts, 8_400), |facts| ends(facts, 10_000));
     let all_hold_it = |facts: &mut Facts| {
         ends(facts, 8_400);
         facts.disk_states.push(state(1, 8_200, 2, 2));
     };
-    tells_apart(Rule::HandsOver, |facts| ends(facts, 8_400), all_hold_it);
+    assert_distinguishes(Rule::HandsOver, |facts| ends(facts, 8_400), all_hold_it);
 }
 
 #[test]
-fn a_copy_that_is_not_made_up_for_is_found_though_nothing_changes_any_more() {
+fn a_missed_copy_that_is_not_repaired_is_found() {
     let late = |facts: &mut Facts, at: u64| {
-        misses(facts, 2);
+        lose_second_version(facts, 2);
         facts.disk_states.push(state(2, at, 2, 2));
     };
-    tells_apart(Rule::Copies, |facts| late(facts, 18_000), |facts| late(facts, 16_000));
+    assert_distinguishes(Rule::Copies, |facts| late(facts, 18_000), |facts| late(facts, 16_000));
 }
 
 #[test]
-fn two_changes_at_once_are_found() {
+fn two_membership_changes_at_once_are_found() {
     let changes = |facts: &mut Facts, next: &[u32]| {
         facts.disk_states.push(change(0, 9_000, 3, &[&[0, 1, 2], next]));
     };
-    tells_apart(Rule::OneChange, |facts| changes(facts, &[0, 3, 4]), |facts| changes(facts, &[0, 1, 3]));
-    tells_apart(Rule::OneChange, |facts| changes(facts, &[0]), |facts| changes(facts, &[0, 1, 2, 3]));
+    assert_distinguishes(
+        Rule::OneChange,
+        |facts| changes(facts, &[0, 3, 4]),
+        |facts| changes(facts, &[0, 1, 3]),
+    );
+    assert_distinguishes(
+        Rule::OneChange,
+        |facts| changes(facts, &[0]),
+        |facts| changes(facts, &[0, 1, 2, 3]),
+    );
 }
 
 #[test]
-fn a_change_before_the_copies_of_the_one_before_is_found() {
-    // Members are four from 9.1 s on, which core 2 does not hold; the next change begins at this time.
+fn a_change_before_the_previous_one_is_copied_is_found() {
+    // There are four members from 9.1 s on, which core 2 does not know; the next change begins at the given
+    // time.
     let changes = |facts: &mut Facts, at: u64| {
         for core in [0, 1, 3] {
             facts.disk_states.push(change(core, 9_000, 3, &[&[0, 1, 2], &[0, 1, 2, 3]]));
@@ -154,12 +171,12 @@
         }
         facts.disk_states.push(change(0, at, 5, &[&[0, 1, 2, 3], &[1, 2, 3]]));
     };
-    tells_apart(Rule::CopiesFirst, |facts| changes(facts, 9_300), |facts| changes(facts, 10_200));
+    assert_distinguishes(Rule::CopiesFirst, |facts| changes(facts, 9_300), |facts| changes(facts, 10_200));
     let copied = |facts: &mut Facts| {
         facts.disk_states.push(change(2, 9_200, 4, &[&[0, 1, 2, 3]]));
         changes(facts, 9_300);
     };
-    tells_apart(Rule::CopiesFirst, |facts| changes(facts, 9_300), copied);
+    assert_distinguishes(Rule::CopiesFirst, |facts| changes(facts, 9_300), copied);
 }
 
 #[test]
@@ -168,22 +185,22 @@
         facts.disk_states.push(state(3, 8_900, version, version));
         facts.disk_states.push(change(0, 9_000, 3, &[&[0, 1, 2], &[0, 1, 2, 3]]));
     };
-    tells_apart(Rule::JoinsWhole, |facts| joins(facts, 1), |facts| joins(facts, 2));
+    assert_distinguishes(Rule::JoinsWhole, |facts| joins(facts, 1), |facts| joins(facts, 2));
 }
 
 #[test]
-fn a_member_that_is_wiped_before_it_joins_is_found_where_that_could_be_known() {
-    // It holds the newest version, and its disk is empty from this time on.
+fn a_member_wiped_before_it_joins_is_found_if_that_was_knowable() {
+    // Core 3 holds the newest version until its disk becomes empty at the given time.
     let wiped = |facts: &mut Facts, at: u64| {
         facts.disk_states.push(state(3, 8_000, 2, 2));
         facts.disk_states.push(DiskState { incarnation: 0, ..state(3, at, 0, 0) });
         facts.disk_states.push(change(0, 9_000, 3, &[&[0, 1, 2], &[0, 1, 2, 3]]));
     };
-    tells_apart(Rule::JoinsWhole, |facts| wiped(facts, 8_300), |facts| wiped(facts, 8_990));
+    assert_distinguishes(Rule::JoinsWhole, |facts| wiped(facts, 8_300), |facts| wiped(facts, 8_990));
 }
 
 #[test]
-fn a_member_that_is_replaced_though_it_is_well_is_found() {
+fn removal_of_a_healthy_member_is_found() {
     let replaced = |facts: &mut Facts| {
         facts.disk_states.push(state(3, 8_900, 2, 2));
         facts.disk_states.push(change(0, 9_000, 3, &[&[0, 1, 2], &[0, 1, 3]]));
@@ -193,5 +210,5 @@
         facts.disk_states.insert(0, DiskState { incarnation: 7, ..state(2, 8_000, 0, 0) });
         facts.disk_states.sort_by_key(|state| state.at);
     };
-    tells_apart(Rule::MemberStays, replaced, ended);
+    assert_distinguishes(Rule::MemberStays, replaced, ended);
 }
