--- a/crates/sim/src/campaign.rs
+++ b/crates/sim/src/campaign.rs
@@ -61,7 +61,7 @@
 
 /// Writes a script (JSON).
 pub fn write_script(path: &Path, script: &impl Serialize) -> Result<(), String> {
-    let text = serde_json::to_string_pretty(script).unwrap_or_default(); // fails only for maps with odd keys
+    let text = serde_json::to_string_pretty(script).unwrap_or_default(); // fails only for maps whose keys are not strings
     std::fs::write(path, text + "\n").map_err(with_path(path))
 }
 
--- a/crates/sim/src/draw.rs
+++ b/crates/sim/src/draw.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// The script of a seed.
+/// Generates the script of a seed.
 pub fn script(seed: u64) -> Script {
     let mut d = Draws(Pcg32::seed_from_u64(seed));
     let sidecars = d.of(1, 2);
--- a/crates/sim/src/oracle.rs
+++ b/crates/sim/src/oracle.rs
@@ -351,14 +351,15 @@
         // Of two notices with the same arrival time the later written one counts.
         let notice = notice.max_by_key(|notice| notice.at);
         let last_drain_notice = notice.filter(|notice| !notice.ready).map(|notice| notice.at);
-        let fact = facts
+        let state_change = facts
             .discovery_states
             .iter()
             .filter(|(e, at, _)| *e == endpoint && *at <= attempt.first_byte)
             .max_by_key(|k| k.1);
         // A drain that was not received counts as known once it could have been.
-        let notice_due =
-            fact.filter(|(.., ready)| !ready).and_then(|(_, at, _)| notice_deadline(facts, sidecar, *at));
+        let notice_due = state_change
+            .filter(|(.., ready)| !ready)
+            .and_then(|(_, at, _)| notice_deadline(facts, sidecar, *at));
         let since = first_notice(facts, sidecar, endpoint, last_drain_notice);
         let known_since = [since, notice_due].into_iter().flatten().min();
         let Some(known_since) = known_since else { continue };
--- a/crates/sim/tests/agreement.rs
+++ b/crates/sim/tests/agreement.rs
@@ -20,7 +20,7 @@
     assert!(again.iter().all(|(a, b)| a == b) && again[0] != again[1]);
 }
 
-/// Guards against a panic of the consensus library: a leader applies its own removal, which an earlier leader had put into
+/// Guards against a panic of the consensus library: a leader applies its own removal, which another leader had put into
 /// the log, and the library cannot continue with a leader that is not a member, at the next message or in the same tick.
 #[test]
 fn a_removed_leader_stops_participating() {
