--- a/crates/scale/src/endpoints.rs
+++ b/crates/scale/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for endpoints: simulated ones that only say that they are there, and some that answer with streams.
+//! Simulated endpoints that send heartbeats and respond with event streams.
 
 use crate::operator::{connect, post};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -8,37 +8,37 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How often an endpoint tells that it is there.
+/// Interval of heartbeats.
 pub const HEARTBEAT: Duration = Duration::from_millis(1200);
-/// Events of a stream, and the pause between them.
-const EVENTS: usize = 12;
-const PAUSE: Duration = Duration::from_millis(30);
+/// Number of events of a stream, and the interval between them.
+const EVENTS_PER_STREAM: usize = 12;
+const EVENT_INTERVAL: Duration = Duration::from_millis(30);
 
-/// A heartbeat's body.
+/// Body of a heartbeat.
 pub fn heartbeat(address: SocketAddrV4, state: &str, call_seq: u64) -> String {
     format!(
         r#"{{"service":"llm","address":"{address}","zone":"here","version":"v1","capacity":64,"state":"{state}","coldLeftMs":0,"stage":"hybrid","models":[{{"name":"m","version":1,"adapters":[]}}],"callSeq":{call_seq}}}"#
     )
 }
 
-/// Path of an endpoint's heartbeats.
-pub fn path(id: &str) -> String {
+/// Path for the heartbeats of an endpoint.
+pub fn heartbeat_path(id: &str) -> String {
     format!("/runtrack/instances/{id}/heartbeat")
 }
 
-/// An endpoint that answers with streams, and says that it is there.
-pub async fn serve(id: String, members: Vec<SocketAddrV4>) -> Result<(), String> {
+/// Starts an endpoint that serves streams and sends heartbeats to the first member that accepts them.
+pub async fn start_endpoint(id: String, members: Vec<SocketAddrV4>) -> Result<(), String> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.map_err(|error| error.to_string())?;
     let std::net::SocketAddr::V4(address) = listener.local_addr().map_err(|error| error.to_string())?
     else {
-        return Err("an address of another kind".to_owned());
+        return Err("the listener has no IPv4 address".to_owned());
     };
     let own = id.clone();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let id = own.clone();
             spawn_local(async move {
-                let _ = answer_streams(stream, &id).await; // who called has gone
+                let _ = answer_streams(stream, &id).await; // the client may have disconnected
             });
         }
     });
@@ -46,7 +46,7 @@
         for call_seq in 1.. {
             for member in &members {
                 if let Some(mut sender) = connect(*member).await
-                    && post(&mut sender, &path(&id), None, heartbeat(address, "ready", call_seq))
+                    && post(&mut sender, &heartbeat_path(&id), None, heartbeat(address, "ready", call_seq))
                         .await
                         .is_some_and(|status| status.is_success())
                 {
@@ -89,8 +89,8 @@
              Transfer-Encoding: chunked\r\n\r\n"
         );
         stream.write_all(head.as_bytes()).await?;
-        for event in after + 1..=EVENTS {
-            sleep(PAUSE).await;
+        for event in after + 1..=EVENTS_PER_STREAM {
+            sleep(EVENT_INTERVAL).await;
             let event = format!("id: {event}\ndata: piece {event} of {id}\n\n");
             stream.write_all(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes()).await?;
         }
