--- a/crates/model/src/check.rs
+++ b/crates/model/src/check.rs
@@ -144,7 +144,7 @@
                     format!("zone `{}` is not declared: add it to [zones]", endpoint.zone)
                 });
                 errors
-                    .check(endpoint.address.port() != 0, at("address"), || "port 0 is no port".to_owned());
+                    .check(endpoint.address.port() != 0, at("address"), || "port 0 is invalid".to_owned());
                 if let Some(other) = taken.insert(endpoint.address, id) {
                     let what = || format!("{} is endpoint `{other}`'s already", endpoint.address);
                     errors.check(false, at("address"), what);
@@ -159,10 +159,10 @@
             let at = |field: &str| format!("listener.{name}.{field}");
             check_name(errors, name, &format!("listener.{name}"));
             errors.check(listener.address.is_some() || listener.api, format!("listener.{name}"), || {
-                "nobody can reach it: give it an `address`, `api = true`, or both".to_owned()
+                "is unreachable: give it an `address`, `api = true`, or both".to_owned()
             });
             if let Some(address) = listener.address {
-                errors.check(address.port() != 0, at("address"), || "port 0 is no port".to_owned());
+                errors.check(address.port() != 0, at("address"), || "port 0 is invalid".to_owned());
                 if let Some(other) = taken.insert(address, name) {
                     let what = || format!("{address} is listener `{other}`'s already");
                     errors.check(false, at("address"), what);
@@ -184,11 +184,11 @@
                     format!("`{}` does not begin with `/`", route.prefix)
                 });
                 errors.check(!route.hosts.is_empty(), at("hosts"), || {
-                    "names no host: use \"*\" for all".to_owned()
+                    "has no host: use \"*\" for all".to_owned()
                 });
                 for host in &route.hosts {
                     errors.check(is_valid_host(host), at("hosts"), || {
-                        format!("`{host}` is no host: `name`, `*.suffix`, `prefix.*` or `*`")
+                        format!("`{host}` is not a valid host: write `name`, `*.suffix`, `prefix.*` or `*`")
                     });
                     if let Some(other) = matches.insert((host, &route.prefix), &route.name) {
                         let what = || format!("route `{other}` before it matches the same host and prefix");
@@ -202,10 +202,10 @@
                         suggest(&route.class, self.classes.keys())
                     )
                 });
-                errors.check(!route.to.is_empty(), here.clone(), || "goes to no pool".to_owned());
+                errors.check(!route.to.is_empty(), here.clone(), || "has no destination pool".to_owned());
                 let sum: u64 = route.to.iter().map(|share| u64::from(share.weight)).sum();
                 errors.check(route.to.is_empty() || sum > 0, at("pools"), || {
-                    "the weights sum to 0: no pool would be sent to".to_owned()
+                    "the weights sum to 0: no pool would get requests".to_owned()
                 });
                 errors.check(sum <= u64::from(u32::MAX), at("pools"), || {
                     format!("the weights sum to {sum}; proxies take at most {}", u32::MAX)
@@ -236,7 +236,7 @@
     let good = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
     let fits = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(good);
     errors.check(fits, path, || {
-        format!("`{name}` is no name: 1 to {MAX_NAME_BYTES} letters, digits, `.`, `_` and `-`")
+        format!("`{name}` is not a valid name: use 1 to {MAX_NAME_BYTES} letters, digits, `.`, `_` and `-`")
     });
 }
 
--- a/crates/model/src/read.rs
+++ b/crates/model/src/read.rs
@@ -133,7 +133,7 @@
     let source = match platform {
         Some(address) => {
             if let Some(first) = tables.first() {
-                let what = "the pool asks the platform: remove `platform` or the endpoints";
+                let what = "the pool uses the platform's discovery: remove `platform` or the endpoints";
                 table.text.problem(first.at, &first.path, what);
             }
             Source::Platform(address)
--- a/crates/model/src/toml.rs
+++ b/crates/model/src/toml.rs
@@ -152,7 +152,7 @@
                 _ => return Err(None),
             };
             let number: Option<f64> = text.replace('_', "").parse().ok();
-            number.filter(|n| n.is_finite()).ok_or_else(|| Some(format!("{text} is no finite number")))
+            number.filter(|n| n.is_finite()).ok_or_else(|| Some(format!("{text} is not a finite number")))
         })
     }
 
@@ -174,7 +174,7 @@
         self.read(key, "a whole number", |v| {
             let integer = v.as_integer().ok_or(None)?;
             u64::from_str_radix(&integer.as_str().replace('_', ""), integer.radix())
-                .map_err(|_| Some(format!("{} is no whole number from 0 on", integer.as_str())))
+                .map_err(|_| Some(format!("{} is not a non-negative whole number", integer.as_str())))
         })
     }
 
@@ -182,7 +182,7 @@
         self.read(key, "a time such as \"250ms\" or \"2s\"", |v| match v {
             DeValue::String(text) => parse_duration(text).map_err(Some),
             DeValue::Integer(n) => {
-                Err(Some(format!("{0} of what? Write the unit: \"{0}ms\" or \"{0}s\"", n.as_str())))
+                Err(Some(format!("{0} has no unit: write \"{0}ms\" or \"{0}s\"", n.as_str())))
             }
             _ => Err(None),
         })
@@ -192,7 +192,7 @@
         self.read(key, "an address and port such as \"127.0.0.1:8080\"", |v| {
             let text = v.as_str().ok_or(None)?;
             text.parse()
-                .map_err(|_| Some(format!("`{text}` is no address and port such as 127.0.0.1:8080")))
+                .map_err(|_| Some(format!("`{text}` is not an address and port such as 127.0.0.1:8080")))
         })
     }
 
@@ -283,10 +283,11 @@
     let Some(&(_, micros)) = DURATION_UNITS_US.iter().find(|(name, _)| *name == unit) else {
         return Err(match unit {
             "" => format!("`{text}` has no unit: {units}"),
-            _ => format!("`{text}` is no time: a number and one of {units}"),
+            _ => format!("`{text}` is not a duration: write a number and one of {units}"),
         });
     };
-    let number: f64 =
-        number.parse().map_err(|_| format!("`{text}` is no time: a number and one of {units}"))?;
+    let number: f64 = number
+        .parse()
+        .map_err(|_| format!("`{text}` is not a duration: write a number and one of {units}"))?;
     Ok(Duration::from_micros((number * micros as f64).round() as u64))
 }
--- a/crates/xds/src/accept.rs
+++ b/crates/xds/src/accept.rs
@@ -45,7 +45,7 @@
             let stream = match ready!(self.listener.poll_accept(context)) {
                 Ok((stream, _)) => stream,
                 Err(problem) => {
-                    eprintln!("accept: {problem}");
+                    eprintln!("accept failed: {problem}");
                     self.pause = Some(Box::pin(sleep(ACCEPT_RETRY_DELAY)));
                     continue;
                 }
--- a/crates/xds/src/cache.rs
+++ b/crates/xds/src/cache.rs
@@ -4,8 +4,8 @@
 //! so a session needs only the part of the log after its cursor, and the cost of a change or a session doesn't grow
 //! with the fleet. A session that falls so far behind that removals it needs were discarded must reconnect.
 
+use crate::kind::ResourceType;
 use crate::message::{AnyOut, ResourceOut};
-use crate::resource_type::ResourceType;
 use bytes::Bytes;
 use prost::Message;
 use runtrack_net::mutant;
--- a/crates/xds/src/hub.rs
+++ b/crates/xds/src/hub.rs
@@ -1,8 +1,8 @@
 //! State shared by all streams: the served versions, the open streams, access rules and load reports.
 
 use crate::cache::{Cache, Change, hash};
+use crate::kind::ResourceType;
 use crate::load::{InvalidReport, LoadReport, LoadStats};
-use crate::resource_type::ResourceType;
 use crate::session::{Limits, TypeStatus};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
@@ -270,9 +270,7 @@
             settled
         });
         self.cache(|cache| {
-            self.loads(|loads| {
-                loads.finish_rollout(|pool| cache.get(ResourceType::Cluster, pool).is_some())
-            });
+            self.loads(|loads| loads.end_rollout(|pool| cache.get(ResourceType::Cluster, pool).is_some()));
         });
     }
 
--- a/crates/xds/src/load.rs
+++ b/crates/xds/src/load.rs
@@ -160,7 +160,7 @@
     }
 
     /// Ends the rollout, completed or aborted. Discards pools that are no longer served.
-    pub fn finish_rollout(&mut self, served: impl Fn(&str) -> bool) {
+    pub fn end_rollout(&mut self, served: impl Fn(&str) -> bool) {
         self.stage = None;
         self.pools.retain(|name, _| served(name));
         for pool in self.pools.values_mut() {
@@ -290,7 +290,7 @@
         send_report(&mut loads, 1, 1, load_report("p", 1, 0));
         send_report(&mut loads, 1, 1, load_report("q", 1, 0));
         loads.start_rollout(at(2));
-        loads.finish_rollout(|pool| pool == "q");
+        loads.end_rollout(|pool| pool == "q");
         assert_eq!(loads.recent(at(2)).map(|(name, _)| name).collect::<Vec<_>>(), ["q"]);
     }
 }
--- a/crates/xds/src/lrs.rs
+++ b/crates/xds/src/lrs.rs
@@ -1,8 +1,8 @@
 //! Load Reporting Service (LRS): requests reports for all pools and passes them to [`LoadStats`](crate::LoadStats).
 
+use crate::bucket::TokenBucket;
 use crate::hub::{Hub, rollout_bucket};
 use crate::load::LoadReport;
-use crate::rate_limit::TokenBucket;
 use crate::server::{Responses, first_request};
 use envoy_types::pb;
 use lrs::load_reporting_service_server::LoadReportingService;
--- a/crates/xds/src/server.rs
+++ b/crates/xds/src/server.rs
@@ -1,9 +1,9 @@
 //! gRPC discovery services, which run a [`Session`] per stream.
 
+use crate::bucket::TokenBucket;
 use crate::hub::{Hub, MAX_NODE_NAME_BYTES, ServedVersion, StreamInfo, rollout_bucket};
+use crate::kind::ResourceType;
 use crate::message::{ControlPlaneOut, DeltaOut, SotwOut};
-use crate::rate_limit::TokenBucket;
-use crate::resource_type::ResourceType;
 use crate::session::{Request, Response, Session, SessionError};
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, DiscoveryRequest};
@@ -297,7 +297,7 @@
 async fn serve_session<V: Variant>(
     hub: &Hub,
     number: u64,
-    mut versioned: VersionedSession,
+    mut client: VersionedSession,
     first: V::In,
     requests: &mut Streaming<V::In>,
     out: &mpsc::Sender<Result<V::Out, Status>>,
@@ -314,14 +314,14 @@
             }
             let taken = {
                 let versions = hub.versions();
-                let version = versions.for_bucket(versioned.bucket);
-                let taken = versioned.switch_to(version).and_then(|_| {
-                    versioned.session.request(&version.cache, hub.now(), V::request(request))
-                });
-                let type_statuses = versioned.session.type_statuses(&version.cache);
+                let version = versions.for_bucket(client.bucket);
+                let taken = client
+                    .switch_to(version)
+                    .and_then(|_| client.session.request(&version.cache, hub.now(), V::request(request)));
+                let type_statuses = client.session.type_statuses(&version.cache);
                 hub.update(number, |stream| {
                     stream.requests += 1;
-                    stream.version_id = versioned.version_id;
+                    stream.version_id = client.version_id;
                     stream.type_statuses = type_statuses;
                 });
                 taken
@@ -344,11 +344,11 @@
                 let Ok(permit) = permit else { return (None, "the proxy closed the stream".to_owned()) };
                 head.mark_unchanged();
                 let versions = hub.versions();
-                let version = versions.for_bucket(versioned.bucket);
-                let polled = versioned.switch_to(version).and_then(|moved| {
-                    let response = versioned.session.poll(&version.cache, hub.now())?;
+                let version = versions.for_bucket(client.bucket);
+                let polled = client.switch_to(version).and_then(|moved| {
+                    let response = client.session.poll(&version.cache, hub.now())?;
                     let changed = response.is_some() || moved;
-                    Ok((response, changed.then(|| versioned.session.type_statuses(&version.cache))))
+                    Ok((response, changed.then(|| client.session.type_statuses(&version.cache))))
                 });
                 drop(versions);
                 if let Ok((response, Some(type_statuses))) = &polled {
@@ -357,7 +357,7 @@
                     hub.update(number, |stream| {
                         stream.responses += u64::from(response.is_some());
                         stream.bytes += bytes as u64;
-                        stream.version_id = versioned.version_id;
+                        stream.version_id = client.version_id;
                         stream.type_statuses.clone_from(type_statuses);
                     });
                 }
@@ -371,7 +371,7 @@
                 }
             }
             _ = head.changed(), if !poll => poll = true,
-            () = sleep(REMOVAL_CHECK_INTERVAL), if !poll && versioned.session.has_pending_removals() => poll = true,
+            () = sleep(REMOVAL_CHECK_INTERVAL), if !poll && client.session.has_pending_removals() => poll = true,
             () = out.closed(), if !poll => return (None, "the proxy closed the stream".to_owned()),
         }
     }
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -9,7 +9,7 @@
 //! "Incremental xDS".
 
 use crate::cache::{Cache, Encoded, Entry, hash, is_version, version_text};
-use crate::resource_type::ResourceType;
+use crate::kind::ResourceType;
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -260,11 +260,9 @@
         let kind = match (self.only, ResourceType::from_url(&request.type_url)) {
             (Some(only), _) if request.type_url.is_empty() => only,
             (Some(only), Some(kind)) if kind == only => only,
-            (Some(only), _) => {
-                return Err(SessionError::WrongType(truncate(&request.type_url), only.url()));
-            }
+            (Some(only), _) => return Err(SessionError::WrongType(shorten(&request.type_url), only.url())),
             (None, Some(kind)) => kind,
-            (None, None) => return Err(SessionError::UnknownType(truncate(&request.type_url))),
+            (None, None) => return Err(SessionError::UnknownType(shorten(&request.type_url))),
         };
         if self.subscriptions[kind.index()].is_none() {
             return self.first_request(cache, kind, request);
@@ -365,7 +363,7 @@
             }
             Some(detail) => {
                 subscription.rejections += 1;
-                let detail = truncate(detail);
+                let detail = shorten(detail);
                 subscription.rejected = Some(Rejection { version: sent.version, detail, at: now });
                 // Splits the response: one invalid resource must not block the others, such as a drain.
                 let partial = self.incremental || !kind.requires_full_state();
@@ -582,9 +580,7 @@
     /// Status of each type, for status output.
     pub fn type_statuses(&self, cache: &Cache) -> Vec<TypeStatus> {
         let subscriptions = ResourceType::ALL.into_iter().zip(&self.subscriptions);
-        let active = subscriptions.filter_map(|(kind, subscription)| {
-            subscription.as_ref().map(|subscription| (kind, subscription))
-        });
+        let active = subscriptions.filter_map(|(kind, entry)| entry.as_ref().map(|entry| (kind, entry)));
         active
             .map(|(kind, subscription)| TypeStatus {
                 kind,
@@ -732,6 +728,6 @@
     version.split_once('.').and_then(|(epoch, _)| epoch.parse().ok())
 }
 
-fn truncate(text: &str) -> String {
+fn shorten(text: &str) -> String {
     text[..text.floor_char_boundary(MAX_DETAIL_BYTES)].to_owned()
 }
--- a/crates/xds/src/translate.rs
+++ b/crates/xds/src/translate.rs
@@ -1,10 +1,9 @@
-//! The model as xDS resources.
+//! Translation of the model to xDS resources.
 //!
-//! Every decision here follows from the model and the four rules; `docs/design/xds.md` says why each field is
-//! set. Messages hold maps nowhere, so that equal inputs give equal bytes.
+//! `docs/design/xds.md` explains why each field is set. No message contains a map, so equal input gives equal bytes.
 
 use crate::cache::{Body, Change};
-use crate::resource_type::ResourceType;
+use crate::kind::ResourceType;
 use envoy_types::pb;
 use pb::envoy::config::cluster::v3 as cds;
 use pb::envoy::config::core::v3 as core;
@@ -23,55 +22,56 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Endpoints sampled for a call: SQ(2), as the module does itself.
-const CHOICES: u32 = 2;
-/// An endpoint of size one, warm and well, has this weight: parts of it can then be told in whole numbers.
-const WEIGHT_ONE: f64 = 100.0;
-/// Failures in a row after which a proxy rests an endpoint: as many as make the module avoid one for seconds.
-const FAILURES: u32 = 5;
-/// For so long at first; the module's weight of failures falls to a third in 4 s.
-const REST: Duration = Duration::from_secs(4);
-/// Endpoints that a proxy may rest at once, in percent: beyond a quarter it is no fault of single endpoints.
-const REST_MOST: u32 = 25;
-/// Repeats that may be out whatever the budget, so that a proxy with few requests can repeat at all.
-const RETRIES_LEAST: u32 = 3;
+/// Endpoints sampled per request: power of two choices, as in the balancer.
+const CHOICE_COUNT: u32 = 2;
+/// Weight of a warm endpoint of weight 1 without failures; fractions of it are then representable as integers.
+const UNIT_WEIGHT: f64 = 100.0;
+/// Consecutive failures after which a proxy ejects an endpoint: as many as make the balancer avoid one for seconds.
+const EJECTION_FAILURES: u32 = 5;
+/// Base ejection time. The balancer's failure penalty falls to a third in 4 s.
+const BASE_EJECTION_TIME: Duration = Duration::from_secs(4);
+/// Maximum share of endpoints that a proxy may eject at once, in percent. If more than a quarter fail, the cause is
+/// unlikely to be in single endpoints.
+const MAX_EJECTION_PERCENT: u32 = 25;
+/// Retries allowed in flight regardless of the budget, so that a proxy with few requests can retry at all.
+const MIN_RETRY_CONCURRENCY: u32 = 3;
 
-/// An endpoint as its pool's balancer sees it.
+/// An endpoint with the state that the pool's balancer has derived for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedEndpoint {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Its size against others.
+    /// Capacity relative to other endpoints.
     pub weight: f64,
-    /// Nothing new may be sent to it.
+    /// Whether it must not be sent new requests.
     pub draining: bool,
-    /// The part of its capacity that it surely has, `0.01..=1`.
+    /// Fraction of its full capacity that it is certain to have, `0.01..=1`.
     pub capacity_fraction: f64,
-    /// Recent failures as calls in flight.
+    /// Penalty for recent failures, as an equivalent number of requests in flight.
     pub failure_penalty: f64,
 }
 
-/// The cluster of a pool.
+/// The CDS resource of a pool.
 pub fn cluster(name: &str, pool: &Pool, rules: &Rules) -> Change {
-    // Slow start as the proxy sees it, from its own first sight of an endpoint; the part by the endpoint's own age
-    // is in its weight. Where both apply the more careful one counts, which errs on the safe side.
+    // Slow start counts from when the proxy first sees an endpoint; the fraction by the endpoint's own age is in its
+    // weight. Where both apply, the more cautious one has effect, which is the safe side.
     let slow_start = (!rules.warm_within.is_zero()).then(|| cds::cluster::SlowStartConfig {
         slow_start_window: Some(time(rules.warm_within)),
         min_weight_percent: Some(Percent { value: rules.cold_share * 100.0 }),
         ..Default::default()
     });
     let least_request = cds::cluster::LeastRequestLbConfig {
-        choice_count: Some(number(CHOICES)),
+        choice_count: Some(number(CHOICE_COUNT)),
         slow_start_config: slow_start,
         ..Default::default()
     };
     let budget = cds::circuit_breakers::thresholds::RetryBudget {
         budget_percent: Some(Percent { value: rules.retry_budget * 100.0 }),
-        min_retry_concurrency: Some(number(RETRIES_LEAST)),
+        min_retry_concurrency: Some(number(MIN_RETRY_CONCURRENCY)),
         ..Default::default()
     };
     let thresholds = cds::circuit_breakers::Thresholds {
@@ -82,16 +82,16 @@
         ..Default::default()
     };
     let outliers = cds::OutlierDetection {
-        consecutive_gateway_failure: Some(number(FAILURES)),
+        consecutive_gateway_failure: Some(number(EJECTION_FAILURES)),
         enforcing_consecutive_gateway_failure: Some(number(100)),
-        // A 500 may come from a tier behind: it proves nothing about the endpoint.
+        // A 500 may be caused by a service behind the endpoint, so it is no evidence against the endpoint.
         enforcing_consecutive_5xx: Some(number(0)),
         split_external_local_origin_errors: true,
-        consecutive_local_origin_failure: Some(number(FAILURES)),
+        consecutive_local_origin_failure: Some(number(EJECTION_FAILURES)),
         enforcing_success_rate: Some(number(0)),
         interval: Some(time(Duration::from_secs(1))),
-        base_ejection_time: Some(time(REST)),
-        max_ejection_percent: Some(number(REST_MOST)),
+        base_ejection_time: Some(time(BASE_EJECTION_TIME)),
+        max_ejection_percent: Some(number(MAX_EJECTION_PERCENT)),
         ..Default::default()
     };
     let cluster = cds::Cluster {
@@ -100,19 +100,19 @@
             cds::cluster::DiscoveryType::Eds as i32,
         )),
         eds_cluster_config: Some(cds::cluster::EdsClusterConfig {
-            eds_config: Some(same_stream()),
+            eds_config: Some(ads_source()),
             service_name: String::new(),
         }),
         connect_timeout: Some(time(pool.connect_timeout)),
-        load_balancing_policy: Some(balancing(rules)),
-        // The same for proxies that don't know the field above.
+        load_balancing_policy: Some(load_balancing_policy(rules)),
+        // The same policy for proxies that don't support `load_balancing_policy`.
         lb_policy: cds::cluster::LbPolicy::LeastRequest as i32,
         lb_config: Some(cds::cluster::LbConfig::LeastRequestLbConfig(least_request)),
         circuit_breakers: Some(cds::CircuitBreakers { thresholds: vec![thresholds], ..Default::default() }),
         outlier_detection: Some(outliers),
-        // How requests end is told to the control service too: a roll-out halts by it.
+        // Load reports go to the control service, which halts a rollout when the error rate rises.
         lrs_server: Some(self_source()),
-        // A proxy in panic sends to every endpoint, draining ones too: the drain promise forbids it.
+        // In panic mode a proxy sends to all endpoints, including draining ones, which must not get new requests.
         common_lb_config: Some(cds::cluster::CommonLbConfig {
             healthy_panic_threshold: Some(Percent { value: 0.0 }),
             ..Default::default()
@@ -122,12 +122,12 @@
     set(ResourceType::Cluster, name, cluster.encode_to_vec())
 }
 
-/// SQ(2), and for clients that have no such policy, as gRPC's C core, the next best that all have: by turns, with
-/// localities by their weights. A client takes the first that it knows (gRFC A52).
-fn balancing(rules: &Rules) -> cds::LoadBalancingPolicy {
+/// Least request with two choices, then locality-weighted round robin, which all clients support, for clients without
+/// it such as gRPC's C core. A client takes the first policy that it supports (gRFC A52).
+fn load_balancing_policy(rules: &Rules) -> cds::LoadBalancingPolicy {
     use policies::common::v3::SlowStartConfig;
-    let least = policies::least_request::v3::LeastRequest {
-        choice_count: Some(number(CHOICES)),
+    let least_request = policies::least_request::v3::LeastRequest {
+        choice_count: Some(number(CHOICE_COUNT)),
         slow_start_config: (!rules.warm_within.is_zero()).then(|| SlowStartConfig {
             slow_start_window: Some(time(rules.warm_within)),
             min_weight_percent: Some(Percent { value: rules.cold_share * 100.0 }),
@@ -135,16 +135,16 @@
         }),
         ..Default::default()
     };
-    let turns = policies::round_robin::v3::RoundRobin::default();
-    let turns = policies::wrr_locality::v3::WrrLocality {
+    let round_robin = policies::round_robin::v3::RoundRobin::default();
+    let round_robin = policies::wrr_locality::v3::WrrLocality {
         endpoint_picking_policy: Some(policy(&[(
             "envoy.load_balancing_policies.round_robin",
-            any(&turns),
+            any(&round_robin),
         )])),
     };
     policy(&[
-        ("envoy.load_balancing_policies.least_request", any(&least)),
-        ("envoy.load_balancing_policies.wrr_locality", any(&turns)),
+        ("envoy.load_balancing_policies.least_request", any(&least_request)),
+        ("envoy.load_balancing_policies.wrr_locality", any(&round_robin)),
     ])
 }
 
@@ -158,8 +158,8 @@
     cds::LoadBalancingPolicy { policies: choices.collect() }
 }
 
-/// The endpoints of a pool, in the order given; for each zone of the fleet with priorities of its own, if the pool
-/// wants the nearest first.
+/// The EDS resource of a pool, with the endpoints in the given order. For a pool with `nearest_first`, each zone of the
+/// fleet gets an encoding with its own priorities.
 pub fn endpoints(name: &str, pool: &Pool, fleet: &Fleet, endpoints: &[ResolvedEndpoint]) -> Change {
     let mut body = Body::from(assignment(name, endpoints, |_| 0));
     if pool.nearest_first {
@@ -183,7 +183,7 @@
     let localities = localities.into_iter().map(|(zone, lb_endpoints)| {
         let weight = |e: &eds::LbEndpoint| e.load_balancing_weight.map_or(0, |w| u64::from(w.value));
         let ready = lb_endpoints.iter().filter(|e| e.health_status == core::HealthStatus::Healthy as i32);
-        // gRPC clients take no notice of a locality without a weight.
+        // gRPC clients ignore localities without a weight.
         let sum = ready.map(weight).sum::<u64>().clamp(1, u64::from(u32::MAX / 1024)) as u32;
         eds::LocalityLbEndpoints {
             locality: Some(core::Locality { zone: zone.to_owned(), ..Default::default() }),
@@ -203,8 +203,8 @@
 
 fn lb_endpoint(endpoint: &ResolvedEndpoint) -> eds::LbEndpoint {
     let health = if endpoint.draining { core::HealthStatus::Draining } else { core::HealthStatus::Healthy };
-    // Heat counts like calls in flight: an endpoint with one more takes half as much.
-    let weight = (WEIGHT_ONE * endpoint.weight * endpoint.capacity_fraction
+    // The penalty counts as requests in flight: a penalty of one halves the weight.
+    let weight = (UNIT_WEIGHT * endpoint.weight * endpoint.capacity_fraction
         / (1.0 + endpoint.failure_penalty))
         .round()
         .max(1.0);
@@ -219,8 +219,8 @@
     }
 }
 
-/// A listener and its routes: one resource for gRPC clients, by the listener's name, one for proxies that listen
-/// on a socket, and the routes of both.
+/// The LDS and RDS resources of a listener: an API listener for gRPC clients under the listener's name, one for proxies
+/// that listen on a socket, and the routes that both refer to.
 pub fn listener(name: &str, listener: &Listener, fleet: &Fleet) -> Vec<Change> {
     let mut changes = vec![set(ResourceType::Route, name, routes(name, listener, fleet).encode_to_vec())];
     let manager = hcm::HttpConnectionManager {
@@ -231,7 +231,7 @@
             ..Default::default()
         }],
         route_specifier: Some(hcm::http_connection_manager::RouteSpecifier::Rds(hcm::Rds {
-            config_source: Some(same_stream()),
+            config_source: Some(ads_source()),
             route_config_name: name.to_owned(),
         })),
         ..Default::default()
@@ -243,7 +243,7 @@
             api_listener: Some(lds::ApiListener { api_listener: Some(manager.clone()) }),
             ..Default::default()
         };
-        // A proxy that asks for all listeners would reject one without an address.
+        // Proxies with a wildcard subscription would reject a listener without an address.
         let body = Body { by_name_only: true, ..Body::from(api.encode_to_vec()) };
         changes.push(Change::Set(ResourceType::Listener, name.to_owned(), body));
     }
@@ -264,13 +264,13 @@
     changes
 }
 
-/// What the resource of a listener on a socket is called: the plain name is what gRPC clients dial.
+/// Name of the resource of a socket listener. The plain name is the one that gRPC clients dial.
 pub fn socket_listener(name: &str) -> String {
     format!("{name}@socket")
 }
 
-/// A proxy takes the virtual host whose domain fits best, then the first route in it: so each host's routes are
-/// all those that cover it, in their order.
+/// The RDS resource of a listener. A proxy selects the most specific virtual host, then the first matching route in it,
+/// so each virtual host has all routes whose hosts cover it, in their order.
 fn routes(name: &str, listener: &Listener, fleet: &Fleet) -> rds::RouteConfiguration {
     let hosts: BTreeSet<&str> =
         listener.routes.iter().flat_map(|r| r.hosts.iter().map(String::as_str)).collect();
@@ -291,7 +291,7 @@
     }
 }
 
-/// Whether all hosts of a pattern, or the one it names, fall under another pattern.
+/// Whether the pattern `wide` matches every host that the pattern `narrow` matches.
 fn covers(wide: &str, narrow: &str) -> bool {
     if wide == "*" || wide == narrow {
         return true;
@@ -326,7 +326,7 @@
             grpc_timeout_header_max: Some(time(class.deadline)),
             ..Default::default()
         }),
-        retry_policy: class.map(retries),
+        retry_policy: class.map(retry_policy),
         ..Default::default()
     };
     rds::Route {
@@ -340,26 +340,32 @@
     }
 }
 
-/// What proves that an attempt never ran: no connection, a refused stream, a connection that broke before the
-/// request was written, or the endpoint's own word.
-const NEVER_RAN: &str = "connect-failure,refused-stream,reset-before-request,retriable-headers";
-/// What may have run. The gRPC names are those of A44; others pass over them.
-const MAY_HAVE_RUN: &str = "reset,gateway-error,unavailable,cancelled,deadline-exceeded,resource-exhausted";
+/// Retry conditions that prove that the attempt was not executed: no connection, a refused stream, a connection reset
+/// before the request was written, or the endpoint's `x-not-processed` header.
+const NOT_EXECUTED: &str = "connect-failure,refused-stream,reset-before-request,retriable-headers";
+/// Retry conditions after which the attempt may have been executed. The gRPC names are those of gRFC A44; other clients
+/// ignore them.
+const POSSIBLY_EXECUTED: &str =
+    "reset,gateway-error,unavailable,cancelled,deadline-exceeded,resource-exhausted";
 
-fn retries(class: &Class) -> rds::RetryPolicy {
-    // A proxy knows no groups of endpoints and no clock of its own for a key: only where every endpoint drops the
-    // repeat, for longer than the request can last, may a keyed request that may have run go again.
-    let anywhere = match class.semantics {
+fn retry_policy(class: &Class) -> rds::RetryPolicy {
+    // A proxy knows neither deduplication groups nor the age of a key. So a keyed request that may have been executed is
+    // retried only if all endpoints discard duplicates, for at least as long as the request can last.
+    let retry_if_executed = match class.semantics {
         Semantics::Safe => true,
         Semantics::Keyed { group, window } => group == DedupScope::All && class.deadline <= window,
         Semantics::Unsafe => false,
     };
-    let retry_on = if anywhere { format!("{NEVER_RAN},{MAY_HAVE_RUN}") } else { NEVER_RAN.to_owned() };
+    let retry_on = if retry_if_executed {
+        format!("{NOT_EXECUTED},{POSSIBLY_EXECUTED}")
+    } else {
+        NOT_EXECUTED.to_owned()
+    };
     rds::RetryPolicy {
         retry_on,
         num_retries: Some(number(class.attempts - 1)),
-        // One attempt may not eat the time of all; where nothing may go again after a time-out there is no use.
-        per_try_timeout: anywhere.then(|| time(class.deadline / class.attempts)),
+        // Leaves time for the other attempts; useless where no retry may follow a timeout.
+        per_try_timeout: retry_if_executed.then(|| time(class.deadline / class.attempts)),
         retriable_headers: vec![rds::HeaderMatcher {
             name: "x-not-processed".to_owned(),
             header_match_specifier: Some(rds::header_matcher::HeaderMatchSpecifier::PresentMatch(true)),
@@ -377,11 +383,11 @@
     Any { type_url: M::type_url(), value: message.encode_to_vec() }
 }
 
-fn same_stream() -> core::ConfigSource {
+fn ads_source() -> core::ConfigSource {
     source(core::config_source::ConfigSourceSpecifier::Ads(core::AggregatedConfigSource {}))
 }
 
-/// Where this resource came from.
+/// The server that this resource was received from.
 fn self_source() -> core::ConfigSource {
     source(core::config_source::ConfigSourceSpecifier::Self_(core::SelfConfigSource::default()))
 }
--- a/crates/xds/tests/translate.rs
+++ b/crates/xds/tests/translate.rs
@@ -1,4 +1,4 @@
-//! The model as resources: what the rules allow each class, which routes a host has, equal bytes for equal input.
+//! Translation of the model to xDS resources: retry policies, routes per host, weights, priorities and determinism.
 
 use envoy_types::pb::envoy::config::core::v3::HealthStatus;
 use envoy_types::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
@@ -29,7 +29,7 @@
     RouteConfiguration::decode(body.expect("routes").plain).expect("RDS")
 }
 
-fn retries(class: &str) -> RetryPolicy {
+fn retry_policy(class: &str) -> RetryPolicy {
     let routes = routes(&fleet(class, ROUTE));
     let Some(route::Action::Route(action)) = &routes.virtual_hosts[0].routes[0].action else {
         panic!("{routes:?}")
@@ -38,41 +38,44 @@
     action.retry_policy.clone().expect("a policy")
 }
 
-/// Conditions that say nothing of whether the request ran.
-const MAY_HAVE_RUN: [&str; 6] =
+/// Retry conditions after which the request may have been executed.
+const POSSIBLY_EXECUTED: [&str; 6] =
     ["reset", "gateway-error", "unavailable", "cancelled", "deadline-exceeded", "resource-exhausted"];
 
-fn goes_again_after_it_may_have_run(policy: &RetryPolicy) -> bool {
+fn retries_possibly_executed_requests(policy: &RetryPolicy) -> bool {
     let on: Vec<&str> = policy.retry_on.split(',').collect();
     assert!(on.contains(&"connect-failure") && on.contains(&"retriable-headers"), "{on:?}");
-    let proofs = ["connect-failure", "refused-stream", "reset-before-request", "retriable-headers"];
-    let others: Vec<&&str> = on.iter().filter(|c| !proofs.contains(c)).collect();
-    assert!(others.iter().all(|c| MAY_HAVE_RUN.contains(c)), "{others:?}");
+    let not_executed = ["connect-failure", "refused-stream", "reset-before-request", "retriable-headers"];
+    let others: Vec<&&str> = on.iter().filter(|c| !not_executed.contains(c)).collect();
+    assert!(others.iter().all(|c| POSSIBLY_EXECUTED.contains(c)), "{others:?}");
     assert_eq!(
         policy.per_try_timeout.is_some(),
         !others.is_empty(),
-        "a try is cut short only if another may follow"
+        "an attempt has a timeout only if a retry may follow"
     );
     !others.is_empty()
 }
 
 #[test]
-fn a_request_goes_again_only_where_its_class_allows_it() {
+fn retries_follow_the_semantics_of_the_class() {
     let keyed = |group: &str, window: &str| {
         format!("semantics = \"keyed\"\ngroup = \"{group}\"\nwindow = \"{window}\"\n")
     };
-    let again = |class: &str| goes_again_after_it_may_have_run(&retries(class));
-    assert!(again("semantics = \"safe\""));
-    assert!(!again("semantics = \"unsafe\""));
-    assert!(again(&keyed("all", "2s")), "every endpoint drops the repeat for as long as the request lasts");
-    assert!(!again(&keyed("all", "1999ms")), "the last try might come after the window");
-    assert!(!again(&keyed("zone", "60s")), "a proxy knows no groups");
-    assert!(!again(&keyed("cell", "60s")));
-    assert_eq!(retries("semantics = \"safe\"\nattempts = 1").num_retries.map(|n| n.value), Some(0));
+    let retries = |class: &str| retries_possibly_executed_requests(&retry_policy(class));
+    assert!(retries("semantics = \"safe\""));
+    assert!(!retries("semantics = \"unsafe\""));
+    assert!(
+        retries(&keyed("all", "2s")),
+        "all endpoints discard duplicates for as long as the request lasts"
+    );
+    assert!(!retries(&keyed("all", "1999ms")), "the last attempt might come after the window");
+    assert!(!retries(&keyed("zone", "60s")), "a proxy does not know the groups");
+    assert!(!retries(&keyed("cell", "60s")));
+    assert_eq!(retry_policy("semantics = \"safe\"\nattempts = 1").num_retries.map(|n| n.value), Some(0));
 }
 
 #[test]
-fn each_host_has_the_routes_that_cover_it_in_their_order() {
+fn each_virtual_host_has_its_covering_routes_in_order() {
     let route = |name: &str, hosts: &str, prefix: &str| {
         format!(
             "[[listener.route]]\nname = \"{name}\"\nhosts = [{hosts}]\nprefix = \"{prefix}\"\nclass = \"k\"\npool = \"p\"\n"
@@ -125,7 +128,7 @@
 }
 
 #[test]
-fn weights_follow_size_part_and_heat_and_never_vanish() {
+fn weights_reflect_capacity_and_failures_and_are_at_least_one() {
     let fleet = fleet("semantics = \"safe\"", ROUTE);
     let endpoints = [
         ResolvedEndpoint { weight: 2.0, ..endpoint("large", "") },
@@ -143,12 +146,16 @@
         locality.lb_endpoints.iter().map(|e| e.load_balancing_weight.expect("set").value).collect();
     assert_eq!(weights, [200, 25, 25, 1, 100]);
     assert_eq!(locality.lb_endpoints[4].health_status, HealthStatus::Draining as i32);
-    assert_eq!(locality.load_balancing_weight.map(|w| w.value), Some(251), "of those that may be sent to");
-    assert!(body.zones.is_empty(), "the pool does not ask for the nearest first");
+    assert_eq!(
+        locality.load_balancing_weight.map(|w| w.value),
+        Some(251),
+        "the sum over endpoints that accept requests"
+    );
+    assert!(body.zones.is_empty(), "the pool has no nearest_first");
 }
 
 #[test]
-fn priorities_follow_the_distance_from_the_proxys_zone_without_gaps() {
+fn priorities_follow_zone_distance_without_gaps() {
     let fleet = fleet("semantics = \"safe\"", ROUTE);
     let endpoints =
         [endpoint("1", "a"), endpoint("2", "b"), endpoint("3", "c"), endpoint("4", "elsewhere")];
@@ -167,7 +174,7 @@
     };
     assert_eq!(priorities(&body.zones["a"]), named([0, 1, 2, 3]));
     assert_eq!(priorities(&body.zones["b"]), named([1, 0, 1, 2]));
-    assert_eq!(priorities(&body.zones["c"]), named([1, 1, 0, 1]), "what is not said is the farthest");
+    assert_eq!(priorities(&body.zones["c"]), named([1, 1, 0, 1]), "a missing distance is the greatest");
     assert_eq!(priorities(&body.plain), named([0, 0, 0, 0]));
 }
 
@@ -175,7 +182,7 @@
 fn equal_input_gives_equal_bytes() {
     let text = include_str!("../../../examples/fleet.toml");
     let all = || {
-        let fleet = Fleet::from_toml(text).expect("sound");
+        let fleet = Fleet::from_toml(text).expect("valid");
         let mut changes: Vec<Change> = Vec::new();
         for (name, pool) in &fleet.pools {
             changes.push(translate::cluster(name, pool, &fleet.rules));
