--- a/crates/scale/src/choices.rs
+++ b/crates/scale/src/choices.rs
@@ -1,8 +1,9 @@
-//! What own counts are worth where many proxies share many endpoints: the choice alone, without a network.
+//! Simulates load balancing by each proxy's own in-flight counts when many proxies share many endpoints, without a
+//! network.
 //!
-//! Requests come as a Poisson process and take exponential times, as in the paper; each proxy knows its own calls only
-//! and uses a subset of the endpoints. Compared are the load that a request finds at its endpoint, for one random choice,
-//! for the module, and for two choices on true loads.
+//! Requests are a Poisson process with exponential service times, as in the paper. Each proxy knows only its own
+//! requests and uses a subset of the endpoints. The table compares the load that a request finds at its endpoint for
+//! random selection, for the balancer module, and for two choices by the true loads.
 
 use fastrand::Rng;
 use runtrack_balancer::fleet::{RetryBudget, Router, SelectionRequest};
@@ -11,84 +12,90 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Requests that are counted, after as many that only fill the fleet.
-const REQUESTS: usize = 100_000;
-const SECOND: RetryBudget = RetryBudget { ratio: 0.0, slack: 0.0, window: Duration::from_secs(1) };
+/// Number of measured requests, after as many that warm up the simulation.
+const MEASURED_REQUESTS: usize = 100_000;
+const NO_RETRIES: RetryBudget = RetryBudget { ratio: 0.0, slack: 0.0, window: Duration::from_secs(1) };
 
-/// How a request's endpoint is chosen.
+/// How the endpoint of a request is selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum SelectionPolicy {
     Random,
     OwnCounts,
     TrueCounts,
 }
 
-/// Loads found, by how many requests found them.
-struct Found {
+/// Distribution of the loads that requests find at their endpoints.
+struct LoadSummary {
     mean: f64,
     p99: usize,
-    most: usize,
+    max: usize,
 }
 
-/// Prints a row for each subset size.
+/// Prints one row per subset size.
 pub fn run(proxies: usize, endpoints: usize, load: f64) {
     println!("{proxies} proxies, {endpoints} endpoints, {load} requests in flight at each on the mean");
     println!("way           subset  load found: mean   p99  most");
-    let show = |way: Way, subset: usize| {
-        let found = play(way, proxies, endpoints, subset, load);
+    let show = |policy: SelectionPolicy, subset: usize| {
+        let summary = simulate(policy, proxies, endpoints, subset, load);
         println!(
             "{:12} {subset:7} {:17.2} {:5} {:5}",
-            format!("{way:?}"),
-            found.mean,
-            found.p99,
-            found.most
+            format!("{policy:?}"),
+            summary.mean,
+            summary.p99,
+            summary.max
         );
     };
-    show(Way::Random, endpoints);
+    show(SelectionPolicy::Random, endpoints);
     let mut subset = endpoints;
     while subset >= 8 && subset * proxies >= endpoints {
-        show(Way::OwnCounts, subset);
+        show(SelectionPolicy::OwnCounts, subset);
         subset /= 4;
     }
-    show(Way::TrueCounts, endpoints);
+    show(SelectionPolicy::TrueCounts, endpoints);
 }
 
-fn play(way: Way, proxies: usize, endpoints: usize, subset: usize, load: f64) -> Found {
+fn simulate(
+    policy: SelectionPolicy,
+    proxies: usize,
+    endpoints: usize,
+    subset: usize,
+    load: f64,
+) -> LoadSummary {
     let mut fleet = SimulatedFleet::new(proxies, endpoints, subset);
     let (mut now, rate) = (0.0, endpoints as f64 * load);
-    let mut found = vec![0usize; 1];
-    for request in 0..2 * REQUESTS {
+    let mut load_counts = vec![0usize; 1];
+    for request in 0..2 * MEASURED_REQUESTS {
         now += fleet.draw_exponential() / rate;
         let at = Duration::from_secs_f64(now);
-        fleet.end_requests_until(at);
+        fleet.complete_requests_until(at);
         let proxy = fleet.rng.usize(..proxies);
-        let id = fleet.choose(way, proxy, at);
+        let id = fleet.choose(policy, proxy, at);
         let load = fleet.start_request(proxy, id, at);
-        if request >= REQUESTS {
-            if found.len() <= load {
-                found.resize(load + 1, 0);
+        if request >= MEASURED_REQUESTS {
+            if load_counts.len() <= load {
+                load_counts.resize(load + 1, 0);
             }
-            found[load] += 1;
+            load_counts[load] += 1;
         }
     }
-    summary(&found)
+    summarize(&load_counts)
 }
 
-/// Proxies, the endpoints that they share, and the requests in flight between them.
+/// Proxies, their shared endpoints, and the requests in flight.
 struct SimulatedFleet {
     rng: Rng,
     endpoints: Vec<EndpointId>,
-    /// The endpoints that each proxy uses.
+    /// Endpoints used by each proxy.
     subsets: Vec<Vec<EndpointId>>,
     routers: Vec<Router>,
-    /// Requests in flight at each endpoint.
+    /// Requests in flight per endpoint.
     loads: Vec<usize>,
-    /// When each request in flight ends, at which proxy and endpoint; the next one first.
-    ends: BinaryHeap<Reverse<(Duration, usize, EndpointId)>>,
+    /// Completion time, proxy and endpoint of each request in flight, the earliest first.
+    completions: BinaryHeap<Reverse<(Duration, usize, EndpointId)>>,
 }
 
 impl SimulatedFleet {
-    /// Each proxy uses an arc of the ring of endpoints; the arcs' starts are spread evenly.
+    /// Each proxy uses an arc of the ring of endpoints; the starts of the arcs are evenly spaced.
     fn new(proxies: usize, endpoints: usize, subset: usize) -> Self {
         let ids: Vec<EndpointId> = (0..endpoints as u64).map(EndpointId).collect();
         let arc = |proxy: usize| -> Vec<EndpointId> {
@@ -98,36 +105,36 @@
         SimulatedFleet {
             rng: Rng::with_seed(1),
             subsets: (0..proxies).map(arc).collect(),
-            routers: (0..proxies).map(|seed| Router::new(seed as u64, SECOND, 1)).collect(),
+            routers: (0..proxies).map(|seed| Router::new(seed as u64, NO_RETRIES, 1)).collect(),
             loads: vec![0; endpoints],
-            ends: BinaryHeap::new(),
+            completions: BinaryHeap::new(),
             endpoints: ids,
         }
     }
 
-    /// A draw from the exponential distribution of mean 1.
+    /// Draws from the exponential distribution with mean 1.
     fn draw_exponential(&mut self) -> f64 {
         -self.rng.f64().max(1e-12).ln()
     }
 
-    fn end_requests_until(&mut self, now: Duration) {
+    fn complete_requests_until(&mut self, now: Duration) {
         while let Some(Reverse((end, proxy, id))) =
-            self.ends.peek().copied().filter(|Reverse((end, _, _))| *end <= now)
+            self.completions.peek().copied().filter(|Reverse((end, _, _))| *end <= now)
         {
-            self.ends.pop();
+            self.completions.pop();
             self.loads[id.0 as usize] -= 1;
             self.routers[proxy].on_ended(end, id, Outcome::Ok);
         }
     }
 
-    fn choose(&mut self, way: Way, proxy: usize, now: Duration) -> EndpointId {
-        match way {
-            Way::Random => self.draw_endpoint(),
-            Way::TrueCounts => {
+    fn choose(&mut self, policy: SelectionPolicy, proxy: usize, now: Duration) -> EndpointId {
+        match policy {
+            SelectionPolicy::Random => self.draw_endpoint(),
+            SelectionPolicy::TrueCounts => {
                 let (one, other) = (self.draw_endpoint(), self.draw_endpoint());
                 if self.loads[one.0 as usize] <= self.loads[other.0 as usize] { one } else { other }
             }
-            Way::OwnCounts => {
+            SelectionPolicy::OwnCounts => {
                 let ready = &self.subsets[proxy];
                 let request = SelectionRequest { now, ready, tried: &[], prompt: None };
                 self.routers[proxy].choose(request).unwrap_or(self.endpoints[0])
@@ -139,28 +146,28 @@
         self.endpoints[self.rng.usize(..self.endpoints.len())]
     }
 
-    /// Sends a request to an endpoint; how many were in flight there before it.
+    /// Starts a request at an endpoint; returns the number of requests in flight there before it.
     fn start_request(&mut self, proxy: usize, id: EndpointId, now: Duration) -> usize {
         self.routers[proxy].on_sent(now, id, None);
         let end = now + Duration::from_secs_f64(self.draw_exponential());
-        self.ends.push(Reverse((end, proxy, id)));
+        self.completions.push(Reverse((end, proxy, id)));
         let load = self.loads[id.0 as usize];
         self.loads[id.0 as usize] += 1;
         load
     }
 }
 
-fn summary(found: &[usize]) -> Found {
-    let count: usize = found.iter().sum();
-    let mean = found.iter().enumerate().map(|(load, count)| load as f64 * *count as f64).sum::<f64>()
+fn summarize(load_counts: &[usize]) -> LoadSummary {
+    let count: usize = load_counts.iter().sum();
+    let mean = load_counts.iter().enumerate().map(|(load, count)| load as f64 * *count as f64).sum::<f64>()
         / count as f64;
     let (mut below, mut p99) = (0, 0);
-    for (load, here) in found.iter().enumerate() {
+    for (load, here) in load_counts.iter().enumerate() {
         below += here;
         if below * 100 >= count * 99 {
             p99 = load;
             break;
         }
     }
-    Found { mean, p99, most: found.len() - 1 }
+    LoadSummary { mean, p99, max: load_counts.len() - 1 }
 }
--- a/crates/sim/src/agreement/discovery.rs
+++ b/crates/sim/src/agreement/discovery.rs
@@ -1,17 +1,17 @@
-//! What members hear of discovery, and propose.
+//! Simulated discovery: members learn of drains and propose them.
 
 use super::*;
 
 impl World<'_> {
-    pub(super) fn discover(&mut self, awake: &[MemberId]) {
+    pub(super) fn poll_discovery(&mut self, awake: &[MemberId]) {
         for member in awake {
-            let blind = self.cuts.iter().any(|(what, who, until)| {
-                matches!(what, What::Blind(_)) && who == member && *until > self.now
+            let blind = self.active_faults.iter().any(|(kind, target, until)| {
+                matches!(kind, FaultKind::Blind(_)) && target == member && *until > self.now
             });
-            if blind || self.below(6) != 0 {
+            if blind || self.draw_below(6) != 0 {
                 continue;
             }
-            let before = self.heard.insert(*member, self.rev).unwrap_or(0);
+            let before = self.heard_revs.insert(*member, self.rev).unwrap_or(0);
             let news: Vec<(String, u64)> = self
                 .drains
                 .iter()
@@ -23,8 +23,8 @@
             }
         }
         let Some(leader) = self.leader().filter(|_| self.now.is_multiple_of(7)) else { return };
-        let rev = self.heard.get(&leader).copied().unwrap_or(1);
-        // It tells what it has heard, though others may have heard more.
+        let rev = self.heard_revs.get(&leader).copied().unwrap_or(1);
+        // The leader proposes the list as it knows it, even if other members know of later changes.
         let endpoint = |n: u64| {
             let uid = format!("e{n}");
             let draining = self.drains.get(&uid).is_some_and(|at| *at <= rev);
@@ -37,7 +37,7 @@
 
     pub(super) fn propose(&mut self, at: MemberId, command: Command) {
         if let Some(node) = self.nodes.get_mut(&at) {
-            let _ = node.propose(&Proposal { id: String::new(), command }); // nobody waits for it
+            let _ = node.propose(&Proposal { id: String::new(), command }); // no client waits for the outcome
         }
     }
 }
--- a/crates/sim/src/net.rs
+++ b/crates/sim/src/net.rs
@@ -1,9 +1,8 @@
-//! Byte streams between hosts, on tokio's paused clock: latency, short reads and writes, back-pressure, resets,
-//! half-closes, refusals, and windows in which a way is stalled or a machine is silent.
+//! Simulated TCP between hosts on tokio's paused clock: latency, short reads and writes, back-pressure, resets,
+//! half-closes, refused connections, and time windows with faults such as stalled directions or silent hosts.
 //!
-//! What happens when is decided when bytes are written: a segment gets its time of arrival, which is never before that
-//! of the one in front of it. Every draw comes from the connection's own generator, so that one connection's fate
-//! does not change another's.
+//! A segment's arrival time is fixed when it is written and is never before that of the segment in front of it. Each
+//! connection draws from a random generator of its own, so that connections do not affect each other's timing.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -20,31 +19,31 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Bytes that may be on the way and unread: then a writer waits.
-const WINDOW: usize = 64 * 1024;
-/// A lost packet is sent again after this at first.
-const RETRANSMIT: Duration = Duration::from_millis(200);
+/// Bytes that may be in flight or unread before the writer blocks.
+const SEND_WINDOW_BYTES: usize = 64 * 1024;
+/// Initial retransmission timeout; it doubles with each loss.
+const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What is wrong with the network between two moments.
+/// A network fault that is active during a time window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NetFault {
-    /// What one host sends to the other arrives after the window.
+    /// Data from the first host to the second arrives only after the window.
     Stalled(IpAddr, IpAddr),
-    /// The machine is gone: what is sent to it or by it is lost, and its connections are reset when it is back.
+    /// The host is unreachable: all traffic from and to it is lost, and its connections are reset when it is back.
     Silent(IpAddr),
     /// New connections to this host hang until the window ends.
     Hangs(IpAddr),
-    /// New connections to this host come up this much late.
+    /// New connections to this host are established this much later.
     Late(IpAddr, Duration),
-    /// All that this host sends and gets takes so much longer.
+    /// All traffic from and to this host takes this much longer.
     Slow(IpAddr, Duration),
-    /// So many of 100 packets of this host are lost, and come when they are sent again.
+    /// Percentage of this host's packets that are lost and arrive after retransmission.
     Lossy(IpAddr, u32),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Window {
-    trouble: NetFault,
+struct FaultWindow {
+    fault: NetFault,
     from: Instant,
     until: Instant,
 }
@@ -58,18 +57,18 @@
 
 #[derive(Default)]
 struct Pipe {
-    /// In the order of their arrival.
+    /// Segments in flight or unread, in order of arrival.
     segments: VecDeque<(Instant, Segment)>,
-    /// Bytes in them.
-    bytes: usize,
-    /// Bytes ever written, and ever read before the reader ended its own side.
+    /// Number of bytes in `segments`.
+    buffered_bytes: usize,
+    /// Total bytes written, and total read before the reader closed its own direction.
     written: u64,
     read: u64,
-    /// When each byte that was written last of a write was written, and will arrive: by the offset behind it.
+    /// For each write: the offset after its last byte, the time of the write and the time of arrival.
     times: VecDeque<(u64, Instant, Instant)>,
     reader: Option<Waker>,
     writer: Option<Waker>,
-    /// The writer has ended it.
+    /// The writer has closed this direction.
     ended: bool,
 }
 
@@ -77,7 +76,7 @@
     fn push(&mut self, at: Instant, segment: Segment) {
         let at = self.segments.back().map_or(at, |(last, _)| at.max(*last));
         if let Segment::Data(bytes) = &segment {
-            self.bytes += bytes.len();
+            self.buffered_bytes += bytes.len();
         }
         self.segments.push_back((at, segment));
         if let Some(waker) = self.reader.take() {
@@ -88,64 +87,64 @@
 
 struct Link {
     hosts: [IpAddr; 2],
-    /// `pipes[n]` is what side n writes.
+    /// `pipes[n]` carries what side n writes.
     pipes: [Pipe; 2],
-    /// Sides that have closed.
-    gone: [bool; 2],
-    /// A machine was silent while bytes were on the way: nothing arrives any more.
+    /// Which sides have dropped their stream.
+    closed: [bool; 2],
+    /// Data was lost while a host was silent: nothing arrives on this connection any more.
     cut: bool,
-    draws: Pcg32,
+    rng: Pcg32,
 }
 
 #[derive(Default)]
 struct Port {
-    /// Links that have come, in their order.
-    waiting: VecDeque<u64>,
+    /// Connections that wait to be accepted, in order.
+    backlog: VecDeque<u64>,
     waker: Option<Waker>,
 }
 
-/// What is noted of bytes by those who look on.
+/// Observer of the bytes that hosts write.
 pub trait WriteObserver {
-    /// A host that is looked on wrote these bytes to another one on a connection.
+    /// Called when an observed host writes these bytes to another host on a connection.
     fn on_write(&mut self, link: u64, from: IpAddr, to: IpAddr, bytes: &[u8], now: Instant);
 }
 
 struct State {
     start: Instant,
     seed: u64,
-    /// One way between two hosts, at least and at most.
+    /// Lowest and highest one-way latency.
     latency: (Duration, Duration),
-    /// Of 100 reads and writes, how many are short.
-    split: u32,
+    /// Percentage of reads and writes that are short.
+    short_io_percent: u32,
     links: BTreeMap<u64, Link>,
     next: u64,
     ports: BTreeMap<SocketAddr, Port>,
-    windows: Vec<Window>,
-    tapped: Option<(Vec<IpAddr>, Box<dyn WriteObserver>)>,
-    /// Every write, arrival of an end and reset, hashed in order.
+    windows: Vec<FaultWindow>,
+    observer: Option<(Vec<IpAddr>, Box<dyn WriteObserver>)>,
+    /// Hash over all connects, writes, closes and resets in order.
     hash: u64,
-    /// What happened, in words, if wanted.
-    lines: Option<Vec<(Instant, String)>>,
+    /// Description of each event, if enabled.
+    event_lines: Option<Vec<(Instant, String)>>,
 }
 
-/// The network.
+/// The simulated network; clones share its state.
 #[derive(Clone)]
 pub struct VirtualNetwork(Rc<RefCell<State>>);
 
-/// FNV-1a, going on from a hash.
+/// Continues an FNV-1a hash.
 pub(crate) fn fnv1a(hash: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 impl State {
-    fn note(&mut self, link: u64, side: usize, what: &str, count: usize) {
+    fn record_event(&mut self, link: u64, side: usize, what: &str, count: usize) {
         let now = Instant::now();
         self.hash = fnv1a(self.hash, &now.duration_since(self.start).as_micros().to_le_bytes());
         self.hash = fnv1a(self.hash, &link.to_le_bytes());
         self.hash = fnv1a(self.hash, &[side as u8]);
         self.hash = fnv1a(self.hash, what.as_bytes());
         self.hash = fnv1a(self.hash, &(count as u64).to_le_bytes());
-        if let Some(lines) = &mut self.lines
+        if let Some(lines) = &mut self.event_lines
             && let Some(Link { hosts, .. }) = self.links.get(&link)
         {
             let line = format!("{} -> {} #{link} {what} {count}", hosts[side], hosts[1 - side]);
@@ -153,40 +152,40 @@
         }
     }
 
-    /// When what is sent now arrives; none: never.
-    fn arrival(&mut self, from: IpAddr, to: IpAddr, draw: u32) -> Option<Instant> {
+    /// When data sent now arrives; `None` if it is lost.
+    fn arrival_time(&mut self, from: IpAddr, to: IpAddr, draw: u32) -> Option<Instant> {
         let now = Instant::now();
         let silent = |at: Instant| {
             self.windows.iter().any(|window| {
-                let gone = matches!(window.trouble, NetFault::Silent(host) if host == from || host == to);
-                gone && window.from <= at && at < window.until
+                let affected = matches!(window.fault, NetFault::Silent(host) if host == from || host == to);
+                affected && window.from <= at && at < window.until
             })
         };
         if silent(now) {
             return None;
         }
-        let stalls = self.windows.iter().filter(|window| window.trouble == NetFault::Stalled(from, to));
+        let stalls = self.windows.iter().filter(|window| window.fault == NetFault::Stalled(from, to));
         let begin =
             stalls.filter(|window| window.from <= now).map(|window| window.until).fold(now, Instant::max);
         let (least, most) = self.latency;
         let extra = (most - least).mul_f64(f64::from(draw) / f64::from(u32::MAX));
-        let at = begin + least + extra + self.delay(from, to, draw);
+        let at = begin + least + extra + self.extra_delay(from, to, draw);
         (!silent(at)).then_some(at)
     }
 
-    /// How much longer it takes by slow links, and by packets that are sent again.
-    fn delay(&self, from: IpAddr, to: IpAddr, draw: u32) -> Duration {
+    /// Additional delay from slow hosts and retransmissions.
+    fn extra_delay(&self, from: IpAddr, to: IpAddr, draw: u32) -> Duration {
         let now = Instant::now();
         let running = self.windows.iter().filter(|window| window.from <= now && now < window.until);
-        let delays = running.map(|window| match window.trouble {
+        let delays = running.map(|window| match window.fault {
             NetFault::Slow(host, by) if host == from || host == to => by,
             NetFault::Lossy(host, percent) if host == from || host == to => {
-                // The timer for sending again doubles each time.
+                // The retransmission timeout doubles each time.
                 let lost = [draw >> 3, draw >> 11, draw >> 19].map(|draw| draw % 100 < percent);
                 match lost {
-                    [true, true, true] => RETRANSMIT * 7,
-                    [true, true, false] => RETRANSMIT * 3,
-                    [true, false, _] => RETRANSMIT,
+                    [true, true, true] => RETRANSMIT_TIMEOUT * 7,
+                    [true, true, false] => RETRANSMIT_TIMEOUT * 3,
+                    [true, false, _] => RETRANSMIT_TIMEOUT,
                     [false, _, _] => Duration::ZERO,
                 }
             }
@@ -195,11 +194,11 @@
         delays.sum()
     }
 
-    /// When a silent machine of two is back, if one is silent now.
-    fn back(&self, hosts: [IpAddr; 2]) -> Option<Instant> {
+    /// When a currently silent host of these two is back, if there is one.
+    fn silence_end(&self, hosts: [IpAddr; 2]) -> Option<Instant> {
         let now = Instant::now();
         let silent = self.windows.iter().filter(|window| {
-            matches!(window.trouble, NetFault::Silent(host) if hosts.contains(&host))
+            matches!(window.fault, NetFault::Silent(host) if hosts.contains(&host))
                 && window.from <= now
                 && now < window.until
         });
@@ -214,7 +213,7 @@
             .collect()
     }
 
-    fn reset(&mut self, number: u64) {
+    fn reset_link(&mut self, number: u64) {
         let now = Instant::now();
         if let Some(link) = self.links.get_mut(&number) {
             for pipe in &mut link.pipes {
@@ -225,15 +224,15 @@
                 }
             }
         }
-        self.note(number, 0, "reset", 0);
+        self.record_event(number, 0, "reset", 0);
     }
 
-    /// Sends a segment of one side.
-    fn send(&mut self, number: u64, side: usize, segment: Segment) {
+    /// Sends a segment from one side.
+    fn send_segment(&mut self, number: u64, side: usize, segment: Segment) {
         let Some(link) = self.links.get_mut(&number) else { return };
-        let (hosts, draw) = (link.hosts, link.draws.next_u32());
+        let (hosts, draw) = (link.hosts, link.rng.next_u32());
         let cut = link.cut;
-        let at = self.arrival(hosts[side], hosts[1 - side], draw);
+        let at = self.arrival_time(hosts[side], hosts[1 - side], draw);
         let Some(link) = self.links.get_mut(&number) else { return };
         let now = Instant::now();
         if let Segment::Data(bytes) = &segment {
@@ -243,9 +242,9 @@
             pipe.times.push_back((pipe.written, now, at.filter(|_| !cut).unwrap_or(never)));
         }
         match at {
-            // The machine that answers knows of no such connection any more.
+            // The peer no longer knows the connection and responds with a reset.
             Some(at) if cut => link.pipes[1 - side].push(at, Segment::Reset),
-            Some(at) if link.gone[1 - side] => {
+            Some(at) if link.closed[1 - side] => {
                 if matches!(segment, Segment::Data(_)) {
                     link.pipes[1 - side].push(at, Segment::Reset);
                 }
@@ -257,51 +256,57 @@
 }
 
 impl VirtualNetwork {
-    /// A network of this latency one way, with so many of 100 reads and writes short.
-    pub fn new(seed: u64, latency: (Duration, Duration), split: u32, lines: bool) -> VirtualNetwork {
+    /// Creates a network with this range of one-way latency and this percentage of short reads and writes;
+    /// `lines` enables event descriptions.
+    pub fn new(
+        seed: u64,
+        latency: (Duration, Duration),
+        short_io_percent: u32,
+        lines: bool,
+    ) -> VirtualNetwork {
         VirtualNetwork(Rc::new(RefCell::new(State {
             start: Instant::now(),
             seed,
             latency,
-            split,
+            short_io_percent,
             links: BTreeMap::new(),
             next: 0,
             ports: BTreeMap::new(),
             windows: Vec::new(),
-            tapped: None,
+            observer: None,
             hash: 0xcbf2_9ce4_8422_2325,
-            lines: lines.then(Vec::new),
+            event_lines: lines.then(Vec::new),
         })))
     }
 
-    /// Has something go wrong from one moment to another.
-    pub fn add_fault(&self, trouble: NetFault, from: Instant, until: Instant) {
-        self.0.borrow_mut().windows.push(Window { trouble, from, until });
+    /// Activates a fault from one instant to another.
+    pub fn add_fault(&self, fault: NetFault, from: Instant, until: Instant) {
+        self.0.borrow_mut().windows.push(FaultWindow { fault, from, until });
     }
 
-    /// Looks on at what these hosts write.
-    pub fn observe_writes(&self, hosts: Vec<IpAddr>, tap: Box<dyn WriteObserver>) {
-        self.0.borrow_mut().tapped = Some((hosts, tap));
+    /// Reports all writes of these hosts to the observer.
+    pub fn observe_writes(&self, hosts: Vec<IpAddr>, observer: Box<dyn WriteObserver>) {
+        self.0.borrow_mut().observer = Some((hosts, observer));
     }
 
-    /// The network as a host sees it.
+    /// The network interface of a host.
     pub fn host(&self, host: IpAddr) -> Rc<dyn Network> {
-        Rc::new(Host { wires: self.clone(), host })
+        Rc::new(HostNetwork { wires: self.clone(), host })
     }
 
-    /// Resets all connections of a host: its process has died. Its ports no longer listen.
+    /// Resets all connections of a host and closes its ports, since its process has died.
     pub fn process_died(&self, host: IpAddr) {
         let mut state = self.0.borrow_mut();
         state.ports.retain(|at, _| at.ip() != host);
         for number in state.links_of(host) {
-            state.reset(number);
+            state.reset_link(number);
             if let Some(link) = state.links.get_mut(&number) {
-                (0..2).filter(|side| link.hosts[*side] == host).for_each(|side| link.gone[side] = true);
+                (0..2).filter(|side| link.hosts[*side] == host).for_each(|side| link.closed[side] = true);
             }
         }
     }
 
-    /// A host has lost power: what is sent to it finds nobody who knows of the connection.
+    /// Closes the ports of a host that has lost power; its peers get a reset only when they send again.
     pub fn lost_power(&self, host: IpAddr) {
         let mut state = self.0.borrow_mut();
         state.ports.retain(|at, _| at.ip() != host);
@@ -312,106 +317,107 @@
         }
     }
 
-    /// Resets the connections of a host, which goes on.
+    /// Resets all connections of a host whose process keeps running.
     pub fn reset_connections(&self, host: IpAddr) {
         let mut state = self.0.borrow_mut();
         for number in state.links_of(host) {
-            state.reset(number);
+            state.reset_link(number);
         }
     }
 
-    /// When the byte before an offset was written by a side, and when it arrives at the other machine.
+    /// When the byte before an offset was written by a side, and when it arrives at the other host.
     pub fn write_times(&self, link: u64, side: usize, offset: u64) -> Option<(Instant, Instant)> {
         let state = self.0.borrow();
         let times = &state.links.get(&link)?.pipes[side].times;
         times.iter().find(|(end, ..)| *end >= offset).map(|(_, wrote, arrives)| (*wrote, *arrives))
     }
 
-    /// How much of what a side wrote the other one has read before it ended its own side: what is read after that is
-    /// thrown away (lingering close), and a client may send it again.
+    /// How many of the bytes that a side wrote were read by the other before that one closed its own direction. Later reads
+    /// are discarded (lingering close), and a client may send those bytes again.
     pub fn bytes_read(&self, link: u64, side: usize) -> u64 {
         self.0.borrow().links.get(&link).map_or(0, |link| link.pipes[side].read)
     }
 
-    /// Connections of a host that it has not closed.
+    /// Number of connections that a host has not closed.
     pub fn open_connections(&self, host: IpAddr) -> usize {
         let state = self.0.borrow();
-        let open = |link: &&Link| (0..2).any(|side| link.hosts[side] == host && !link.gone[side]);
+        let open = |link: &&Link| (0..2).any(|side| link.hosts[side] == host && !link.closed[side]);
         state.links.values().filter(open).count()
     }
 
-    /// What all writes, ends and resets hash to, in their order.
+    /// Hash over all events so far, in order.
     pub fn hash(&self) -> u64 {
         self.0.borrow().hash
     }
 
-    /// What happened, in words.
-    pub fn lines(&self) -> Vec<(Instant, String)> {
-        self.0.borrow().lines.clone().unwrap_or_default()
+    /// Descriptions of all events, if enabled.
+    pub fn event_lines(&self) -> Vec<(Instant, String)> {
+        self.0.borrow().event_lines.clone().unwrap_or_default()
     }
 
-    /// Connects, as a stream that tells more than a connection does.
+    /// Connects and returns the concrete stream type, which exposes more than [`Connection`].
     pub async fn connect(&self, from: IpAddr, to: SocketAddr) -> io::Result<Stream> {
         let (hosts, hangs) = ([from, to.ip()], NetFault::Hangs(to.ip()));
-        let (asked, number) = {
+        let (arrives, number) = {
             let mut state = self.0.borrow_mut();
             let number = state.next;
             state.next += 1;
-            let mut draws = Pcg32::seed_from_u64(state.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-            let draw = draws.next_u32();
-            let asked = state.arrival(from, to.ip(), draw);
-            let link = Link { hosts, pipes: Default::default(), gone: [false, true], cut: false, draws };
+            let mut rng = Pcg32::seed_from_u64(state.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+            let draw = rng.next_u32();
+            let arrives = state.arrival_time(from, to.ip(), draw);
+            let link = Link { hosts, pipes: Default::default(), closed: [false, true], cut: false, rng };
             state.links.insert(number, link);
-            state.note(number, 0, "connects", to.port().into());
-            (asked, number)
+            state.record_event(number, 0, "connects", to.port().into());
+            (arrives, number)
         };
         let stream = Stream { wires: self.clone(), link: number, side: 0, timer: None };
-        let Some(asked) = asked else {
-            let back = self.0.borrow().back(hosts);
-            match back {
-                Some(back) => sleep_until(back).await,
+        let Some(arrives) = arrives else {
+            let silence_end = self.0.borrow().silence_end(hosts);
+            match silence_end {
+                Some(silence_end) => sleep_until(silence_end).await,
                 None => std::future::pending().await,
             }
             return Err(io::ErrorKind::ConnectionReset.into());
         };
-        let hung = {
+        let hang_end = {
             let state = self.0.borrow();
-            let hung =
-                state.windows.iter().filter(|w| w.trouble == hangs && w.from <= asked && asked < w.until);
-            hung.map(|window| window.until).max()
+            let hang_end =
+                state.windows.iter().filter(|w| w.fault == hangs && w.from <= arrives && arrives < w.until);
+            hang_end.map(|window| window.until).max()
         };
-        let late = {
+        let connect_delay = {
             let state = self.0.borrow();
-            let late = state.windows.iter().filter(|w| w.from <= asked && asked < w.until);
-            late.filter_map(|w| match w.trouble {
-                NetFault::Late(host, by) if host == to.ip() => Some(by),
-                _ => None,
-            })
-            .max()
+            let connect_delay = state.windows.iter().filter(|w| w.from <= arrives && arrives < w.until);
+            connect_delay
+                .filter_map(|w| match w.fault {
+                    NetFault::Late(host, by) if host == to.ip() => Some(by),
+                    _ => None,
+                })
+                .max()
         };
-        sleep_until(hung.unwrap_or(asked) + late.unwrap_or_default()).await;
-        let answered = {
+        sleep_until(hang_end.unwrap_or(arrives) + connect_delay.unwrap_or_default()).await;
+        let reply = {
             let mut state = self.0.borrow_mut();
-            let listens = match state.ports.get_mut(&to) {
+            let accepted = match state.ports.get_mut(&to) {
                 Some(port) => {
-                    port.waiting.push_back(number);
+                    port.backlog.push_back(number);
                     if let Some(waker) = port.waker.take() {
                         waker.wake();
                     }
                     if let Some(link) = state.links.get_mut(&number) {
-                        link.gone[1] = false;
+                        link.closed[1] = false;
                     }
                     true
                 }
                 None => false,
             };
-            let draw = state.links.get_mut(&number).map_or(0, |link| link.draws.next_u32());
-            state.arrival(to.ip(), from, draw).map(|at| (at, listens))
+            let draw = state.links.get_mut(&number).map_or(0, |link| link.rng.next_u32());
+            state.arrival_time(to.ip(), from, draw).map(|at| (at, accepted))
         };
-        match answered {
-            Some((at, listens)) => {
+        match reply {
+            Some((at, accepted)) => {
                 sleep_until(at).await;
-                if listens {
+                if accepted {
                     return Ok(stream);
                 }
                 Err(io::ErrorKind::ConnectionRefused.into())
@@ -420,14 +426,14 @@
         }
     }
 
-    /// Listens.
-    pub fn listen(&self, at: SocketAddr) -> io::Result<Accepts> {
+    /// Opens a listening port.
+    pub fn listen(&self, at: SocketAddr) -> io::Result<VirtualListener> {
         let mut state = self.0.borrow_mut();
         if state.ports.contains_key(&at) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
         state.ports.insert(at, Port::default());
-        Ok(Accepts { wires: self.clone(), at })
+        Ok(VirtualListener { wires: self.clone(), at })
     }
 }
 
@@ -435,7 +441,7 @@
 pub struct Stream {
     wires: VirtualNetwork,
     link: u64,
-    /// 0: it connected.
+    /// 0 for the side that connected, 1 for the one that accepted.
     side: usize,
     timer: Option<Pin<Box<Sleep>>>,
 }
@@ -451,14 +457,14 @@
         self.wires.0.borrow().links.get(&self.link).map(|link| link.hosts[1 - self.side])
     }
 
-    /// How much this side has written.
+    /// Total bytes that this side has written.
     pub fn written(&self) -> u64 {
         self.wires.0.borrow().links.get(&self.link).map_or(0, |link| link.pipes[self.side].written)
     }
 
-    /// Ends it with a reset.
+    /// Resets the connection.
     pub fn abort(&self) {
-        self.wires.0.borrow_mut().reset(self.link);
+        self.wires.0.borrow_mut().reset_link(self.link);
     }
 }
 
@@ -467,17 +473,17 @@
         let mut state = self.wires.0.borrow_mut();
         let (number, side) = (self.link, self.side);
         let Some(link) = state.links.get_mut(&number) else { return };
-        link.gone[side] = true;
+        link.closed[side] = true;
         let now = Instant::now();
-        // The system resets where something lies unread.
+        // Like a kernel, sends a reset if received data is still unread.
         let unread =
             link.pipes[1 - side].segments.iter().any(|(at, s)| *at <= now && matches!(s, Segment::Data(_)));
         let ended = std::mem::replace(&mut link.pipes[side].ended, true);
-        state.note(number, side, "closes", 0);
+        state.record_event(number, side, "closes", 0);
         if unread {
-            state.send(number, side, Segment::Reset);
+            state.send_segment(number, side, Segment::Reset);
         } else if !ended {
-            state.send(number, side, Segment::End);
+            state.send_segment(number, side, Segment::End);
         }
         if let Some(link) = state.links.get_mut(&number)
             && let Some(waker) = link.pipes[1 - side].writer.take()
@@ -496,10 +502,10 @@
         loop {
             let wait = {
                 let mut state = self.wires.0.borrow_mut();
-                let split = state.split;
+                let short_io_percent = state.short_io_percent;
                 let Some(link) = state.links.get_mut(&self.link) else { return Poll::Ready(Ok(())) };
-                let short = link.draws.next_u32() % 100 < split;
-                let draw = link.draws.next_u32() as usize;
+                let short = link.rng.next_u32() % 100 < short_io_percent;
+                let draw = link.rng.next_u32() as usize;
                 let ended = link.pipes[self.side].ended;
                 let pipe = &mut link.pipes[1 - self.side];
                 match pipe.segments.front_mut() {
@@ -514,7 +520,7 @@
                         if bytes.is_empty() {
                             pipe.segments.pop_front();
                         }
-                        pipe.bytes -= count;
+                        pipe.buffered_bytes -= count;
                         if !ended {
                             pipe.read += count as u64;
                         }
@@ -546,7 +552,7 @@
 impl AsyncWrite for Stream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let mut state = self.wires.0.borrow_mut();
-        let (split, now) = (state.split, Instant::now());
+        let (short_io_percent, now) = (state.short_io_percent, Instant::now());
         let Some(link) = state.links.get_mut(&self.link) else {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         };
@@ -555,25 +561,25 @@
         if reset(&link.pipes[1 - self.side]) || link.pipes[self.side].ended {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        let room = WINDOW.saturating_sub(link.pipes[self.side].bytes);
+        let room = SEND_WINDOW_BYTES.saturating_sub(link.pipes[self.side].buffered_bytes);
         if room == 0 && !link.cut {
             link.pipes[self.side].writer = Some(cx.waker().clone());
             return Poll::Pending;
         }
         let mut count = bytes.len().min(room.max(1));
-        let short = link.draws.next_u32() % 100 < split;
-        let draw = link.draws.next_u32() as usize;
+        let short = link.rng.next_u32() % 100 < short_io_percent;
+        let draw = link.rng.next_u32() as usize;
         if short && count > 1 {
             count = 1 + draw % (count - 1);
         }
         let hosts = link.hosts;
-        state.note(self.link, self.side, "writes", count);
-        if let Some((tapped, tap)) = &mut state.tapped
-            && tapped.contains(&hosts[self.side])
+        state.record_event(self.link, self.side, "writes", count);
+        if let Some((observed_hosts, observer)) = &mut state.observer
+            && observed_hosts.contains(&hosts[self.side])
         {
-            tap.on_write(self.link, hosts[self.side], hosts[1 - self.side], &bytes[..count], now);
+            observer.on_write(self.link, hosts[self.side], hosts[1 - self.side], &bytes[..count], now);
         }
-        state.send(self.link, self.side, Segment::Data(bytes[..count].to_vec()));
+        state.send_segment(self.link, self.side, Segment::Data(bytes[..count].to_vec()));
         Poll::Ready(Ok(count))
     }
 
@@ -588,8 +594,8 @@
             .get_mut(&self.link)
             .is_none_or(|link| std::mem::replace(&mut link.pipes[self.side].ended, true));
         if !ended {
-            state.note(self.link, self.side, "ends", 0);
-            state.send(self.link, self.side, Segment::End);
+            state.record_event(self.link, self.side, "ends", 0);
+            state.send_segment(self.link, self.side, Segment::End);
         }
         Poll::Ready(Ok(()))
     }
@@ -608,19 +614,19 @@
     }
 }
 
-/// A port that listens.
-pub struct Accepts {
+/// A listening port.
+pub struct VirtualListener {
     wires: VirtualNetwork,
     at: SocketAddr,
 }
 
-impl Accepts {
+impl VirtualListener {
     fn poll(&self, cx: &mut Context<'_>) -> Poll<io::Result<Stream>> {
         let mut state = self.wires.0.borrow_mut();
         let Some(port) = state.ports.get_mut(&self.at) else {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         };
-        match port.waiting.pop_front() {
+        match port.backlog.pop_front() {
             Some(link) => Poll::Ready(Ok(Stream { wires: self.wires.clone(), link, side: 1, timer: None })),
             None => {
                 port.waker = Some(cx.waker().clone());
@@ -629,38 +635,38 @@
         }
     }
 
-    /// The next connection that comes.
+    /// Accepts the next connection.
     pub async fn next(&self) -> io::Result<Stream> {
         std::future::poll_fn(|cx| self.poll(cx)).await
     }
 }
 
-impl Listener for Accepts {
+impl Listener for VirtualListener {
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Box<dyn Connection>>> {
         self.poll(cx).map_ok(|stream| Box::new(stream) as Box<dyn Connection>)
     }
 }
 
-impl Drop for Accepts {
+impl Drop for VirtualListener {
     fn drop(&mut self) {
         let mut state = self.wires.0.borrow_mut();
         if let Some(port) = state.ports.remove(&self.at) {
-            for number in port.waiting {
-                state.reset(number);
+            for number in port.backlog {
+                state.reset_link(number);
                 if let Some(link) = state.links.get_mut(&number) {
-                    link.gone[1] = true;
+                    link.closed[1] = true;
                 }
             }
         }
     }
 }
 
-struct Host {
+struct HostNetwork {
     wires: VirtualNetwork,
     host: IpAddr,
 }
 
-impl Network for Host {
+impl Network for HostNetwork {
     fn connect(&self, to: SocketAddr) -> Connecting {
         let (wires, host) = (self.wires.clone(), self.host);
         Box::pin(async move {
