--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,7 +1,7 @@
 //! Staged roll-out of a version to proxies: its progress, and when it advances or halts. No I/O.
 //!
-//! The proxies of a stage are determined by a hash of their node ids ([`runtrack_xds::rollout_bucket`]), so that they stay the
-//! same after a reconnect or a restart, and are in all later stages too.
+//! The proxies of a stage are determined by a hash of their node ids ([`runtrack_xds::rollout_bucket`]), so that they
+//! stay the same after a reconnect or a restart, and are in all later stages too.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -147,7 +147,7 @@
 pub struct Class {
     /// Whether requests may be executed again.
     pub semantics: Semantics,
-    /// Latency objective.
+    /// Latency objective: responses within this time have the highest value.
     #[serde(with = "micros")]
     pub objective: Duration,
     /// Total time a client waits, over all attempts.
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -1,8 +1,8 @@
 //! An xDS v3 server, which provides proxies and proxyless gRPC clients with clusters, endpoints, listeners and routes.
 //!
-//! [`Cache`] holds the served resources. [`Session`] is the state machine of one stream, without I/O: it takes requests,
-//! and [`Session::poll`] returns the next response from the newest state whenever the stream can take one. [`translate`]
-//! converts the model to resources. [`LoadStats`] aggregates the load reports of proxies (LRS).
+//! [`Cache`] holds the served resources. [`Session`] is the state machine of one stream, without I/O: it takes
+//! requests, and [`Session::poll`] returns the next response from the newest state whenever the stream can take one.
+//! [`translate`] converts the model to resources. [`LoadStats`] aggregates the load reports of proxies (LRS).
 
 mod accept;
 mod bucket;
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -26,7 +26,8 @@
     /// two responses in memory, so memory at a mass reconnection is proportional to this; gRPC clients accept 4 MiB.
     pub max_response_bytes: usize,
     /// Maximum time that a removal is deferred until the removal of references to the resource is acknowledged. On
-    /// streams of a single type, where this isn't known, the delay is always [`single_type_removal_delay`](Self::single_type_removal_delay).
+    /// streams of a single type, where this isn't known, the delay is always
+    /// [`single_type_removal_delay`](Self::single_type_removal_delay).
     pub max_removal_delay: Duration,
     /// Delay of removals on streams of a single type.
     pub single_type_removal_delay: Duration,
@@ -208,8 +209,8 @@
 }
 
 impl Session {
-    /// A session with a unique stream name, of the incremental or state-of-the-world variant, for the type `only` or for
-    /// all types.
+    /// A session with a unique stream name, of the incremental or state-of-the-world variant, for the type `only`
+    /// or for all types.
     pub fn new(stream: String, incremental: bool, only: Option<ResourceType>, limits: Limits) -> Self {
         Session {
             stream,
@@ -441,7 +442,7 @@
                 self.name_bytes -= name.len();
                 subscription.due.remove(&name);
                 if self.incremental && subscription.wildcard && cache.entry(kind, &name).is_some() {
-                    subscription.due.insert(name); // still part of the wildcard subscription, but the proxy may have dropped it
+                    subscription.due.insert(name); // the proxy may have dropped it, but the wildcard covers it
                 }
             }
         }
@@ -551,8 +552,8 @@
         }
     }
 
-    /// Sequence number up to which removals of a type may be sent now. References to the resource must be removed first:
-    /// the proxy must have acknowledged the later types in make-before-break order up to the removal.
+    /// Sequence number up to which removals of a type may be sent now. References to the resource must be removed
+    /// first: the proxy must have acknowledged the later types in make-before-break order up to the removal.
     fn removable_to(&self, cache: &Cache, kind: ResourceType, now: Duration) -> u64 {
         let Some(subscription) = &self.subscriptions[kind.index()] else { return 0 };
         let (gate, hold) = match self.only {
--- a/crates/xds/src/translate.rs
+++ b/crates/xds/src/translate.rs
@@ -349,8 +349,8 @@
     "reset,gateway-error,unavailable,cancelled,deadline-exceeded,resource-exhausted";
 
 fn retry_policy(class: &Class) -> rds::RetryPolicy {
-    // A proxy knows neither deduplication groups nor the age of a key. So a keyed request that may have been executed is
-    // retried only if all endpoints discard duplicates, for at least as long as the request can last.
+    // A proxy knows neither deduplication groups nor the age of a key. So a keyed request that may have been executed
+    // is retried only if all endpoints discard duplicates, for at least as long as the request can last.
     let retry_if_executed = match class.semantics {
         Semantics::Safe => true,
         Semantics::Keyed { group, window } => group == DedupScope::All && class.deadline <= window,
