--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -9,7 +9,7 @@
 //! "Incremental xDS".
 
 use crate::cache::{Cache, Encoded, Entry, hash, is_version, version_text};
-use crate::resource_type::ResourceType;
+use crate::kind::ResourceType;
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -26,7 +26,8 @@
     /// two responses in memory, so memory at a mass reconnection is proportional to this; gRPC clients accept 4 MiB.
     pub max_response_bytes: usize,
     /// Maximum time that a removal is deferred until the removal of references to the resource is acknowledged. On
-    /// streams of a single type, where this isn't known, the delay is always [`single_type_removal_delay`](Self::single_type_removal_delay).
+    /// streams of a single type, where this isn't known, the delay is always
+    /// [`single_type_removal_delay`](Self::single_type_removal_delay).
     pub max_removal_delay: Duration,
     /// Delay of removals on streams of a single type.
     pub single_type_removal_delay: Duration,
@@ -208,8 +209,8 @@
 }
 
 impl Session {
-    /// A session with a unique stream name, of the incremental or state-of-the-world variant, for the type `only` or for
-    /// all types.
+    /// A session with a unique stream name, of the incremental or state-of-the-world variant, for the type `only`
+    /// or for all types.
     pub fn new(stream: String, incremental: bool, only: Option<ResourceType>, limits: Limits) -> Self {
         Session {
             stream,
@@ -260,11 +261,9 @@
         let kind = match (self.only, ResourceType::from_url(&request.type_url)) {
             (Some(only), _) if request.type_url.is_empty() => only,
             (Some(only), Some(kind)) if kind == only => only,
-            (Some(only), _) => {
-                return Err(SessionError::WrongType(truncate(&request.type_url), only.url()));
-            }
+            (Some(only), _) => return Err(SessionError::WrongType(shorten(&request.type_url), only.url())),
             (None, Some(kind)) => kind,
-            (None, None) => return Err(SessionError::UnknownType(truncate(&request.type_url))),
+            (None, None) => return Err(SessionError::UnknownType(shorten(&request.type_url))),
         };
         if self.subscriptions[kind.index()].is_none() {
             return self.first_request(cache, kind, request);
@@ -365,7 +364,7 @@
             }
             Some(detail) => {
                 subscription.rejections += 1;
-                let detail = truncate(detail);
+                let detail = shorten(detail);
                 subscription.rejected = Some(Rejection { version: sent.version, detail, at: now });
                 // Splits the response: one invalid resource must not block the others, such as a drain.
                 let partial = self.incremental || !kind.requires_full_state();
@@ -443,7 +442,7 @@
                 self.name_bytes -= name.len();
                 subscription.due.remove(&name);
                 if self.incremental && subscription.wildcard && cache.entry(kind, &name).is_some() {
-                    subscription.due.insert(name); // still part of the wildcard subscription, but the proxy may have dropped it
+                    subscription.due.insert(name); // the proxy may have dropped it, but the wildcard covers it
                 }
             }
         }
@@ -553,8 +552,8 @@
         }
     }
 
-    /// Sequence number up to which removals of a type may be sent now. References to the resource must be removed first:
-    /// the proxy must have acknowledged the later types in make-before-break order up to the removal.
+    /// Sequence number up to which removals of a type may be sent now. References to the resource must be removed
+    /// first: the proxy must have acknowledged the later types in make-before-break order up to the removal.
     fn removable_to(&self, cache: &Cache, kind: ResourceType, now: Duration) -> u64 {
         let Some(subscription) = &self.subscriptions[kind.index()] else { return 0 };
         let (gate, hold) = match self.only {
@@ -582,9 +581,7 @@
     /// Status of each type, for status output.
     pub fn type_statuses(&self, cache: &Cache) -> Vec<TypeStatus> {
         let subscriptions = ResourceType::ALL.into_iter().zip(&self.subscriptions);
-        let active = subscriptions.filter_map(|(kind, subscription)| {
-            subscription.as_ref().map(|subscription| (kind, subscription))
-        });
+        let active = subscriptions.filter_map(|(kind, entry)| entry.as_ref().map(|entry| (kind, entry)));
         active
             .map(|(kind, subscription)| TypeStatus {
                 kind,
@@ -732,6 +729,6 @@
     version.split_once('.').and_then(|(epoch, _)| epoch.parse().ok())
 }
 
-fn truncate(text: &str) -> String {
+fn shorten(text: &str) -> String {
     text[..text.floor_char_boundary(MAX_DETAIL_BYTES)].to_owned()
 }
