--- a/crates/fleetconfig/src/amend.rs
+++ b/crates/fleetconfig/src/amend.rs
@@ -11,10 +11,10 @@
 use miniserde::json::{self, Array, Object, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Lists that a configuration may always be given; others must be there to be amended.
+/// Lists that an amendment may create; others must exist in the configuration.
 const KNOWN_LISTS: [&str; 2] = ["routes", "services"];
 
-/// The changes of one list of named items.
+/// Changes to one list of named items.
 #[derive(Clone, Debug, Default)]
 struct ListChanges {
     /// Items to add, or to replace, by name.
@@ -23,7 +23,7 @@
     remove: BTreeSet<String>,
 }
 
-/// An amendment that is valid by itself; whether it fits a configuration shows when it is applied.
+/// A syntactically valid amendment. Whether it applies to a configuration is checked by [`Amendment::apply`].
 #[derive(Clone, Debug)]
 pub struct Amendment {
     version: u64,
@@ -31,7 +31,7 @@
 }
 
 impl Amendment {
-    /// Parses the JSON that the operator sends.
+    /// Parses an operator's JSON.
     pub fn read(body: &[u8]) -> Result<Self, ConfigError> {
         let wire: AmendmentWire = parse(body)?;
         let mut findings = Findings::default();
@@ -53,15 +53,15 @@
                 }
             }
         }
-        findings.none_or(Amendment { version: wire.version, lists })
+        findings.into_result(Amendment { version: wire.version, lists })
     }
 
-    /// The version that the configuration gets.
+    /// Version of the amended configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Applies the amendment to the JSON of a configuration. The result is a valid configuration.
+    /// Applies the amendment to the JSON of a configuration and returns the amended JSON, which is a valid configuration.
     pub fn apply(&self, current: &[u8]) -> Result<Vec<u8>, ConfigError> {
         let mut config: Object = parse(current)?;
         let mut findings = Findings::default();
@@ -77,7 +77,7 @@
             }
         }
         config.insert("version".to_owned(), Value::Number(json::Number::U64(self.version)));
-        let amended = findings.none_or(json::to_string(&config).into_bytes())?;
+        let amended = findings.into_result(json::to_string(&config).into_bytes())?;
         FleetConfig::read(&amended)?;
         Ok(amended)
     }
--- a/crates/fleetconfig/src/check.rs
+++ b/crates/fleetconfig/src/check.rs
@@ -7,10 +7,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Maximum of a time in milliseconds: a day.
+/// Maximum duration in milliseconds: one day.
 const MAX_TIME_MS: f64 = 86_400_000.0;
 
-/// All problems that were found in a configuration.
+/// The problems found in a configuration.
 #[derive(Default)]
 pub(crate) struct Findings(Vec<Finding>);
 
@@ -19,8 +19,8 @@
         self.0.push(Finding { place: place.into(), problem: problem.into() });
     }
 
-    /// What was checked, if nothing was found.
-    pub(crate) fn none_or<T>(self, checked: T) -> Result<T, ConfigError> {
+    /// Returns the checked value if there are no findings.
+    pub(crate) fn into_result<T>(self, checked: T) -> Result<T, ConfigError> {
         if self.0.is_empty() { Ok(checked) } else { Err(ConfigError::Invalid(self.0)) }
     }
 
@@ -52,7 +52,7 @@
         routes.push(route);
     }
     let limits = limits(wire.limits, &mut findings);
-    findings.none_or(FleetConfig { version: wire.version, routes, services, limits })
+    findings.into_result(FleetConfig { version: wire.version, routes, services, limits })
 }
 
 fn services(wire: Vec<ServiceWire>, findings: &mut Findings) -> (Vec<Service>, HashMap<String, usize>) {
@@ -65,13 +65,14 @@
         if let Some(other) = by_name.insert(service.name.clone(), index) {
             findings.add(format!("services[{index}].name"), format!("services[{other}] has the same name"));
         }
-        let whole = |number: Option<f64>| number.filter(|n| *n >= 1.0).map(|n| n as u64);
+        let positive_integer = |number: Option<f64>| number.filter(|n| *n >= 1.0).map(|n| n as u64);
         services.push(Service {
             name: service.name,
-            connection_limit: whole(service.conn_limit).map_or(u32::MAX, |n| n.min(u32::MAX.into()) as u32),
+            connection_limit: positive_integer(service.conn_limit)
+                .map_or(u32::MAX, |n| n.min(u32::MAX.into()) as u32),
             engine: service.engine.map(|engine| Engine {
-                capacity: whole(engine.capacity).unwrap_or(1) as u32,
-                kv_tokens: whole(engine.kv_capacity).unwrap_or(0),
+                capacity: positive_integer(engine.capacity).unwrap_or(1) as u32,
+                kv_tokens: positive_integer(engine.kv_capacity).unwrap_or(0),
             }),
         });
     }
@@ -132,7 +133,7 @@
     services: &HashMap<String, usize>,
     findings: &mut Findings,
 ) -> Vec<Share> {
-    let mut find = |name: &str, place: String| match services.get(name) {
+    let mut service_index = |name: &str, place: String| match services.get(name) {
         Some(service) => *service,
         None => {
             findings.add(place, format!("there is no service {name:?}"));
@@ -143,7 +144,7 @@
         (_, Some(split)) if !split.is_empty() => split,
         (Some(service), _) => {
             return vec![Share {
-                service: find(&service, format!("routes[{index}].service")),
+                service: service_index(&service, format!("routes[{index}].service")),
                 weight: 1.0,
             }];
         }
@@ -153,8 +154,9 @@
         }
     };
     let mut shares = Vec::with_capacity(split.len());
-    for (part, share) in split.iter().enumerate() {
-        let service = find(&share.service, format!("routes[{index}].split[{part}].service"));
+    for (share_index, share) in split.iter().enumerate() {
+        let service =
+            service_index(&share.service, format!("routes[{index}].split[{share_index}].service"));
         shares.push(Share { service, weight: share.weight });
     }
     check_weights(index, &shares, findings);
@@ -162,10 +164,10 @@
 }
 
 fn check_weights(index: usize, shares: &[Share], findings: &mut Findings) {
-    for (part, share) in shares.iter().enumerate() {
+    for (share_index, share) in shares.iter().enumerate() {
         if !share.weight.is_finite() || share.weight < 0.0 {
             findings.add(
-                format!("routes[{index}].split[{part}].weight"),
+                format!("routes[{index}].split[{share_index}].weight"),
                 format!("{} is no weight", share.weight),
             );
         }
@@ -179,7 +181,7 @@
     let mut limits = Limits::default();
     let Some(wire) = wire else { return limits };
     let bytes =
-        |given: Option<f64>, other: usize| given.filter(|n| *n >= 1.0).map_or(other, |n| n as usize);
+        |given: Option<f64>, default: usize| given.filter(|n| *n >= 1.0).map_or(default, |n| n as usize);
     limits.header_bytes = bytes(wire.header_bytes, limits.header_bytes);
     limits.body_bytes = bytes(wire.body_bytes, limits.body_bytes);
     if let Some(ms) = wire.header_ms {
--- a/crates/fleetconfig/src/lib.rs
+++ b/crates/fleetconfig/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration ([`FleetConfig`]) and the settings file of a process ([`Node`]).
 //!
-//! Both are parsed with bounds on their size and then checked: every finding names its place, and all findings are
+//! Both are parsed with bounds on their size and then checked: every finding names its field, and all findings are
 //! reported together. Only [`Node::from_env`] does I/O.
 
 mod amend;
--- a/crates/fleetconfig/src/node.rs
+++ b/crates/fleetconfig/src/node.rs
@@ -33,11 +33,11 @@
 /// The time and retry bounds of the deployment; RULES defines each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// No request goes to an endpoint this long after it was acknowledged as draining.
+    /// Time after the acknowledgement of draining from which an endpoint gets no more requests.
     pub drain: Duration,
     /// Time from SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// A configuration is in force everywhere within this.
+    /// Time within which a configuration is in force everywhere.
     pub converge: Duration,
     /// Retries allowed per request of a service.
     pub retry_ratio: f64,
@@ -45,7 +45,7 @@
     pub retry_window: Duration,
     /// Retries allowed beyond the ratio, summed over the whole fleet.
     pub retry_slack: f64,
-    /// A machine counts as lost for this long after it is back.
+    /// Time for which a returned machine still counts as lost.
     pub settle: Duration,
 }
 
@@ -80,7 +80,7 @@
     pub peer: SocketAddrV4,
     /// Control addresses of some controllers, for finding the others.
     pub seeds: Vec<SocketAddrV4>,
-    /// The whole system starts for the first time, with empty disks.
+    /// Whether the whole system starts for the first time, with empty disks.
     pub first_boot: bool,
     /// Folder for persistent files, used by controllers.
     pub data_dir: Option<String>,
@@ -98,27 +98,27 @@
     pub bounds: Bounds,
 }
 
-/// Bandwidth that is assumed where the settings state none.
+/// Link bandwidth in megabits a second if the settings have none.
 const DEFAULT_LINK_MBPS: f64 = 1000.0;
 
-struct Reader<'a> {
+struct SettingsReader<'a> {
     file: &'a Ini,
     findings: Vec<Finding>,
 }
 
-impl Reader<'_> {
+impl SettingsReader<'_> {
     fn text(&self, key: &str) -> Option<&str> {
         self.file.general_section().get(key).map(str::trim).filter(|value| !value.is_empty())
     }
 
-    fn find(&mut self, key: &str, problem: impl Into<String>) {
+    fn add_finding(&mut self, key: &str, problem: impl Into<String>) {
         self.findings.push(Finding { place: key.to_owned(), problem: problem.into() });
     }
 
     fn parsed<T: FromStr>(&mut self, key: &str, text: &str) -> Option<T> {
         let value = text.trim().parse().ok();
         if value.is_none() {
-            self.find(key, format!("{text:?} can't be read"));
+            self.add_finding(key, format!("{text:?} can't be read"));
         }
         value
     }
@@ -128,19 +128,19 @@
         self.parsed(key, &text)
     }
 
-    fn or<T: FromStr>(&mut self, key: &str, default: T) -> T {
+    fn or_default_value<T: FromStr>(&mut self, key: &str, default: T) -> T {
         self.optional(key).unwrap_or(default)
     }
 
-    fn required<T: FromStr>(&mut self, key: &str, stand_in: T) -> T {
+    fn required<T: FromStr>(&mut self, key: &str, placeholder: T) -> T {
         if self.text(key).is_none() {
-            self.find(key, "is missing");
+            self.add_finding(key, "is missing");
         }
-        self.or(key, stand_in)
+        self.or_default_value(key, placeholder)
     }
 
     fn millis(&mut self, key: &str, default: f64) -> Duration {
-        Duration::from_secs_f64(self.or(key, default).clamp(0.0, 1e9) / 1000.0)
+        Duration::from_secs_f64(self.or_default_value(key, default).clamp(0.0, 1e9) / 1000.0)
     }
 }
 
@@ -171,14 +171,14 @@
                 (format!("line {}", error.line), "is no setting of the form a.b=value".to_owned());
             SettingsError::Invalid(vec![Finding { place, problem }])
         })?;
-        let mut reader = Reader { file: &file, findings: Vec::new() };
-        let node = reader.node();
+        let mut reader = SettingsReader { file: &file, findings: Vec::new() };
+        let node = reader.read_node();
         if reader.findings.is_empty() { Ok(node) } else { Err(SettingsError::Invalid(reader.findings)) }
     }
 }
 
-impl Reader<'_> {
-    fn node(&mut self) -> Node {
+impl SettingsReader<'_> {
+    fn read_node(&mut self) -> Node {
         let ports = self.text("portRange").unwrap_or_default().to_owned();
         let first_port = ports.split(',').next().unwrap_or_default().to_owned();
         let first_port: u16 = self.parsed("portRange", &first_port).unwrap_or_default();
@@ -190,29 +190,31 @@
         Node {
             name,
             ip,
-            zone: self.or("zone", String::new()),
+            zone: self.or_default_value("zone", String::new()),
             front: self.optional("listen.front"),
             ready: self.optional("listen.ready"),
             control: self.optional("listen.control"),
-            feed: self
-                .or("listen.feed", SocketAddrV4::new(Ipv4Addr::LOCALHOST, first_port.saturating_add(1))),
+            feed: self.or_default_value(
+                "listen.feed",
+                SocketAddrV4::new(Ipv4Addr::LOCALHOST, first_port.saturating_add(1)),
+            ),
             first_port,
-            peer: self.or("listen.peer", SocketAddrV4::new(ip, first_port)),
+            peer: self.or_default_value("listen.peer", SocketAddrV4::new(ip, first_port)),
             seeds,
-            first_boot: self.or("firstBoot", false),
+            first_boot: self.or_default_value("firstBoot", false),
             data_dir: self.optional("dataDir"),
             heartbeat: self.millis("beatPeriodMs", 1200.0),
-            descriptors: self.or("limits.fdLimit", 1024),
-            memory_mb: self.or("limits.memoryMb", 256),
-            link_mbps: self.or("limits.linkMbps", DEFAULT_LINK_MBPS),
-            tolerance: Tolerance { machines: self.or("tolerance.machines", 1) },
+            descriptors: self.or_default_value("limits.fdLimit", 1024),
+            memory_mb: self.or_default_value("limits.memoryMb", 256),
+            link_mbps: self.or_default_value("limits.linkMbps", DEFAULT_LINK_MBPS),
+            tolerance: Tolerance { machines: self.or_default_value("tolerance.machines", 1) },
             bounds: Bounds {
                 drain: self.millis("bounds.drainMs", 2000.0),
                 grace: self.millis("bounds.graceS", 8.0) * 1000,
                 converge: self.millis("bounds.convergeMs", 2000.0),
-                retry_ratio: self.or("bounds.retryRatio", 0.2),
+                retry_ratio: self.or_default_value("bounds.retryRatio", 0.2),
                 retry_window: self.millis("bounds.retryWindowS", 10.0) * 1000,
-                retry_slack: self.or("bounds.retrySlack", 0.0),
+                retry_slack: self.or_default_value("bounds.retrySlack", 0.0),
                 settle: self.millis("bounds.settleS", 4.0) * 1000,
             },
         }
--- a/crates/fleetconfig/src/routes.rs
+++ b/crates/fleetconfig/src/routes.rs
@@ -19,7 +19,7 @@
 }
 
 impl RouteTable {
-    /// A table of this configuration.
+    /// Builds the table of a configuration.
     pub fn new(config: FleetConfig) -> Self {
         let mut by_host: HashMap<String, HashMap<String, usize>> = HashMap::new();
         for (index, route) in config.routes.iter().enumerate() {
@@ -41,7 +41,7 @@
             Some(prefixes) => prefixes,
             None => self.by_host.get(&host.to_ascii_lowercase())?,
         };
-        // Prefixes end with a slash: the candidates are the path's own beginnings up to each of its slashes.
+        // Prefixes end with a slash, so the candidates are the prefixes of the path up to each of its slashes.
         let ends = path.bytes().enumerate().filter(|(_, byte)| *byte == b'/').map(|(at, _)| at + 1);
         let mut ends: Vec<usize> = ends.collect();
         ends.reverse();
--- a/crates/fleetconfig/tests/amendments.rs
+++ b/crates/fleetconfig/tests/amendments.rs
@@ -1,4 +1,4 @@
-//! Amendments: what they make of a configuration, and what is refused with its place.
+//! Applying amendments to configurations, and the findings for invalid amendments.
 
 use miniserde::json::{self, Value};
 use runtrack_fleetconfig::{Amendment, ConfigError, FleetConfig};
@@ -20,7 +20,7 @@
     Ok(String::from_utf8(result).expect("it is text"))
 }
 
-/// The names of a list, in order.
+/// Names of the items of a list, in order.
 fn names(config: &str, list: &str) -> Vec<String> {
     let config: json::Object = json::from_str(config).expect("it is JSON");
     let Some(Value::Array(items)) = config.get(list) else { panic!("a list") };
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn items_are_replaced_in_place_added_behind_and_removed_and_all_else_is_kept() {
+fn upsert_replaces_or_appends_and_remove_deletes_and_everything_else_is_kept() {
     let body = format!(
         r#"{{"version":9,"upsert":{{"routes":[{},{}],"services":[{{"name":"u"}}]}},"remove":{{"routes":["b"],"services":["t"]}}}}"#,
         route("c", "/c/", "u"),
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn a_list_that_this_version_does_not_know_is_amended_too() {
+fn lists_unknown_to_this_version_are_amended() {
     let body = r#"{"version":9,"upsert":{"notes":[{"name":"m"}]},"remove":{"notes":["n"]}}"#;
     assert_eq!(names(&amended(body).expect("it is valid"), "notes"), ["m"]);
 }
 
 #[test]
-fn an_amendment_without_changes_gives_the_same_configuration_under_its_number() {
+fn an_empty_amendment_changes_only_the_version() {
     let result = amended(r#"{"version":9}"#).expect("it is valid");
     let expected = CONFIG.replace(r#""version":7"#, r#""version":9"#);
     let parsed = |text: &str| json::to_string(&json::from_str::<Value>(text).expect("it is JSON"));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_is_invalid_is_named_with_its_place() {
+fn invalid_amendments_are_rejected_with_the_invalid_field() {
     let cases = [
         (r#"{"version":0}"#.to_owned(), "version: 0 is"),
         (r#"{"version":9,"upsert":{"routes":[{"host":"h"}]}}"#.to_owned(), "upsert.routes[0]: has no name"),
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_name_that_several_items_have_is_not_amended() {
+fn ambiguous_item_names_are_rejected() {
     let config = CONFIG.replace(r#""name":"b""#, r#""name":"a""#);
     for body in [
         r#"{"version":9,"remove":{"routes":["a"]}}"#.to_owned(),
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn every_finding_is_reported_at_once() {
+fn all_findings_are_reported_together() {
     let body = r#"{"version":0,"upsert":{"routes":[{}]},"remove":{"services":["s","s"]}}"#;
     let Err(ConfigError::Invalid(findings)) = Amendment::read(body.as_bytes()).map(|_| ()) else {
         panic!("it is invalid")
--- a/crates/fleetconfig/tests/settings.rs
+++ b/crates/fleetconfig/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process.
+//! Parsing of a process's settings file.
 
 use expect_test::expect;
 use runtrack_fleetconfig::{Node, SettingsError};
@@ -34,7 +34,7 @@
 ";
 
 #[test]
-fn a_file_of_the_deploy_page_is_read() {
+fn a_settings_file_is_parsed() {
     let node = Node::read(FILE).expect("it is valid");
     assert_eq!(node.name, "core-city-hall-1");
     assert_eq!(node.control.expect("an address").to_string(), "10.1.0.38:8146");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn links_come_in_at_the_machine_s_address_unless_the_file_says_otherwise() {
+fn links_listen_at_the_machine_address_unless_listen_peer_is_set() {
     let node = Node::read(FILE).expect("it is valid");
     assert_eq!(node.peer.to_string(), "10.1.0.38:7660");
     let elsewhere = Node::read(&format!("{FILE}listen.peer=192.168.7.2:7700\n")).expect("it is valid");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_told_together() {
+fn all_findings_are_reported_together() {
     let file = FILE
         .replace("ip=10.1.0.38", "ip=10.1.0")
         .replace("node=core-city-hall-1\n", "")
@@ -81,6 +81,6 @@
 }
 
 #[test]
-fn a_line_that_is_no_setting_is_told_with_its_number() {
+fn a_malformed_line_is_reported_with_its_number() {
     expect!["line 2: is no setting of the form a.b=value"].assert_eq(&findings("node=a\nwhat is this"));
 }
