--- a/crates/controller/benches/copies.rs
+++ b/crates/controller/benches/copies.rs
@@ -1,5 +1,6 @@
-//! How long copies take, with real processes on loopback: `cargo bench -p runtrack-controller --bench copies`. All figures
-//! are of one run on one disk; those that depend on it stand beside a bare sync and a bare round trip.
+//! Measures the replication of configurations between real processes on loopback:
+//! `cargo bench -p runtrack-controller --bench copies`. All figures are from one run on one disk; those that depend on the
+//! disk are printed together with the time of a plain sync and of a plain HTTP call.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -9,10 +10,10 @@
 use std::time::{Duration, Instant};
 use support::{Cluster, config};
 
-/// Room of a value's file, as the controller has it.
+/// Preallocated size of a value's file in bytes, as in the controller.
 const VALUE_ROOM: usize = 384 << 10;
-/// What has not come by then is said not to come.
-const GIVE_UP: Duration = Duration::from_secs(10);
+/// Copies that are not complete within this time are reported as missing.
+const COPY_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 const CHANGES: u64 = 200;
 
@@ -31,15 +32,15 @@
     start.elapsed()
 }
 
-/// Time until all these disks hold a configuration; nothing where they don't.
+/// Formatted time since `since` until the disks of these machines hold a configuration.
 fn until_complete(cluster: &Cluster, machines: &[usize], version: u64, since: Instant) -> String {
-    while since.elapsed() < GIVE_UP {
+    while since.elapsed() < COPY_TIMEOUT {
         if machines.iter().all(|machine| cluster.holds(*machine, &config(version))) {
             return format!("{:.0} ms", millis(since.elapsed()));
         }
         sleep(POLL_INTERVAL);
     }
-    format!("not within {} s", GIVE_UP.as_secs())
+    format!("not within {} s", COPY_TIMEOUT.as_secs())
 }
 
 fn replace_configs(cluster: &Cluster, machine: usize, from: u64, count: u64) -> Vec<Duration> {
@@ -48,7 +49,7 @@
     (from + 1..=from + count).map(replace).collect()
 }
 
-/// A change, a bare sync and a bare call in turn: the disk and the machine are the same to all three.
+/// Alternates a change, a plain sync and a plain HTTP call, so that disk and machine conditions are the same for all three.
 fn compared(cluster: &Cluster, ring: &mut RecordStore<Folder>, from: u64) -> String {
     let record = vec![7; 2048];
     let (mut changes, mut syncs, mut calls) = (Vec::new(), Vec::new(), Vec::new());
@@ -96,7 +97,7 @@
     let start = Instant::now();
     cluster.start(3, false);
     println!("complete copies after a replacement: {}", until_complete(&cluster, &[0, 1, 3], 5, start));
-    cluster.logged(3, "member.joined", "");
+    cluster.wait_for_event(3, "member.joined", "");
     println!("it counts as a member after {:.0} ms", millis(start.elapsed()));
 }
 
@@ -108,7 +109,7 @@
     let start = Instant::now();
     cluster.start(2, false);
     println!("complete copies after a wipe: {}", until_complete(&cluster, &[0, 1, 2], 5, start));
-    cluster.logged(2, "member.joined", "");
+    cluster.wait_for_event(2, "member.joined", "");
     println!("it counts as a member after {:.0} ms", millis(start.elapsed()));
 }
 
@@ -116,7 +117,7 @@
     let cluster = Cluster::started("bench-frozen", 3);
     replace_configs(&cluster, 0, 0, 5);
     cluster.freeze(2, true);
-    sleep(Duration::from_secs(2)); // until its links are given up: what is sent meanwhile is lost
+    sleep(Duration::from_secs(2)); // until the other members close its links and drop what they send to it
     replace_configs(&cluster, 0, 5, 5);
     let start = Instant::now();
     cluster.freeze(2, false);
@@ -134,7 +135,7 @@
         replace_configs(&cluster, 0, 5, changes);
         let start = Instant::now();
         cluster.start(2, false);
-        cluster.logged(2, "config.taken", &format!("\"version\":{}", 5 + changes));
+        cluster.wait_for_event(2, "config.taken", &format!("\"version\":{}", 5 + changes));
         let current = start.elapsed();
         let complete = until_complete(&cluster, &[0, 1, 2], 5 + changes, start);
         println!(
--- a/crates/controller/benches/losses.rs
+++ b/crates/controller/benches/losses.rs
@@ -1,4 +1,4 @@
-//! How long changes and copies take while a member is lost, in virtual time, so that the load of the machine does not matter:
+//! Measures changes and copies while a member is lost. It runs in virtual time, so that the machine's load has no effect:
 //! `cargo bench -p runtrack-controller --bench losses -- [members] [bytes] [write in ms] [every how many ms] [up to] [losses] [uneven]`.
 
 #[path = "../tests/loss_measurement/mod.rs"]
@@ -6,7 +6,7 @@
 #[path = "../tests/virtual_time/mod.rs"]
 mod virtual_time;
 
-use loss_measurement::{Figures, LOSSES, Loss, Row, Trial, play};
+use loss_measurement::{Figures, LOSSES, Loss, Row, Trial, run_trial};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,17 +16,17 @@
 use std::time::Duration;
 use virtual_time::run;
 
-/// The machine is shared.
+/// Small, since the machine is shared.
 const THREADS: usize = 3;
 
 fn figures(trial: Trial) -> Figures {
     let figures = Rc::new(Cell::new(Figures::default()));
     let out = figures.clone();
-    run(async move { out.set(play(trial).await) });
+    run(async move { out.set(run_trial(trial).await) });
     figures.get()
 }
 
-/// The rows of losses whose name contains this, on a few threads.
+/// Measures the losses whose name contains `wanted` and returns the formatted rows.
 fn rows(wanted: &str, row: impl Fn(Loss) -> Row + Sync) -> Vec<String> {
     let losses: Vec<Loss> =
         LOSSES.into_iter().filter(|loss| format!("{loss:?}").contains(wanted)).collect();
@@ -36,12 +36,12 @@
             scope.spawn(|| {
                 while let Some((at, loss)) = take(&losses, &next) {
                     let line = row(loss).to_string();
-                    rows.lock().expect("nobody panics with it").insert(at, line);
+                    rows.lock().expect("the lock is not poisoned").insert(at, line);
                 }
             });
         }
     });
-    rows.into_inner().expect("nobody panics with it").into_values().collect()
+    rows.into_inner().expect("the lock is not poisoned").into_values().collect()
 }
 
 fn take(losses: &[Loss], next: &AtomicUsize) -> Option<(usize, Loss)> {
--- a/crates/controller/tests/behind.rs
+++ b/crates/controller/tests/behind.rs
@@ -1,5 +1,5 @@
-//! A controller whose peer has a value under a higher ballot finds out what is chosen, once. The peer is played by the
-//! test, in virtual time.
+//! A controller whose peer reports a value under a higher ballot runs one catch-up, and no further rounds. The test
+//! simulates the peer, in virtual time.
 
 mod virtual_time;
 
@@ -17,15 +17,15 @@
 use tokio::time::sleep;
 use virtual_time::{World, run};
 
-const PLAYED: usize = 2;
-/// Long enough in virtual time for a controller to settle down.
-const LONG: Duration = Duration::from_secs(10);
-/// Rounds that a controller may take until it is on a ballot above the peer's.
+const FAKE_PEER: usize = 2;
+/// Virtual time after which a controller has become idle.
+const SETTLE_WAIT: Duration = Duration::from_secs(10);
+/// Maximum number of rounds until a controller's ballot is above the peer's.
 const MAX_ROUNDS: u32 = 4;
 
-/// What the played member says and sees.
+/// State of the simulated member.
 #[derive(Default)]
-struct Played {
+struct FakePeer {
     accepted: Cell<Ballot>,
     prepares: Cell<u32>,
 }
@@ -43,59 +43,59 @@
     Ok(decode(&payload).expect("a message"))
 }
 
-/// Answers probes, and promises nothing.
-async fn serve(me: Member, played: Rc<Played>, connection: Box<dyn Connection>) -> io::Result<()> {
+/// Answers probes and counts prepares without replying to them.
+async fn serve(me: Member, peer: Rc<FakePeer>, connection: Box<dyn Connection>) -> io::Result<()> {
     let (mut reader, mut writer) = split(connection);
     let hello = Hello { wire: WIRE_VERSION, role: Role::Controller, node: "played".into(), member: me };
     write(&mut writer, &Message::Hello(hello)).await?;
     loop {
         match read(&mut reader).await? {
             Message::Probe(number) => {
-                let (accepted, unreachable) = (played.accepted.get(), Vec::new().into());
+                let (accepted, unreachable) = (peer.accepted.get(), Vec::new().into());
                 write(&mut writer, &Message::ProbeReply(ProbeReply { number, accepted, unreachable }))
                     .await?;
             }
             Message::Request(_, RegisterRequest::Prepare { .. }) => {
-                played.prepares.set(played.prepares.get() + 1);
+                peer.prepares.set(peer.prepares.get() + 1);
             }
             _ => {}
         }
     }
 }
 
-async fn play(listener: Box<dyn Listener>, me: Member, played: Rc<Played>) {
+async fn accept_links(listener: Box<dyn Listener>, me: Member, peer: Rc<FakePeer>) {
     while let Ok(connection) = poll_fn(|cx| listener.poll_accept(cx)).await {
-        spawn_local(serve(me, played.clone(), connection));
+        spawn_local(serve(me, peer.clone(), connection));
     }
 }
 
 #[test]
-fn a_value_under_a_higher_ballot_elsewhere_is_looked_into_once() {
+fn a_higher_ballot_at_a_peer_triggers_one_catch_up() {
     run(async {
         let mut world = World::new(3, 4.0);
-        let played = Rc::new(Played::default());
-        let me = Member::new(world.link_address(PLAYED), 0);
-        spawn_local(play(world.listen_for_links(PLAYED), me, played.clone()));
-        for machine in 0..PLAYED {
+        let peer = Rc::new(FakePeer::default());
+        let me = Member::new(world.link_address(FAKE_PEER), 0);
+        spawn_local(accept_links(world.listen_for_links(FAKE_PEER), me, peer.clone()));
+        for machine in 0..FAKE_PEER {
             world.start(machine, true);
         }
-        for machine in 0..PLAYED {
-            world.logged(machine, "contact.majority", "").await;
+        for machine in 0..FAKE_PEER {
+            world.wait_for_event(machine, "contact.majority", "").await;
         }
         world.replace_config(0, 0, 1).await;
-        sleep(LONG).await;
+        sleep(SETTLE_WAIT).await;
 
-        played.prepares.set(0);
-        sleep(LONG).await;
-        assert_eq!(played.prepares.get(), 0, "all is known: no rounds");
+        peer.prepares.set(0);
+        sleep(SETTLE_WAIT).await;
+        assert_eq!(peer.prepares.get(), 0, "no rounds while nothing is new");
 
-        played.accepted.set(Ballot { round: 1000, boot: 7 });
-        sleep(LONG).await;
-        let rounds = played.prepares.get();
+        peer.accepted.set(Ballot { round: 1000, boot: 7 });
+        sleep(SETTLE_WAIT).await;
+        let rounds = peer.prepares.get();
         assert!((1..=2 * MAX_ROUNDS).contains(&rounds), "{rounds} rounds of two controllers");
 
-        played.prepares.set(0);
-        sleep(LONG).await;
-        assert_eq!(played.prepares.get(), 0, "it was looked into");
+        peer.prepares.set(0);
+        sleep(SETTLE_WAIT).await;
+        assert_eq!(peer.prepares.get(), 0, "the higher ballot was resolved before");
     });
 }
--- a/crates/controller/tests/confirmations.rs
+++ b/crates/controller/tests/confirmations.rs
@@ -1,4 +1,4 @@
-//! Who counts as having confirmed that an endpoint leaves.
+//! Which members count as having confirmed that an endpoint leaves.
 
 use runtrack_controller::confirmation_tracker::ConfirmationTracker;
 use runtrack_message::Member;
@@ -18,7 +18,7 @@
     links.iter().copied().collect()
 }
 
-/// This member has the record on disk; the second member was asked on link 4 and has confirmed.
+/// A tracker after this member has written the record and the second member has confirmed it on link 4.
 fn confirmed_by_the_second() -> ConfirmationTracker {
     let mut tracker = ConfirmationTracker::default();
     tracker.on_own_write(true);
@@ -36,10 +36,10 @@
     alone.on_own_write(true);
     assert!(!alone.has_majorities(one, &links(&[(4, two)]), &sets));
     assert!(confirmed_by_the_second().has_majorities(one, &links(&[(4, two)]), &sets));
-    assert!(!confirmed_by_the_second().has_majorities(one, &links(&[(4, two)]), &[]), "of no set");
+    assert!(!confirmed_by_the_second().has_majorities(one, &links(&[(4, two)]), &[]), "there is no set");
     assert!(
         !confirmed_by_the_second().has_majorities(member(9, 0), &links(&[(4, two)]), &sets),
-        "no member itself"
+        "this process is not a member"
     );
 }
 
@@ -51,7 +51,7 @@
     tracker.ask(4, two);
     tracker.on_confirmed(4);
     tracker.on_own_write(false);
-    assert!(!tracker.has_majorities(one, &links(&[(4, two)]), &sets), "its disk has refused");
+    assert!(!tracker.has_majorities(one, &links(&[(4, two)]), &sets), "its own write failed");
     tracker.ask(5, three);
     tracker.on_confirmed(5);
     assert!(
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn who_was_not_asked_on_a_link_does_not_confirm_on_it() {
+fn a_confirmation_on_a_link_without_a_request_is_ignored() {
     let (one, two, three) = (member(1, 0), member(2, 0), member(3, 0));
     let mut tracker = ConfirmationTracker::default();
     tracker.on_own_write(true);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_member_whose_link_came_up_again_has_not_confirmed() {
+fn a_confirmation_does_not_outlive_its_link() {
     let (one, two, three) = (member(1, 0), member(2, 0), member(3, 0));
     let sets = [set(&[one, two, three])];
     let mut tracker = confirmed_by_the_second();
@@ -81,7 +81,7 @@
     assert!(tracker.has_majorities(one, &links(&[(5, two)]), &sets));
 }
 
-/// What one confirmation was for is no longer in force: another incarnation has taken the member's place.
+/// Whether a confirmation still counts after another incarnation has taken the member's place.
 fn counts_a_wiped_member() -> bool {
     let (one, three) = (member(1, 0), member(3, 0));
     let in_force = [set(&[one, member(2, 77), three])];
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_confirmation_of_a_member_that_was_wiped_does_not_count() {
+fn a_confirmation_of_a_wiped_member_does_not_count() {
     assert!(!counts_a_wiped_member());
     let (one, two, three) = (member(1, 0), member(2, 0), member(3, 0));
     let answered_by_another = links(&[(4, member(2, 77))]);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_sets_in_force_at_the_end_count() {
+fn confirmations_are_counted_against_the_sets_in_force_at_the_end() {
     let (one, two) = (member(1, 0), member(2, 0));
     let replaced = [set(&[one, member(4, 9), member(3, 0)])];
     assert!(!confirmed_by_the_second().has_majorities(one, &links(&[(4, two)]), &replaced));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn who_counts_by_address_is_found() {
+fn the_mutant_that_counts_by_address_is_detected() {
     set_mutant(Some("confirmations-by-address"));
     let found = counts_a_wiped_member();
     set_mutant(None);
--- a/crates/controller/tests/contention.rs
+++ b/crates/controller/tests/contention.rs
@@ -1,5 +1,5 @@
-//! Rounds of reads at all members at once, over slow disks, in virtual time: each member comes through in the end. Reads
-//! take rounds only where a quorum read does not settle them (`quorum_reads.rs`); here all of them do.
+//! Concurrent read rounds at all members over slow disks, in virtual time: each member makes progress. Reads use rounds only
+//! where a quorum read is unsettled (`quorum_reads.rs`); here a mutant makes all of them use rounds.
 
 mod virtual_time;
 
@@ -9,12 +9,12 @@
 use virtual_time::{World, run};
 
 const READ: &str = "/runtrack/config/read";
-/// Virtual time for which each member is read from.
+/// Virtual time during which each member is read from.
 const LENGTH: Duration = Duration::from_secs(10);
-/// The longest time without an answer at one member.
+/// Maximum time without a successful read at one member.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// Reads one after another at a member; the longest time between two that came through.
+/// Reads sequentially from a member; returns the longest time between two successful reads.
 async fn longest_wait(world: &World, machine: usize) -> Duration {
     let began = Instant::now();
     let (mut last, mut longest) = (began, Duration::ZERO);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn reads_at_all_members_at_once_come_through_over_slow_disks() {
+fn concurrent_read_rounds_at_all_members_succeed_on_slow_disks() {
     set_mutant(Some("reads-by-round"));
     for delay_ms in [1, 30, 100] {
         run(async move {
--- a/crates/controller/tests/cut_off.rs
+++ b/crates/controller/tests/cut_off.rs
@@ -1,4 +1,4 @@
-//! A controller that is cut off, in virtual time: in both directions or one, frozen and thawed, beside an agent.
+//! A controller partitioned in one or both directions, or frozen and resumed, with a linked agent. In virtual time.
 
 mod virtual_time;
 
@@ -10,15 +10,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, split};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
-use virtual_time::{World, finds, run};
+use virtual_time::{World, detects_mutant, run};
 
 const SETTLE_S: f64 = 10.0;
 const PING_INTERVAL: Duration = Duration::from_millis(400);
-/// A member that has lost contact answers within this.
-const CLEAR_ANSWER: Duration = Duration::from_millis(500);
-/// A call that is under way when the cut begins is answered within this: callers wait a second.
-const ANSWER_UNDER_WAY: Duration = Duration::from_millis(900);
-/// After this a member that was cut off has lost contact, and its links are still up.
+/// Maximum response time of a member that has lost contact.
+const REJECTION_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum response time of a call that is pending when the partition begins; callers wait one second.
+const PENDING_ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time after which a partitioned member has lost contact while its links are still up.
 const JUST_LOST: Duration = Duration::from_millis(1000);
 const READ: &str = "/runtrack/config/read";
 const REPLACE: &str = "/runtrack/config/replace";
@@ -33,20 +33,20 @@
 }
 
 /// Three members in contact, with a configuration.
-async fn three() -> World {
+async fn three_members() -> World {
     World::with_three_members(3, SETTLE_S).await
 }
 
-type Heard = Rc<RefCell<Vec<Message>>>;
+type ReceivedMessages = Rc<RefCell<Vec<Message>>>;
 
-/// An agent linked to one controller; all that it receives.
-async fn agent_at(world: &World, machine: usize) -> Heard {
-    let heard = Heard::default();
-    spawn_local(listen(world.dial_link(machine).await, heard.clone()));
-    heard
+/// Links an agent to one controller; returns the messages it receives.
+async fn agent_at(world: &World, machine: usize) -> ReceivedMessages {
+    let received = ReceivedMessages::default();
+    spawn_local(listen(world.dial_link(machine).await, received.clone()));
+    received
 }
 
-async fn listen(connection: Box<dyn Connection>, heard: Heard) {
+async fn listen(connection: Box<dyn Connection>, received: ReceivedMessages) {
     let (mut reader, mut writer) = split(connection);
     let hello =
         Hello { wire: WIRE_VERSION, role: Role::Agent, node: "edge".into(), member: Member::none() };
@@ -65,28 +65,28 @@
         if reader.read_exact(&mut payload).await.is_err() {
             return;
         }
-        heard.borrow_mut().push(decode(&payload).expect("it can be read"));
+        received.borrow_mut().push(decode(&payload).expect("it can be read"));
     }
 }
 
-fn reported_contact(heard: &Heard) -> Vec<bool> {
+fn reported_contact(received: &ReceivedMessages) -> Vec<bool> {
     let reported = |message: &Message| match message {
         Message::MajorityContact(current) => Some(*current),
         _ => None,
     };
-    heard.borrow().iter().filter_map(reported).collect()
+    received.borrow().iter().filter_map(reported).collect()
 }
 
-fn suspects_told(heard: &Heard) -> usize {
+fn suspects_received(received: &ReceivedMessages) -> usize {
     let named = |message: &Message| match message {
         Message::Suspects(keys) => keys.items().len(),
         _ => 0,
     };
-    heard.borrow().iter().map(named).max().unwrap_or(0)
+    received.borrow().iter().map(named).max().unwrap_or(0)
 }
 
-/// Each kind of call at the first member is answered 503 at once.
-async fn refuses_all(world: &World) {
+/// Asserts that the first member answers each kind of call with 503 at once.
+async fn rejects_all(world: &World) {
     let calls = [
         ("GET", READ, "", String::new()),
         ("POST", REPLACE, "X-Base-Version: 1\r\n", r#"{"version":2,"routes":[],"services":[]}"#.to_owned()),
@@ -97,50 +97,50 @@
     for (method, path, headers, body) in &calls {
         let (status, took) = world.timed(0, method, path, headers, body).await;
         assert_eq!(status, 503, "{method} {path}");
-        assert!(took <= CLEAR_ANSWER, "{method} {path}: {took:?}");
+        assert!(took <= REJECTION_TIMEOUT, "{method} {path}: {took:?}");
     }
 }
 
 async fn cut_in_both_directions() {
-    let mut world = three().await;
-    let heard = agent_at(&world, 0).await;
+    let mut world = three_members().await;
+    let received = agent_at(&world, 0).await;
     sleep(PING_INTERVAL).await;
-    assert_eq!(reported_contact(&heard), [true], "reported on connect");
+    assert_eq!(reported_contact(&received), [true], "reported on connect");
     world.cut(0, 1, true);
     world.cut(0, 2, true);
     let (status, took) = world.timed(0, "GET", READ, "", "").await;
     assert_eq!(status, 503);
-    assert!(took <= ANSWER_UNDER_WAY, "{took:?}");
-    world.logged(0, "contact.lost", "").await;
-    refuses_all(&world).await;
-    assert_eq!(reported_contact(&heard), [true, false], "reported on change");
+    assert!(took <= PENDING_ANSWER_TIMEOUT, "{took:?}");
+    world.wait_for_event(0, "contact.lost", "").await;
+    rejects_all(&world).await;
+    assert_eq!(reported_contact(&received), [true, false], "reported on change");
     world.replace_config(1, 1, 3).await;
-    assert_eq!(heartbeat(&world, 2, "i-3", "draining", 1).await, 200, "the others go on");
+    assert_eq!(heartbeat(&world, 2, "i-3", "draining", 1).await, 200, "the others continue");
     world.cut(0, 1, false);
-    world.logged(0, "contact.majority", "").await;
-    sleep(CLEAR_ANSWER).await;
-    assert_eq!(reported_contact(&heard), [true, false, true], "reported when it is back");
+    world.wait_for_event(0, "contact.majority", "").await;
+    sleep(REJECTION_TIMEOUT).await;
+    assert_eq!(reported_contact(&received), [true, false, true], "reported on recovery");
     assert_eq!(world.timed(0, "GET", READ, "", "").await.0, 200);
     assert_eq!(heartbeat(&world, 0, "i-4", "ready", 1).await, 200);
 }
 
-/// What the first member says is lost, and what it is sent arrives; or the other way round.
-async fn cut_in_one_direction(its_words_are_lost: bool) {
-    let world = three().await;
+/// Drops either the outbound or the inbound messages of the first member.
+async fn cut_in_one_direction(outbound_lost: bool) {
+    let world = three_members().await;
     for other in [1, 2] {
-        if its_words_are_lost {
+        if outbound_lost {
             world.cut_one_way(0, other);
         } else {
             world.cut_one_way(other, 0);
         }
     }
     sleep(JUST_LOST).await;
-    refuses_all(&world).await;
+    rejects_all(&world).await;
 }
 
-/// The first member stands still, with answers to its old probes in its buffers, and goes on when nobody answers.
-async fn stood_still_with_answers_waiting() {
-    let world = three().await;
+/// Freezes the first member while replies to its probes are in its buffers, and resumes it when no peer answers.
+async fn frozen_with_buffered_replies() {
+    let world = three_members().await;
     let others = [1, 2];
     others.iter().for_each(|other| world.freeze(*other, true));
     sleep(Duration::from_millis(300)).await; // a probe goes out
@@ -150,14 +150,14 @@
     others.iter().for_each(|other| world.freeze(*other, true));
     sleep(Duration::from_millis(900)).await;
     world.freeze(0, false);
-    sleep(Duration::from_millis(10)).await; // the answers are read
-    refuses_all(&world).await;
+    sleep(Duration::from_millis(10)).await; // the buffered replies are read
+    rejects_all(&world).await;
 }
 
-/// An endpoint calls the member that is cut off, and another one a member that is not.
-async fn names_nobody_while_cut_off() {
-    let world = three().await;
-    let heard = agent_at(&world, 0).await;
+/// One endpoint calls the partitioned member, another one a connected member.
+async fn reports_no_suspects_while_partitioned() {
+    let world = three_members().await;
+    let received = agent_at(&world, 0).await;
     assert_eq!(heartbeat(&world, 1, "i-far", "ready", 1).await, 200);
     assert_eq!(heartbeat(&world, 0, "i-near", "ready", 1).await, 200);
     sleep(PING_INTERVAL).await;
@@ -168,7 +168,7 @@
         heartbeat(&world, 0, "i-near", "ready", call_seq).await;
         assert_eq!(heartbeat(&world, 1, "i-far", "ready", call_seq).await, 200);
     }
-    assert_eq!(suspects_told(&heard), 0, "it does not hear who calls the others");
+    assert_eq!(suspects_received(&received), 0, "it does not learn of heartbeats at the others");
     world.cut(0, 1, false);
     world.cut(0, 2, false);
     for call_seq in 12..18 {
@@ -176,34 +176,34 @@
         heartbeat(&world, 0, "i-near", "ready", call_seq).await;
         heartbeat(&world, 1, "i-far", "ready", call_seq).await;
     }
-    assert_eq!(suspects_told(&heard), 0, "nor has it heard them when it is back");
+    assert_eq!(suspects_received(&received), 0, "it has not received them when contact is back");
 }
 
 #[test]
-fn a_member_cut_off_in_both_directions_refuses_at_once_and_comes_back() {
+fn a_member_partitioned_in_both_directions_rejects_at_once_and_recovers() {
     run(cut_in_both_directions());
 }
 
 #[test]
-fn a_member_cut_off_in_one_direction_refuses_as_well() {
+fn a_member_partitioned_in_one_direction_rejects_as_well() {
     run(cut_in_one_direction(true));
     run(cut_in_one_direction(false));
 }
 
 #[test]
-fn a_member_that_stood_still_does_not_take_old_answers_for_contact() {
-    run(stood_still_with_answers_waiting());
+fn buffered_replies_do_not_prove_contact_after_a_freeze() {
+    run(frozen_with_buffered_replies());
 }
 
 #[test]
-fn a_member_that_is_cut_off_names_no_suspects() {
-    run(names_nobody_while_cut_off());
+fn a_partitioned_member_reports_no_suspects() {
+    run(reports_no_suspects_while_partitioned());
 }
 
 #[test]
 fn each_mutant_is_found() {
-    assert!(finds("contact-of-one-side", || run(cut_in_one_direction(true))));
-    assert!(finds("contact-as-of-the-reply", || run(stood_still_with_answers_waiting())));
-    assert!(finds("heartbeats-out-of-contact", || run(cut_in_both_directions())));
-    assert!(finds("suspects-out-of-contact", || run(names_nobody_while_cut_off())));
+    assert!(detects_mutant("contact-of-one-side", || run(cut_in_one_direction(true))));
+    assert!(detects_mutant("contact-as-of-the-reply", || run(frozen_with_buffered_replies())));
+    assert!(detects_mutant("heartbeats-out-of-contact", || run(cut_in_both_directions())));
+    assert!(detects_mutant("suspects-out-of-contact", || run(reports_no_suspects_while_partitioned())));
 }
--- a/crates/controller/tests/disk_check.rs
+++ b/crates/controller/tests/disk_check.rs
@@ -1,4 +1,4 @@
-//! What a member's disk check is for, and what it must not get in the way of, in virtual time.
+//! The disk check of a starting member: it detects older disks, and delays no other start. In virtual time.
 
 mod virtual_time;
 
@@ -8,39 +8,39 @@
 use virtual_time::{World, run};
 
 const SETTLE_S: f64 = 4.0;
-/// Long enough in virtual time for whatever is going to happen to happen.
-const LONG: Duration = Duration::from_secs(15);
-/// More than a round waits for a reply.
-const SLOW: Duration = Duration::from_millis(2000);
-/// How long a start of all may take until a change is acknowledged: the wait for late answers is not part of it.
+/// Virtual time after which the cluster has settled.
+const SETTLE_WAIT: Duration = Duration::from_secs(15);
+/// Longer than a round waits for a reply.
+const SLOW_WRITE: Duration = Duration::from_millis(2000);
+/// Maximum time from a start of all members to the first acknowledged change. It excludes the wait for late answers.
 const START_BOUND: Duration = Duration::from_millis(1000);
 
-/// Members tell each other what they have on disk this often.
+/// Interval at which members report to each other what they have on disk.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Three members that hold version 1, and know it of each other.
-async fn three() -> World {
+/// Three members that have version 1 on disk and have reported it to each other.
+async fn three_members() -> World {
     let mut world = World::with_three_members(3, SETTLE_S).await;
     for machine in 0..3 {
-        world.logged(machine, "config.taken", "\"version\":1").await;
+        world.wait_for_event(machine, "config.taken", "\"version\":1").await;
         while world.version_on_disk(machine) != Some(1) {
             sleep(PROBE_INTERVAL).await;
         }
     }
-    sleep(PROBE_INTERVAL * 2).await; // the others have heard what each of them has on disk
+    sleep(PROBE_INTERVAL * 2).await; // each member has reported its disk to the others
     world
 }
 
-/// Members 0 and 2 alone acknowledge version 2, then member 2's disk is put back to version 1 and member 0 is lost as soon
-/// as member 2 has logged this. Member 1 has heard nothing of version 2, and its disk takes nothing until then.
-async fn put_back_and_another_one_lost(event: &str) -> World {
-    let mut world = three().await;
-    world.put_back_before_version_two().await;
+/// Only members 0 and 2 acknowledge version 2. Then member 2's disk is restored to version 1, and member 0 is killed as soon
+/// as member 2 has logged `event`. Member 1 does not know of version 2, and its disk is full until then.
+async fn restore_a_disk_and_lose_another_member(event: &str) -> World {
+    let mut world = three_members().await;
+    world.restore_disk_to_version_one().await;
     world.disk(1).set_full(true);
-    world.slow_disk(2, SLOW);
+    world.slow_disk(2, SLOW_WRITE);
     world.cut(1, 2, false);
     world.start(2, false);
-    world.logged(2, event, "").await;
+    world.wait_for_event(2, event, "").await;
     world.kill(0).await;
     world.slow_disk(2, Duration::ZERO);
     world.cut(0, 1, false);
@@ -49,39 +49,39 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlasts_an_older_disk_and_the_loss_of_another_member() {
+fn acknowledged_changes_survive_an_older_disk_and_the_loss_of_another_member() {
     run(async {
-        let mut world = put_back_and_another_one_lost("disk.older").await;
-        world.ended(2).await;
+        let mut world = restore_a_disk_and_lose_another_member("disk.older").await;
+        world.wait_for_exit(2).await;
         world.start(2, false);
-        assert_eq!(world.clear_answer(1, 1, 3, LONG).await, None, "only member 0 holds version 2");
+        assert_eq!(
+            world.definite_status(1, 1, 3, SETTLE_WAIT).await,
+            None,
+            "only member 0 holds version 2"
+        );
         world.start(0, false);
-        world.logged(2, "member.joined", "").await;
-        assert_eq!(world.clear_answer(1, 1, 3, LONG).await, Some(412));
+        world.wait_for_event(2, "member.joined", "").await;
+        assert_eq!(world.definite_status(1, 1, 3, SETTLE_WAIT).await, Some(412));
         world.replace_config(2, 2, 3).await;
         assert!(world.lines(0, "disk.older").is_empty());
     });
 }
 
 #[test]
-fn a_member_that_goes_on_with_an_older_disk_is_found() {
+fn the_mutant_that_continues_on_an_older_disk_loses_a_change() {
     run(async {
         set_mutant(Some("older-disk-goes-on"));
-        let world = put_back_and_another_one_lost("disk.checked").await;
-        let answer = world.clear_answer(1, 1, 3, LONG).await;
+        let world = restore_a_disk_and_lose_another_member("disk.checked").await;
+        let answer = world.definite_status(1, 1, 3, SETTLE_WAIT).await;
         set_mutant(None);
-        assert_eq!(
-            answer,
-            Some(200),
-            "version 2 was acknowledged, and is written over as if it had never been"
-        );
+        assert_eq!(answer, Some(200), "the acknowledged version 2 is overwritten");
     });
 }
 
 #[test]
-fn all_that_start_at_once_serve_within_a_moment() {
+fn members_that_all_restart_at_once_serve_within_the_start_bound() {
     run(async {
-        let mut world = three().await;
+        let mut world = three_members().await;
         for machine in 0..3 {
             world.kill(machine).await;
         }
@@ -93,24 +93,24 @@
         println!("first change acknowledged after {} ms", since.elapsed().as_millis());
         assert!(since.elapsed() < START_BOUND, "{:?}", since.elapsed());
         for machine in 0..3 {
-            world.logged(machine, "disk.checked", "\"known\":false").await;
+            world.wait_for_event(machine, "disk.checked", "\"known\":false").await;
         }
     });
 }
 
-/// Member 2 starts again with its disk as it is, and is needed for a change at once.
+/// Restarts member 2 with its disk as it is; the next change needs it for a majority.
 async fn serves_after_a_restart(mut world: World, version: u64) {
     world.start(2, false);
-    world.logged(2, "disk.checked", "\"known\":true").await;
+    world.wait_for_event(2, "disk.checked", "\"known\":true").await;
     world.kill(0).await;
     world.replace_config(1, version, version + 1).await;
     assert!(world.lines(2, "disk.older").is_empty());
 }
 
 #[test]
-fn a_member_that_restarts_with_its_current_disk_serves() {
+fn a_member_that_restarts_with_a_current_disk_serves() {
     run(async {
-        let mut world = three().await;
+        let mut world = three_members().await;
         world.replace_config(1, 1, 2).await;
         world.kill(2).await;
         world.replace_config(1, 2, 3).await;
@@ -119,14 +119,14 @@
 }
 
 #[test]
-fn a_write_that_was_lost_with_the_power_is_no_older_disk() {
-    // The promise is lost, or the value after it.
+fn a_write_lost_with_the_process_is_not_taken_for_an_older_disk() {
+    // Either the promise is lost or the value that follows it.
     for writes_before in [0, 1] {
         run(async move {
-            let mut world = three().await;
-            world.slow_disk(2, SLOW);
+            let mut world = three_members().await;
+            world.slow_disk(2, SLOW_WRITE);
             world.replace_config(0, 1, 2).await;
-            sleep(SLOW * writes_before + SLOW / 2).await;
+            sleep(SLOW_WRITE * writes_before + SLOW_WRITE / 2).await;
             world.kill(2).await;
             world.slow_disk(2, Duration::ZERO);
             serves_after_a_restart(world, 2).await;
--- a/crates/controller/tests/failed_sync.rs
+++ b/crates/controller/tests/failed_sync.rs
@@ -1,4 +1,5 @@
-//! A value whose bytes reach the disk while its sync fails: the member goes on without it, and must not come back with it.
+//! A value whose bytes reach the disk although its sync fails: the member continues without it, and must not recover it after
+//! a restart.
 
 use runtrack_controller::disk::{Record, Rings};
 use runtrack_message::{Ballot, RegisterReply, RegisterRequest, Value};
@@ -23,7 +24,7 @@
     }
 }
 
-/// A member and its disk.
+/// A member with its disk.
 struct Member {
     files: Memory,
     rings: Rings<Memory>,
@@ -31,18 +32,18 @@
 }
 
 impl Member {
-    /// One that has accepted a value under [`FIRST`].
+    /// A member that has accepted a value under [`FIRST`].
     fn with_a_value() -> Self {
         let files = Memory::default();
-        let (rings, acceptor) = Rings::open(files.clone(), || INCARNATION).expect("it opens");
+        let (rings, acceptor) = Rings::open(files.clone(), || INCARNATION).expect("the disk can be opened");
         let mut member = Member { files, rings, acceptor };
         member.prepare(FIRST).expect("the disk takes the promise");
         member.accept(FIRST, 1).expect("the disk takes the value");
         member
     }
 
-    /// As the controller's task does: the reply goes out once the record is written, and where the disk refuses it the member
-    /// is as it was before.
+    /// Handles a request as the controller's task does: the reply is sent once the record is written; if the write fails, the
+    /// acceptor's previous state is restored.
     fn ask(&mut self, request: &RegisterRequest) -> Option<RegisterReply> {
         let before = self.acceptor.clone();
         let (reply, durable) = self.acceptor.handle(request);
@@ -62,21 +63,22 @@
         self.ask(&RegisterRequest::Accept { to: INCARNATION, ballot, value })
     }
 
-    /// A value whose bytes reach the disk while its sync fails.
+    /// Accepts a value whose bytes reach the disk although its sync fails.
     fn accept_with_a_failed_sync(&mut self) {
         self.files.tear_next(usize::MAX);
-        assert_eq!(self.accept(FAILED, 2), None, "nothing is said of a value that is not synced");
+        assert_eq!(self.accept(FAILED, 2), None, "no reply is sent for a value that is not synced");
     }
 
-    /// The ballot of the value that the member has after a restart.
+    /// Ballot of the accepted value that is recovered by a restart.
     fn accepted_after_restart(&self) -> Option<Ballot> {
-        let (_, acceptor) = Rings::open(self.files.clone(), || INCARNATION).expect("it opens");
+        let (_, acceptor) =
+            Rings::open(self.files.clone(), || INCARNATION).expect("the disk can be opened");
         acceptor.accepted().map(|accepted| accepted.ballot)
     }
 }
 
-/// The later proposer is promised that nothing newer than [`FIRST`] was accepted. Whether that holds after a restart.
-fn a_promise_without_the_value_holds() -> bool {
+/// Promises a later proposer that nothing newer than [`FIRST`] was accepted; returns whether that still holds after a restart.
+fn promise_without_value_holds() -> bool {
     let mut member = Member::with_a_value();
     member.accept_with_a_failed_sync();
     let promised = member.prepare(LATER).expect("the disk takes the promise");
@@ -85,31 +87,31 @@
 }
 
 #[test]
-fn a_value_whose_sync_failed_does_not_come_back_once_a_promise_went_out_without_it() {
-    assert!(a_promise_without_the_value_holds());
+fn a_value_whose_sync_failed_is_not_recovered_after_a_promise_without_it() {
+    assert!(promise_without_value_holds());
 }
 
 #[test]
-fn a_value_that_stays_on_the_disk_is_found() {
+fn a_failed_value_left_on_disk_breaks_the_promise() {
     set_mutant(Some("failed-value-stays"));
-    let holds = a_promise_without_the_value_holds();
+    let holds = promise_without_value_holds();
     set_mutant(None);
-    assert!(!holds, "the planted error does no harm");
+    assert!(!holds, "the mutant has no effect");
 }
 
 #[test]
-fn a_disk_that_does_not_let_go_of_the_value_lets_nothing_be_promised() {
+fn nothing_is_promised_while_a_failed_value_cannot_be_discarded() {
     let mut member = Member::with_a_value();
     member.accept_with_a_failed_sync();
     member.files.set_full(true);
-    assert_eq!(member.prepare(LATER), None, "it would be promised without the value");
+    assert_eq!(member.prepare(LATER), None, "a promise without the value would be broken by a restart");
     member.files.set_full(false);
     assert!(member.prepare(LATER).is_some());
     assert_eq!(member.accepted_after_restart(), Some(FIRST));
 }
 
 #[test]
-fn a_value_whose_sync_failed_gives_way_to_the_next_one() {
+fn a_value_whose_sync_failed_is_replaced_by_the_next_one() {
     let mut member = Member::with_a_value();
     member.accept_with_a_failed_sync();
     member.accept(LATER, 3).expect("the disk takes the value");
--- a/crates/controller/tests/interfaces.rs
+++ b/crates/controller/tests/interfaces.rs
@@ -1,4 +1,4 @@
-//! The outer interfaces are as `api/*.yaml` describe them: paths, methods, statuses and fields, both ways.
+//! The public interfaces match `api/*.yaml` in both directions: paths, methods, statuses and fields.
 
 use runtrack_controller::api::OPERATIONS;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn operations_are_those_of_the_files() {
+fn operations_match_the_api_files() {
     let mut described = BTreeSet::new();
     for file in &files() {
         for (path, methods) in entries(&file["paths"]) {
@@ -42,7 +42,7 @@
     assert_eq!(described, served.collect());
 }
 
-/// Fields by structure, as the sources read them, and whether each must be there.
+/// Fields of each wire struct in the sources, and whether each is required.
 fn fields_of_the_sources() -> BTreeMap<String, BTreeMap<String, bool>> {
     let mut structures = BTreeMap::new();
     for source in SOURCES {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn fields_are_those_of_the_files() {
+fn fields_match_the_api_files() {
     let mut described = BTreeMap::new();
     for file in &files() {
         for (name, schema) in entries(&file["components"]["schemas"]) {
--- a/crates/controller/tests/leaves.rs
+++ b/crates/controller/tests/leaves.rs
@@ -1,5 +1,5 @@
-//! An endpoint's leave that was acknowledged is on the disks of a majority: it outlasts the end of all controllers, also for
-//! an agent that slept meanwhile. In virtual time.
+//! An acknowledged leave of an endpoint is on the disks of a majority: it survives the loss of all controller processes, also
+//! for an agent that was partitioned meanwhile. In virtual time.
 
 mod virtual_time;
 
@@ -18,46 +18,45 @@
 
 const SETTLE_S: f64 = 4.0;
 const ENDPOINT: &str = "llm-1";
-/// A write that takes so long is under way when something else is to happen.
-const SLOW: Duration = Duration::from_millis(300);
-/// An endpoint waits a second for its acknowledgement.
+/// Duration of a write that is still in progress when the next step of a test happens.
+const SLOW_WRITE: Duration = Duration::from_millis(300);
+/// Endpoints wait one second for an acknowledgement.
 const ANSWER_BOUND: Duration = Duration::from_millis(1000);
-/// One sync of a usual disk.
+/// Duration of a sync on an ordinary disk.
 const SYNC: Duration = Duration::from_millis(1);
-/// Long enough in virtual time for whatever is going to happen to happen.
-const LONG: Duration = Duration::from_secs(15);
-/// How often a test looks again.
-const POLL: Duration = Duration::from_millis(10);
+/// Virtual time after which the cluster has settled.
+const SETTLE_WAIT: Duration = Duration::from_secs(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// 1,600 endpoints a day are replaced.
 const LEAVES_OF_A_MONTH: usize = 30 * 1_600;
-/// Bytes of all files with leaves: 16 rings of three files.
+/// Maximum total size of the files with leaves in bytes: 16 rings of three files.
 const LEAVES_BOUND: usize = 16 * 3 * (65 << 10);
-/// Endpoints of a release that leave at once.
-const RELEASE: usize = 1000;
+/// Number of endpoints that leave at once in a release.
+const RELEASED_ENDPOINTS: usize = 1000;
 
 fn state_at(copy: &Gossip, id: &str) -> Option<EndpointState> {
     copy.replica().registry().get(key_of(id)).map(|record| record.state)
 }
 
-/// Whether a copy comes to hold this state or a later one.
-async fn comes_to(copy: &Gossip, id: &str, state: EndpointState) -> bool {
+/// Whether a replica reaches this state or a later one.
+async fn reaches_state(copy: &Gossip, id: &str, state: EndpointState) -> bool {
     let waits = async {
         while state_at(copy, id) < Some(state) {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(LONG, waits).await.is_ok()
+    timeout(SETTLE_WAIT, waits).await.is_ok()
 }
 
-/// An agent knows an endpoint as ready and falls asleep, the endpoint leaves and its leave is acknowledged, and all
-/// machines of the control plane lose their power at once. Whether the agent hears of it when all are back.
-async fn is_remembered_after_a_loss_of_power() -> bool {
+/// An agent that knows an endpoint as ready is partitioned, the endpoint's leave is acknowledged, and all controllers lose
+/// power at once. Returns whether the agent learns of the leave after the restart.
+async fn leave_survives_power_loss() -> bool {
     let mut world = World::with_three_members(3, SETTLE_S).await;
     let agent = world.agent();
     assert_eq!(world.heartbeat(0, ENDPOINT, "ready").await.0, 200);
-    assert!(comes_to(&agent, ENDPOINT, EndpointState::Ready).await);
+    assert!(reaches_state(&agent, ENDPOINT, EndpointState::Ready).await);
     world.cut_agent(true);
-    (0..3).for_each(|machine| world.slow_disk(machine, SLOW));
+    (0..3).for_each(|machine| world.slow_disk(machine, SLOW_WRITE));
     assert_eq!(world.heartbeat(0, ENDPOINT, "draining").await.0, 200);
     for machine in 0..3 {
         world.lose_power(machine).await;
@@ -67,12 +66,12 @@
         world.start(machine, false);
     }
     world.cut_agent(false);
-    comes_to(&agent, ENDPOINT, EndpointState::Draining).await
+    reaches_state(&agent, ENDPOINT, EndpointState::Draining).await
 }
 
 #[test]
-fn an_acknowledged_leave_outlasts_the_loss_of_power_of_all() {
-    run(async { assert!(is_remembered_after_a_loss_of_power().await) });
+fn an_acknowledged_leave_survives_a_power_loss_of_all_members() {
+    run(async { assert!(leave_survives_power_loss().await) });
 }
 
 #[test]
@@ -80,7 +79,7 @@
     for error in ["leave-confirmed-before-durable", "leaves-not-read"] {
         run(async {
             set_mutant(Some(error));
-            let remembered = is_remembered_after_a_loss_of_power().await;
+            let remembered = leave_survives_power_loss().await;
             set_mutant(None);
             assert!(!remembered, "{error}");
         });
@@ -88,7 +87,7 @@
 }
 
 #[test]
-fn a_full_disk_at_one_member_is_not_waited_for() {
+fn leaves_do_not_wait_for_one_full_disk() {
     run(async {
         let world = World::with_three_members(3, SETTLE_S).await;
         world.disk(2).set_full(true);
@@ -101,7 +100,7 @@
 }
 
 #[test]
-fn with_full_disks_at_two_members_nothing_is_acknowledged_until_one_has_room() {
+fn leaves_are_not_acknowledged_while_two_disks_are_full() {
     run(async {
         let world = World::with_three_members(3, SETTLE_S).await;
         world.disk(1).set_full(true);
@@ -118,10 +117,10 @@
 }
 
 #[test]
-fn a_stalled_disk_at_one_member_is_not_waited_for() {
+fn leaves_do_not_wait_for_one_stalled_disk() {
     run(async {
         let world = World::with_three_members(3, SETTLE_S).await;
-        world.slow_disk(1, LONG);
+        world.slow_disk(1, SETTLE_WAIT);
         for (machine, id) in [(0, "one"), (1, "two")] {
             let (status, took) = world.heartbeat(machine, id, "draining").await;
             assert_eq!(status, 200, "at {machine}");
@@ -130,27 +129,27 @@
     });
 }
 
-/// A machine takes the place of one that is lost, and its disk takes everything but leaves. Whether it becomes a member.
+/// Replaces a lost member by a machine whose disk rejects leaves; returns whether it becomes a member.
 async fn joins_without_leaves() -> bool {
     let mut world = World::with_three_members(4, SETTLE_S).await;
     assert_eq!(world.heartbeat(0, ENDPOINT, "draining").await.0, 200);
-    world.refuse_leaves(3, true);
+    world.reject_leaves(3, true);
     world.kill(2).await;
     world.start(3, false);
-    sleep(LONG).await;
+    sleep(SETTLE_WAIT).await;
     let joined = !world.lines(3, "member.joined").is_empty();
-    world.refuse_leaves(3, false);
-    world.logged(3, "member.joined", "").await;
+    world.reject_leaves(3, false);
+    world.wait_for_event(3, "member.joined", "").await;
     joined
 }
 
 #[test]
-fn who_joins_has_the_acknowledged_leaves_on_disk() {
+fn a_joining_member_stores_the_acknowledged_leaves_first() {
     run(async { assert!(!joins_without_leaves().await) });
 }
 
 #[test]
-fn who_joins_without_the_leaves_is_found() {
+fn the_mutant_that_joins_without_leaves_is_detected() {
     run(async {
         set_mutant(Some("joins-without-leaves"));
         let joined = joins_without_leaves().await;
@@ -160,21 +159,21 @@
 }
 
 #[test]
-fn what_a_lost_member_confirmed_is_known_to_the_one_in_its_place() {
+fn a_replacement_knows_the_leaves_that_the_lost_member_confirmed() {
     run(async {
         let mut world = World::with_three_members(4, SETTLE_S).await;
-        // Members 0 and 1 confirm, and member 2 hears nothing.
+        // Members 0 and 1 confirm; member 2 is partitioned.
         world.cut(0, 2, true);
         world.cut(1, 2, true);
-        world.logged(2, "contact.lost", "").await;
+        world.wait_for_event(2, "contact.lost", "").await;
         assert_eq!(world.heartbeat(0, ENDPOINT, "draining").await.0, 200);
         world.kill(1).await;
         world.disk(1).wipe();
         world.cut(0, 2, false);
         world.cut(1, 2, false);
         world.start(1, false);
-        world.logged(1, "controller.start", "\"first_boot\":false").await;
-        world.logged(1, "member.joined", "").await;
+        world.wait_for_event(1, "controller.start", "\"first_boot\":false").await;
+        world.wait_for_event(1, "member.joined", "").await;
         for machine in 0..3 {
             world.lose_power(machine).await;
         }
@@ -183,14 +182,14 @@
         world.start(1, false);
         let agent = world.agent();
         assert!(
-            comes_to(&agent, ENDPOINT, EndpointState::Draining).await,
+            reaches_state(&agent, ENDPOINT, EndpointState::Draining).await,
             "it is on the new member's disk"
         );
     });
 }
 
 #[test]
-fn a_release_of_a_thousand_costs_few_syncs() {
+fn a_thousand_concurrent_leaves_share_few_syncs() {
     run(async {
         let world = Rc::new(World::with_three_members(3, SETTLE_S).await);
         (0..3).for_each(|machine| world.slow_disk(machine, SYNC));
@@ -198,7 +197,7 @@
         assert_eq!(status, 200);
         let before: Vec<usize> = (0..3).map(|machine| world.leave_writes(machine)).collect();
         let since = tokio::time::Instant::now();
-        let calls: Vec<_> = (0..RELEASE)
+        let calls: Vec<_> = (0..RELEASED_ENDPOINTS)
             .map(|number| {
                 let world = world.clone();
                 spawn_local(async move {
@@ -212,7 +211,7 @@
         let all = since.elapsed();
         let writes: Vec<usize> =
             (0..3).map(|machine| world.leave_writes(machine) - before[machine]).collect();
-        println!("one leave {alone:?}, {RELEASE} at once {all:?}, writes {writes:?}");
+        println!("one leave {alone:?}, {RELEASED_ENDPOINTS} at once {all:?}, writes {writes:?}");
         assert!(alone <= 3 * SYNC, "{alone:?}");
         assert!(all <= 10 * SYNC, "{all:?}");
         assert!(writes.iter().all(|writes| *writes <= 8), "{writes:?}");
@@ -243,21 +242,25 @@
 }
 
 fn on_disk<F: Files + Clone>(files: F) -> Vec<String> {
-    let (rings, _) = Rings::open(files, || 0).expect("it opens");
+    let (rings, _) = Rings::open(files, || 0).expect("the disk can be opened");
     let records = rings.recovered_leaves().iter();
     records.flat_map(LeaveRecord::endpoints).map(|endpoint| endpoint.id.as_string()).collect()
 }
 
-/// One leave was acknowledged, and the power is lost after so many bytes of the write of a second one. What is left.
-fn left_after_a_torn_write<F: Files + Clone>(memory: &Memory, files: F, torn_after: usize) -> Vec<String> {
-    let (mut rings, _) = Rings::open(files.clone(), || 0).expect("it opens");
-    rings.write(&Record::Leaves(record_of(&["first"]))).expect("it is kept");
+/// Power is lost after `torn_after` bytes of the write of a second leave. Returns the endpoints recovered from the disk.
+fn recovered_after_torn_write<F: Files + Clone>(
+    memory: &Memory,
+    files: F,
+    torn_after: usize,
+) -> Vec<String> {
+    let (mut rings, _) = Rings::open(files.clone(), || 0).expect("the disk can be opened");
+    rings.write(&Record::Leaves(record_of(&["first"]))).expect("the record is written");
     memory.tear_next(torn_after);
     assert!(rings.write(&Record::Leaves(record_of(&["first", "second"]))).is_err());
     on_disk(files)
 }
 
-/// A disk on which all records of a ring go into one file: the newest is overwritten.
+/// A disk that writes all records of a ring into one file, so that the newest one is overwritten.
 #[derive(Clone)]
 struct OneFile(Memory);
 
@@ -276,25 +279,25 @@
 }
 
 #[test]
-fn a_torn_newest_record_costs_only_what_was_not_acknowledged() {
+fn a_torn_write_loses_only_unacknowledged_leaves() {
     for torn_after in 0..60 {
         let memory = Memory::default();
-        let left = left_after_a_torn_write(&memory, memory.clone(), torn_after);
+        let left = recovered_after_torn_write(&memory, memory.clone(), torn_after);
         assert!(left.contains(&"first".to_owned()), "torn after {torn_after}: {left:?}");
     }
 }
 
 #[test]
-fn leaves_take_no_more_of_the_disk_than_planned_and_nothing_that_was_written_is_lost() {
+fn leaves_stay_within_their_disk_bound_and_none_in_the_table_is_lost() {
     let memory = Memory::default();
-    let (mut rings, _) = Rings::open(memory.clone(), || 0).expect("it opens");
+    let (mut rings, _) = Rings::open(memory.clone(), || 0).expect("the disk can be opened");
     let mut table = LeaveTable::default();
     for number in 0..LEAVES_OF_A_MONTH {
         table.note(&gone(&format!("llm-7f9c-zone-a-0123456789abcdef-{number:08}")));
         if number % 500 == 0 || number + 1 == LEAVES_OF_A_MONTH {
             let batch = table.batch().expect("something to write");
             for record in batch.records {
-                rings.write(&Record::Leaves(record)).expect("it is kept");
+                rings.write(&Record::Leaves(record)).expect("the record is written");
             }
             table.written(batch.change);
         }
@@ -304,10 +307,10 @@
 }
 
 #[test]
-fn a_newest_record_that_is_overwritten_is_found() {
+fn overwriting_the_newest_record_in_place_loses_a_leave() {
     let lost = (0..60).any(|torn_after| {
         let memory = Memory::default();
-        left_after_a_torn_write(&memory, OneFile(memory.clone()), torn_after).is_empty()
+        recovered_after_torn_write(&memory, OneFile(memory.clone()), torn_after).is_empty()
     });
     assert!(lost);
 }
--- a/crates/controller/tests/loss_measurement/mod.rs
+++ b/crates/controller/tests/loss_measurement/mod.rs
@@ -1,5 +1,5 @@
-//! What operators notice of the loss of a member: three or five real controllers in virtual time, with links and disks that
-//! take their time, and an operator who sends changes to each member in turn, all the time.
+//! Measures the effect of a lost member on operators: three or five controllers in virtual time, with link and disk latency,
+//! and an operator that continuously sends changes to the members in turn.
 #![allow(dead_code, reason = "the test and the bench use some of it each")]
 
 use crate::virtual_time::World;
@@ -12,52 +12,52 @@
 use tokio::time::{Instant, sleep};
 
 const SETTLE_S: f64 = 4.0;
-/// One way between two machines.
+/// One-way link latency.
 const LATENCY: Duration = Duration::from_millis(1);
-/// One write with its sync, where nothing else is said.
+/// Default duration of a write with its sync.
 const WRITE: Duration = Duration::from_millis(2);
-/// A write to a disk that is slow takes so many times as long.
+/// Factor by which writes to a slow disk take longer.
 const SLOWNESS: u32 = 100;
-/// Changes go on for so long before the loss, and up to the moment that is drawn.
+/// Duration of changes before the loss, in addition to its offset.
 const BEFORE: Duration = Duration::from_millis(500);
-/// And for so long after the member is back.
+/// Duration of changes after the member is back.
 const AFTER: Duration = Duration::from_millis(3000);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Copies that are not complete by then are said not to be.
-const GIVE_UP: Duration = Duration::from_secs(10);
+/// Copies that are not complete within this time are reported as missing.
+const COPY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What befalls a member.
+/// A fault of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
     /// Its process is killed.
     Killed,
-    /// Its machine loses power: nobody hears of it.
+    /// Its machine loses power without closing connections.
     Power,
-    /// Its process stands still for less time than links bear without a byte.
+    /// Its process is frozen for less than the idle timeout of links.
     FrozenShortly,
-    /// Its process stands still.
+    /// Its process is frozen.
     Frozen,
-    /// Nothing goes between it and all others.
+    /// It is partitioned from all others.
     Cut,
-    /// Nothing goes between it and one other.
+    /// It is partitioned from one other member.
     CutFromOne,
-    /// What it says does not arrive at the others.
+    /// Its messages to all others are dropped.
     Muted,
-    /// What it says does not arrive at one other.
+    /// Its messages to one other member are dropped.
     MutedToOne,
-    /// Its disk is empty when it starts again, at once.
+    /// It restarts at once with an empty disk.
     Wiped,
-    /// It is gone, and a new machine starts at once.
+    /// It is lost, and a new machine starts at once.
     Replaced,
-    /// Its disk ends no write.
+    /// Its disk completes no write.
     Stalled,
     /// Its disk is slow.
     Slow,
-    /// Its disk takes nothing.
+    /// Its disk is full.
     Full,
 }
 
-/// All of them.
+/// All faults.
 pub const LOSSES: [Loss; 13] = [
     Loss::Killed,
     Loss::Power,
@@ -75,7 +75,7 @@
 ];
 
 impl Loss {
-    /// How long it lasts.
+    /// Duration of the fault.
     fn lasts(self) -> Duration {
         match self {
             Loss::FrozenShortly => Duration::from_millis(700),
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Who must hold the value once it is over.
+    /// Members that must hold the value after the fault.
     fn members_after(self, members: usize, lost: usize) -> Vec<usize> {
         let stays = |member: &usize| self != Loss::Replaced || *member != lost;
         let new = (self == Loss::Replaced).then_some(members);
@@ -124,45 +124,45 @@
     }
 }
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Trial {
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// Bytes of the configuration.
+    /// Size of the configuration in bytes.
     pub bytes: usize,
-    /// One write with its sync.
+    /// Duration of a write with its sync.
     pub write: Duration,
     /// Some writes take up to 32 times as long.
     pub uneven: bool,
-    /// What is lost.
+    /// The fault.
     pub loss: Loss,
-    /// When, after changes have begun.
+    /// Start of the fault, after changes have begun.
     pub moment: Duration,
-    /// Changes go on once the member is back. Otherwise its copy must be brought up to date by itself.
+    /// Whether changes continue once the member is back. Otherwise its copy must be repaired without them.
     pub goes_on: bool,
 }
 
 impl Trial {
-    /// A loss among so many members, with disks that are quick.
+    /// A run with this fault, this number of members and fast disks.
     pub fn of(members: usize, loss: Loss) -> Self {
         let moment = Duration::ZERO;
         Trial { members, bytes: 0, write: WRITE, uneven: false, loss, moment, goes_on: true }
     }
 }
 
-/// What came of it.
+/// Results of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
     /// The longest time without an acknowledged change.
     pub unanswered: Duration,
-    /// The longest time from when a change was first sent to a member that nothing befalls until it was acknowledged.
+    /// The longest time from the first attempt of a change at a member without a fault until its acknowledgement.
     pub change: Duration,
-    /// From the end of the loss until all members hold the newest value.
+    /// Time from the end of the fault until all members hold the newest value.
     pub complete: Duration,
 }
 
-/// Who sends changes to each member in turn, and what was acknowledged.
+/// Sends changes to the members in turn and records the acknowledged ones.
 struct Writer {
     changes: RefCell<Vec<Change>>,
     stop: Cell<bool>,
@@ -218,18 +218,18 @@
     }
 }
 
-/// Time until all these disks hold this version or a newer one.
+/// Time until the disks of these members hold this version or a newer one.
 async fn until_complete(world: &World, members: &[usize], version: u64) -> Duration {
     let began = Instant::now();
     let holds = |member: &usize| world.version_on_disk(*member).is_some_and(|found| found >= version);
-    while began.elapsed() < GIVE_UP && !members.iter().all(holds) {
+    while began.elapsed() < COPY_TIMEOUT && !members.iter().all(holds) {
         sleep(POLL_INTERVAL).await;
     }
     began.elapsed()
 }
 
-/// The figures of one run.
-pub async fn play(trial: Trial) -> Figures {
+/// Executes one run.
+pub async fn run_trial(trial: Trial) -> Figures {
     let Trial { members, write, uneven, loss, moment, goes_on, .. } = trial;
     fastrand::seed(moment.as_micros() as u64);
     let mut world = World::new(members + 1, SETTLE_S);
@@ -253,12 +253,12 @@
     Figures { complete, ..writer.figures(lost) }
 }
 
-/// Median and maximum.
+/// Median and maximum of durations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Spread {
-    /// Half of the runs took no longer.
+    /// Median.
     pub median: Duration,
-    /// None took longer.
+    /// Maximum.
     pub maximum: Duration,
 }
 
@@ -276,22 +276,22 @@
     }
 }
 
-/// The figures of many runs.
+/// Results of many runs.
 pub struct Row {
-    /// What was lost.
+    /// The fault.
     pub loss: Loss,
     /// Time without an acknowledged change.
     pub unanswered: Spread,
-    /// Time that a change took at members that nothing befell.
+    /// Duration of a change at members without a fault.
     pub change: Spread,
-    /// Time until copies were complete, while changes went on.
+    /// Time until copies were complete while changes continued.
     pub complete: Spread,
     /// The same without changes.
     pub complete_at_rest: Spread,
 }
 
 impl Row {
-    /// Plays a loss at each of these moments, with changes that go on and with changes that end.
+    /// Runs a fault at each of these moments, with and without changes that continue after it.
     pub fn measure(like: Trial, moments: &[Duration], run: impl Fn(Trial) -> Figures) -> Row {
         let all = |goes_on: bool| -> Vec<Figures> {
             let trial = |moment: &Duration| Trial { moment: *moment, goes_on, ..like };
--- a/crates/controller/tests/losses.rs
+++ b/crates/controller/tests/losses.rs
@@ -1,50 +1,54 @@
-//! How long changes and copies take while a member is lost, in virtual time and at a few moments each; the bench `losses`
-//! plays many.
+//! Bounds on the duration of changes and copies while a member is lost, in virtual time and at a few moments each. The bench
+//! `losses` measures many.
 
 mod loss_measurement;
 mod virtual_time;
 
-use loss_measurement::{Figures, Loss, Trial, play};
+use loss_measurement::{Figures, Loss, Trial, run_trial};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 use virtual_time::{World, operator, run};
 
-/// Moments of a loss, in milliseconds, one for each of three members.
+/// Start of the loss in milliseconds, one for each of three members.
 const MOMENTS: [u64; 3] = [100, 413, 806];
-/// The longest that a change may take at a member that nothing befalls.
+/// Maximum duration of a change at a member without a fault.
 const MAX_CHANGE: Duration = Duration::from_millis(250);
 
 fn check(loss: Loss, goes_on: bool, within: fn(&Figures) -> bool) {
     for moment in MOMENTS.map(Duration::from_millis) {
         run(async move {
             let trial = Trial { moment, goes_on, ..Trial::of(3, loss) };
-            let figures = play(trial).await;
+            let figures = run_trial(trial).await;
             assert!(within(&figures), "{trial:?}: {figures:?}");
         });
     }
 }
 
 #[test]
-fn a_round_that_a_member_refused_does_not_wait_for_one_that_is_lost() {
+fn a_rejected_round_does_not_wait_for_a_lost_member() {
     for loss in [Loss::CutFromOne, Loss::MutedToOne, Loss::Wiped, Loss::Replaced, Loss::Stalled, Loss::Full]
     {
         check(loss, true, |figures| figures.change <= MAX_CHANGE);
     }
 }
 
-/// One write to a disk.
+/// Duration of a disk write.
 const WRITE: Duration = Duration::from_millis(50);
-/// The longest that the copy of a member may take that has missed changes, from its return on.
-const MAX_WHOLE: Duration = Duration::from_millis(1200);
+/// Maximum time from a member's return until it has copied the changes it missed.
+const MAX_COPY: Duration = Duration::from_millis(1200);
 
-/// Freezes a member in the middle of writing a promise, through a change, and thaws it; the time until its disk holds that
-/// change.
+/// Freezes a member while it writes a promise, commits a change, and resumes the member. Returns the time until its disk holds
+/// that change.
 async fn copied_after_a_freeze() -> Duration {
     let world = World::with_three_members(3, 4.0).await;
     world.replace_config(0, 1, 2).await;
     sleep(Duration::from_secs(3)).await;
     world.slow_disk(2, WRITE);
-    assert_eq!(world.clear_answer(0, 1, 3, WRITE).await, Some(412), "a round without a value of its own");
+    assert_eq!(
+        world.definite_status(0, 1, 3, WRITE).await,
+        Some(412),
+        "a round that proposes no new value"
+    );
     sleep(WRITE / 2).await;
     world.freeze(2, true);
     world.slow_disk(2, Duration::ZERO);
@@ -60,34 +64,34 @@
 }
 
 #[test]
-fn a_member_that_stood_still_during_a_write_does_not_take_its_disk_for_slow() {
+fn a_freeze_during_a_write_does_not_count_as_a_slow_disk() {
     for seed in 0..8 {
         run(async move {
             fastrand::seed(seed);
             let time = copied_after_a_freeze().await;
             println!("seed {seed}: {time:?}");
-            assert!(time <= MAX_WHOLE, "seed {seed}: {time:?}");
+            assert!(time <= MAX_COPY, "seed {seed}: {time:?}");
         });
     }
 }
 
-/// The longest that a change may take while a member is replaced and writes take 10 to 320 ms.
+/// Maximum duration of a change while a member is replaced and writes take 10 to 320 ms.
 const MAX_CHANGE_ON_UNEVEN_DISKS: Duration = Duration::from_millis(2600);
 
 #[test]
-fn proposers_that_meet_on_slow_disks_leave_each_other_the_time_for_a_round() {
+fn competing_proposers_on_slow_disks_back_off_for_a_round() {
     for moment in (0..1000).step_by(41).map(Duration::from_millis) {
         run(async move {
             let write = Duration::from_millis(10);
             let trial = Trial { moment, write, uneven: true, ..Trial::of(3, Loss::Replaced) };
-            let figures = play(trial).await;
+            let figures = run_trial(trial).await;
             assert!(figures.change <= MAX_CHANGE_ON_UNEVEN_DISKS, "{trial:?}: {figures:?}");
         });
     }
 }
 
 #[test]
-fn no_round_begins_for_a_change_that_was_answered_with_its_outcome_unknown() {
+fn no_round_starts_for_a_change_already_answered_as_unknown() {
     run(async {
         let world = World::with_three_members(3, 4.0).await;
         (0..3).for_each(|machine| world.stall_disk(machine, true));
@@ -95,7 +99,7 @@
         let (status, took) =
             world.timed(0, "POST", "/runtrack/config/replace", "X-Base-Version: 1\r\n", &body).await;
         assert_eq!((status, took < Duration::from_secs(1)), (503, true));
-        // The last round that had begun has been given up by then.
+        // The last round in progress has timed out by now.
         sleep(Duration::from_millis(600)).await;
         (0..3).for_each(|machine| world.stall_disk(machine, false));
         sleep(Duration::from_secs(5)).await;
--- a/crates/controller/tests/request_queue.rs
+++ b/crates/controller/tests/request_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a disk that stalls.
+//! The queue of requests that wait for a stalled disk.
 
 use runtrack_controller::request_queue::{MAX_QUEUED_REQUESTS, REQUEST_LIFETIME, RequestQueue};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 const START: Duration = Duration::from_secs(100);
 
 #[test]
-fn requests_come_out_in_their_order() {
+fn requests_are_popped_in_order() {
     let mut queue = RequestQueue::default();
     (0..3).for_each(|request| queue.push(START, request));
     let out: Vec<i32> = std::iter::from_fn(|| queue.pop(START)).collect();
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_stalled_disk_leaves_the_newest_requests_and_no_more() {
+fn a_full_queue_keeps_the_newest_requests() {
     let mut queue = RequestQueue::default();
     (0..10 * MAX_QUEUED_REQUESTS).for_each(|request| queue.push(START, request));
     assert_eq!(queue.len(), MAX_QUEUED_REQUESTS);
@@ -22,18 +22,18 @@
 }
 
 #[test]
-fn a_request_that_nobody_waits_for_any_more_is_dropped() {
+fn expired_requests_are_dropped() {
     let mut queue = RequestQueue::default();
-    queue.push(START, "given up");
-    queue.push(START + Duration::from_millis(1), "still waited for");
-    assert_eq!(queue.pop(START + REQUEST_LIFETIME + Duration::from_millis(1)), Some("still waited for"));
-    queue.push(START, "given up");
+    queue.push(START, "expired");
+    queue.push(START + Duration::from_millis(1), "pending");
+    assert_eq!(queue.pop(START + REQUEST_LIFETIME + Duration::from_millis(1)), Some("pending"));
+    queue.push(START, "expired");
     assert_eq!(queue.pop(START + 2 * REQUEST_LIFETIME), None);
     assert!(queue.is_empty());
 }
 
 #[test]
-fn requests_that_are_obsolete_are_dropped_and_the_others_keep_their_order() {
+fn obsolete_requests_are_dropped_and_the_others_keep_their_order() {
     let mut queue = RequestQueue::default();
     (0..6).for_each(|request| queue.push(START, request));
     queue.discard(|request| request % 2 == 0);
--- a/crates/controller/tests/support/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Built controllers on loopback, each with an address and a folder of its own.
+//! Runs built controllers on loopback, each with its own address and folder.
 #![allow(dead_code, reason = "each test file uses some of it")]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,24 +11,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Whatever takes longer than this has failed.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-/// Of several logs each is listened to for so long in its turn.
-const LOG_TURN: Duration = Duration::from_millis(5);
+/// Timeout of every wait in the tests.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time for which each of several logs is polled in turn.
+const LOG_POLL_TIMEOUT: Duration = Duration::from_millis(5);
 const CONTROL: u16 = 8146;
 const FIRST_PORT: u16 = 7660;
 
-/// Machines of one test.
+/// The machines of one test.
 pub struct Cluster {
     folder: PathBuf,
     base: u32,
     seeds: Vec<usize>,
     nodes: Vec<Node>,
-    /// What the settings say beside addresses.
+    /// Settings other than addresses.
     pub settings: Settings,
-    /// A mutant that all processes run with.
+    /// Mutant of all processes.
     pub mutant: Option<&'static str>,
-    /// How long an event in a log is waited for.
+    /// Timeout for log events.
     pub patience: Duration,
 }
 
@@ -46,7 +46,7 @@
 struct Process {
     child: Child,
     log: Receiver<String>,
-    /// All that it has logged, to be shown where a test fails.
+    /// All log lines, printed if the test fails.
     lines: Arc<Mutex<Vec<String>>>,
 }
 
@@ -60,36 +60,37 @@
     }
 }
 
-/// An answer over HTTP.
+/// An HTTP response.
 #[derive(Debug)]
-pub struct Got {
+pub struct HttpResponse {
     pub status: u16,
     pub body: String,
 }
 
 impl Cluster {
-    /// So many machines with nothing running, of which the first three are the seeds.
+    /// Creates machines without running processes; the first three are the seeds.
     pub fn new(name: &str, machines: usize) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("controller-{name}-{}-{number}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder); // of a run that was killed
-        // Ten bits of the process's number keep test runs apart that share a machine.
+        let _ = std::fs::remove_dir_all(&folder); // left by a killed run
+        // Ten bits of the process id separate concurrent test runs on one machine.
         let process = std::process::id();
         let (second, third) = (64 + (process & 0x7f), ((process >> 7) & 7) << 5 | (number & 0x1f));
         let base = (127 << 24) | (second << 16) | (third << 8);
         let nodes = (0..machines).map(|_| Node { process: None }).collect();
         let settings = Settings { tolerance: 1, settle_s: 4.0, grace_s: 8.0 };
         let seeds = vec![0, 1, 2];
-        let cluster = Cluster { folder, base, seeds, nodes, settings, mutant: None, patience: PATIENCE };
+        let cluster =
+            Cluster { folder, base, seeds, nodes, settings, mutant: None, patience: WAIT_TIMEOUT };
         for machine in 0..machines {
             cluster.make_disk(machine);
         }
         cluster
     }
 
-    /// Three members that have started for the first time.
+    /// Creates machines and starts the three seeds for the first time.
     pub fn started(name: &str, machines: usize) -> Self {
         let mut cluster = Cluster::new(name, machines);
         cluster.first_boot();
@@ -120,7 +121,7 @@
         self.folder.join(format!("disk-{machine}"))
     }
 
-    /// Where a machine's values are: its disk only links there, so that a test can take them away from a process.
+    /// Folder of a machine's value files. Its disk folder has symbolic links to them, so that a test can make them unavailable.
     fn values(&self, machine: usize) -> PathBuf {
         self.folder.join(format!("values-{machine}"))
     }
@@ -134,37 +135,37 @@
         }
     }
 
-    /// From now on a machine's disk refuses to write values; promises are taken.
-    pub fn refuse_values(&self, machine: usize) {
+    /// Makes a machine's disk reject values; promises are still accepted.
+    pub fn reject_values(&self, machine: usize) {
         std::fs::rename(self.values(machine), self.values(machine).with_extension("away"))
             .expect("its values");
     }
 
-    /// Its disk takes values again, and still holds those of before.
-    pub fn take_values(&self, machine: usize) {
-        let _ = std::fs::remove_dir_all(self.values(machine)); // where it stalls
+    /// Makes the disk accept values again; it still holds the previous ones.
+    pub fn accept_values(&self, machine: usize) {
+        let _ = std::fs::remove_dir_all(self.values(machine)); // exists if writes were stalled
         std::fs::rename(self.values(machine).with_extension("away"), self.values(machine))
             .expect("its values");
     }
 
-    /// From now on writing a value stalls a machine's disk for good.
+    /// Makes every write of a value to a machine's disk stall forever.
     pub fn stall_values(&self, machine: usize) {
-        self.refuse_values(machine);
+        self.reject_values(machine);
         std::fs::create_dir_all(self.values(machine)).expect("a folder");
         for file in value_files() {
             let mode = rustix::fs::Mode::RUSR | rustix::fs::Mode::WUSR;
             let path = self.values(machine).join(file);
-            // Whoever opens it to write waits until somebody opens it to read.
+            // Opening a pipe for writing blocks until it is opened for reading.
             rustix::fs::mkfifoat(rustix::fs::CWD, path, mode).expect("a pipe");
         }
     }
 
-    /// Where the machines' folders are.
+    /// Parent of the machines' folders.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Whether a machine's disk holds a record with this in it.
+    /// Whether a machine's disk holds a record that contains `body`.
     pub fn holds(&self, machine: usize, body: &str) -> bool {
         value_files().any(|file| {
             let content = std::fs::read(self.disk(machine).join(file)).unwrap_or_default();
@@ -172,21 +173,21 @@
         })
     }
 
-    /// A copy of a machine's disk, to be put back later. The machine is down.
+    /// Copies the disk of a stopped machine, for [`Self::restore_disk`].
     pub fn save_disk(&self, machine: usize) {
         let saved = self.folder.join(format!("saved-{machine}"));
         copy_files(&self.disk(machine), &saved);
         copy_files(&self.values(machine), &saved);
     }
 
-    /// Puts back what was saved.
+    /// Restores the saved disk.
     pub fn restore_disk(&mut self, machine: usize) {
         self.wipe(machine);
         let saved = self.folder.join(format!("saved-{machine}"));
         for entry in std::fs::read_dir(saved).expect("what was saved") {
             let path = entry.expect("a file").path();
             let name = path.file_name().expect("a name");
-            std::fs::copy(&path, self.disk(machine).join(name)).expect("it can be put back");
+            std::fs::copy(&path, self.disk(machine).join(name)).expect("the file can be restored");
         }
     }
 
@@ -229,14 +230,14 @@
         let all = lines_of_all.clone();
         thread::spawn(move || {
             for line in stderr.lines().map_while(Result::ok) {
-                all.lock().expect("nobody panics with it").push(line.clone());
+                all.lock().expect("the lock is not poisoned").push(line.clone());
                 if lines.send(line).is_err() {
                     return;
                 }
             }
         });
         self.nodes[machine].process = Some(Process { child, log, lines: lines_of_all });
-        self.logged(machine, "controller.start", "");
+        self.wait_for_event(machine, "controller.start", "");
     }
 
     /// Kills a machine's process.
@@ -244,30 +245,30 @@
         self.nodes[machine].process = None;
     }
 
-    /// Tells a process to end.
+    /// Sends SIGTERM to a process.
     pub fn terminate(&self, machine: usize) {
         self.signal(machine, rustix::process::Signal::TERM);
     }
 
     fn signal(&self, machine: usize, signal: rustix::process::Signal) {
-        let process = self.nodes[machine].process.as_ref().expect("it runs");
+        let process = self.nodes[machine].process.as_ref().expect("the process is running");
         let pid = rustix::process::Pid::from_raw(process.child.id() as i32).expect("a process");
         rustix::process::kill_process(pid, signal).expect("it can be signalled");
     }
 
-    /// The machines that settings name as seeds, from their next start on.
+    /// Sets the seeds in the settings of processes that start later.
     pub fn set_seeds(&mut self, seeds: &[usize]) {
         self.seeds = seeds.to_vec();
     }
 
-    /// Writes a machine's settings anew, with other seeds, and tells its process.
-    pub fn exchange_seeds(&mut self, machine: usize, seeds: &[usize]) {
+    /// Rewrites a machine's settings with other seeds and signals its process to reload them.
+    pub fn reload_with_seeds(&mut self, machine: usize, seeds: &[usize]) {
         self.set_seeds(seeds);
         self.write_settings(machine, false);
         self.signal(machine, rustix::process::Signal::HUP);
     }
 
-    /// Stops a process where it is, or lets it go on.
+    /// Freezes or resumes a process.
     pub fn freeze(&self, machine: usize, frozen: bool) {
         self.signal(
             machine,
@@ -282,17 +283,17 @@
         self.make_disk(machine);
     }
 
-    /// Waits until a process has ended by itself.
-    pub fn ended(&mut self, machine: usize) {
-        let process = self.nodes[machine].process.as_mut().expect("it runs");
-        process.child.wait().expect("it ends");
+    /// Waits until a process has exited by itself.
+    pub fn wait_for_exit(&mut self, machine: usize) {
+        let process = self.nodes[machine].process.as_mut().expect("the process is running");
+        process.child.wait().expect("the process exits");
         self.nodes[machine].process = None;
     }
 
-    /// Waits until a process has logged this event with this in it.
-    pub fn logged(&self, machine: usize, event: &str, with: &str) -> String {
+    /// Waits until a process logs this event with `with` in the line, and returns the line.
+    pub fn wait_for_event(&self, machine: usize, event: &str, with: &str) -> String {
         let event = format!("\"event\":\"{event}\"");
-        let log = &self.nodes[machine].process.as_ref().expect("it runs").log;
+        let log = &self.nodes[machine].process.as_ref().expect("the process is running").log;
         let until = Instant::now() + self.patience;
         loop {
             let line = log.recv_timeout(until.saturating_duration_since(Instant::now()));
@@ -304,15 +305,15 @@
         }
     }
 
-    /// Waits until one of these processes has logged this event with this in it; which one.
-    pub fn logged_at_any(&self, machines: &[usize], event: &str, with: &str) -> usize {
+    /// Waits until one of these processes logs this event with `with` in the line, and returns its machine.
+    pub fn wait_for_event_at_any(&self, machines: &[usize], event: &str, with: &str) -> usize {
         let name = format!("\"event\":\"{event}\"");
         let until = Instant::now() + self.patience;
         while Instant::now() < until {
             for machine in machines {
-                let log = &self.nodes[*machine].process.as_ref().expect("it runs").log;
-                // All that is there: one that logs a lot must not be read more slowly than it writes.
-                let first = log.recv_timeout(LOG_TURN).ok();
+                let log = &self.nodes[*machine].process.as_ref().expect("the process is running").log;
+                // Drains all available lines, so that a process that logs a lot is read as fast as it writes.
+                let first = log.recv_timeout(LOG_POLL_TIMEOUT).ok();
                 let mut lines = first.into_iter().chain(log.try_iter());
                 if lines.any(|line| line.contains(&name) && line.contains(with)) {
                     return *machine;
@@ -322,7 +323,7 @@
         panic!("none of {machines:?} has logged {event} with {with:?}")
     }
 
-    /// A call over HTTP; nothing where it can't be made.
+    /// Makes an HTTP call; `None` if it fails.
     pub fn try_call(
         &self,
         machine: usize,
@@ -330,7 +331,7 @@
         path: &str,
         headers: &str,
         body: &str,
-    ) -> Option<Got> {
+    ) -> Option<HttpResponse> {
         let mut stream =
             TcpStream::connect_timeout(&self.control(machine).into(), Duration::from_secs(2)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
@@ -343,57 +344,64 @@
         stream.read_to_string(&mut answer).ok()?;
         let (head, body) = answer.split_once("\r\n\r\n")?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
-        Some(Got { status, body: body.to_owned() })
+        Some(HttpResponse { status, body: body.to_owned() })
     }
 
-    pub fn call(&self, machine: usize, method: &str, path: &str, headers: &str, body: &str) -> Got {
+    pub fn call(
+        &self,
+        machine: usize,
+        method: &str,
+        path: &str,
+        headers: &str,
+        body: &str,
+    ) -> HttpResponse {
         self.try_call(machine, method, path, headers, body).expect("an answer")
     }
 
-    /// Replaces the configuration as operators do: again and again, unchanged, until there is a clear answer.
+    /// Replaces the configuration as operators do: repeats the request unchanged until the response is definite.
     pub fn replace_config(&self, machine: usize, base: u64, version: u64) -> u16 {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let headers = format!("X-Base-Version: {base}\r\n");
-            let got =
+            let response =
                 self.try_call(machine, "POST", "/runtrack/config/replace", &headers, &config(version));
-            match got {
-                Some(got) if got.status < 500 => return got.status,
-                _ => assert!(Instant::now() < until, "no clear answer to a change: {got:?}"),
+            match response {
+                Some(response) if response.status < 500 => return response.status,
+                _ => assert!(Instant::now() < until, "no definite response: {response:?}"),
             }
         }
     }
 
-    /// The status of one read, from a process that may just have started.
+    /// Status of one read from a process that may have just started.
     pub fn read_status(&self, machine: usize) -> u16 {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(got) = self.try_call(machine, "GET", "/runtrack/config/read", "", "") {
-                return got.status;
+            if let Some(response) = self.try_call(machine, "GET", "/runtrack/config/read", "", "") {
+                return response.status;
             }
             assert!(Instant::now() < until, "machine {machine} takes no calls");
         }
     }
 
-    /// Calls as endpoints do: again and again, until it is acknowledged.
-    pub fn acknowledged(&self, machine: usize, path: &str, body: &str) {
-        let until = Instant::now() + PATIENCE;
+    /// Calls as endpoints do: repeats the call until it is acknowledged.
+    pub fn call_until_acknowledged(&self, machine: usize, path: &str, body: &str) {
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             match self.try_call(machine, "POST", path, "", body) {
-                Some(got) if got.status == 200 => return,
-                Some(got) if got.status != 503 => panic!("{path}: {got:?}"),
-                got => assert!(Instant::now() < until, "{path} is not acknowledged: {got:?}"),
+                Some(response) if response.status == 200 => return,
+                Some(response) if response.status != 503 => panic!("{path}: {response:?}"),
+                response => assert!(Instant::now() < until, "{path} is not acknowledged: {response:?}"),
             }
         }
     }
 
-    /// Reads until there is an answer.
+    /// Repeats a read until it succeeds.
     pub fn read(&self, machine: usize) -> String {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             match self.try_call(machine, "GET", "/runtrack/config/read", "", "") {
-                Some(got) if got.status == 200 => return got.body,
-                got => assert!(Instant::now() < until, "nothing is read: {got:?}"),
+                Some(response) if response.status == 200 => return response.body,
+                response => assert!(Instant::now() < until, "no read succeeded: {response:?}"),
             }
         }
     }
--- a/crates/controller/tests/virtual_time/late.rs
+++ b/crates/controller/tests/virtual_time/delayed_stream.rs
@@ -1,4 +1,4 @@
-//! A stream whose bytes are on their way for a while.
+//! A stream that delivers its bytes after a delay.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -11,29 +11,29 @@
 
 const CHUNK: usize = 16 << 10;
 
-/// What is read from it comes late.
-pub struct Late<S> {
+/// Wraps a stream; bytes become readable `latency` after they arrived.
+pub struct DelayedStream<S> {
     stream: S,
     latency: Duration,
-    /// What is on its way and when it arrives; the end is an empty piece.
-    coming: VecDeque<(Instant, Vec<u8>)>,
+    /// Chunks in flight with their delivery times; an empty chunk marks the end of the stream.
+    in_flight: VecDeque<(Instant, Vec<u8>)>,
     ended: bool,
     arrival: Pin<Box<Sleep>>,
 }
 
-impl<S: AsyncRead + Unpin> Late<S> {
-    /// Bytes of this stream come so much late.
+impl<S: AsyncRead + Unpin> DelayedStream<S> {
+    /// Delays the bytes read from a stream by `latency`.
     pub fn new(stream: S, latency: Duration) -> Self {
-        Late {
+        DelayedStream {
             stream,
             latency,
-            coming: VecDeque::new(),
+            in_flight: VecDeque::new(),
             ended: false,
             arrival: Box::pin(sleep(Duration::ZERO)),
         }
     }
 
-    fn take_in(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
+    fn receive(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
         while !self.ended {
             let mut chunk = [0; CHUNK];
             let mut buffer = ReadBuf::new(&mut chunk);
@@ -42,13 +42,13 @@
             };
             read?;
             self.ended = buffer.filled().is_empty();
-            self.coming.push_back((Instant::now() + self.latency, buffer.filled().to_vec()));
+            self.in_flight.push_back((Instant::now() + self.latency, buffer.filled().to_vec()));
         }
         Ok(())
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Late<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for DelayedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -58,8 +58,8 @@
         if this.latency.is_zero() {
             return Pin::new(&mut this.stream).poll_read(cx, out);
         }
-        this.take_in(cx)?;
-        let Some((at, bytes)) = this.coming.front_mut() else { return Poll::Pending };
+        this.receive(cx)?;
+        let Some((at, bytes)) = this.in_flight.front_mut() else { return Poll::Pending };
         if Instant::now() < *at {
             this.arrival.as_mut().reset(*at);
             ready!(this.arrival.as_mut().poll(cx));
@@ -68,13 +68,13 @@
         out.put_slice(&bytes[..count]);
         bytes.drain(..count);
         if bytes.is_empty() && count > 0 {
-            this.coming.pop_front();
+            this.in_flight.pop_front();
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Late<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for DelayedStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
--- a/crates/controller/tests/virtual_time/mod.rs
+++ b/crates/controller/tests/virtual_time/mod.rs
@@ -1,11 +1,11 @@
-//! Controllers in one thread and in virtual time: links in memory that can be cut, disks in memory that can be made to
-//! refuse, processes that can be frozen.
+//! Runs controllers in one thread and in virtual time, with in-memory links that can be cut, in-memory disks that can be made
+//! to fail, and processes that can be frozen.
 #![allow(dead_code, reason = "each test file uses some of it")]
 
-mod late;
+mod delayed_stream;
 pub mod operator;
 
-use late::Late;
+use delayed_stream::DelayedStream;
 use operator::Operator;
 use runtrack_controller::disk::{MemberDisk, Persisting, Record, Rings, WriteError};
 use runtrack_controller::{ControllerError, new_incarnation, run_in};
@@ -33,30 +33,30 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// An event that has not been logged after this much virtual time will not be.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// The operator's machine.
-const OPERATOR: usize = 99;
-/// A machine with an agent.
-const EDGE: usize = 98;
-/// How often endpoints tell that they are there.
+/// Timeout for a log event, in virtual time.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of the operator's machine.
+const OPERATOR_MACHINE: usize = 99;
+/// Number of the machine with the agent.
+const EDGE_MACHINE: usize = 98;
+/// Interval of endpoints' heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(1200);
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const BUFFER: usize = 1 << 20;
-/// A write to an uneven disk takes up to so many times as long as another one.
+/// Maximum factor by which a write to an uneven disk is slowed down.
 const UNEVENNESS: f64 = 32.0;
 const STALL_POLL_INTERVAL: Duration = Duration::from_millis(5);
 const CONTROL: u16 = 8146;
 const FIRST_PORT: u16 = 7660;
-/// Machines that the settings name.
+/// Number of machines that the settings name as seeds.
 const SEEDS: usize = 3;
 
-/// A link that carries nothing while it is cut.
+/// A connection that can be cut, in both directions or one.
 struct Link {
-    stream: Late<DuplexStream>,
+    stream: DelayedStream<DuplexStream>,
     cut: Rc<Cell<bool>>,
-    /// What is written at this end does not arrive.
-    mute: Rc<Cell<bool>>,
+    /// Bytes written at this end are dropped while this is set.
+    outbound_cut: Rc<Cell<bool>>,
 }
 
 impl Connection for Link {
@@ -71,14 +71,14 @@
         cx: &mut Context<'_>,
         out: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // A link that was cut stays cut: both sides find it stalled and dial anew.
+        // A link stays cut once it was: both sides detect the stall and dial again.
         if self.cut.get() { Poll::Pending } else { Pin::new(&mut self.stream).poll_read(cx, out) }
     }
 }
 
 impl AsyncWrite for Link {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        if self.cut.get() || self.mute.get() {
+        if self.cut.get() || self.outbound_cut.get() {
             Poll::Ready(Ok(bytes.len()))
         } else {
             Pin::new(&mut self.stream).poll_write(cx, bytes)
@@ -96,17 +96,17 @@
 
 type Incoming = UnboundedSender<Box<dyn Connection>>;
 
-/// What connects the machines.
+/// The simulated network: listeners, links and faults.
 #[derive(Default)]
-struct Wires {
+struct NetworkState {
     listening: BTreeMap<SocketAddr, Incoming>,
     cut: BTreeSet<(usize, usize)>,
     links: Vec<(usize, usize, Rc<Cell<bool>>)>,
-    /// Ends of links: whose words to whom are lost while this is set.
-    mutes: Vec<(usize, usize, Rc<Cell<bool>>)>,
-    /// Machines without power: who dials them waits.
-    dark: BTreeSet<usize>,
-    /// How long words are on their way.
+    /// Sender, receiver and cut flag of each direction of each link.
+    one_way_cuts: Vec<(usize, usize, Rc<Cell<bool>>)>,
+    /// Machines without power: connecting to them does not return.
+    powered_off: BTreeSet<usize>,
+    /// One-way delay of all links.
     latency: Duration,
 }
 
@@ -114,51 +114,56 @@
     (one.min(other), one.max(other))
 }
 
-/// The network as one machine has it.
-struct Wired {
+/// The network interface of one machine.
+struct MachineNetwork {
     machine: usize,
-    wires: Rc<RefCell<Wires>>,
+    network_state: Rc<RefCell<NetworkState>>,
 }
 
-struct Backlog(RefCell<UnboundedReceiver<Box<dyn Connection>>>);
+struct AcceptQueue(RefCell<UnboundedReceiver<Box<dyn Connection>>>);
 
-impl Listener for Backlog {
+impl Listener for AcceptQueue {
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Box<dyn Connection>>> {
         self.0.borrow_mut().poll_recv(cx).map(|came| came.ok_or_else(|| io::ErrorKind::NotConnected.into()))
     }
 }
 
-impl Network for Wired {
+impl Network for MachineNetwork {
     fn connect(&self, to: SocketAddr) -> Connecting {
         let target = machine_at(to);
-        let mut wires = self.wires.borrow_mut();
+        let mut network_state = self.network_state.borrow_mut();
         let (one, other) = pair(self.machine, target);
-        if wires.dark.contains(&target) {
+        if network_state.powered_off.contains(&target) {
             return Box::pin(pending());
         }
         let refused = || -> Connecting { Box::pin(async { Err(io::ErrorKind::ConnectionRefused.into()) }) };
-        if wires.cut.contains(&(one, other)) {
+        if network_state.cut.contains(&(one, other)) {
             return refused();
         }
-        let Some(incoming) = wires.listening.get(&to).cloned() else { return refused() };
+        let Some(incoming) = network_state.listening.get(&to).cloned() else { return refused() };
         let (here, there) = tokio::io::duplex(BUFFER);
-        let (here, there) = (Late::new(here, wires.latency), Late::new(there, wires.latency));
+        let (here, there) = (
+            DelayedStream::new(here, network_state.latency),
+            DelayedStream::new(there, network_state.latency),
+        );
         let cut = Rc::new(Cell::new(false));
-        let (mute, their_mute) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
-        let link = Link { stream: there, cut: cut.clone(), mute: their_mute.clone() };
+        let (outbound_cut, their_cut) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
+        let link = Link { stream: there, cut: cut.clone(), outbound_cut: their_cut.clone() };
         if incoming.send(Box::new(link)).is_err() {
             return refused();
         }
-        wires.links.push((one, other, cut.clone()));
-        wires.mutes.push((self.machine, target, mute.clone()));
-        wires.mutes.push((target, self.machine, their_mute));
-        Box::pin(async move { Ok(Box::new(Link { stream: here, cut, mute }) as Box<dyn Connection>) })
+        network_state.links.push((one, other, cut.clone()));
+        network_state.one_way_cuts.push((self.machine, target, outbound_cut.clone()));
+        network_state.one_way_cuts.push((target, self.machine, their_cut));
+        Box::pin(
+            async move { Ok(Box::new(Link { stream: here, cut, outbound_cut }) as Box<dyn Connection>) },
+        )
     }
 
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
-        let (incoming, backlog) = unbounded_channel();
-        self.wires.borrow_mut().listening.insert(at, incoming);
-        Ok(Box::new(Backlog(RefCell::new(backlog))))
+        let (incoming, accept_queue) = unbounded_channel();
+        self.network_state.borrow_mut().listening.insert(at, incoming);
+        Ok(Box::new(AcceptQueue(RefCell::new(accept_queue))))
     }
 }
 
@@ -166,26 +171,26 @@
     leaves: Vec<LeaveRecord>,
     placements: PrefixPlacements,
     endpoints: Vec<Endpoint>,
-    /// It takes no leaves, and everything else.
-    refuses_leaves: Rc<Cell<bool>>,
-    /// Writes of leaves so far.
+    /// While set, writes of leaves fail; all other writes succeed.
+    rejects_leaves: Rc<Cell<bool>>,
+    /// Number of leave writes so far.
     leave_writes: Rc<Cell<usize>>,
-    /// Writes go there one after another.
+    /// Serializes the writes.
     rings: Rc<Mutex<Rings<Memory>>>,
-    /// How long a write takes. One that is under way when the process is killed is lost.
+    /// Duration of a write. A write in progress is lost when the process is killed.
     delay: Rc<Cell<Duration>>,
-    /// Writes that were begun.
+    /// Number of writes started.
     writes: Rc<Cell<u64>>,
-    /// No write ends while this is set.
+    /// While set, no write completes.
     stalled: Rc<Cell<bool>>,
-    /// Some writes take many times as long.
+    /// Some writes take up to [`UNEVENNESS`] times as long.
     uneven: bool,
 }
 
 impl MemberDisk for MemoryDisk {
     fn persist(&self, record: Record) -> Persisting {
         let (rings, delay, stalled) = (self.rings.clone(), self.delay.clone(), self.stalled.clone());
-        let (refuses_leaves, leave_writes) = (self.refuses_leaves.clone(), self.leave_writes.clone());
+        let (rejects_leaves, leave_writes) = (self.rejects_leaves.clone(), self.leave_writes.clone());
         self.writes.set(self.writes.get() + 1);
         let times = if self.uneven { UNEVENNESS.powf(fastrand::f64()) } else { 1.0 };
         Box::pin(async move {
@@ -195,7 +200,7 @@
                 sleep(STALL_POLL_INTERVAL).await;
             }
             if matches!(record, Record::Leaves(_)) {
-                if refuses_leaves.get() {
+                if rejects_leaves.get() {
                     return Err(WriteError::Refused("it takes no leaves"));
                 }
                 leave_writes.set(leave_writes.get() + 1);
@@ -217,17 +222,17 @@
     }
 }
 
-/// Log lines of one process, and a notice of each new one.
+/// Log lines of one process; notifies waiters of each new one.
 #[derive(Clone, Default)]
-struct Lines {
+struct LogBuffer {
     written: Arc<sync::Mutex<Vec<u8>>>,
-    news: Arc<Notify>,
+    appended: Arc<Notify>,
 }
 
-impl io::Write for Lines {
+impl io::Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.written.lock().expect("nobody panics with it").extend_from_slice(bytes);
-        self.news.notify_one();
+        self.written.lock().expect("the lock is not poisoned").extend_from_slice(bytes);
+        self.appended.notify_one();
         Ok(bytes.len())
     }
 
@@ -236,9 +241,9 @@
     }
 }
 
-impl Lines {
+impl LogBuffer {
     fn all(&self) -> Vec<String> {
-        let written = self.written.lock().expect("nobody panics with it");
+        let written = self.written.lock().expect("the lock is not poisoned");
         String::from_utf8_lossy(&written).lines().map(str::to_owned).collect()
     }
 
@@ -254,24 +259,24 @@
     disk_delay: Rc<Cell<Duration>>,
     disk_writes: Rc<Cell<u64>>,
     disk_stalled: Rc<Cell<bool>>,
-    refuses_leaves: Rc<Cell<bool>>,
+    rejects_leaves: Rc<Cell<bool>>,
     leave_writes: Rc<Cell<usize>>,
-    lines: Lines,
+    lines: LogBuffer,
     read: usize,
     frozen: Rc<Cell<bool>>,
     thaw: Rc<RefCell<Option<Waker>>>,
     events: Option<UnboundedSender<ProcessEvent>>,
     process: Option<JoinHandle<()>>,
-    /// The disk as the process that was started last has it.
+    /// The disk handle of the most recently started process.
     mounted: Weak<MemoryDisk>,
 }
 
-/// Machines in virtual time, of which the first three are the seeds.
+/// Simulated machines, of which the first three are the seeds.
 pub struct World {
     machines: Vec<Machine>,
-    wires: Rc<RefCell<Wires>>,
+    network_state: Rc<RefCell<NetworkState>>,
     settle_s: f64,
-    /// Machines whose loss is to be borne.
+    /// Number of lost machines that must be tolerated.
     tolerance: u32,
     uneven_disks: bool,
 }
@@ -286,16 +291,16 @@
 }
 
 impl World {
-    /// So many machines with nothing running.
+    /// Creates machines without running processes.
     pub fn new(machines: usize, settle_s: f64) -> Self {
         let machine = |_| Machine {
             disk: Memory::default(),
             disk_delay: Rc::default(),
             disk_writes: Rc::default(),
             disk_stalled: Rc::default(),
-            refuses_leaves: Rc::default(),
+            rejects_leaves: Rc::default(),
             leave_writes: Rc::default(),
-            lines: Lines::default(),
+            lines: LogBuffer::default(),
             read: 0,
             frozen: Rc::default(),
             thaw: Rc::default(),
@@ -305,44 +310,44 @@
         };
         World {
             machines: (0..machines).map(machine).collect(),
-            wires: Rc::default(),
+            network_state: Rc::default(),
             settle_s,
             tolerance: 1,
             uneven_disks: false,
         }
     }
 
-    /// Starts so many members, with links and disks that take their time; they hold version 1 then.
+    /// Starts members with the given link latency and disk write time, and commits version 1.
     pub async fn with_members(self, members: usize, latency: Duration, write: Duration) -> Self {
         let (machines, mut world) = (self.machines.len(), self);
         world.tolerance = members as u32 / 2;
-        world.wires.borrow_mut().latency = latency;
+        world.network_state.borrow_mut().latency = latency;
         (0..machines).for_each(|machine| world.slow_disk(machine, write));
         (0..SEEDS).for_each(|machine| world.start(machine, true));
         for machine in 0..SEEDS {
-            world.logged(machine, "contact.majority", "").await;
+            world.wait_for_event(machine, "contact.majority", "").await;
         }
         world.replace_config(0, 0, 1).await;
         for machine in SEEDS..members {
             world.start(machine, false);
-            world.logged(machine, "member.joined", "").await;
+            world.wait_for_event(machine, "member.joined", "").await;
         }
         world
     }
 
-    /// The same machines for who is to bear the loss of so many of them.
+    /// Sets the number of lost machines that must be tolerated.
     pub fn tolerating(self, tolerance: u32) -> Self {
         World { tolerance, ..self }
     }
 
-    /// So many machines, of which the first three run, are in contact with each other and hold version 1.
+    /// Creates machines and starts the first three, which are in contact and hold version 1.
     pub async fn with_three_members(machines: usize, settle_s: f64) -> Self {
         let mut world = World::new(machines, settle_s);
         for machine in 0..3 {
             world.start(machine, true);
         }
         for machine in 0..3 {
-            world.logged(machine, "contact.majority", "").await;
+            world.wait_for_event(machine, "contact.majority", "").await;
         }
         world.replace_config(0, 0, 1).await;
         world
@@ -353,7 +358,7 @@
         address(machine, FIRST_PORT).to_string()
     }
 
-    /// Starts a process; it runs until it ends by itself.
+    /// Starts a process, which runs until it terminates or is killed.
     pub fn start(&mut self, machine: usize, first_boot: bool) {
         let seeds: Vec<String> = (0..SEEDS).map(|seed| address(seed, CONTROL).to_string()).collect();
         let text = format!(
@@ -366,15 +371,15 @@
             self.tolerance,
             self.settle_s,
         );
-        let node = Node::read(&text).expect("the settings are right");
-        self.wires.borrow_mut().dark.remove(&machine); // it has power
+        let node = Node::read(&text).expect("the settings are valid");
+        self.network_state.borrow_mut().powered_off.remove(&machine); // it has power
         let opened = Rings::open(self.machines[machine].disk.clone(), || new_incarnation(&node));
         let (rings, acceptor) = opened.expect("the disk can be read");
         let disk = Rc::new(MemoryDisk {
             leaves: rings.recovered_leaves().to_vec(),
             placements: rings.recovered_placements().clone(),
             endpoints: rings.recovered_endpoints().to_vec(),
-            refuses_leaves: self.machines[machine].refuses_leaves.clone(),
+            rejects_leaves: self.machines[machine].rejects_leaves.clone(),
             leave_writes: self.machines[machine].leave_writes.clone(),
             rings: Rc::new(Mutex::new(rings)),
             delay: self.machines[machine].disk_delay.clone(),
@@ -382,47 +387,48 @@
             stalled: self.machines[machine].disk_stalled.clone(),
             uneven: self.uneven_disks,
         });
-        let network = Rc::new(Wired { machine, wires: self.wires.clone() });
+        let network = Rc::new(MachineNetwork { machine, network_state: self.network_state.clone() });
         let state = &mut self.machines[machine];
         state.mounted = Rc::downgrade(&disk);
         let environment = Environment { network, logger: state.lines.logger() };
         let (events, received) = unbounded_channel();
         state.events = Some(events);
         let process = async move {
-            // With its main task all others end.
+            // Ending the main task ends all other tasks of the process.
             LocalSet::new().run_until(run_in(environment, disk, acceptor, node, received)).await
         };
-        let process = unless_frozen(process, state.frozen.clone(), state.thaw.clone());
+        let process = run_unless_frozen(process, state.frozen.clone(), state.thaw.clone());
         state.process = Some(spawn_local(process));
     }
 
-    /// Kills a process: what it was writing is lost.
+    /// Kills a process; writes in progress are lost.
     pub async fn kill(&mut self, machine: usize) {
-        let process = self.machines[machine].process.take().expect("it runs");
+        let process = self.machines[machine].process.take().expect("the process is running");
         process.abort();
         let _ = process.await; // it was aborted
     }
 
-    /// Whether anything of the last process of a machine is still in memory.
+    /// Whether any state of the machine's last process is still in memory.
     pub fn is_in_memory(&self, machine: usize) -> bool {
         self.machines[machine].mounted.strong_count() > 0
     }
 
-    /// A machine loses its power: nobody hears of it, and what was not synced is gone.
+    /// Cuts a machine's power: its connections are not closed, and unsynced data is lost.
     pub async fn lose_power(&mut self, machine: usize) {
         {
-            let mut wires = self.wires.borrow_mut();
-            wires.dark.insert(machine);
-            let own = wires.links.iter().filter(|(one, other, _)| *one == machine || *other == machine);
+            let mut network_state = self.network_state.borrow_mut();
+            network_state.powered_off.insert(machine);
+            let own =
+                network_state.links.iter().filter(|(one, other, _)| *one == machine || *other == machine);
             own.for_each(|(_, _, link)| link.set(true));
         }
         self.kill(machine).await;
         self.disk(machine).lose_power();
     }
 
-    /// Members 0 and 2 of three alone acknowledge version 2, and member 2 ends with a disk that is put back to version 1.
-    /// Member 1 is still cut off from both.
-    pub async fn put_back_before_version_two(&mut self) {
+    /// Commits version 2 on members 0 and 2 of three, then kills member 2 and restores its disk to version 1. Member 1 stays
+    /// partitioned from both.
+    pub async fn restore_disk_to_version_one(&mut self) {
         let copy = self.disk(2).snapshot();
         self.cut(0, 1, true);
         self.cut(1, 2, true);
@@ -431,33 +437,36 @@
         self.disk(2).restore(&copy);
     }
 
-    /// From now on no write to a machine's disk ends, or they do again.
+    /// Stalls or resumes the writes to a machine's disk.
     pub fn stall_disk(&self, machine: usize, stalled: bool) {
         self.machines[machine].disk_stalled.set(stalled);
     }
 
-    /// An operator, who calls from a machine of its own.
+    /// An operator that calls from a separate machine.
     pub fn operator(&self) -> Operator {
-        Operator::new(Wired { machine: OPERATOR, wires: self.wires.clone() })
+        Operator::new(MachineNetwork {
+            machine: OPERATOR_MACHINE,
+            network_state: self.network_state.clone(),
+        })
     }
 
-    /// Version of the configuration that a machine's disk holds.
+    /// Configuration version on a machine's disk.
     pub fn version_on_disk(&self, machine: usize) -> Option<u64> {
         let (_, acceptor) = Rings::open(self.disk(machine).clone(), || 0).expect("it can be read");
         acceptor.accepted().map(|accepted| accepted.value.version)
     }
 
-    /// From now on a machine's disk takes leaves of endpoints, or does not; other records it takes in any case.
-    pub fn refuse_leaves(&self, machine: usize, refuses: bool) {
-        self.machines[machine].refuses_leaves.set(refuses);
+    /// Makes a machine's disk reject or accept leave records; other records are always accepted.
+    pub fn reject_leaves(&self, machine: usize, refuses: bool) {
+        self.machines[machine].rejects_leaves.set(refuses);
     }
 
-    /// Writes of leaves to a machine's disk so far.
+    /// Number of leave writes to a machine's disk so far.
     pub fn leave_writes(&self, machine: usize) -> usize {
         self.machines[machine].leave_writes.get()
     }
 
-    /// An endpoint tells that it is in this state; the answer, and how long it took.
+    /// Sends an endpoint's heartbeat with this state; returns the status and the duration of the call.
     pub async fn heartbeat(&self, machine: usize, id: &str, state: &str) -> (u16, Duration) {
         let path = format!("/runtrack/instances/{id}/heartbeat");
         let body =
@@ -465,16 +474,17 @@
         self.timed(machine, "POST", &path, "", &body).await
     }
 
-    /// The network as an edge machine has it.
+    /// The network interface of the edge machine.
     pub fn edge_network(&self) -> Rc<dyn Network> {
-        Rc::new(Wired { machine: EDGE, wires: self.wires.clone() })
+        Rc::new(MachineNetwork { machine: EDGE_MACHINE, network_state: self.network_state.clone() })
     }
 
-    /// The copy of an agent that is linked to the first three machines wherever it can be.
+    /// The gossip of an agent that keeps links to the first three machines.
     pub fn agent(&self) -> Rc<Gossip> {
-        let network = Rc::new(Wired { machine: EDGE, wires: self.wires.clone() });
+        let network =
+            Rc::new(MachineNetwork { machine: EDGE_MACHINE, network_state: self.network_state.clone() });
         let environment = Environment { network, logger: Logger::root(slog::Discard, o!()) };
-        let me = Member::new(address(EDGE, FIRST_PORT), 1);
+        let me = Member::new(address(EDGE_MACHINE, FIRST_PORT), 1);
         let hello = Hello { wire: WIRE_VERSION, role: Role::Agent, node: "edge".into(), member: me };
         let gossip = Gossip::new_in(environment, hello, HEARTBEAT, Box::new(()));
         spawn_local(gossip.clone().run());
@@ -488,16 +498,16 @@
         gossip
     }
 
-    /// Cuts the agent off, or joins it again.
+    /// Partitions the agent from all members, or reconnects it.
     pub fn cut_agent(&self, cut: bool) {
-        (0..3).for_each(|machine| self.cut(EDGE, machine, cut));
+        (0..3).for_each(|machine| self.cut(EDGE_MACHINE, machine, cut));
     }
 
-    /// Waits until a process has ended by itself.
-    pub async fn ended(&mut self, machine: usize) {
-        let process = self.machines[machine].process.take().expect("it runs");
-        let ended = timeout(PATIENCE, process).await;
-        ended.expect("it ends").expect("nothing in it panics");
+    /// Waits until a process has terminated by itself.
+    pub async fn wait_for_exit(&mut self, machine: usize) {
+        let process = self.machines[machine].process.take().expect("the process is running");
+        let ended = timeout(WAIT_TIMEOUT, process).await;
+        ended.expect("the process exits").expect("the process does not panic");
     }
 
     /// A machine's disk.
@@ -505,16 +515,16 @@
         &self.machines[machine].disk
     }
 
-    /// A connection of an edge machine to a controller's port for links.
+    /// Connects from the edge machine to a controller's link port.
     pub async fn dial_link(&self, machine: usize) -> Box<dyn Connection> {
-        let network = Wired { machine: EDGE, wires: self.wires.clone() };
+        let network = MachineNetwork { machine: EDGE_MACHINE, network_state: self.network_state.clone() };
         network.connect(address(machine, FIRST_PORT).into()).await.expect("it listens")
     }
 
-    /// Takes links in at a machine's port for links, for a member that is played by a test.
+    /// Listens on a machine's link port, for a member that the test simulates.
     pub fn listen_for_links(&self, machine: usize) -> Box<dyn Listener> {
-        let network = Wired { machine, wires: self.wires.clone() };
-        network.listen(address(machine, FIRST_PORT).into()).expect("nobody listens there")
+        let network = MachineNetwork { machine, network_state: self.network_state.clone() };
+        network.listen(address(machine, FIRST_PORT).into()).expect("the port is free")
     }
 
     /// A machine's address as a member.
@@ -522,7 +532,7 @@
         address(machine, FIRST_PORT)
     }
 
-    /// One call over HTTP, and how long its answer took.
+    /// Makes an HTTP call; returns the status and the duration.
     pub async fn timed(
         &self,
         machine: usize,
@@ -536,27 +546,29 @@
             "{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n{headers}Content-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        let status = timeout(PATIENCE, self.call(machine, request)).await;
+        let status = timeout(WAIT_TIMEOUT, self.call(machine, request)).await;
         (status.expect("in time").expect("an answer"), from.elapsed())
     }
 
-    /// From now on what one machine says to another does not arrive, on links that are up; new ones can't be made.
+    /// Drops messages from one machine to another on existing links; new links between them are refused.
     pub fn cut_one_way(&self, from: usize, to: usize) {
-        let mut wires = self.wires.borrow_mut();
-        wires.cut.insert(pair(from, to));
-        let muted = wires.mutes.iter().filter(|(one, other, _)| (*one, *other) == (from, to));
-        muted.for_each(|(_, _, mute)| mute.set(true));
+        let mut network_state = self.network_state.borrow_mut();
+        network_state.cut.insert(pair(from, to));
+        let muted =
+            network_state.one_way_cuts.iter().filter(|(one, other, _)| (*one, *other) == (from, to));
+        muted.for_each(|(_, _, outbound_cut)| outbound_cut.set(true));
     }
 
-    /// One call over HTTP, from a machine that is not one of the members; the status, once there is one.
+    /// Makes an HTTP call from a machine that is not a member; returns the status, or `None` without a response.
     async fn call(&self, machine: usize, request: String) -> Option<u16> {
         let answer = self.answer(machine, request).await?;
         answer.split(' ').nth(1)?.parse().ok()
     }
 
-    /// One call over HTTP; the complete answer, once there is one.
+    /// Makes an HTTP call; returns the complete response, or `None` without one.
     async fn answer(&self, machine: usize, request: String) -> Option<String> {
-        let network = Wired { machine: OPERATOR, wires: self.wires.clone() };
+        let network =
+            MachineNetwork { machine: OPERATOR_MACHINE, network_state: self.network_state.clone() };
         let mut connection = network.connect(address(machine, CONTROL).into()).await.ok()?;
         connection.write_all(request.as_bytes()).await.ok()?;
         let mut answer = String::new();
@@ -564,8 +576,8 @@
         Some(answer)
     }
 
-    /// Reads the configuration: the status, and its version, which is zero where there is none; nothing where the process
-    /// ends before it answers.
+    /// Reads the configuration; returns the status and the version, 0 without a configuration. `None` if the process ends before
+    /// it responds.
     pub async fn read(&self, machine: usize) -> Option<(u16, u64)> {
         let request = "GET /runtrack/config/read HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         let answer = self.answer(machine, request.to_owned()).await?;
@@ -575,18 +587,18 @@
         Some((status, version.unwrap_or(0)))
     }
 
-    /// Writes to all disks that were begun so far.
+    /// Number of writes started on all disks so far.
     pub fn writes(&self) -> u64 {
         self.machines.iter().map(|machine| machine.disk_writes.get()).sum()
     }
 
-    /// Sends a configuration until it is acknowledged.
+    /// Repeats a configuration change until it is acknowledged.
     pub async fn replace_config(&self, machine: usize, base: u64, version: u64) {
-        assert_eq!(self.clear_answer(machine, base, version, PATIENCE).await, Some(200));
+        assert_eq!(self.definite_status(machine, base, version, WAIT_TIMEOUT).await, Some(200));
     }
 
-    /// Sends a configuration until there is a clear answer; nothing where there is none in time.
-    pub async fn clear_answer(
+    /// Repeats a configuration change until the response is definite; `None` if there is no such response in time.
+    pub async fn definite_status(
         &self,
         machine: usize,
         base: u64,
@@ -609,29 +621,33 @@
         timeout(within, acknowledged).await.ok()
     }
 
-    /// From now on each write to a machine's disk takes so long.
+    /// Sets the duration of each write to a machine's disk.
     pub fn slow_disk(&self, machine: usize, delay: Duration) {
         self.machines[machine].disk_delay.set(delay);
     }
 
-    /// Cuts the link between two machines, or joins them again.
+    /// Cuts or restores the connection between two machines.
     pub fn cut(&self, one: usize, other: usize, cut: bool) {
         let ends = pair(one, other);
-        let mut wires = self.wires.borrow_mut();
+        let mut network_state = self.network_state.borrow_mut();
         if cut {
-            wires.cut.insert(ends)
+            network_state.cut.insert(ends)
         } else {
-            wires.cut.remove(&ends)
+            network_state.cut.remove(&ends)
         };
-        wires.links.iter().filter(|(a, b, _)| (*a, *b) == ends).for_each(|(_, _, link)| link.set(true));
+        network_state
+            .links
+            .iter()
+            .filter(|(a, b, _)| (*a, *b) == ends)
+            .for_each(|(_, _, link)| link.set(true));
     }
 
-    /// Processes that are started from now on have disks whose writes take up to 32 times as long.
+    /// Makes some disk writes of processes started from now on take up to 32 times as long.
     pub fn make_disks_uneven(&mut self) {
         self.uneven_disks = true;
     }
 
-    /// Stops a process where it is, or lets it go on. Time goes on for it all the same.
+    /// Freezes or resumes a process. Its clock continues meanwhile.
     pub fn freeze(&self, machine: usize, frozen: bool) {
         let state = &self.machines[machine];
         state.frozen.set(frozen);
@@ -640,9 +656,9 @@
         }
     }
 
-    /// Waits until a process has logged this event with this in it, after those that were waited for before.
-    pub async fn logged(&mut self, machine: usize, event: &str, with: &str) {
-        let found = timeout(PATIENCE, self.find(machine, event, with)).await;
+    /// Waits until a process logs this event with `with` in the line, after the events that were waited for before.
+    pub async fn wait_for_event(&mut self, machine: usize, event: &str, with: &str) {
+        let found = timeout(WAIT_TIMEOUT, self.find(machine, event, with)).await;
         assert!(
             found.is_ok(),
             "machine {machine} has not logged {event} with {with:?}: {:#?}",
@@ -662,19 +678,19 @@
                 state.read = at + 1;
                 return;
             }
-            state.lines.news.notified().await;
+            state.lines.appended.notified().await;
         }
     }
 
-    /// All that a process has logged of this event.
+    /// All log lines of this event from a process.
     pub fn lines(&self, machine: usize, event: &str) -> Vec<String> {
         let event = format!("\"event\":\"{event}\"");
         self.machines[machine].lines.all().into_iter().filter(|line| line.contains(&event)).collect()
     }
 }
 
-/// Runs a process's tasks while it is not frozen.
-async fn unless_frozen(
+/// Polls a process's future while it is not frozen.
+async fn run_unless_frozen(
     process: impl Future<Output = Result<(), ControllerError>>,
     frozen: Rc<Cell<bool>>,
     thaw: Rc<RefCell<Option<Waker>>>,
@@ -693,8 +709,8 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-/// Whether a scenario fails with this mutant.
-pub fn finds(mutant: &str, scenario: impl FnOnce()) -> bool {
+/// Whether a scenario fails with this mutant, that is, detects it.
+pub fn detects_mutant(mutant: &str, scenario: impl FnOnce()) -> bool {
     set_mutant(Some(mutant));
     let found = catch_unwind(AssertUnwindSafe(scenario)).is_err();
     set_mutant(None);
--- a/crates/controller/tests/virtual_time/operator.rs
+++ b/crates/controller/tests/virtual_time/operator.rs
@@ -1,36 +1,36 @@
-//! An operator who sends one change after another, to each member in turn.
+//! An operator that sends sequential changes to the members in turn.
 
-use super::{CONTROL, Wired, address};
+use super::{CONTROL, MachineNetwork, address};
 use runtrack_net::Network;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep, timeout};
 
-/// An answer is waited for so long, and a microsecond more for each byte of the body.
+/// Response timeout, plus one microsecond for each byte of the body.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
 const ANSWER_TIMEOUT_PER_BYTE: Duration = Duration::from_micros(1);
-/// Wait after a call without a clear answer, and after a change.
+/// Wait after a call without a definite response, and after a change.
 const PAUSE: Duration = Duration::from_millis(10);
-/// Bytes of the path of each route of a large configuration.
+/// Path length in bytes of each route of a large configuration.
 const PATH: usize = 250;
 
-/// A change that was acknowledged.
+/// An acknowledged change.
 #[derive(Clone, Debug)]
 pub struct Change {
     /// Its version.
     pub version: u64,
-    /// When it was sent to which member, each time.
+    /// Time and member of each attempt.
     pub calls: Vec<(Instant, usize)>,
-    /// When it was acknowledged.
+    /// Time of the acknowledgement.
     pub acknowledged: Instant,
 }
 
 /// An operator.
 pub struct Operator {
-    network: Wired,
+    network: MachineNetwork,
 }
 
-/// A configuration of this version and of so many bytes at least.
+/// A configuration with this version and at least `bytes` bytes.
 pub fn config_of(version: u64, bytes: usize) -> String {
     let route = |number: usize| {
         format!(
@@ -47,7 +47,7 @@
 }
 
 impl Operator {
-    pub(super) fn new(network: Wired) -> Self {
+    pub(super) fn new(network: MachineNetwork) -> Self {
         Operator { network }
     }
 
@@ -59,7 +59,7 @@
         answer.split(' ').nth(1)?.parse().ok()
     }
 
-    /// Sends a change to one member after another, from the one of this place on, until it is acknowledged.
+    /// Sends a change to the members in turn, starting with index `first`, until it is acknowledged.
     pub async fn change(&self, members: &[usize], first: usize, version: u64, bytes: usize) -> Change {
         let body = config_of(version, bytes);
         let request = format!(
