--- a/crates/register/tests/adoption.rs
+++ b/crates/register/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! A member that learns of a committed value writes it to its own disk, whatever it has promised.
+//! A member that learns of a committed value writes it to its own disk, regardless of its promises.
 
 mod support;
 
@@ -26,7 +26,7 @@
     acceptor.handle(&RegisterRequest::Prepare { to: 0, ballot, have: Ballot::default() }).0
 }
 
-/// Reads, and says under which ballot the value is committed.
+/// Reads the committed value and its ballot.
 fn committed(cluster: &mut Cluster, at: usize) -> (Ballot, Value) {
     let view = cluster.view();
     match cluster.round(at, view, &mut |_| Decision::Read) {
@@ -58,14 +58,14 @@
         acceptor.handle(&late),
         (RegisterReply::Rejected { ballot: ballot(8), promised: ballot(9) }, None)
     );
-    // The round that it had promised itself to goes on over the value that it has learnt meanwhile.
+    // The round that it promised to continues on top of the value that it has adopted meanwhile.
     let own = RegisterRequest::Accept { to: 0, ballot: ballot(9), value: value(2) };
     assert_eq!(acceptor.handle(&own).0, RegisterReply::Accepted { ballot: ballot(9) });
     assert_eq!(acceptor.accepted().map(|accepted| accepted.value.version), Some(2));
 }
 
 #[test]
-fn what_comes_late_or_twice_changes_nothing() {
+fn late_and_repeated_adoptions_change_nothing() {
     let mut acceptor = Acceptor::new(0);
     let accept = RegisterRequest::Accept { to: 0, ballot: ballot(5), value: value(3) };
     acceptor.handle(&accept);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_member_that_missed_a_change_has_it_through_the_loss_of_another_and_a_restart_of_all() {
+fn a_member_that_adopted_a_missed_change_keeps_it_after_a_loss_and_a_restart_of_all() {
     let mut cluster = Cluster::new(3);
     cluster.set_partitioned(2, true);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
@@ -89,7 +89,7 @@
     for at in 0..3 {
         cluster.restart(at);
     }
-    // Who had accepted it in the first place is lost, one after the other.
+    // The members that accepted it in the round are lost one after the other.
     for lost in [0, 1] {
         cluster.set_partitioned(lost, true);
         assert_eq!(cluster.read(2).version, 1);
@@ -99,17 +99,17 @@
 }
 
 #[test]
-fn a_proposer_that_was_promised_before_the_value_was_learnt_is_not_misled() {
+fn a_promise_given_before_an_adoption_does_not_lose_the_adopted_value() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     cluster.set_partitioned(2, true);
     assert_eq!(cluster.submit(0, &request(1, 2)), Some(ConfigAnswer::Applied));
     let (ballot, value) = committed(&mut cluster, 0);
     cluster.set_partitioned(2, false);
-    // A round on top of version 2 has all promises, member 2's without the value, and then pauses.
+    // A round on version 2 has all promises, including member 2's without the value, and then pauses.
     let mut paused = cluster.prepared(1, &request(2, 3));
     assert!(cluster.adopt(2, ballot, &value), "learnt under a ballot below the promise");
-    assert!(matches!(cluster.wake(&mut paused), Some(Outcome::Committed(..))));
+    assert!(matches!(cluster.resume(&mut paused), Some(Outcome::Committed(..))));
     assert!(!cluster.adopt(2, ballot, &value), "a duplicate that arrives late");
     cluster.set_partitioned(0, true);
     assert_eq!(cluster.read(2).version, 3);
--- a/crates/register/tests/amendments.rs
+++ b/crates/register/tests/amendments.rs
@@ -1,5 +1,5 @@
-//! Amendments as requests of the register: applied to the version that they build on and to no other, once, and
-//! acknowledged again when they come again.
+//! Amendments as requests of the register: applied once, only to the version that they build on, and acknowledged again when
+//! they are retried.
 
 mod support;
 
@@ -32,7 +32,7 @@
     ConfigRequest::amend(base, version, body.into_bytes())
 }
 
-/// The routes in force, by name.
+/// Names of the committed routes.
 fn routes(value: &Value) -> Vec<String> {
     let config = runtrack_fleetconfig::FleetConfig::read(value.config.as_slice()).expect("it is valid");
     config.routes.into_iter().map(|route| route.name).collect()
@@ -51,7 +51,7 @@
     assert_eq!(cluster.submit(2, &remove(3, 4, "a")), Some(ConfigAnswer::Applied));
     assert_eq!(cluster.submit(0, &add(4, 9, "a")), Some(ConfigAnswer::Applied));
     assert_eq!(routes(&cluster.read(1)), ["b", "a"]);
-    // Each of them once more, at another member: removed again, the last one would be gone.
+    // Each is retried at another member. Applying the removal again would remove the last route.
     for (at, request) in [(2, add(1, 3, "b")), (0, remove(3, 4, "a")), (1, add(4, 9, "a"))] {
         assert_eq!(cluster.submit(at, &request), Some(ConfigAnswer::Applied));
     }
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn of_an_amendment_and_a_complete_configuration_on_one_version_one_wins() {
+fn an_amendment_and_a_replacement_of_one_base_conflict() {
     for amendment_first in [true, false] {
         let mut cluster = started();
         let (amendment, replacement) = (add(1, 2, "b"), complete(1, 2, &["c"]));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn another_amendment_under_the_same_number_is_refused() {
+fn a_different_amendment_with_the_same_version_is_rejected() {
     let mut cluster = started();
     assert_eq!(cluster.submit(0, &add(1, 2, "b")), Some(ConfigAnswer::Applied));
     assert_eq!(cluster.submit(1, &add(1, 2, "c")), Some(ConfigAnswer::VersionMismatch(2)));
@@ -84,21 +84,21 @@
 }
 
 #[test]
-fn one_that_does_not_fit_its_base_is_refused_and_one_whose_base_is_yet_to_come_is_not() {
+fn an_inapplicable_amendment_is_rejected_only_once_its_base_is_current() {
     let mut cluster = started();
-    // On version 1 there is no b; on version 2, which may still come, there is.
+    // Version 1 has no b; version 2, which is not committed yet, has one.
     let early = remove(2, 3, "b");
     assert_eq!(cluster.submit(0, &early), Some(ConfigAnswer::Indeterminate));
     assert_eq!(cluster.submit(0, &remove(1, 3, "b")), Some(ConfigAnswer::Invalid(1)));
     assert_eq!(cluster.submit(1, &add(1, 2, "b")), Some(ConfigAnswer::Applied));
     assert_eq!(cluster.submit(2, &early), Some(ConfigAnswer::Applied));
-    // Its base has gone by: the answer is another one, and a refusal still.
+    // Its base is outdated: the answer differs and is still a rejection.
     assert_eq!(cluster.submit(0, &remove(1, 3, "b")), Some(ConfigAnswer::VersionMismatch(3)));
     assert_eq!(routes(&cluster.read(0)), ["a"]);
 }
 
 #[test]
-fn before_the_first_configuration_there_is_nothing_to_amend() {
+fn an_amendment_of_the_empty_register_is_rejected() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &add(0, 1, "a")), Some(ConfigAnswer::Invalid(0)));
     assert_eq!(cluster.submit(0, &add(1, 2, "b")), Some(ConfigAnswer::Indeterminate));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn an_amendment_is_confirmed_after_other_changes_and_below_the_floor_never_refused() {
+fn a_repeated_amendment_is_acknowledged_and_below_the_floor_never_rejected() {
     let mut cluster = started();
     let first = add(1, 2, "b");
     assert_eq!(cluster.submit(0, &first), Some(ConfigAnswer::Applied));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_same_bytes_as_a_complete_configuration_are_another_request() {
+fn the_same_bytes_as_a_complete_configuration_are_a_different_request() {
     let body = br#"{"version":2,"routes":[],"services":[]}"#.to_vec();
     let mut cluster = started();
     assert_eq!(cluster.submit(0, &ConfigRequest::amend(1, 2, body.clone())), Some(ConfigAnswer::Applied));
@@ -133,10 +133,10 @@
     assert_ne!(amendment_digest(1, &body), legacy_request_digest(1, &body));
 }
 
-/// Members of the version before keep and hand on what an amendment makes: it is a value like any other, a complete
-/// configuration with one more digest, in the same format.
+/// Members of an older version store and forward the result of an amendment: it is an ordinary value in the same format, a
+/// complete configuration with one more digest.
 #[test]
-fn members_of_the_version_before_take_the_value_of_an_amendment() {
+fn members_of_an_older_version_accept_the_value_of_an_amendment() {
     let mut cluster = started();
     assert_eq!(cluster.submit(0, &add(1, 2, "b")), Some(ConfigAnswer::Applied));
     let value = cluster.read(0);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn an_amendment_is_decided_alike_on_the_same_value_whoever_decides() {
+fn deciding_an_amendment_is_deterministic() {
     let mut cluster = started();
     let value = cluster.read(0);
     let request = add(1, 2, "b");
--- a/crates/register/tests/idempotence.rs
+++ b/crates/register/tests/idempotence.rs
@@ -1,5 +1,5 @@
-//! Two operators, one number; a request that comes again after its answer was lost. A refusal is given only where it is
-//! certain for good.
+//! Two operators that use one version number, and requests that are retried after their answer was lost. A request is rejected
+//! only where that is final.
 
 mod support;
 
@@ -7,10 +7,10 @@
 use support::{Cluster, member, request};
 
 #[test]
-fn a_request_that_builds_on_a_version_yet_to_come_is_not_refused() {
+fn a_request_on_a_future_base_is_not_rejected() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
-    // Its base is version 2, which another member is about to commit.
+    // Its base, version 2, is about to be committed by another member.
     let early = request(2, 3);
     assert_eq!(cluster.submit(0, &early), Some(ConfigAnswer::Indeterminate));
     assert_eq!(cluster.submit(1, &request(1, 2)), Some(ConfigAnswer::Applied));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn before_the_first_version_nothing_that_builds_on_another_is_refused() {
+fn requests_on_a_later_base_are_not_rejected_before_the_first_version() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(1, 2)), Some(ConfigAnswer::Indeterminate));
     assert_eq!(cluster.submit(1, &request(0, 1)), Some(ConfigAnswer::Applied));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_version_that_is_not_above_its_own_base_can_never_be_applied_and_is_refused_at_once() {
+fn a_version_not_above_its_own_base_is_rejected() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 0)), Some(ConfigAnswer::VersionNotIncreasing(0)));
     assert_eq!(cluster.submit(0, &request(9, 9)), Some(ConfigAnswer::VersionNotIncreasing(9)));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn of_two_requests_under_one_number_one_is_confirmed_and_the_other_is_refused_for_good() {
+fn of_two_requests_with_one_version_exactly_one_is_acknowledged() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     let one = ConfigRequest::replace(1, 2, b"one".to_vec());
@@ -51,7 +51,7 @@
     }
 }
 
-/// Requests on top of each other, the last of them under `last`.
+/// Applies consecutive requests up to version `last`.
 fn apply_up_to(cluster: &mut Cluster, from: u64, last: u64) {
     for base in from..last {
         let at = (base % 3) as usize;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_was_confirmed_is_confirmed_again_after_hundreds_of_changes_and_never_refused() {
+fn an_acknowledged_request_is_never_rejected_after_hundreds_of_changes() {
     let mut cluster = Cluster::new(3);
     apply_up_to(&mut cluster, 0, 700);
     assert_eq!(cluster.read(0).floor, 700 - 512);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn below_the_floor_a_rival_gets_no_clear_answer_either_and_above_it_a_refusal() {
+fn a_conflicting_request_is_rejected_above_the_floor_and_unknown_below_it() {
     let mut cluster = Cluster::new(3);
     apply_up_to(&mut cluster, 0, 600);
     let rival = |version: u64| ConfigRequest::replace(version - 1, version, b"a rival".to_vec());
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn versions_that_rise_in_uneven_steps_keep_the_floor_at_the_highest_that_was_dropped() {
+fn the_floor_is_the_highest_evicted_version() {
     let first = [[member(0, 0)].into_iter().collect()];
     let mut value = None;
     for step in 1..=5u64 {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn what_was_confirmed_is_confirmed_again_after_a_restart_of_all() {
+fn an_acknowledged_request_is_acknowledged_again_after_a_restart_of_all() {
     let mut cluster = Cluster::new(3);
     apply_up_to(&mut cluster, 0, 600);
     for at in 0..3 {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn what_was_confirmed_is_confirmed_again_after_all_members_were_replaced_one_by_one() {
+fn an_acknowledged_request_is_acknowledged_again_after_all_members_were_replaced() {
     let mut cluster = Cluster::new(3);
     apply_up_to(&mut cluster, 0, 600);
     let mut set = [member(0, 0), member(1, 0), member(2, 0)];
@@ -137,10 +137,9 @@
 }
 
 #[test]
-fn a_request_whose_answer_was_lost_half_way_is_confirmed_or_superseded_and_its_rival_gets_the_other_answer()
-{
-    // The first copy reaches one member alone, and its proposer hears no more; a rival under the same number comes to
-    // another member, with and without the one that has accepted.
+fn a_partially_accepted_request_and_its_rival_get_opposite_answers() {
+    // The first attempt reaches one member only, and its proposer gets no reply. A rival with the same version is submitted at
+    // another member, with and without the member that has accepted.
     for partitioned in [None, Some(0)] {
         let mut cluster = Cluster::new(3);
         assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
--- a/crates/register/tests/membership.rs
+++ b/crates/register/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which change of members comes next, by tables.
+//! Planning of membership changes: tables of views and the resulting plans.
 
 mod support;
 
@@ -18,7 +18,7 @@
     PresentMember { accepted, overdue: false }
 }
 
-/// Members 1 to `count`, all present, all with everything that is committed.
+/// Members 1 to `count`, all present and with all committed values.
 fn complete_view(count: u8) -> MembershipView {
     let current: BTreeSet<Member> = (1..=count).map(|at| member(at, 0)).collect();
     MembershipView {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Steps in which the tables build their views.
+/// Builder steps for the views of the tables.
 trait Edit {
     fn absent(self, at: u8) -> Self;
     fn lost(self, at: u8) -> Self;
@@ -83,13 +83,13 @@
 }
 
 #[test]
-fn nothing_changes_without_a_reason() {
+fn a_complete_membership_is_left_unchanged() {
     assert_eq!(plan_membership(&complete_view(3)), MembershipPlan::Keep);
-    assert_eq!(plan_membership(&complete_view(4)), MembershipPlan::Keep, "one to spare is borne");
+    assert_eq!(plan_membership(&complete_view(4)), MembershipPlan::Keep, "one surplus member is kept");
     assert_eq!(
         plan_membership(&complete_view(3).lost(2)),
         MembershipPlan::Keep,
-        "nobody is there to replace it"
+        "no process can replace it"
     );
     assert_eq!(
         plan_membership(&complete_view(3).leaving(2)),
@@ -124,13 +124,13 @@
 }
 
 #[test]
-fn a_joining_member_that_holds_it_does_not_wait_for_one_that_does_not() {
+fn a_caught_up_joining_member_does_not_wait_for_one_that_is_behind() {
     let view = complete_view(3).lost(2).joining(6, 60, OLD).joining(7, 70, NEWEST);
     assert_eq!(plan_membership(&view), change(&[(1, 0), (3, 0), (7, 70)]));
 }
 
 #[test]
-fn a_wiped_member_takes_the_place_of_its_former_incarnation_at_once() {
+fn a_wiped_member_replaces_its_former_incarnation_at_once() {
     let view = complete_view(3).absent(2).joining(2, 20, NEWEST);
     assert_eq!(plan_membership(&view), change(&[(1, 0), (2, 20), (3, 0)]));
     let another_lost = complete_view(3).absent(2).lost(3).joining(2, 20, NEWEST);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_unreachable_member_that_a_majority_does_not_suspect_is_waited_for() {
+fn changes_wait_for_an_unreachable_member_that_no_majority_suspects() {
     let view = complete_view(3).absent(2).joining(7, 70, NEWEST);
     assert_eq!(plan_membership(&view), wait(WaitReason::MemberUnreachable(member(2, 0))));
 }
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn no_change_while_a_present_member_lacks_the_membership_value() {
+fn changes_wait_for_a_present_member_that_lacks_the_membership_value() {
     let lacks = wait(WaitReason::ReplicaMissing(member(3, 0)));
     for view in [
         complete_view(3).lost(2).joining(7, 70, NEWEST),
@@ -172,13 +172,13 @@
 }
 
 #[test]
-fn a_member_that_is_to_be_replaced_need_not_hold_anything() {
+fn changes_do_not_wait_for_the_value_at_a_member_being_replaced() {
     let view = complete_view(3).lacking(2, OLD, false).joining(2, 20, NEWEST);
     assert_eq!(plan_membership(&view), change(&[(1, 0), (2, 20), (3, 0)]));
 }
 
 #[test]
-fn members_to_spare_go_when_they_are_lost_or_leave() {
+fn surplus_members_are_removed_when_lost_or_leaving() {
     assert_eq!(plan_membership(&complete_view(4).lost(2)), change(&[(1, 0), (3, 0), (4, 0)]));
     assert_eq!(plan_membership(&complete_view(4).leaving(2)), change(&[(1, 0), (3, 0), (4, 0)]));
     assert_eq!(
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn beyond_one_to_spare_nobody_joins() {
+fn at_most_one_surplus_member_is_admitted() {
     assert_eq!(plan_membership(&complete_view(4).joining(7, 70, NEWEST)), MembershipPlan::Keep);
     assert_eq!(
         plan_membership(&complete_view(4).lost(2).joining(7, 70, NEWEST)),
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn times_follow_from_the_figures_of_the_deployment() {
+fn timeouts_are_derived_from_the_deployment_bounds() {
     let (settle, grace) = (Duration::from_secs(6), Duration::from_secs(8));
     let times = MembershipTimes::new(settle, grace);
     assert_eq!(times.suspicion, Duration::from_millis(1500));
--- a/crates/register/tests/model/actions.rs
+++ b/crates/register/tests/model/actions.rs
@@ -1,21 +1,21 @@
-//! What can happen next in a state.
+//! Enumerates the actions that are enabled in a state.
 //!
-//! Reductions, each with the reason why it hides nothing from the rules:
+//! Reductions, each with the reason why it hides no violation:
 //!
 //! * A message that is never delivered stands for one that is lost. A member that was restarted equals what it was
-//!   before, since all that it said is on disk: the search restarts every member in every state all the same and finds
+//!   before, since all its replies are based on its disk: the search restarts every member in every state all the same and finds
 //!   new states only with a mutant.
 //! * A reply reaches its round in the step in which the member sends it. It touches that round alone, so it can be moved
-//!   forward over all steps of others; a reply that is lost or that comes too late is one whose round was given up
+//!   forward over all steps of others; a reply that is lost or that comes too late is one whose round timed out
 //!   before ([`Action::Timeout`]), and a promise that is lost is a prepare that is lost, for a promise alone does
 //!   nothing but reject lower ballots, as a loss of these does.
-//! * A prepare or an accept that a member would reject is not delivered: it changes no member, and its round hears
-//!   of a higher ballot, which is one more way to time out. For the same reason prepares end with their round.
-//! * A round begins when its first prepare is delivered. Until then nobody can tell.
+//! * A prepare or an accept that a member would reject is not delivered: it changes no member, and its round learns
+//!   of a higher ballot, which has the same effect as a timeout. For the same reason prepares end with their round.
+//! * A round begins when its first prepare is delivered. Until then it has no observable effect.
 //! * Once a round is over, its value has no message under way, and it is not chosen, it is forgotten; once the value is
 //!   chosen, only that is remembered.
 //! * A member's answer to the reader arrives in the step in which it is given, as replies do: a read that ends earlier
-//!   only makes what holds from then on stricter. A read that is given up is one that hears no more.
+//!   only makes what holds from then on stricter. A read that times out equals one that gets no more replies.
 //!
 //! `Network::Full` does without the second and the third, for small searches that show that the verdicts agree.
 
@@ -36,7 +36,7 @@
     Accept { rank: u8, proposer: u8, member: u8 },
     /// A reply arrives (network of kind `Full` alone).
     Reply { at: u8 },
-    /// A proposer waits no longer for the replies to what it sent out.
+    /// A proposer's round times out.
     Timeout { proposer: u8 },
     /// A proposer's process ends and starts again.
     RestartProposer { proposer: u8 },
@@ -48,11 +48,11 @@
     BeginRead { as_who: ReadAs, member: u8 },
     /// A member answers the reader.
     Inspect { member: u8 },
-    /// A committed value reaches a member by itself.
+    /// A member adopts a committed value outside a round.
     Adopt { member: u8, committed: u32 },
 }
 
-/// What a reader knows when it begins.
+/// The initial knowledge of a reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadAs {
     /// The first members alone.
@@ -69,7 +69,7 @@
     Ballot { round: u64::from(rank), boot }
 }
 
-/// All that can happen in a state.
+/// All enabled actions of a state.
 pub fn enabled(machine: &mut Machine, state: &State) -> Vec<Action> {
     let mut actions = Vec::new();
     for proposer in 0..2 {
@@ -142,7 +142,7 @@
     }
 }
 
-/// What the reader can do: begin, as anybody, or hear one more member.
+/// Actions of the reader: begin with any process's knowledge, or get one more member's reply.
 fn reads(machine: &mut Machine, state: &State, actions: &mut Vec<Action>) {
     let reader = &state.reader;
     if reader.reads > 0 && !reader.begun {
@@ -174,7 +174,7 @@
     }
 }
 
-/// Whether a member answers a reader. A mutant lets one do so whose disk is an older one, before it has found out.
+/// Whether a member answers a reader. With a mutant a member with an older disk answers before its disk check.
 fn answers(machine: &Machine, state: &State, member: u8) -> bool {
     is_up(state, member) || has_unchecked_disk(machine, state, member)
 }
--- a/crates/register/tests/model/audit.rs
+++ b/crates/register/tests/model/audit.rs
@@ -1,8 +1,8 @@
-//! What a read finds that asks a majority at this very moment, with nothing else going on.
+//! Evaluates reads by rounds of any majority in a state, with nothing else in progress.
 
 use crate::machine::Machine;
 use crate::state::{MAX_NODES, NONE};
-use crate::support::attempt::{Attempt, Purpose, Terms};
+use crate::support::attempt::{Attempt, OperationSettings, Purpose};
 use crate::support::mutants::Mutant;
 use crate::support::node::Node;
 use runtrack_message::{Ballot, Member, RegisterRequest};
@@ -13,7 +13,7 @@
 const TOP: Ballot = Ballot { round: 1000, boot: 1 };
 
 /// The least sequence that any majority of members in these states reads, from whichever sets of members a process can
-/// begin at: the first ones, or those that a member has on its disk. `u8::MAX` where no majority is there.
+/// begin at: the first ones, or those that a member has on its disk. `u8::MAX` without a majority.
 pub fn least_read(machine: &mut Machine, nodes: [u32; MAX_NODES]) -> u8 {
     if let Some(least) = machine.audited.get(&nodes) {
         return *least;
@@ -29,7 +29,7 @@
         let mut masks: Vec<u8> = (1..1 << MAX_NODES).collect();
         masks.sort_by_key(|mask: &u8| mask.count_ones());
         for mask in masks {
-            // A majority has answered already without the others.
+            // A majority has replied already without the others.
             if answered.iter().any(|smaller| mask & smaller == *smaller) {
                 continue;
             }
@@ -43,14 +43,14 @@
     least
 }
 
-/// What a read finds that reaches just these members; nothing where they are no majority.
+/// Sequence number that a read from only these members returns; `None` if they are no majority.
 fn read(machine: &Machine, nodes: [u32; MAX_NODES], mask: u8, view: Vec<BTreeSet<Member>>) -> Option<u8> {
     let mut asked: Vec<Option<Node>> = nodes
         .iter()
         .enumerate()
         .map(|(at, node)| (*node != NONE && mask & (1 << at) != 0).then(|| (*machine.node(*node)).clone()))
         .collect();
-    let terms = Terms { mutant: Mutant::None, ..machine.scenario.terms() };
+    let settings = OperationSettings { mutant: Mutant::None, ..machine.scenario.settings() };
     let (mut attempt, mut sends) = Attempt::new(TOP, view, None);
     while let Some((to, request)) = sends.pop() {
         if let RegisterRequest::Accept { value, .. } = &request {
@@ -59,7 +59,7 @@
         let at = usize::from(machine.scenario.index(to));
         let Some(node) = &mut asked[at] else { continue };
         let reply = node.handle(&request, Mutant::None);
-        match attempt.reply(to, reply, &Purpose::Read, &terms).progress {
+        match attempt.reply(to, reply, &Purpose::Read, &settings).progress {
             Progress::Send(more) => sends.extend(more),
             Progress::Done(Outcome::Empty) => return Some(0),
             Progress::Done(Outcome::Read(_, value)) => return Some(value.sequence as u8),
--- a/crates/register/tests/model/initial.rs
+++ b/crates/register/tests/model/initial.rs
@@ -7,7 +7,7 @@
 use runtrack_message::Ballot;
 use std::rc::Rc;
 
-/// Of the value that is chosen before anything else.
+/// Ballot of the value that is chosen initially.
 pub const INITIAL_BALLOT: Ballot = Ballot { round: 0, boot: 1 };
 
 /// The first state.
@@ -32,7 +32,7 @@
     }
 }
 
-/// The members that are there at the start, with the initial value at those that have it.
+/// The members present at the start, some of them with the initial value.
 fn initial_nodes(machine: &mut Machine) -> [u32; MAX_NODES] {
     let mut nodes = [NONE; MAX_NODES];
     let value = machine.scenario.initial.clone().map(Rc::new);
--- a/crates/register/tests/model/intern.rs
+++ b/crates/register/tests/model/intern.rs
@@ -1,10 +1,10 @@
-//! Numbers for values that occur again and again, so that a state of the search is small.
+//! Interns recurring values as numbers, which keeps the states of the search small.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hash, Hasher};
 use std::rc::Rc;
 
-/// A fast hash without a seed: the same run twice is identical.
+/// A fast hash without a random seed, so that runs are reproducible.
 #[derive(Default)]
 pub struct MixingHasher(u64);
 
@@ -55,10 +55,10 @@
 
 /// Builds [`MixingHasher`]s.
 pub type FixedHasher = BuildHasherDefault<MixingHasher>;
-/// A map whose order reaches no output.
+/// A map whose iteration order affects no output.
 pub type FixedMap<K, V> = HashMap<K, V, FixedHasher>;
 
-/// Each value once, under a number that counts up from zero.
+/// Stores each distinct value once, numbered consecutively from zero.
 pub struct Interner<T> {
     numbers: FixedMap<Rc<T>, u32>,
     values: Vec<Rc<T>>,
--- a/crates/register/tests/model/machine.rs
+++ b/crates/register/tests/model/machine.rs
@@ -1,5 +1,5 @@
-//! The code's own members and rounds, asked once for each step that is new: what they do depends on nothing but their
-//! own state and the message, so a step that was taken before is looked up.
+//! Executes the actual members and rounds. Their behaviour depends only on their state and the message, so each distinct step
+//! is executed once and cached.
 
 mod reads;
 mod rounds;
@@ -29,7 +29,7 @@
     Adopt { ballot: Ballot, value: u32 },
 }
 
-/// What the rules need to know of a value.
+/// The properties of a value that the invariants use.
 #[derive(Clone, Debug)]
 pub struct ValueFacts {
     pub sequence: u8,
@@ -39,7 +39,7 @@
     pub request: Option<u8>,
 }
 
-/// How a round came to be: the round before the reply, its purpose, who replied and what.
+/// Origin of a round's state: the previous state, the purpose, and the reply with its sender.
 #[derive(Clone, Copy)]
 struct Origin {
     before: u32,
@@ -48,7 +48,7 @@
     reply: u32,
 }
 
-/// The code under test, with all that it was asked so far.
+/// The code under test, with a cache of all steps so far.
 pub struct Machine {
     pub scenario: Scenario,
     nodes: Interner<Node>,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// How many different rounds, members and values there were.
+    /// Number of distinct rounds, members and values.
     pub fn sizes(&self) -> (usize, usize, usize) {
         (self.attempts.len(), self.nodes.len(), self.values.len())
     }
@@ -166,7 +166,7 @@
         (0..MAX_NODES).all(|at| mask & (1 << at) == 0 || state.nodes[at] != NONE)
     }
 
-    /// Whom a round asks first, for who knows this to be committed.
+    /// Members that a round of a process that knows this committed value asks first, as a bit mask.
     pub fn asked(&self, known: u32) -> u8 {
         if known == NONE {
             return self.scenario.mask(&self.scenario.first);
@@ -174,7 +174,7 @@
         self.scenario.mask(&members_of(&self.committed.get(known).1))
     }
 
-    /// Whether a member does not turn this ballot away. An error in just that is searched with all messages.
+    /// Whether a member does not reject this ballot. Mutants of this check itself are searched without the reduction.
     pub fn takes(&self, node: u32, ballot: Ballot) -> bool {
         let all = [Mutant::PromiseForgotten, Mutant::RefusalCounted, Mutant::UnknownRefused];
         all.contains(&self.scenario.mutant) || self.nodes.get(node).acceptor.promised() <= ballot
@@ -185,7 +185,7 @@
         matches!(*self.replies.get(reply), RegisterReply::Accepted { .. })
     }
 
-    /// The sets at which somebody begins who knows this to be committed.
+    /// Initial sets and value of a process that knows this committed value.
     fn beginning(&self, known: u32) -> (Vec<BTreeSet<Member>>, Option<Committed>) {
         let known = (known != NONE).then(|| (*self.committed.get(known)).clone());
         let sets = match &known {
@@ -208,7 +208,7 @@
         to.into_iter().map(|at| 1 << at).sum()
     }
 
-    /// A member takes a request: what it is then, and its reply.
+    /// A member handles a request; returns its new state and its reply.
     pub fn handle(&mut self, node: u32, at: u8, request: Request) -> (u32, u32) {
         if let Some(done) = self.handled.get(&(node, at, request)) {
             return *done;
@@ -235,7 +235,7 @@
         done
     }
 
-    /// A member's process ends and starts again.
+    /// Restarts a member's process.
     pub fn restart(&mut self, node: u32) -> u32 {
         if let Some(done) = self.restarted.get(&node) {
             return *done;
--- a/crates/register/tests/model/machine/rounds.rs
+++ b/crates/register/tests/model/machine/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds: how they begin, and what a reply does to them.
+//! Transitions of rounds: their start and the handling of replies.
 
 use super::{Machine, Origin};
 use crate::state::{Answer, NONE};
@@ -11,13 +11,13 @@
 pub enum End {
     Empty,
     Preempted,
-    /// This is committed, and the operation has its answer.
+    /// This value is committed, and the operation has its answer.
     Answered(u32),
-    /// This is committed, and nothing was decided on it.
+    /// This value is committed without a decision on it.
     Membership(u32),
 }
 
-/// What a decision rested on.
+/// The basis of a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Basis {
     /// The value that was found, or [`NONE`].
@@ -25,13 +25,13 @@
     pub answer: Answer,
 }
 
-/// What a reply brought about.
+/// Result of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Replied {
     pub attempt: u32,
     /// Members to prepare at.
     pub prepares: u8,
-    /// Value to send out, or [`NONE`], and to whom.
+    /// Value to propose, or [`NONE`], and its recipients.
     pub value: u32,
     pub accepts: u8,
     pub may_write: bool,
@@ -57,8 +57,8 @@
         let mut after = (*self.attempts.get(attempt)).clone();
         let member = self.scenario.members[usize::from(from)];
         let what = (*self.replies.get(reply)).clone();
-        let terms = self.scenario.terms();
-        let step = after.reply(member, what, &self.scenario.purposes[usize::from(purpose)], &terms);
+        let settings = self.scenario.settings();
+        let step = after.reply(member, what, &self.scenario.purposes[usize::from(purpose)], &settings);
         let may_write = after.may_write();
         let origin = Origin { before: attempt, purpose, from, reply };
         let mut done = Replied {
--- a/crates/register/tests/model/main.rs
+++ b/crates/register/tests/model/main.rs
@@ -1,5 +1,5 @@
-//! An exhaustive search: every interleaving of messages, losses and restarts within small bounds, over the code's own
-//! rounds and members. The rules hold in all of them, and each mutant breaks one by a shortest counterexample.
+//! Model checking: an exhaustive search over all interleavings of messages, losses and restarts within small bounds, with the
+//! actual rounds and acceptors. All invariants hold, and each mutant violates one, with a shortest counterexample.
 #![allow(dead_code, reason = "the support modules serve several test files")]
 
 mod actions;
@@ -21,7 +21,7 @@
 use std::time::Instant;
 use support::mutants::Mutant;
 
-/// Memory bounds what is searched: some 150 bytes a state with the farthest ones.
+/// Bounded by memory: about 150 bytes a state, including the frontier.
 const MAX_STATES: usize = 30_000_000;
 
 fn run(scenario: Scenario) -> Report {
@@ -45,12 +45,12 @@
     assert!(report.complete, "not all states were met");
 }
 
-/// Searches that CI makes.
+/// Scenarios searched in CI.
 fn small() -> Vec<Scenario> {
     vec![
         Scenario { rounds: [2, 2], restarts: 0, ..scenario::race() },
         Scenario { rounds: [2, 1], restarts: 1, adopt: true, ..scenario::race() },
-        Scenario { rounds: [2, 2], ..scenario::one_number() },
+        Scenario { rounds: [2, 2], ..scenario::equal_versions() },
         Scenario { rounds: [2, 2], ..scenario::retries() },
         Scenario { rounds: [1, 2], ..scenario::replacement() },
         Scenario { rounds: [1, 2], ..scenario::wipe() },
@@ -64,12 +64,12 @@
     ]
 }
 
-/// Searches with more rounds; `REGISTER_MODEL=large` asks for them, and the name of a scenario for those of that name.
+/// Scenarios with more rounds, selected by `REGISTER_MODEL=large` or by a scenario's name.
 fn large() -> Vec<Scenario> {
     vec![
         Scenario { rounds: [3, 2], restarts: 0, ..scenario::race() },
         Scenario { rounds: [2, 2], restarts: 1, adopt: true, ..scenario::race() },
-        Scenario { rounds: [3, 2], ..scenario::one_number() },
+        Scenario { rounds: [3, 2], ..scenario::equal_versions() },
         Scenario { rounds: [3, 2], ..scenario::retries() },
         Scenario { rounds: [2, 2], ..scenario::late_copy() },
         Scenario { rounds: [1, 1], network: Network::Full, ..scenario::replacement() },
@@ -84,7 +84,7 @@
     ]
 }
 
-/// Searches with quorum reads; `REGISTER_MODEL=reads` asks for them.
+/// Scenarios with quorum reads, selected by `REGISTER_MODEL=reads`.
 fn reads() -> Vec<Scenario> {
     vec![
         Scenario { rounds: [2, 1], restarts: 0, reads: 2, ..scenario::race() },
@@ -102,12 +102,12 @@
 }
 
 #[test]
-fn every_interleaving_within_the_bounds_keeps_the_rules() {
+fn every_interleaving_within_the_bounds_satisfies_the_invariants() {
     small().into_iter().for_each(holds);
 }
 
 #[test]
-fn every_interleaving_within_larger_bounds_keeps_the_rules() {
+fn every_interleaving_within_larger_bounds_satisfies_the_invariants() {
     let which = std::env::var("REGISTER_MODEL").unwrap_or_default();
     if which == "reads" {
         reads().into_iter().for_each(holds);
@@ -115,7 +115,7 @@
     large().into_iter().filter(|scenario| which == "large" || which == scenario.name).for_each(holds);
 }
 
-/// Mutants, each with a scenario that shows it.
+/// Mutants, each with a scenario that detects it.
 fn mutants() -> Vec<(Mutant, Scenario)> {
     let race = || Scenario { rounds: [2, 2], restarts: 1, ..scenario::race() };
     let replacement = || Scenario { rounds: [2, 2], ..scenario::replacement() };
@@ -139,7 +139,7 @@
         (Mutant::TableLostAtMembership, replacement()),
         (Mutant::FloorForgotten, scenario::retries()),
         (Mutant::BaseAboveRefused, scenario::retries()),
-        (Mutant::DigestTruncated, scenario::one_number()),
+        (Mutant::DigestTruncated, scenario::equal_versions()),
         (Mutant::SecondHalfOnUnchosen, replacement()),
         (Mutant::NewSetAlone, replacement()),
         (Mutant::NewSetAlone, Scenario { rounds: [2, 2], ..scenario::early_wipe() }),
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn each_mutant_is_found_by_a_shortest_way() {
+fn each_mutant_has_a_shortest_counterexample() {
     for (mutant, scenario) in mutants() {
         let report = run(scenario.with(mutant));
         let found = report.counterexample.unwrap_or_else(|| panic!("{mutant:?} is not found"));
@@ -162,7 +162,7 @@
     }
 }
 
-/// Mutants that a race of two rounds can show, with one round at each proposer.
+/// Mutants that two concurrent rounds can detect, with one round at each proposer.
 const IN_A_RACE: [Mutant; 10] = [
     Mutant::None,
     Mutant::PromiseNotSynced,
--- a/crates/register/tests/model/rules.rs
+++ b/crates/register/tests/model/rules.rs
@@ -1,4 +1,4 @@
-//! What must hold in every state and at every step.
+//! Invariants of every state and every step.
 
 use crate::actions::ballot;
 use crate::audit::least_read;
@@ -9,17 +9,17 @@
 use runtrack_message::Ballot;
 use runtrack_register::majority_of;
 
-/// A rule that is broken.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation(pub String);
 
-fn broken<T>(what: impl Into<String>) -> Result<T, Violation> {
+fn breach<T>(what: impl Into<String>) -> Result<T, Violation> {
     Err(Violation(what.into()))
 }
 
-/// A member has accepted a round's value: where that makes it chosen, it must be the only one of its sequence, and
-/// nothing that was refused.
-pub fn note_vote(machine: &mut Machine, state: &mut State, at: usize) -> Result<(), Violation> {
+/// A member has accepted a round's value. If that makes it chosen, it must be the only one with its sequence number, and its
+/// request must not have been rejected.
+pub fn record_acceptance(machine: &mut Machine, state: &mut State, at: usize) -> Result<(), Violation> {
     let slot = &state.slots[at];
     let (value, votes) = (slot.value, slot.votes);
     let facts = machine.facts(value);
@@ -33,11 +33,11 @@
     for other in &state.chosen {
         let other = machine.value_of(*other);
         if other != value && machine.facts(other).sequence == facts.sequence {
-            return broken(format!("two values are chosen at sequence {}", facts.sequence));
+            return breach(format!("two values are chosen at sequence {}", facts.sequence));
         }
     }
     if let Some(request) = facts.request.filter(|request| state.refused & (1 << request) != 0) {
-        return broken(format!("request {request} was refused and is chosen"));
+        return breach(format!("request {request} was refused and is chosen"));
     }
     let committed = machine.intern_committed(own, value);
     if let Err(index) = state.chosen.binary_search(&committed) {
@@ -50,7 +50,7 @@
     state.chosen.iter().any(|committed| machine.value_of(*committed) == value)
 }
 
-/// A round takes a reply, and what comes of it.
+/// Applies a reply to a round and checks the result.
 pub fn on_reply(
     machine: &mut Machine,
     state: &mut State,
@@ -85,7 +85,7 @@
     }
 }
 
-/// A single set takes the place of joint ones only where these are chosen, and a new set only beside the old one.
+/// A single set may follow joint sets only if these are chosen, and a new set is only introduced jointly with the old one.
 fn check_sets(machine: &mut Machine, state: &State, found: u32, value: u32) -> Result<(), Violation> {
     if found == NONE {
         return check_first_sets(machine, value);
@@ -96,19 +96,19 @@
         ([old], [first, _]) if old == first => Ok(()),
         ([_, new], [only]) if new == only => match is_chosen(machine, state, found) {
             true => Ok(()),
-            false => broken("the new set alone is written on joint sets that are not chosen"),
+            false => breach("the new set alone is written on joint sets that are not chosen"),
         },
-        _ => broken(format!("sets {before:?} are followed by {after:?}")),
+        _ => breach(format!("sets {before:?} are followed by {after:?}")),
     }
 }
 
-/// The first value is at the first members, or at these and others beside them.
+/// The first value has the first members as its set, alone or jointly with another set.
 fn check_first_sets(machine: &mut Machine, value: u32) -> Result<(), Violation> {
     let first = machine.scenario.mask(&machine.scenario.first);
     match machine.facts(value).sets.as_slice() {
         [only] if *only == first => Ok(()),
         [old, _] if *old == first => Ok(()),
-        sets => broken(format!("the first value is written to {sets:?}")),
+        sets => breach(format!("the first value is written to {sets:?}")),
     }
 }
 
@@ -121,7 +121,7 @@
 ) -> Result<(), Violation> {
     match end {
         End::Preempted => {
-            state.give_up(proposer);
+            state.time_out(proposer);
             let sent = state.proposers[usize::from(proposer)].sent;
             if machine.scenario.mutant == Mutant::UnknownRefused && sent {
                 state.proposers[usize::from(proposer)].answer = Answer::Refused;
@@ -132,7 +132,7 @@
         End::Empty => answered(machine, state, proposer, purpose, NONE),
         End::Membership(committed) => {
             learn(machine, state, proposer, committed)?;
-            state.give_up(proposer);
+            state.time_out(proposer);
             Ok(())
         }
         End::Answered(committed) => {
@@ -143,11 +143,11 @@
     }
 }
 
-/// A proposer takes a value for committed.
+/// A proposer considers a value committed.
 fn learn(machine: &mut Machine, state: &mut State, proposer: u8, committed: u32) -> Result<(), Violation> {
     let value = machine.value_of(committed);
     if !is_chosen(machine, state, value) {
-        return broken("a value is taken for committed and is not chosen");
+        return breach("a value is taken for committed and is not chosen");
     }
     let own = &mut state.proposers[usize::from(proposer)];
     if own.known == NONE || machine.committed(own.known).0 < machine.committed(committed).0 {
@@ -156,7 +156,7 @@
     Ok(())
 }
 
-/// An operation has its answer, which rests on this value.
+/// An operation has its answer, which is based on this value.
 fn answered(
     machine: &mut Machine,
     state: &mut State,
@@ -170,18 +170,18 @@
     own.begun = false;
     own.sent = false;
     own.answer = Answer::Nothing;
-    state.give_up(proposer);
+    state.time_out(proposer);
     let sequence = if value == NONE { 0 } else { machine.facts(value).sequence };
     let is_read = matches!(machine.scenario.purposes[usize::from(purpose)], Purpose::Read);
     if is_read && sequence < floor {
-        return broken(format!("sequence {sequence} is read after {floor} was seen"));
+        return breach(format!("sequence {sequence} is read after {floor} was seen"));
     }
     match answer {
         Answer::Acknowledged => acknowledged(machine, state, purpose)?,
         Answer::Refused => refused(machine, state, purpose)?,
         Answer::Nothing if is_read => {
             if value != NONE && !is_chosen(machine, state, value) {
-                return broken("a value is read that is not chosen");
+                return breach("a value is read that is not chosen");
             }
         }
         Answer::Nothing => {}
@@ -192,8 +192,8 @@
     Ok(())
 }
 
-/// The reader has heard another member: where that ends its read, its answer is not older than any that was given
-/// before it began, and is chosen.
+/// The reader has received a reply. If that ends its read, the result must be chosen and not older than any returned before
+/// the read began.
 pub fn on_inspection(machine: &mut Machine, state: &mut State) -> Result<(), Violation> {
     let end = machine.reading(state.reader.known, state.reader.answers).end;
     let value = match end {
@@ -212,10 +212,10 @@
     state.reader.end();
     let sequence = if value == NONE { 0 } else { machine.facts(value).sequence };
     if sequence < floor {
-        return broken(format!("sequence {sequence} is read after {floor} was seen"));
+        return breach(format!("sequence {sequence} is read after {floor} was seen"));
     }
     if value != NONE && !is_chosen(machine, state, value) {
-        return broken("a value is read that is not chosen");
+        return breach("a value is read that is not chosen");
     }
     state.seen = state.seen.max(sequence);
     Ok(())
@@ -223,10 +223,10 @@
 
 fn acknowledged(machine: &mut Machine, state: &mut State, purpose: u8) -> Result<(), Violation> {
     if state.refused & (1 << purpose) != 0 {
-        return broken(format!("request {purpose} was refused and is acknowledged"));
+        return breach(format!("request {purpose} was refused and is acknowledged"));
     }
     if !was_in_force(machine, state, purpose) {
-        return broken(format!("request {purpose} is acknowledged and not chosen"));
+        return breach(format!("request {purpose} is acknowledged and not chosen"));
     }
     state.acknowledged |= 1 << purpose;
     let base = |at: usize| match &machine.scenario.purposes[at] {
@@ -237,17 +237,17 @@
     let rival = (0..machine.scenario.purposes.len())
         .find(|at| *at != usize::from(purpose) && state.acknowledged & (1 << at) != 0 && base(*at) == own);
     match rival {
-        Some(rival) => broken(format!("requests {purpose} and {rival} on one base are both acknowledged")),
+        Some(rival) => breach(format!("requests {purpose} and {rival} on one base are both acknowledged")),
         None => Ok(()),
     }
 }
 
 fn refused(machine: &mut Machine, state: &mut State, purpose: u8) -> Result<(), Violation> {
     if state.acknowledged & (1 << purpose) != 0 {
-        return broken(format!("request {purpose} was acknowledged and is refused"));
+        return breach(format!("request {purpose} was acknowledged and is refused"));
     }
     if was_in_force(machine, state, purpose) {
-        return broken(format!("request {purpose} is refused and is chosen"));
+        return breach(format!("request {purpose} is refused and is chosen"));
     }
     state.refused |= 1 << purpose;
     Ok(())
@@ -261,7 +261,7 @@
     state.chosen.iter().any(brought)
 }
 
-/// A process that asks a majority now must find all that was answered to anybody.
+/// A read from any majority must return the newest value that was returned to any caller, or a newer one.
 pub fn check_reads(machine: &mut Machine, state: &State) -> Result<(), Violation> {
     if state.seen == 0 {
         return Ok(());
@@ -269,7 +269,7 @@
     let nodes: [u32; MAX_NODES] = state.nodes;
     let least = least_read(machine, nodes);
     if least < state.seen {
-        return broken(format!("a majority reads sequence {least} after {} was seen", state.seen));
+        return breach(format!("a majority reads sequence {least} after {} was seen", state.seen));
     }
     Ok(())
 }
--- a/crates/register/tests/model/scenario.rs
+++ b/crates/register/tests/model/scenario.rs
@@ -1,6 +1,6 @@
-//! What is searched: who asks for what, and how much may go wrong.
+//! Scenarios of the search: the operations of each proposer, and the bounds on faults.
 
-use crate::support::attempt::{Purpose, Terms};
+use crate::support::attempt::{OperationSettings, Purpose};
 use crate::support::mutants::Mutant;
 use crate::support::{member, request};
 use runtrack_message::{Member, Value};
@@ -17,9 +17,9 @@
 /// How requests and replies travel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Network {
-    /// A reply arrives at once, see `actions.rs` for why nothing is missed.
+    /// Replies are delivered immediately; `actions.rs` explains why this hides no violation.
     Reduced,
-    /// Every reply travels by itself and may come late or never; so may requests of rounds that are over.
+    /// Each reply is delivered separately and may be late or lost, as may requests of rounds that have ended.
     Full,
 }
 
@@ -27,14 +27,14 @@
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: &'static str,
-    /// Everybody who can be a member; a set of members is a mask over this list.
+    /// All possible members; a set of members is a bit mask over this list.
     pub members: Vec<Member>,
     pub first: BTreeSet<Member>,
-    /// All that a proposer can be asked for.
+    /// All purposes of operations.
     pub purposes: Vec<Purpose>,
-    /// For each proposer what it is asked for in turn, by number of the purpose.
+    /// For each proposer its operations in order, as indices into the purposes.
     pub scripts: [Vec<u8>; 2],
-    /// Rounds that each proposer may begin.
+    /// Maximum number of rounds of each proposer.
     pub rounds: [u8; 2],
     /// Restarts of proposers.
     pub restarts: u8,
@@ -43,12 +43,12 @@
     /// The member of index [`LEAVING`] may lose its disk once, or have an older copy of it restored; [`JOINING`] is its
     /// new incarnation.
     pub wipe: bool,
-    /// [`JOINING`] is there though nothing is written yet.
+    /// [`JOINING`] is present before anything is written.
     pub grows: bool,
     /// Committed values may reach any member late, outside rounds.
     pub adopt: bool,
     pub network: Network,
-    /// A value that is chosen before anything else, and the members that have it, as a mask.
+    /// A value that is chosen initially, and the members that have it, as a bit mask.
     pub initial: Option<Value>,
     pub initial_at: u8,
     /// Bound on the table of applied requests.
@@ -79,7 +79,7 @@
     }
 }
 
-/// Two requests on one base, a read, and the first request once more at the other proposer.
+/// Two requests on one base, a read, and a retry of the first request at the other proposer.
 pub fn race() -> Scenario {
     let first = Purpose::Replace(request(0, 1));
     let second = Purpose::Replace(request(0, 2));
@@ -93,7 +93,7 @@
 }
 
 /// Two requests with one version number and different bodies.
-pub fn one_number() -> Scenario {
+pub fn equal_versions() -> Scenario {
     let first = request(0, 1);
     let second = ConfigRequest::replace(0, 1, b"another body".to_vec());
     Scenario {
@@ -113,21 +113,21 @@
     }
 }
 
-/// A request, and meanwhile a member is replaced by an empty one.
+/// A request while a member is replaced by an empty one.
 pub fn replacement() -> Scenario {
     let mut scenario = membership("replacement");
     scenario.members[usize::from(JOINING)] = member(JOINING, 9);
     scenario.with_membership_purposes()
 }
 
-/// A request, and a member that loses its disk and is taken in again under a new incarnation.
+/// A request, and a member that loses its disk and rejoins under a new incarnation.
 pub fn wipe() -> Scenario {
     let mut scenario = Scenario { wipe: true, ..membership("wipe") };
     scenario.members[usize::from(JOINING)] = member(LEAVING, 9);
     scenario.with_membership_purposes()
 }
 
-/// A member joins before the first value, beside a request that brings it.
+/// A member joins before the first value, concurrently with the request that proposes it.
 pub fn growth() -> Scenario {
     let base = base("growth");
     let next: BTreeSet<Member> = base.members.iter().copied().collect();
@@ -139,7 +139,7 @@
     }
 }
 
-/// A member loses its disk before the first value, and is taken in again, beside a request that brings the value.
+/// A member loses its disk before the first value and rejoins, concurrently with the request that proposes the value.
 pub fn early_wipe() -> Scenario {
     let mut base = base("early wipe");
     base.members[usize::from(JOINING)] = member(LEAVING, 9);
@@ -212,9 +212,9 @@
         Scenario { mutant, ..self }
     }
 
-    /// What all operations have in common.
-    pub fn terms(&self) -> Terms {
-        Terms {
+    /// Settings shared by all operations.
+    pub fn settings(&self) -> OperationSettings {
+        OperationSettings {
             first: vec![self.first.clone()],
             changes_before_first_value: true,
             max_applied: self.max_applied,
@@ -223,7 +223,7 @@
     }
 
     /// Members that may be exchanged for each other without any difference: those of the first set, but for one that
-    /// is replaced or wiped. Each row says which index takes the place of which.
+    /// is replaced or wiped. Each row maps old indices to new ones.
     pub fn symmetries(&self) -> Vec<Vec<u8>> {
         let any = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
         let fixed = [[0, 1, 2], [1, 0, 2]];
--- a/crates/register/tests/model/search.rs
+++ b/crates/register/tests/model/search.rs
@@ -1,4 +1,4 @@
-//! Breadth first over all states: the first violation that is found is one of the shortest.
+//! Breadth-first search over all states, so that the first violation found is a shortest one.
 
 use crate::actions::{Action, enabled};
 use crate::initial::initial;
@@ -12,24 +12,24 @@
 use std::collections::HashSet;
 use std::hash::{BuildHasher, BuildHasherDefault, Hasher};
 
-/// What a search came to.
+/// Result of a search.
 #[derive(Debug)]
 pub struct Report {
-    /// Different states that were met.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// Steps to the farthest of them.
+    /// Maximum depth in steps.
     pub depth: usize,
-    /// Steps that were taken, also such that led to a known state.
+    /// Number of transitions, including those to known states.
     pub steps: u64,
-    /// Different rounds, members and values in them.
+    /// Number of distinct rounds, members and values.
     pub sizes: (usize, usize, usize),
-    /// All states within the bounds were met.
+    /// Whether all states within the bounds were visited.
     pub complete: bool,
-    /// The shortest way to a violation.
+    /// A shortest path to a violation.
     pub counterexample: Option<Counterexample>,
 }
 
-/// A way to a violation.
+/// A path to a violation.
 #[derive(Debug)]
 pub struct Counterexample {
     pub steps: usize,
@@ -38,11 +38,11 @@
     pub violation: Violation,
 }
 
-/// Fingerprints are hashes already.
+/// Hasher for keys that are hashes already.
 #[derive(Default)]
-pub struct Unhashed(u64);
+pub struct IdentityHasher(u64);
 
-impl Hasher for Unhashed {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// How a state was reached first.
+/// The transition by which a state was first reached.
 #[derive(Clone, Copy)]
 struct Step {
     from: u32,
@@ -65,18 +65,18 @@
 
 struct Search {
     machine: Machine,
-    /// Of all states that were met. Two states share one of 64 bits with a probability of about n^2 / 2^65.
-    fingerprints: HashSet<u64, BuildHasherDefault<Unhashed>>,
+    /// Fingerprints of all visited states. Two states share one of 64 bits with a probability of about n^2 / 2^65.
+    fingerprints: HashSet<u64, BuildHasherDefault<IdentityHasher>>,
     steps: Vec<Step>,
     taken: u64,
 }
 
-/// Searches a scenario, up to so many states.
+/// Searches a scenario, up to `max_states` states.
 pub fn search(scenario: Scenario, max_states: usize) -> Report {
     let mut search = Search {
         machine: Machine::new(scenario),
         fingerprints: HashSet::default(),
-        steps: vec![Step { from: 0, action: Action::Wipe }], // of the first state, and not looked at
+        steps: vec![Step { from: 0, action: Action::Wipe }], // placeholder for the first state, never read
         taken: 0,
     };
     let start = initial(&mut search.machine);
@@ -94,7 +94,7 @@
 }
 
 impl Search {
-    /// All new states one step on.
+    /// Expands a frontier to all new states one step further.
     fn expand(&mut self, frontier: Vec<(State, u32)>) -> Result<Vec<(State, u32)>, (Step, Violation)> {
         let mut next = Vec::new();
         for (state, from) in frontier {
@@ -137,12 +137,12 @@
     }
 }
 
-/// The one state that stands for all that differ from it in the names of members alone, and the row of names that leads
-/// to it: the least in an order that looks at the members' states first.
+/// The representative of all states that differ only in the names of members, and the row of names that leads to it: the
+/// least in an order that compares the members' states first.
 pub fn canonical(machine: &mut Machine, state: State) -> (State, usize) {
     let ties = rows_to_least(machine, &state);
     if ties == [0] {
-        return (state, 0); // the first row changes nothing
+        return (state, 0); // the first row is the identity
     }
     let mut least: Option<(State, usize)> = None;
     for at in ties {
--- a/crates/register/tests/model/state.rs
+++ b/crates/register/tests/model/state.rs
@@ -1,11 +1,11 @@
-//! A state of the search: small, comparable, and canonical.
+//! A state of the search: compact, comparable and canonical.
 
-/// No number: nothing is interned here.
+/// Marks the absence of an interned value.
 pub const NONE: u32 = u32::MAX;
-/// Members that a scenario can have.
+/// Maximum number of members in a scenario.
 pub const MAX_NODES: usize = 4;
 
-/// A round that was begun: the messages that it has under way, and the replies that it still waits for.
+/// A started round: its messages in flight, and the replies that it still waits for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Slot {
     /// Number of its ballot among all of the search.
@@ -13,17 +13,17 @@
     pub proposer: u8,
     /// The code's own round, or [`NONE`] once its proposer has given it up.
     pub attempt: u32,
-    /// The value that it sent out, or [`NONE`].
+    /// The value that it proposed, or [`NONE`].
     pub value: u32,
-    /// Members that a prepare is under way to.
+    /// Members with a prepare in flight.
     pub prepares: u8,
-    /// Members that the value is under way to.
+    /// Members with an accept in flight.
     pub accepts: u8,
     /// Members that have ever accepted the value under this ballot.
     pub votes: u8,
 }
 
-/// A reply under way (network of kind `Full` alone).
+/// A reply in flight (only with a network of kind `Full`).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Reply {
     pub rank: u8,
@@ -32,14 +32,14 @@
     pub reply: u32,
 }
 
-/// What a proposer holds between rounds.
+/// State of a proposer between rounds.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Proposer {
     /// Position in its script.
     pub operation: u8,
-    /// The operation has been begun.
+    /// The operation has started.
     pub begun: bool,
-    /// A value of the operation's own has been sent out: its outcome is unknown until a round ends.
+    /// A value of the operation's own has been proposed: its outcome is unknown until a round ends.
     pub sent: bool,
     /// Rounds left.
     pub rounds: u8,
@@ -47,7 +47,7 @@
     pub rank: u8,
     /// The newest value that it knows to be committed, or [`NONE`].
     pub known: u32,
-    /// The highest sequence that had been answered to anybody when its round began.
+    /// The highest sequence number returned to any caller before its round began.
     pub floor: u8,
     /// The answer to its request once the round has committed or read.
     pub answer: Answer,
@@ -60,18 +60,18 @@
     pub reads: u8,
     /// It waits for answers.
     pub begun: bool,
-    /// What it takes for committed in this read, or [`NONE`].
+    /// The value that it considers committed in this read, or [`NONE`].
     pub known: u32,
-    /// What it has learnt by its own reads.
+    /// The newest value from its own reads.
     pub learned: u32,
-    /// The highest sequence that had been answered to anybody when its read began.
+    /// The highest sequence number returned to any caller before its read began.
     pub floor: u8,
     /// The members' answers, or [`NONE`].
     pub answers: [u32; MAX_NODES],
 }
 
 impl Reader {
-    /// It waits for answers no more.
+    /// Ends the read.
     pub fn end(&mut self) {
         self.begun = false;
         self.known = NONE;
@@ -91,7 +91,7 @@
 /// One state of the search.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct State {
-    /// The members with their disks, or [`NONE`] for one that is not there.
+    /// The members with their disks, or [`NONE`] for an absent one.
     pub nodes: [u32; MAX_NODES],
     pub proposers: [Proposer; 2],
     pub reader: Reader,
@@ -99,14 +99,14 @@
     pub slots: Vec<Slot>,
     /// Sorted.
     pub replies: Vec<Reply>,
-    /// What was ever chosen, with its ballot where committed values travel by themselves; sorted.
+    /// All chosen values, with their ballots if committed values are adopted outside rounds; sorted.
     pub chosen: Vec<u32>,
     /// Ballots that are used up, as a mask of ranks.
     pub used: u32,
     /// Requests that were acknowledged and refused, as masks of purposes.
     pub acknowledged: u8,
     pub refused: u8,
-    /// The highest sequence that was answered to anybody.
+    /// The highest sequence number returned to any caller.
     pub seen: u8,
     pub restarts: u8,
     pub wiped: bool,
@@ -118,14 +118,14 @@
         self.slots.iter().position(|slot| slot.proposer == proposer && slot.attempt != NONE)
     }
 
-    /// A proposer waits for its round no more; what is under way stays so.
-    pub fn give_up(&mut self, proposer: u8) {
+    /// Times out a proposer's round; its messages stay in flight.
+    pub fn time_out(&mut self, proposer: u8) {
         if let Some(at) = self.live(proposer) {
             self.slots[at].attempt = NONE;
         }
     }
 
-    /// Whether two states differ in nothing but the names of members is asked of this one: `row[old]` is the new index.
+    /// The state with members renamed, to compare states up to the names of members: `row[old]` is the new index.
     pub fn renamed(&self, row: &[u8], attempt: &mut dyn FnMut(u32) -> u32) -> State {
         let mask =
             |mask: u8| (0..MAX_NODES).filter(|at| mask & (1 << at) != 0).map(|at| 1 << row[at]).sum::<u8>();
--- a/crates/register/tests/model/steps.rs
+++ b/crates/register/tests/model/steps.rs
@@ -1,4 +1,4 @@
-//! What a step does to a state.
+//! Applies actions to states.
 
 use crate::actions::{Action, ReadAs, ballot, bits, has_unchecked_disk, is_up, known_as};
 use crate::initial::INITIAL_BALLOT;
@@ -10,7 +10,7 @@
 use crate::support::node::Node;
 use std::rc::Rc;
 
-/// A message of a round that reaches a member.
+/// Delivery of a round's message to a member.
 #[derive(Clone, Copy)]
 struct Delivery {
     rank: u8,
@@ -18,7 +18,7 @@
     member: u8,
 }
 
-/// The state after a step, or the rule that it breaks; nothing where the step changes nothing.
+/// The state after an action, or the violated invariant; `None` if the action changes nothing.
 pub fn apply(machine: &mut Machine, state: &State, action: Action) -> Result<Option<State>, Violation> {
     let mut next = state.clone();
     match action {
@@ -36,7 +36,7 @@
             let reply = next.replies.remove(usize::from(at));
             take_reply(machine, &mut next, &reply)?;
         }
-        Action::Timeout { proposer } => next.give_up(proposer),
+        Action::Timeout { proposer } => next.time_out(proposer),
         Action::RestartProposer { proposer } => restart_proposer(machine, &mut next, proposer),
         Action::RestartMember { member } => {
             let node = &mut next.nodes[usize::from(member)];
@@ -56,7 +56,7 @@
 }
 
 fn begin(machine: &mut Machine, state: &mut State, proposer: u8, operation: u8, rank: u8) {
-    state.give_up(proposer);
+    state.time_out(proposer);
     let seen = state.seen;
     let own = &mut state.proposers[usize::from(proposer)];
     if own.operation != operation {
@@ -99,12 +99,12 @@
     let reply = handle(machine, state, member, request);
     if machine.is_acceptance(reply) {
         state.slots[at].votes |= 1 << member;
-        rules::note_vote(machine, state, at)?;
+        rules::record_acceptance(machine, state, at)?;
     }
     answer(machine, state, Reply { rank, proposer, member, reply })
 }
 
-/// A member takes a request; its reply.
+/// A member handles a request; returns its reply.
 fn handle(machine: &mut Machine, state: &mut State, member: u8, request: Request) -> u32 {
     let node = &mut state.nodes[usize::from(member)];
     let (after, reply) = machine.handle(*node, member, request);
@@ -164,7 +164,7 @@
 }
 
 fn restart_proposer(machine: &Machine, state: &mut State, proposer: u8) {
-    state.give_up(proposer);
+    state.time_out(proposer);
     state.restarts -= 1;
     let own = &mut state.proposers[usize::from(proposer)];
     own.operation += u8::from(own.begun);
@@ -193,7 +193,7 @@
     handle(machine, state, member, Request::Adopt { ballot, value });
 }
 
-/// Forgets what can make no difference any more.
+/// Removes parts of the state that can no longer affect the outcome.
 fn normalize(machine: &mut Machine, state: &mut State) {
     let full = machine.scenario.network == Network::Full;
     for at in 0..state.slots.len() {
--- a/crates/register/tests/model/trace.rs
+++ b/crates/register/tests/model/trace.rs
@@ -1,4 +1,4 @@
-//! A counterexample, one line a step, with the members under the names that they had at the start.
+//! Formats a counterexample, one line a step, with the members under their initial names.
 
 use crate::actions::Action;
 use crate::initial::initial;
@@ -9,7 +9,7 @@
 use crate::support::attempt::Purpose;
 use std::fmt::Write;
 
-/// The steps from the first state on, the last of which breaks a rule.
+/// Formats the steps from the first state to the violation.
 pub fn readable(machine: &mut Machine, actions: &[Action]) -> String {
     let mut text = String::new();
     let mut names: Vec<u8> = (0..MAX_NODES as u8).collect();
@@ -65,7 +65,7 @@
         Action::Wipe => "member 2 loses its disk".into(),
         Action::Adopt { member, committed } => {
             let sequence = machine.committed(committed).1.sequence;
-            format!("{} hears that sequence {sequence} is committed", name(member))
+            format!("{} learns that sequence {sequence} is committed", name(member))
         }
     }
 }
--- a/crates/register/tests/quorum_reads.rs
+++ b/crates/register/tests/quorum_reads.rs
@@ -1,4 +1,4 @@
-//! Quorum reads against members, each race forced.
+//! Quorum reads with the replies of members in forced orders.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use support::{member, request};
 
-/// Sets of members by number.
+/// A set of members by number.
 fn set(members: &[u8]) -> BTreeSet<Member> {
     members.iter().map(|at| member(*at, 0)).collect()
 }
@@ -19,7 +19,7 @@
     Ballot { round, boot: 1 }
 }
 
-/// The value after so many requests, under one set.
+/// The value after `version` requests, with one member set.
 fn value(version: u64, members: &[u8]) -> Value {
     let mut current: Option<Value> = None;
     for base in 0..version {
@@ -30,7 +30,7 @@
     current.expect("a version above zero")
 }
 
-/// The first half of a change of members on top of a value.
+/// The first half of a membership change on top of a value.
 fn joint(before: &Value, next: &[u8]) -> Value {
     let Decision::Propose(joint) = replace_members(before, &set(next)) else { panic!("no change") };
     joint
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_value_that_a_majority_has_under_one_ballot_is_read() {
+fn a_value_at_a_majority_under_one_ballot_is_returned() {
     let one = value(1, &[0, 1, 2]);
     let mut read = begin(&[0, 1, 2]);
     assert_eq!(read.reply(member(0, 0), has(3, &one)), WAITING);
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn nothing_is_empty_only_at_a_majority() {
+fn the_register_is_empty_only_if_a_majority_is_empty() {
     let mut read = begin(&[0, 1, 2]);
     assert_eq!(read.reply(member(0, 0), nothing()), WAITING);
     assert_eq!(read.reply(member(1, 0), nothing()), ReadProgress::Done(ReadOutcome::Empty));
 }
 
 #[test]
-fn a_value_at_a_minority_is_not_read_and_the_register_is_not_empty() {
+fn a_value_at_a_minority_leaves_the_read_unsettled() {
     let one = value(1, &[0, 1, 2]);
     let mut read = begin(&[0, 1, 2]);
     assert_eq!(read.reply(member(0, 0), has(3, &one)), WAITING);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn beside_a_write_at_a_minority_the_value_before_it_is_read() {
+fn a_write_at_a_minority_does_not_hide_the_previous_value() {
     let (one, two) = (value(1, &[0, 1, 2]), value(2, &[0, 1, 2]));
     let mut read = begin(&[0, 1, 2]);
     assert_eq!(read.reply(member(0, 0), has(4, &two)), WAITING);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn one_value_under_two_ballots_is_no_majority() {
+fn one_value_under_two_ballots_does_not_form_a_majority() {
     let one = value(1, &[0, 1, 2]);
     let mut read = begin(&[0, 1, 2]);
     assert_eq!(read.reply(member(0, 0), has(3, &one)), WAITING);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn joint_sets_must_have_a_majority_each() {
+fn joint_sets_need_a_majority_each() {
     let before = value(1, &[0, 1, 2]);
     let joint = joint(&before, &[0, 1, 3]);
     let mut read = begin(&[0, 1, 2]);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_reader_with_the_sets_of_long_ago_finds_the_members_of_now() {
+fn a_reader_with_outdated_sets_finds_the_current_members() {
     let now = value(2, &[3, 4, 5]);
     let mut read = begin(&[0, 1, 2]);
     let request = |at| (member(at, 0), InspectRequest { to: 0, have: Ballot::default() });
@@ -123,10 +123,10 @@
     assert_eq!(read.reply(member(1, 0), has(1, &value(1, &[0, 1, 2]))), chosen(9, &now));
 }
 
-/// The members of a change answer while it goes on: the reader hears the old ones before the first half and the new ones
-/// after the second.
+/// Replies during a membership change: the reader gets those of the old members from before its first half, and those of the
+/// new ones from after its second.
 #[test]
-fn a_read_beside_a_change_of_members_is_answered_with_what_was_chosen_meanwhile() {
+fn a_read_during_a_membership_change_returns_the_value_chosen_meanwhile() {
     let before = value(1, &[0, 1, 2]);
     let after = Value { sets: value(1, &[3, 4, 5]).sets, sequence: 3, ..before.clone() };
     let mut read = begin(&[0, 1, 2]);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn another_incarnation_answers_for_nobody() {
+fn a_reply_of_another_incarnation_does_not_count() {
     let one = value(1, &[0, 1, 2]);
     let accepted = Accepted { ballot: ballot(3), value: Rc::new(one.clone()) };
     let request = InspectRequest { to: 0, have: Ballot::default() };
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_value_that_the_reader_has_is_not_sent() {
+fn a_value_the_reader_already_has_is_not_sent() {
     let one = Rc::new(value(1, &[0, 1, 2]));
     let accepted = Accepted { ballot: ballot(3), value: one.clone() };
     let (mut read, inspections) = QuorumRead::new(vec![set(&[0, 1, 2])], Some((ballot(3), one.clone())));
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_member_that_names_a_value_which_the_reader_lacks_counts_for_nothing() {
+fn a_reply_referring_to_a_value_the_reader_lacks_is_ignored() {
     let one = value(1, &[0, 1, 2]);
     let mut read = begin(&[0, 1, 2]);
     assert_eq!(read.reply(member(0, 0), InspectReply::Accepted(ballot(3))), WAITING);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_reader_that_knows_a_value_never_takes_the_register_for_empty() {
+fn a_reader_that_knows_a_value_never_reports_an_empty_register() {
     let one = Rc::new(value(1, &[0, 1, 2]));
     let (mut read, _) = QuorumRead::new(vec![set(&[0, 1, 2])], Some((ballot(3), one)));
     assert_eq!(read.reply(member(0, 0), nothing()), WAITING);
@@ -180,9 +180,9 @@
     assert_eq!(read.reply(member(2, 0), nothing()), UNSETTLED);
 }
 
-/// A value is chosen and its proposer never hears of it: from then on each read finds it.
+/// A value is chosen although its proposer never learns of it: every later read returns it.
 #[test]
-fn a_value_that_was_chosen_and_never_acknowledged_is_read() {
+fn a_chosen_value_that_was_never_acknowledged_is_returned() {
     let two = value(2, &[0, 1, 2]);
     let mut acceptors = [Acceptor::new(0), Acceptor::new(0), Acceptor::new(0)];
     for acceptor in &mut acceptors[..2] {
--- a/crates/register/tests/records.rs
+++ b/crates/register/tests/records.rs
@@ -1,4 +1,4 @@
-//! What a member's disk holds, in this format and in the first one, and what can be made of a damaged one.
+//! Records on a member's disk in the current and the first format, and recovery from damaged ones.
 
 mod support;
 
@@ -13,7 +13,7 @@
 
 const BODY: &[u8] = b"{\"version\":12}";
 
-/// A value's record as the first format has it: incarnation 5, ballot 3 of boot 9, sequence 7, version 12, one set with
+/// A value's record in the first format: incarnation 5, ballot 3 of boot 9, sequence 7, version 12, one set with
 /// one member, one applied request, the body.
 const FIRST_FORMAT: [u8; 100] = [
     0x05, 0, 0, 0, 0, 0, 0, 0, 0x03, 0, 0, 0, 0, 0, 0, 0, 0x09, 0, 0, 0, 0, 0, 0, 0, 0x07, 0, 0, 0, 0, 0,
@@ -22,7 +22,7 @@
     0x61, 0x0e, 0, 0, 0, 0x7b, 0x22, 0x76, 0x65, 0x72, 0x73, 0x69, 0x6f, 0x6e, 0x22, 0x3a, 0x31, 0x32,
     0x7d,
 ];
-/// A promise's record: incarnation 5, ballot 4 of boot 8.
+/// A promise record: incarnation 5, ballot 4 of boot 8.
 const PROMISE: [u8; 24] = [0x05, 0, 0, 0, 0, 0, 0, 0, 0x04, 0, 0, 0, 0, 0, 0, 0, 0x08, 0, 0, 0, 0, 0, 0, 0];
 
 fn old_disk() -> Acceptor {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_disk_of_the_first_format_is_read() {
+fn a_disk_of_the_first_format_is_decoded() {
     let acceptor = old_disk();
     let accepted = acceptor.accepted().expect("a value");
     assert_eq!(acceptor.incarnation(), 5);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_request_that_was_applied_before_the_change_of_format_is_confirmed_again() {
+fn a_request_applied_in_the_first_format_is_acknowledged_again() {
     let mut value = (*old_disk().accepted().expect("a value").value).clone();
     let repeated = ConfigRequest::replace(11, 12, BODY.to_vec());
     assert_eq!(repeated.decide(Some(&value), &[]), (Decision::Read, ConfigAnswer::Applied));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_full_table_of_the_first_format_says_nothing_of_versions_below_its_oldest() {
+fn a_full_table_of_the_first_format_sets_the_floor_at_its_oldest_version() {
     const COUNT: u8 = 0x3e;
     let mut bytes = FIRST_FORMAT[..usize::from(COUNT)].to_vec();
     bytes.extend(512u32.to_le_bytes());
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_record_of_this_format_is_read_as_it_was_written() {
+fn records_round_trip() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     let value = cluster.read(0);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_damaged_disk_gives_no_member_back() {
+fn a_damaged_disk_recovers_no_member() {
     assert_eq!(recover(None, None), Recovery::Empty);
     assert_eq!(recover(None, Some(&FIRST_FORMAT)), Recovery::Damaged, "its promise is gone");
     assert_eq!(recover(Some(&PROMISE), Some(b"RTVALUE3")), Recovery::Damaged, "of a format yet to come");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_value_of_another_incarnation_is_not_this_ones() {
+fn a_value_of_another_incarnation_is_ignored() {
     let promise = PromiseRecord { incarnation: 6, promised: Ballot::default() };
     let Recovery::Member(acceptor) =
         recover(Some(&promise.to_bytes().expect("it can be written")), Some(&FIRST_FORMAT))
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn the_digest_is_the_head_of_sha_256_over_base_and_body() {
+fn the_digest_is_truncated_sha_256_of_base_and_body() {
     let expected =
         [0x41, 0x26, 0x7c, 0xfe, 0x2b, 0xaf, 0x93, 0xb6, 0x12, 0xa1, 0x29, 0x24, 0xda, 0x07, 0xd5, 0x85];
     assert_eq!(request_digest(11, BODY), RequestDigest(expected));
--- a/crates/register/tests/replica_table.rs
+++ b/crates/register/tests/replica_table.rs
@@ -1,4 +1,4 @@
-//! Which members have the committed value, as members change, fall behind and catch up.
+//! The table of replicas while members change, fall behind and catch up.
 
 mod support;
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn replicas_are_not_complete_beside_a_member_that_can_not_be_reached() {
+fn replicas_are_not_complete_while_a_member_is_unreachable() {
     let mut table = three();
     let joined_beside_one_that_is_lost = value(3, &[&[1, 2, 3, 4]]);
     let others = || durable(&[(1, 7), (2, 7), (4, 7)]);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn replicas_are_complete_once_all_members_can_be_reached_and_have_the_value() {
+fn replicas_are_complete_once_all_members_are_reachable_and_have_the_value() {
     let mut table = three();
     let changed = value(3, &[&[1, 2, 4]]);
     assert_eq!(table.observe(at(100), ballot(7), &changed, durable(&[(1, 7), (2, 5), (4, 5)])), []);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_change_that_is_under_way_is_no_change_yet() {
+fn an_unfinished_membership_change_does_not_count() {
     let mut table = three();
     let joint = value(2, &[&[1, 2, 3], &[1, 2, 4]]);
     assert_eq!(table.observe(at(100), ballot(6), &joint, durable(&[(1, 6), (2, 6), (3, 6)])), []);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_member_that_is_back_is_watched_until_it_has_caught_up() {
+fn a_returning_member_is_watched_until_it_has_caught_up() {
     let mut table = three();
     let newest = value(9, &[&[1, 2, 3]]);
     assert_eq!(table.observe(at(100), ballot(9), &newest, durable(&[(1, 9), (2, 9)])), []);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_replica_that_is_missing_is_waited_for_within_bounds_and_reported_once() {
+fn a_missing_replica_is_reported_once_after_the_wait() {
     let mut table = three();
     let changed = value(3, &[&[1, 2, 3, 4]]);
     let lacking = || durable(&[(1, 7), (2, 7), (3, 5), (4, 7)]);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn the_wait_for_a_copy_counts_only_while_the_member_can_be_reached() {
+fn the_replica_wait_counts_only_while_the_member_is_reachable() {
     let mut table = three();
     let changed = value(3, &[&[1, 2, 3, 4]]);
     table.observe(at(100), ballot(7), &changed, durable(&[(1, 7), (2, 7), (3, 5), (4, 7)]));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_joining_member_must_hold_what_has_been_committed_for_a_while() {
+fn a_joining_member_must_hold_values_committed_before_the_join_lag() {
     let mut table = ReplicaTable::new(WAIT);
     assert_eq!(table.required(), Ballot::default());
     let set: &[&[u8]] = &[&[1, 2, 3]];
@@ -137,14 +137,14 @@
 }
 
 #[test]
-fn what_there_is_before_the_first_value_is_no_copy_to_wait_for() {
+fn no_replica_is_awaited_before_the_first_value() {
     let first: BTreeSet<Member> = [1, 2, 3].map(|at| member(at, 0)).into();
     let empty_disks = || first.iter().map(|member| (*member, Ballot::default())).collect();
     let mut table = ReplicaTable::new(WAIT);
     assert_eq!(table.observe(at(0), Ballot::default(), &initial_value(&first), empty_disks()), []);
     assert_eq!(table.required(), Ballot::default());
     assert_eq!(table.present(at(0)).len(), 3);
-    // The first value has the same members: it is watched from then on, and who joins must hold it at once.
+    // The first value has the same members. Its replicas are tracked from then on, and a joining member must hold it at once.
     assert_eq!(table.observe(at(50), ballot(5), &value(1, &[&[1, 2, 3]]), empty_disks()), []);
     assert_eq!(table.required(), ballot(5));
     assert_eq!(table.membership(), ballot(5));
--- a/crates/register/tests/rounds.rs
+++ b/crates/register/tests/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of the register against its own members, each race forced.
+//! Rounds of the register with messages in forced orders.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::{Cluster, member, request};
 
 #[test]
-fn a_request_is_applied_once_and_acknowledged_again_after_others() {
+fn a_request_is_applied_once_and_acknowledged_again_after_other_changes() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     assert_eq!(cluster.submit(1, &request(1, 5)), Some(ConfigAnswer::Applied));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn of_two_requests_on_one_version_one_wins() {
+fn of_two_requests_on_one_base_one_wins() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     assert_eq!(cluster.submit(1, &request(1, 3)), Some(ConfigAnswer::Applied));
@@ -33,20 +33,20 @@
 }
 
 #[test]
-fn a_version_that_does_not_rise_is_refused() {
+fn a_version_that_does_not_increase_is_rejected() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 4)), Some(ConfigAnswer::Applied));
     assert_eq!(cluster.submit(0, &request(4, 4)), Some(ConfigAnswer::VersionNotIncreasing(4)));
 }
 
 #[test]
-fn a_value_at_a_minority_is_finished_or_superseded_and_a_refusal_stands() {
+fn a_value_at_a_minority_is_committed_or_superseded_and_a_rejection_is_final() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
-    // Accepted by member 0 alone: its proposer then hears no more.
+    // Only member 0 accepts it, and its proposer gets no further replies.
     let lost = request(1, 2);
     cluster.submit_reaching(0, &lost, &[0]);
-    // Members 1 and 2 know nothing of it and take another order.
+    // Members 1 and 2 do not know of it and accept another request.
     cluster.set_partitioned(0, true);
     assert_eq!(cluster.submit(1, &request(1, 3)), Some(ConfigAnswer::Applied));
     cluster.set_partitioned(0, false);
@@ -57,41 +57,41 @@
 }
 
 #[test]
-fn who_refuses_makes_sure_that_what_it_saw_is_chosen() {
+fn a_rejection_commits_the_value_it_is_based_on() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
-    // Version 3 stands at member 1 alone when member 2 refuses another order because of it.
+    // Only member 1 has accepted version 3 when member 2 rejects another request because of it.
     cluster.submit_reaching(1, &request(1, 3), &[1]);
     cluster.set_partitioned(0, true);
     assert_eq!(cluster.submit(2, &request(1, 4)), Some(ConfigAnswer::VersionMismatch(3)));
     cluster.set_partitioned(0, false);
     cluster.set_partitioned(1, true);
-    assert_eq!(cluster.read(0).version, 3, "member 1 is away, and version 3 is still there");
+    assert_eq!(cluster.read(0).version, 3, "version 3 is committed without member 1");
 }
 
 #[test]
-fn a_read_that_finds_a_value_at_a_minority_chooses_it() {
+fn a_read_that_finds_a_value_at_a_minority_commits_it() {
     let mut cluster = Cluster::new(3);
     cluster.submit_reaching(0, &request(0, 1), &[0]);
     assert_eq!(cluster.read(0).version, 1);
     cluster.set_partitioned(0, true);
-    assert_eq!(cluster.read(1).version, 1, "a value that was read is there for good");
+    assert_eq!(cluster.read(1).version, 1, "a value that was read stays committed");
 }
 
 #[test]
-fn a_proposer_that_wakes_up_late_is_preempted() {
+fn a_proposer_that_resumes_late_is_preempted() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     let late = request(1, 2);
     let mut paused = cluster.prepared(0, &late);
     assert_eq!(cluster.submit(1, &request(1, 3)), Some(ConfigAnswer::Applied));
     assert_eq!(cluster.submit(2, &request(3, 4)), Some(ConfigAnswer::Applied));
-    assert!(matches!(cluster.wake(&mut paused), Some(Outcome::Preempted(_))));
+    assert!(matches!(cluster.resume(&mut paused), Some(Outcome::Preempted(_))));
     assert_eq!(cluster.read(0).version, 4);
 }
 
 #[test]
-fn a_member_is_replaced_and_the_old_one_does_not_count_any_more() {
+fn a_replaced_member_no_longer_counts() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     cluster.set_partitioned(2, true);
@@ -109,14 +109,14 @@
 }
 
 #[test]
-fn a_round_that_finds_other_sets_whose_members_have_all_promised_goes_on() {
+fn a_round_that_finds_other_sets_continues_if_their_members_have_promised() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     cluster.add(member(3, 9));
     let four = [member(0, 0), member(1, 0), member(2, 0), member(3, 9)];
-    // The first half of a change alone: its sets are the three and the four.
+    // Only the first half of a change: its sets have three and four members.
     assert!(cluster.begin_replace(0, &four));
-    // A proposer that believes in the four has asked the three as well, without knowing.
+    // A proposer whose view is the set of four has thereby asked the set of three as well.
     let view = vec![four.into_iter().collect()];
     let outcome = cluster.round(1, view, &mut |current| current.map_or(Decision::Read, finish_membership));
     let Some(Outcome::Committed(_, value)) = outcome else { panic!("{outcome:?}") };
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_proposer_with_the_view_of_long_ago_finds_the_newest_value() {
+fn a_proposer_with_an_outdated_view_finds_the_newest_value() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     let long_ago = cluster.view();
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_wiped_member_is_a_stranger_under_its_old_incarnation() {
+fn a_wiped_member_rejects_requests_to_its_old_incarnation() {
     let mut acceptor = Acceptor::new(5);
     let ballot = Ballot { round: 1, boot: 1 };
     let request = RegisterRequest::Prepare { to: 0, ballot, have: Ballot::default() };
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_reply_to_another_ballot_counts_for_nothing() {
+fn replies_to_another_ballot_are_ignored() {
     let set: BTreeSet<_> = (0..3).map(|at| member(at, 0)).collect();
     let (mut round, _) = Round::new(Ballot { round: 7, boot: 1 }, vec![set], None);
     let old = RegisterReply::Promised { ballot: Ballot { round: 6, boot: 1 }, accepted: Ballot::default() };
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn an_acceptor_that_recovers_keeps_its_promise_and_its_value() {
+fn a_recovered_acceptor_keeps_its_promise_and_its_value() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     for at in 0..3 {
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_change_of_members_under_way_is_finished_before_another_begins() {
+fn a_membership_change_in_progress_is_finished_before_the_next_begins() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     cluster.add(member(3, 9));
@@ -184,12 +184,12 @@
 }
 
 #[test]
-fn the_second_half_of_a_change_waits_until_the_first_is_chosen() {
+fn the_second_half_of_a_membership_change_waits_until_the_first_is_chosen() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(0, &request(0, 1)), Some(ConfigAnswer::Applied));
     let new = cluster.add(member(3, 9));
     let next = [member(0, 0), member(1, 0), member(3, 9)];
-    // The first half reaches member 1 and the new one: no majority of the old members.
+    // The first half reaches member 1 and the new one, which is no majority of the old members.
     cluster.begin_replace_reaching(0, &next, &[1, new]);
     let view = cluster.view();
     let outcome = cluster
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn what_was_taken_is_remembered_within_bounds() {
+fn the_table_of_applied_requests_is_bounded() {
     let mut cluster = Cluster::new(1);
     for version in 1..=600 {
         let request = ConfigRequest::replace(version - 1, version, Vec::new());
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_first_value_under_way_is_found_by_a_change_of_members_and_the_other_way_round() {
+fn a_membership_change_and_a_concurrent_first_value_find_each_other() {
     let members = [member(0, 0), member(1, 0), member(2, 0), member(3, 9)];
     let mut cluster = Cluster::new(3);
     cluster.add(member(3, 9));
--- a/crates/register/tests/search.rs
+++ b/crates/register/tests/search.rs
@@ -1,17 +1,18 @@
-//! Worlds drawn from seeds: none breaks the register, and each mutant is found within a few.
+//! Randomized simulation: no seed violates the register's guarantees, and each mutant is detected within a bounded number of
+//! seeds.
 
 mod support;
 
 use support::checker::{Event, History, check};
 use support::mutants::Mutant;
-use support::world::{BEFORE, World};
+use support::world::{SETUP_OPERATION, World};
 
-/// Seeds that CI plays; `REGISTER_SEEDS` asks for more.
+/// Number of seeds in CI; `REGISTER_SEEDS` overrides it.
 const SEEDS: u64 = 2000;
-/// A mutant must be found within so many.
-const FOUND_WITHIN: u64 = 3000;
-/// The median that is wanted.
-const MEDIAN_WANTED: u64 = 100;
+/// Maximum number of seeds until a mutant is detected.
+const MAX_SEEDS_TO_FIND: u64 = 3000;
+/// Maximum of the median number of seeds until a mutant is detected.
+const MAX_MEDIAN_SEEDS: u64 = 100;
 
 #[derive(Debug, Default)]
 struct Totals {
@@ -27,25 +28,27 @@
 }
 
 #[test]
-fn no_world_breaks_the_register() {
+fn no_simulated_run_violates_the_register() {
     let seeds = std::env::var("REGISTER_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(SEEDS);
     let mut totals = Totals::default();
     for seed in 0..seeds {
-        let played = World::new(seed, Mutant::None).play();
-        if let Some(problem) = check(&played.history) {
-            panic!("seed {seed}: {problem}\n{:?}", played.history);
+        let result = World::new(seed, Mutant::None).run();
+        if let Some(problem) = check(&result.history) {
+            panic!("seed {seed}: {problem}\n{:?}", result.history);
         }
-        let history = played.history;
-        totals.acknowledged +=
-            count(&history, |event| matches!(event, Event::Acknowledged { id, .. } if *id != BEFORE));
+        let history = result.history;
+        totals.acknowledged += count(
+            &history,
+            |event| matches!(event, Event::Acknowledged { id, .. } if *id != SETUP_OPERATION),
+        );
         totals.refused += count(&history, |event| matches!(event, Event::Refused { .. }));
         totals.reads += count(&history, |event| matches!(event, Event::Read { .. }));
-        totals.restores += played.restores;
-        totals.unknown_restores += played.unknown_restores;
-        totals.quorum_reads += played.quorum_reads;
-        totals.unsettled_reads += played.unsettled_reads;
-        totals.all_replaced += u64::from(played.all_replaced);
-        totals.changed_before_first_value += u64::from(played.changed_before_first_value);
+        totals.restores += result.restores;
+        totals.unknown_restores += result.unknown_restores;
+        totals.quorum_reads += result.quorum_reads;
+        totals.unsettled_reads += result.unsettled_reads;
+        totals.all_replaced += u64::from(result.all_replaced);
+        totals.changed_before_first_value += u64::from(result.changed_before_first_value);
     }
     println!("{seeds} worlds: {totals:?}");
     let Totals { acknowledged, refused, reads, restores, all_replaced, quorum_reads, .. } = totals;
@@ -62,8 +65,8 @@
 }
 
 fn first_found(mutant: Mutant, from: u64) -> Option<u64> {
-    (from..from + FOUND_WITHIN)
-        .find(|seed| check(&World::new(*seed, mutant).play().history).is_some())
+    (from..from + MAX_SEEDS_TO_FIND)
+        .find(|seed| check(&World::new(*seed, mutant).run().history).is_some())
         .map(|seed| seed - from)
 }
 
@@ -75,9 +78,9 @@
             (0..3).map(|start| first_found(mutant, start * 100_000)).collect();
         found.sort_by_key(|found| found.unwrap_or(u64::MAX));
         println!("{mutant:?}: found after {found:?} worlds");
-        if found[1].is_none_or(|median| median > MEDIAN_WANTED) {
+        if found[1].is_none_or(|median| median > MAX_MEDIAN_SEEDS) {
             missed.push(mutant);
         }
     }
-    assert_eq!(missed, [], "the median of three starts is above {MEDIAN_WANTED} worlds");
+    assert_eq!(missed, [], "the median of three starts is above {MAX_MEDIAN_SEEDS} worlds");
 }
--- a/crates/register/tests/stored_bytes.rs
+++ b/crates/register/tests/stored_bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes that are kept in the repository: a member's disk that an earlier version wrote is read, and the same requests
-//! make the same bytes again, so that versions read each other's disks both ways. `fixtures/member_disk` was written by
+//! Compatibility of stored bytes: a member's disk that an earlier version wrote is decoded, and the same requests produce the
+//! same bytes, so that versions read each other's disks in both directions. `fixtures/member_disk` was written by
 //! the version before the names of this crate's items were changed.
 
 mod support;
@@ -40,7 +40,7 @@
     [ConfigRequest::replace(0, 12, CONFIG.to_vec()), ConfigRequest::replace(12, 15, NEXT_CONFIG.to_vec())]
 }
 
-/// The first members, a configuration, a change of members that is half done, and one more configuration on it.
+/// The initial value, a configuration, the first half of a membership change, and another configuration on top of it.
 fn values() -> Vec<Value> {
     let first = initial_value(&set(&[(0, 5), (1, 0), (2, 9)]));
     let [one, other] = requests();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_records_of_an_earlier_version_are_read() {
+fn records_of_an_earlier_version_are_decoded() {
     let promise = newest(Folder(fixture()), "promise");
     assert_eq!(PromiseRecord::read(&promise).ok(), promise_records().pop());
     let value = newest(Folder(fixture()), "value");
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_member_of_an_earlier_version_is_recovered() {
+fn a_member_of_an_earlier_version_is_recovered() {
     let (promise, value) = (newest(Folder(fixture()), "promise"), newest(Folder(fixture()), "value"));
     let Recovery::Member(acceptor) = recover(Some(&promise), Some(&value)) else { panic!("a member") };
     assert_eq!((acceptor.incarnation(), acceptor.promised()), (INCARNATION, ballot(5)));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn the_same_records_make_the_same_bytes() {
+fn records_encode_to_the_same_bytes() {
     let files = Memory::default();
     let (mut promises, _) =
         RecordStore::open(files.clone(), "promise", PREALLOCATED).expect("the folder opens");
--- a/crates/register/tests/support/attempt.rs
+++ b/crates/register/tests/support/attempt.rs
@@ -1,4 +1,4 @@
-//! One round on behalf of an operation, with the mutants of a proposer.
+//! One round of an operation, with the proposer's mutants.
 
 use super::mutants::Mutant;
 use runtrack_message::{Ballot, Member, RegisterReply, RegisterRequest, RequestDigest, Value};
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// What an operation is for.
+/// Purpose of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Purpose {
     /// A request of an operator.
@@ -22,34 +22,34 @@
     Finish,
 }
 
-/// What all operations of a search or a world have in common.
+/// Settings shared by all operations of a search or a simulation.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct OperationSettings {
     /// The members before the first value.
     pub first: Vec<BTreeSet<Member>>,
     /// Whether members may change before the first value is written.
     pub changes_before_first_value: bool,
     /// Bound on the table of applied requests.
     pub max_applied: usize,
-    /// The mutant that is searched for.
+    /// The mutant to detect.
     pub mutant: Mutant,
 }
 
-/// What was decided on the value that a round found.
+/// The decision on the value that a round found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decided {
     /// The value that was found.
     pub found: Option<Rc<Value>>,
-    /// The answer to a request once the round has committed or read.
+    /// The answer to a request, valid once the round has committed or read.
     pub answer: Option<ConfigAnswer>,
 }
 
-/// What a reply brought about.
+/// Result of a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
     pub progress: Progress,
     pub decided: Option<Decided>,
-    /// A mutant answers its caller now, without waiting for the end of the round.
+    /// For mutants: the answer given before the end of the round.
     pub answered_early: bool,
 }
 
@@ -59,13 +59,13 @@
     round: Round,
     /// For mutants: the joint value of the highest ballot that was found.
     joint_found: Option<(Ballot, Value)>,
-    /// For mutants: the value that was sent out, and who has accepted it.
+    /// For mutants: the proposed value, and the members that have accepted it.
     sent: Option<Value>,
     accepted: BTreeSet<Member>,
 }
 
 impl Attempt {
-    /// A round under this ballot, for who believes that these sets are in force and has this value.
+    /// A round under this ballot by a proposer with this view of the sets and this known value.
     pub fn new(
         ballot: Ballot,
         sets: Vec<BTreeSet<Member>>,
@@ -80,19 +80,25 @@
         self.round.ballot()
     }
 
-    /// Whether a value of its own has been sent out.
+    /// Whether it has proposed a value of its own.
     pub fn may_write(&self) -> bool {
         self.round.may_write()
     }
 
-    /// Takes a member's reply.
-    pub fn reply(&mut self, from: Member, reply: RegisterReply, purpose: &Purpose, terms: &Terms) -> Step {
-        let mutant = terms.mutant;
+    /// Handles a member's reply.
+    pub fn reply(
+        &mut self,
+        from: Member,
+        reply: RegisterReply,
+        purpose: &Purpose,
+        settings: &OperationSettings,
+    ) -> Step {
+        let mutant = settings.mutant;
         let mut decided = None;
         let mut progress = Progress::Send(Vec::new());
         for (from, reply) in self.as_received(from, reply, mutant) {
             progress = self.round.reply(from, reply, &mut |current| {
-                let (decision, answer) = decide(purpose, current, terms);
+                let (decision, answer) = decide(purpose, current, settings);
                 decided = Some(Decided { found: current.cloned().map(Rc::new), answer });
                 decision
             });
@@ -101,13 +107,13 @@
             }
         }
         if let Progress::Send(sends) = &progress {
-            self.note_sent(sends, mutant);
+            self.record_sent(sends, mutant);
         }
         let answered_early = self.answers_early(&progress, purpose, decided.as_ref(), mutant);
         Step { progress, decided, answered_early }
     }
 
-    fn note_sent(&mut self, sends: &[Send], mutant: Mutant) {
+    fn record_sent(&mut self, sends: &[Send], mutant: Mutant) {
         if mutant == Mutant::NewSetAlone
             && let Some((_, RegisterRequest::Accept { value, .. })) = sends.first()
         {
@@ -134,7 +140,7 @@
         }
     }
 
-    /// The reply as a mutant takes it: other than it is, or as if others had sent the same.
+    /// The replies as a mutant interprets them: altered, or duplicated for other members.
     fn as_received(
         &mut self,
         from: Member,
@@ -156,15 +162,15 @@
                 {
                     self.joint_found = Some((accepted, value.clone()));
                 }
-                vec![(from, self.as_if_chosen(RegisterReply::PromisedWith { ballot, accepted, value }))]
+                vec![(from, self.altered_promise(RegisterReply::PromisedWith { ballot, accepted, value }))]
             }
-            (Mutant::SecondHalfOnUnchosen, reply) => vec![(from, self.as_if_chosen(reply))],
+            (Mutant::SecondHalfOnUnchosen, reply) => vec![(from, self.altered_promise(reply))],
             (_, reply) => vec![(from, reply)],
         }
     }
 
-    /// A promise, as if its member had accepted the joint value that was found before.
-    fn as_if_chosen(&self, reply: RegisterReply) -> RegisterReply {
+    /// Alters a promise as if its member had accepted the joint value that was found before.
+    fn altered_promise(&self, reply: RegisterReply) -> RegisterReply {
         let (RegisterReply::Promised { ballot, accepted }
         | RegisterReply::PromisedWith { ballot, accepted, .. }) = reply
         else {
@@ -178,7 +184,7 @@
         }
     }
 
-    /// The members of the old set, once a majority of the new one has accepted the first half of a change.
+    /// Members of the old set, once a majority of the new set has accepted the first half of a change.
     fn uncounted_old_members(&self) -> Vec<Member> {
         let Some(value) = self.sent.as_ref().filter(|value| is_joint(value)) else { return Vec::new() };
         let new = members_of(value);
@@ -206,17 +212,17 @@
 pub fn decide(
     purpose: &Purpose,
     current: Option<&Value>,
-    terms: &Terms,
+    settings: &OperationSettings,
 ) -> (Decision, Option<ConfigAnswer>) {
-    let mutant = terms.mutant;
+    let mutant = settings.mutant;
     match purpose {
         Purpose::Replace(request) => {
-            let (decision, answer) = decide_request(request, current, terms);
+            let (decision, answer) = decide_request(request, current, settings);
             (decision, Some(answer))
         }
         Purpose::Read => (Decision::Read, None),
         Purpose::Members(next) => {
-            let initial = terms.changes_before_first_value.then(|| initial_value(&terms.first[0]));
+            let initial = settings.changes_before_first_value.then(|| initial_value(&settings.first[0]));
             let begin = |value| with_applied_table(replace_members(value, next), mutant);
             (current.or(initial.as_ref()).map_or(Decision::Read, begin), None)
         }
@@ -230,23 +236,23 @@
 fn decide_request(
     request: &ConfigRequest,
     current: Option<&Value>,
-    terms: &Terms,
+    settings: &OperationSettings,
 ) -> (Decision, ConfigAnswer) {
     let mut request = request.clone();
-    if terms.mutant == Mutant::DigestTruncated {
+    if settings.mutant == Mutant::DigestTruncated {
         request.digest = RequestDigest::from_legacy(request.version);
     }
-    let (mut decision, answer) = request.decide_within(current, &terms.first, terms.max_applied);
-    if terms.mutant == Mutant::AppliedForgotten
+    let (mut decision, answer) = request.decide_within(current, &settings.first, settings.max_applied);
+    if settings.mutant == Mutant::AppliedForgotten
         && let Decision::Propose(value) = &mut decision
     {
         value.applied = Vec::new().into();
     }
-    (decision, refused_anyway(&request, current, answer, terms.mutant))
+    (decision, uncertain_rejection(&request, current, answer, settings.mutant))
 }
 
-/// An answer that is not certain, as a mutant gives it.
-fn refused_anyway(
+/// For mutants: a rejection that is not final.
+fn uncertain_rejection(
     request: &ConfigRequest,
     current: Option<&Value>,
     answer: ConfigAnswer,
--- a/crates/register/tests/support/checker.rs
+++ b/crates/register/tests/support/checker.rs
@@ -1,44 +1,44 @@
-//! What a history of operators and readers must be like, whatever serves them.
+//! Checks histories of operators' requests and reads, independently of the implementation that served them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A request as the operator knows it. Two with one version number may differ in their bodies: a request is identified
 /// by its index in [`History::requests`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct KnownRequest {
     pub base: u64,
     pub version: u64,
 }
 
-/// Something that an operator, a reader or a process saw.
+/// An event observed by an operator, a reader or a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A request was sent, for the first time or again.
     Requested { id: usize, request: usize },
     /// It was acknowledged.
     Acknowledged { id: usize, request: usize },
-    /// It was refused for good, perhaps because this version is current.
+    /// It was rejected for good, optionally because this version is current.
     Refused { id: usize, request: usize, current: Option<u64> },
     /// A read began.
     ReadBegan { id: usize },
-    /// It was answered with what this request brought; nothing where no configuration is there.
+    /// It returned the configuration of this request, or `None` without a configuration.
     Read { id: usize, request: Option<usize> },
-    /// A process takes this for chosen.
+    /// A process considers this value chosen.
     Chosen { sequence: u64, request: Option<usize> },
-    /// Nothing fails any more; reads from now on must be answered.
+    /// Faults have ended; later reads must be answered.
     Healed,
-    /// All is read.
+    /// All final reads are done.
     Ended,
 }
 
-/// All that was seen, in the order of time, and the requests that were sent.
+/// Observed events in chronological order, and the requests that were sent.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     pub events: Vec<Event>,
-    pub requests: Vec<Known>,
+    pub requests: Vec<KnownRequest>,
 }
 
-/// What is wrong with a history; nothing where it is right.
+/// Returns the first violation in a history, if any.
 pub fn check(history: &History) -> Option<String> {
     let mut checker = Checker { requests: &history.requests, ..Checker::default() };
     for event in &history.events {
@@ -51,11 +51,11 @@
 
 #[derive(Default)]
 struct Checker<'a> {
-    requests: &'a [Known],
+    requests: &'a [KnownRequest],
     acknowledged: BTreeSet<usize>,
     refused: BTreeSet<usize>,
     chosen: BTreeMap<u64, Option<usize>>,
-    /// The newest version that had been answered to anybody when an operation began.
+    /// The newest version returned to any caller before an operation began.
     began: BTreeMap<usize, u64>,
     newest_seen: u64,
     ended: bool,
@@ -89,7 +89,7 @@
     }
 
     fn acknowledge(&mut self, request: usize) -> Result<(), String> {
-        let Known { base, version } = self.requests[request];
+        let KnownRequest { base, version } = self.requests[request];
         let rivals = |other: &&usize| {
             let other_request = self.requests[**other];
             **other != request && (other_request.base == base || other_request.version == version)
--- a/crates/register/tests/support/mod.rs
+++ b/crates/register/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Members in memory whose messages arrive at once, unless they are partitioned.
+//! An in-memory cluster whose messages are delivered immediately, except to partitioned members.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod attempt;
@@ -23,7 +23,7 @@
     Member::new(SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, at + 1), 7000), incarnation)
 }
 
-/// What a member writes before anything else.
+/// The first record that a member writes.
 pub fn first_promise(member: Member) -> PromiseRecord {
     PromiseRecord { incarnation: member.incarnation, promised: Ballot::default() }
 }
@@ -42,8 +42,8 @@
 }
 
 impl Node {
-    /// Writes what must not be forgotten.
-    fn keep(&mut self, durable: Option<Durable>) {
+    /// Persists a record.
+    fn persist(&mut self, durable: Option<Durable>) {
         let incarnation = self.member.incarnation;
         match durable {
             Some(Durable::Promise(promised)) => {
@@ -64,16 +64,16 @@
     accepts: Vec<Send>,
 }
 
-/// Members and what they remember.
+/// Members with their disks, and proposers.
 pub struct Cluster {
     nodes: Vec<Node>,
     view: Vec<BTreeSet<Member>>,
     rounds: u64,
-    /// What each proposer's process has seen of the members.
+    /// Watermarks in each proposer's process.
     watermarks: BTreeMap<usize, DurableWatermarks>,
 }
 
-/// What was on a member's disk at some time.
+/// A copy of a member's disk.
 pub struct DiskCopy {
     promise: Option<PromiseRecord>,
     value: Option<ValueRecord>,
@@ -115,29 +115,29 @@
         DiskCopy { promise: node.promise.clone(), value: node.value.clone() }
     }
 
-    /// Starts a member again from an older copy of its disk.
+    /// Restarts a member from an older copy of its disk.
     pub fn restart_from(&mut self, at: usize, copy: DiskCopy) {
         self.nodes[at].promise = copy.promise;
         self.nodes[at].value = copy.value;
         self.restart(at);
     }
 
-    /// What the process at an index remembers of a member.
+    /// The watermark that the process at an index has of a member.
     pub fn remembered(&self, at: usize, member: &Member) -> Watermark {
         self.watermarks.get(&at).map(|seen| seen.of(member)).unwrap_or_default()
     }
 
-    /// Processes forget what they have seen when they start again.
-    pub fn forget(&mut self, at: usize) {
+    /// Clears a process's watermarks, as a restart does.
+    pub fn clear_watermarks(&mut self, at: usize) {
         self.watermarks.remove(&at);
     }
 
-    /// The question of a member that has just started, before anybody has answered.
+    /// The disk check of a member that has just started, without answers.
     pub fn disk_check(&self, at: usize) -> DiskCheck {
         DiskCheck::new(self.nodes[at].member, self.nodes[at].acceptor.watermark(), self.view())
     }
 
-    /// Starts a member again from what is on its disk.
+    /// Restarts a member from its disk.
     pub fn restart(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         node.acceptor = Acceptor::recover(node.promise.clone(), node.value.clone()).expect("a record");
@@ -146,16 +146,16 @@
     fn deliver(&mut self, to: Member, request: &RegisterRequest) -> Option<RegisterReply> {
         let node = self.nodes.iter_mut().find(|node| node.member == to && !node.partitioned)?;
         let (reply, durable) = node.acceptor.handle(request);
-        node.keep(durable);
+        node.persist(durable);
         Some(reply)
     }
 
-    /// Tells a member what is committed; whether it had to be written.
+    /// Makes a member adopt a committed value; returns whether it had to be written.
     pub fn adopt(&mut self, at: usize, ballot: Ballot, value: &Value) -> bool {
         let node = &mut self.nodes[at];
         let durable = node.acceptor.adopt_committed(ballot, Rc::new(value.clone()));
         let written = durable.is_some();
-        node.keep(durable);
+        node.persist(durable);
         written
     }
 
@@ -168,7 +168,7 @@
         Ballot { round: self.rounds, boot: boot as u64 + 1 }
     }
 
-    /// A complete round; none where replies fail to come.
+    /// Executes a round; `None` if replies are missing.
     pub fn round(
         &mut self,
         at: usize,
@@ -217,13 +217,13 @@
         }
     }
 
-    /// Prepares for a request, and pauses before it is proposed.
+    /// Executes the prepare phase of a request and pauses before proposing.
     pub fn prepared(&mut self, at: usize, request: &ConfigRequest) -> PausedRound {
         let first = self.view.clone();
-        self.prepared_for(at, &mut |current| request.decide(current, &first).0)
+        self.prepare_for_purpose(at, &mut |current| request.decide(current, &first).0)
     }
 
-    fn prepared_for(
+    fn prepare_for_purpose(
         &mut self,
         at: usize,
         decide: &mut dyn FnMut(Option<&Value>) -> Decision,
@@ -242,8 +242,8 @@
         panic!("no majority");
     }
 
-    /// Sends out what a round had decided before it slept.
-    pub fn wake(&mut self, paused: &mut PausedRound) -> Option<Outcome> {
+    /// Resumes a paused round: sends the value that it had decided on.
+    pub fn resume(&mut self, paused: &mut PausedRound) -> Option<Outcome> {
         for (to, request) in std::mem::take(&mut paused.accepts) {
             let Some(reply) = self.deliver(to, &request) else { continue };
             if let Progress::Done(outcome) = paused.round.reply(to, reply, &mut |_| Decision::Read) {
@@ -253,17 +253,17 @@
         None
     }
 
-    /// A request whose accepts reach these members alone; its proposer hears nothing more.
+    /// A request whose accepts reach only these members and whose proposer gets no replies.
     pub fn submit_reaching(&mut self, at: usize, request: &ConfigRequest, reached: &[usize]) {
         let paused = self.prepared(at, request);
         self.reach(paused, reached);
     }
 
-    /// The first half of a change of members that reaches these alone.
+    /// The first half of a membership change that reaches only these members.
     pub fn begin_replace_reaching(&mut self, at: usize, next: &[Member], reached: &[usize]) {
         let next: BTreeSet<Member> = next.iter().copied().collect();
         let paused =
-            self.prepared_for(at, &mut |current| replace_members(current.expect("a value"), &next));
+            self.prepare_for_purpose(at, &mut |current| replace_members(current.expect("a value"), &next));
         self.reach(paused, reached);
     }
 
--- a/crates/register/tests/support/mutants.rs
+++ b/crates/register/tests/support/mutants.rs
@@ -1,35 +1,35 @@
-//! Mutants: versions of members, proposers and readers with one fault each. A check that can't find one shows nothing.
+//! Mutants: variants of members, proposers and readers with one fault each. The checks must detect every one of them.
 
 /// A fault in the members, the proposers or the readers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// The code as it is.
+    /// The unmodified code.
     None,
-    /// A promise is not written, and gone after a restart.
+    /// A promise is not written and is lost in a restart.
     PromiseNotSynced,
-    /// A value is not written, and gone after a restart.
+    /// A value is not written and is lost in a restart.
     ValueNotSynced,
-    /// A member that lost its disk goes on under its old incarnation.
+    /// A member that lost its disk continues under its old incarnation.
     WipedMemberVotes,
-    /// A proposer that restarts uses the ballots of before again.
+    /// A restarted proposer reuses its earlier ballots.
     BallotReused,
-    /// A member accepts below what it has promised.
+    /// A member accepts a ballot below its promise.
     PromiseForgotten,
-    /// A member that refuses is counted as if it had accepted.
+    /// A rejection is counted as an acceptance.
     RefusalCounted,
-    /// A request is refused before what stands in its way is chosen.
+    /// A request is rejected before the conflicting value is chosen.
     RefusedTooSoon,
-    /// A request whose outcome is unknown is refused as lost.
+    /// A request with an unknown outcome is rejected.
     UnknownRefused,
     /// A request is acknowledged when it is sent out.
     AcknowledgedTooSoon,
-    /// A read answers with what it found, chosen or not.
+    /// A read returns the value it found, chosen or not.
     ReadUnchosen,
-    /// A member keeps the value of the higher ballot that it had, whatever it accepts.
+    /// A member that accepts a value keeps its previous one if that has a higher ballot.
     ValueKept,
-    /// What was applied is not remembered.
+    /// Applied requests are not remembered.
     AppliedForgotten,
-    /// Two proposers draw the same ballots.
+    /// Two proposers use the same ballots.
     BallotsShared,
     /// A request that is older than the table of applied requests is refused, though it may have been applied.
     FloorForgotten,
@@ -45,20 +45,20 @@
     NewSetAlone,
     /// A member that takes a committed value lowers its promise to the ballot of that value.
     PromiseLoweredByAdopting,
-    /// A member whose disk was restored from an older copy goes on as if nothing had happened.
+    /// A member whose disk was restored from an older copy continues under its incarnation.
     OlderDiskAccepted,
-    /// A quorum read answers with the highest ballot that it found, whoever has it.
+    /// A quorum read returns the value of the highest ballot, without a majority.
     HighestRead,
-    /// A quorum read that finds joint sets is content with a majority of the old one.
+    /// A quorum read that finds joint sets needs a majority of the old one only.
     OldSetReads,
-    /// A member reports what it is still writing.
+    /// A member reports a value that is still being written.
     UnsyncedReported,
-    /// A member with an older disk answers reads before the others have said that it is one.
+    /// A member with an older disk answers reads before its disk check is complete.
     InspectedBeforeDiskCheck,
 }
 
 impl Mutant {
-    /// All mutants, and the code as it is.
+    /// All mutants, and the unmodified code.
     pub const ALL: [Mutant; 26] = [
         Mutant::None,
         Mutant::PromiseNotSynced,
--- a/crates/register/tests/support/node.rs
+++ b/crates/register/tests/support/node.rs
@@ -1,11 +1,11 @@
-//! A member with its disk: what it has in memory, and what a restart finds.
+//! A member with its in-memory state and its disk.
 
 use super::mutants::Mutant;
 use runtrack_message::{Ballot, InspectReply, InspectRequest, RegisterReply, RegisterRequest, Value};
 use runtrack_register::{Accepted, Acceptor, Durable, PromiseRecord, ValueRecord, inspect};
 use std::rc::Rc;
 
-/// What is on a member's disk.
+/// Contents of a member's disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Disk {
     pub promise: Option<PromiseRecord>,
@@ -26,7 +26,7 @@
         Node { acceptor: Acceptor::new(incarnation), disk: Disk { promise: Some(promise), value: None } }
     }
 
-    /// Its reply to a request; what has to be on disk is there.
+    /// Handles a request, writes the resulting record to disk and returns the reply.
     pub fn handle(&mut self, request: &RegisterRequest, mutant: Mutant) -> RegisterReply {
         let before = self.acceptor.clone();
         if mutant == Mutant::PromiseForgotten && matches!(request, RegisterRequest::Accept { .. }) {
@@ -43,7 +43,7 @@
         reply
     }
 
-    /// Its reply to a read: what it has on disk.
+    /// Its reply to a quorum read, from its disk.
     pub fn inspect(&self, request: &InspectRequest) -> InspectReply {
         let incarnation = self.acceptor.incarnation();
         let on_disk = self.disk.value.as_ref().filter(|value| value.incarnation == incarnation);
@@ -52,7 +52,7 @@
         inspect(incarnation, accepted.as_ref(), request)
     }
 
-    /// A mutant's reply to a read while it writes what this request asks for; nothing where it would refuse that.
+    /// A mutant's reply to a quorum read while it writes the value of this request; `None` if it would reject the request.
     pub fn inspect_while_writing(
         &self,
         request: &InspectRequest,
@@ -64,7 +64,7 @@
         takes.then(|| inspect(after.incarnation(), after.accepted(), request))
     }
 
-    /// Takes a value that is known to be committed.
+    /// Adopts a committed value.
     pub fn adopt(&mut self, ballot: Ballot, value: &Rc<Value>, mutant: Mutant) {
         let durable = self.acceptor.adopt_committed(ballot, value.clone());
         if durable.is_some() && mutant == Mutant::PromiseLoweredByAdopting {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The process ends and starts again from what is on its disk.
+    /// Restarts the process from its disk.
     pub fn restart(&mut self) {
         let incarnation = self.acceptor.incarnation();
         self.acceptor = Acceptor::recover(self.disk.promise.clone(), self.disk.value.clone())
@@ -98,11 +98,11 @@
     }
 }
 
-/// A member with just this in memory.
+/// An acceptor with exactly this state.
 fn rebuilt(incarnation: u64, promised: Ballot, accepted: Option<Accepted>) -> Acceptor {
     let promise = PromiseRecord { incarnation, promised };
     let value = accepted.map(|a| ValueRecord { incarnation, ballot: a.ballot, value: (*a.value).clone() });
-    // Recovery raises the promise to the value's ballot, and where it is to be forgotten that goes too.
+    // Recovery raises the promise to the value's ballot. A mutant that forgets promises forgets that too.
     let lowered = |value: ValueRecord| ValueRecord { ballot: value.ballot.min(promised), ..value };
     Acceptor::recover(Some(promise), value.map(lowered)).expect("a record")
 }
--- a/crates/register/tests/support/read_attempt.rs
+++ b/crates/register/tests/support/read_attempt.rs
@@ -1,4 +1,4 @@
-//! One quorum read, with the mutants of a reader.
+//! One quorum read, with the reader's mutants.
 
 use super::mutants::Mutant;
 use runtrack_message::{Ballot, InspectReply, Member, Value};
@@ -11,14 +11,14 @@
 pub struct ReadAttempt {
     read: QuorumRead,
     mutant: Mutant,
-    /// For mutants: the sets that the reader began with, and what was answered.
+    /// For mutants: the reader's initial sets, and the replies.
     sets: Vec<BTreeSet<Member>>,
     answers: BTreeMap<Member, Ballot>,
     seen: BTreeMap<Ballot, Rc<Value>>,
 }
 
 impl ReadAttempt {
-    /// A read for who believes that these sets are in force and has this value.
+    /// A read by a process with this view of the sets and this known value.
     pub fn new(
         sets: Vec<BTreeSet<Member>>,
         known: Option<(Ballot, Rc<Value>)>,
@@ -29,11 +29,11 @@
         (ReadAttempt { read, mutant, sets, answers: BTreeMap::new(), seen }, inspections)
     }
 
-    /// Takes a member's reply.
+    /// Handles a member's reply.
     pub fn reply(&mut self, from: Member, reply: InspectReply) -> ReadProgress {
         self.note(from, &reply);
         let progress = self.read.reply(from, reply);
-        match self.answered_anyway() {
+        match self.uncertain_outcome() {
             Some(outcome) => ReadProgress::Done(outcome),
             None => progress,
         }
@@ -52,8 +52,8 @@
         }
     }
 
-    /// What a mutant answers now.
-    fn answered_anyway(&self) -> Option<ReadOutcome> {
+    /// For mutants: an outcome that is not certain.
+    fn uncertain_outcome(&self) -> Option<ReadOutcome> {
         let (ballot, value) = self.highest()?;
         let has_it = |member: &Member| self.answers.get(member) == Some(&ballot);
         let enough = match self.mutant {
@@ -69,7 +69,7 @@
         self.sets.iter().all(|set| has_majority(set, answered))
     }
 
-    /// The value of the highest ballot that anybody has.
+    /// The value of the highest ballot among the replies.
     fn highest(&self) -> Option<(Ballot, Rc<Value>)> {
         let ballot = self.answers.values().max()?;
         Some((*ballot, self.seen.get(ballot)?.clone()))
--- a/crates/register/tests/support/world/faults.rs
+++ b/crates/register/tests/support/world/faults.rs
@@ -1,6 +1,6 @@
-//! Faults of members and processes, and the changes of members that repair them.
+//! Faults of members and processes, and the membership changes that repair them.
 
-use super::{Process, Voter, World};
+use super::{MemberState, Process, World};
 use crate::support::attempt::Purpose;
 use crate::support::member;
 use crate::support::mutants::Mutant;
@@ -12,12 +12,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Fewer members could not bear the loss of one.
+/// Minimum size of a set that tolerates the loss of one member.
 const MIN_MEMBERS: usize = 3;
-/// Changes of members at a time.
+/// Maximum number of concurrent membership changes.
 pub const MAX_CHANGES: usize = 2;
-/// Chance of one in so many that a member's disk is copied at a step that could put a copy back.
-const COPIES: u32 = 2;
+/// One in this many steps that could restore a copy of a member's disk makes a copy instead.
+const COPY_ODDS: u32 = 2;
 
 impl World {
     pub(super) fn newest_view(&self) -> BTreeSet<Member> {
@@ -25,12 +25,12 @@
         newest.and_then(|process| process.view.1.last().cloned()).unwrap_or_default()
     }
 
-    fn some_voter(&mut self) -> usize {
+    fn random_member(&mut self) -> usize {
         self.rng.usize(..self.voters.len())
     }
 
     pub(super) fn kill_or_start(&mut self) {
-        let at = self.some_voter();
+        let at = self.random_member();
         if !self.voters[at].up {
             return self.voters[at].start();
         }
@@ -41,31 +41,31 @@
         }
     }
 
-    /// A process ends and starts again at once.
+    /// Restarts a member's process.
     pub(super) fn restart_member(&mut self) {
-        // Best one that has promised more than it has accepted.
-        let owes = |voter: &Voter| {
+        // Prefers a member whose promise is above its accepted ballot.
+        let owes = |voter: &MemberState| {
             let accepted = voter.node.acceptor.accepted().map(|accepted| accepted.ballot);
             voter.up && voter.node.acceptor.promised() > accepted.unwrap_or_default()
         };
         let owing: Vec<usize> = (0..self.voters.len()).filter(|at| owes(&self.voters[*at])).collect();
         let at = match owing.first() {
             Some(_) if self.rng.u32(..4) > 0 => owing[self.rng.usize(..owing.len())],
-            _ => self.some_voter(),
+            _ => self.random_member(),
         };
         if self.voters[at].up {
             self.voters[at].start();
         }
     }
 
-    /// A committed value reaches a member late, most of all one that has promised a higher ballot.
+    /// Makes a member adopt a committed value late; prefers one that has promised a higher ballot.
     pub(super) fn adopt(&mut self) {
         if self.committed.is_empty() {
             return;
         }
         let last = self.committed.len().min(2);
         let (ballot, value) = self.committed[self.committed.len() - 1 - self.rng.usize(..last)].clone();
-        let lacks = |voter: &Voter| {
+        let lacks = |voter: &MemberState| {
             voter.up && voter.node.acceptor.accepted().is_none_or(|accepted| accepted.ballot < ballot)
         };
         let lacking: Vec<usize> = (0..self.voters.len()).filter(|at| lacks(&self.voters[*at])).collect();
@@ -74,13 +74,13 @@
         let any = lacking.first().filter(|_| rarely);
         let at = lacking.iter().find(promised_more).or(any).copied();
         if let Some(at) = at {
-            self.voters[at].node.adopt(ballot, &value, self.terms.mutant);
+            self.voters[at].node.adopt(ballot, &value, self.settings.mutant);
         }
     }
 
-    /// A member of the current set that may lose its disk: all members are up, and no other one lost its own or is
-    /// about to be replaced, so that the others have all that was ever acknowledged.
-    fn may_lose_disk(&mut self) -> Option<usize> {
+    /// A member of the current set that may lose its disk: all members are up and no other one lost its disk or is being
+    /// replaced, so that the others have every acknowledged change.
+    fn member_that_may_lose_disk(&mut self) -> Option<usize> {
         let view = self.newest_view();
         let is_there =
             |member: &Member| self.voters.iter().any(|voter| voter.member == *member && voter.up);
@@ -94,38 +94,38 @@
     }
 
     pub(super) fn wipe(&mut self) {
-        let Some(at) = self.may_lose_disk() else { return };
-        if self.terms.mutant == Mutant::WipedMemberVotes {
+        let Some(at) = self.member_that_may_lose_disk() else { return };
+        if self.settings.mutant == Mutant::WipedMemberVotes {
             self.voters[at].node = Node::new(self.voters[at].member.incarnation);
             return;
         }
         self.take_new_incarnation(at);
     }
 
-    /// It is another member at the same address, empty, and asks to be taken in again.
+    /// Starts an empty new incarnation at the member's address, which asks to join.
     fn take_new_incarnation(&mut self, at: usize) {
         let mut next = self.newest_view();
         let old = self.voters[at].member;
         let new = Member::new(old.address(), self.rng.u64(1..));
-        self.voters[at] = Voter::new(new);
+        self.voters[at] = MemberState::new(new);
         next.remove(&old);
         next.insert(new);
         self.wanted = Some(next);
     }
 
-    /// A member's disk is copied, or a copy is restored. The others then report what they remember of it.
+    /// Copies a member's disk, or restores a copy, after which the others report their watermarks.
     pub(super) fn copy_or_restore(&mut self) {
-        let at = self.some_voter();
-        if self.rng.u32(..COPIES) == 0 || self.voters[at].copy.is_none() {
+        let at = self.random_member();
+        if self.rng.u32(..COPY_ODDS) == 0 || self.voters[at].copy.is_none() {
             self.voters[at].copy = Some(self.voters[at].node.disk.clone());
             return;
         }
-        let Some(at) = self.may_lose_disk() else { return };
+        let Some(at) = self.member_that_may_lose_disk() else { return };
         let Some(copy) = self.voters[at].copy.clone() else { return };
         if copy == self.voters[at].node.disk {
             return self.voters[at].start();
         }
-        if self.terms.mutant == Mutant::OlderDiskAccepted {
+        if self.settings.mutant == Mutant::OlderDiskAccepted {
             self.voters[at].node.disk = copy;
             return self.voters[at].start();
         }
@@ -136,7 +136,7 @@
                 self.read_at_once();
                 self.take_new_incarnation(at);
             }
-            // Nobody remembers. The design states that this is not known; the world does without.
+            // No watermark exists, so the older disk can't be detected (a documented limit): the copy is not restored.
             _ => self.unknown_restores += 1,
         }
     }
@@ -147,7 +147,7 @@
         older.disk = copy.clone();
         older.restart();
         let sets =
-            older.acceptor.accepted().map_or_else(|| self.terms.first.clone(), |a| sets_of(&a.value));
+            older.acceptor.accepted().map_or_else(|| self.settings.first.clone(), |a| sets_of(&a.value));
         let mut check = DiskCheck::new(me, older.acceptor.watermark(), sets);
         for (other, voter) in
             self.voters.iter().enumerate().filter(|(other, voter)| *other != at && voter.up)
@@ -160,7 +160,7 @@
         check.verdict(LATE_ANSWERS_TIMEOUT)
     }
 
-    /// Members join, leave or are replaced, one or two at a time.
+    /// Adds, removes or replaces one or two members.
     pub(super) fn change_members(&mut self) {
         if self.wanted.is_some() || self.changes() > 0 {
             return;
@@ -180,13 +180,13 @@
         for _ in 0..joining {
             let new = member(self.spare, self.rng.u64(1..));
             self.spare += 1;
-            self.voters.push(Voter::new(new));
+            self.voters.push(MemberState::new(new));
             next.insert(new);
         }
         self.wanted = Some(next);
     }
 
-    /// Retries the change to the members that there should be; two processes may attempt it at a time.
+    /// Retries the change to the wanted members; two processes may attempt it concurrently.
     pub(super) fn retry_change(&mut self) {
         if let Some(wanted) = self.wanted.clone().filter(|_| self.changes() < MAX_CHANGES) {
             let at = self.rng.usize(..self.processes.len());
@@ -194,13 +194,13 @@
         }
     }
 
-    /// Changes of members that are under way.
+    /// Number of membership changes in progress.
     pub(super) fn changes(&self) -> usize {
         let changes = |purpose: &Purpose| matches!(purpose, Purpose::Members(_) | Purpose::Finish);
         self.operations.values().filter(|operation| changes(&operation.purpose)).count()
     }
 
-    /// A process hears from another one which members there are.
+    /// Sends one process's view of the members to another one.
     pub(super) fn gossip(&mut self) {
         let (from, to) = (self.rng.usize(..self.voters.len()), self.rng.usize(..self.processes.len()));
         if self.voters[from].up {
@@ -212,14 +212,14 @@
     fn send_members(&mut self, from: usize, to: usize) {
         if let Some(accepted) = self.voters[from].node.acceptor.accepted() {
             let sets = sets_of(&accepted.value);
-            self.processes[to].hear(accepted.value.sequence, &sets);
+            self.processes[to].update_view(accepted.value.sequence, &sets);
         }
         if let Some((sequence, sets)) = self.processes.get(from).map(|process| process.view.clone()) {
-            self.processes[to].hear(sequence, &sets);
+            self.processes[to].update_view(sequence, &sets);
         }
     }
 
-    /// Everybody hears from everybody.
+    /// Sends every process's view to all others.
     pub(super) fn gossip_to_all(&mut self) {
         for from in 0..self.voters.len() {
             for to in 0..self.processes.len() {
@@ -229,25 +229,25 @@
     }
 
     pub(super) fn restart_process(&mut self) {
-        // Best in the middle of a round whose value is on its way.
+        // Prefers a process with a round whose value is in flight.
         let sending: Vec<usize> = self.sending().collect();
         let at = match sending.first() {
             Some(_) if self.rng.u32(..4) > 0 => sending[self.rng.usize(..sending.len())],
             _ => self.rng.usize(..self.processes.len()),
         };
-        let reused = self.terms.mutant == Mutant::BallotReused;
-        let keeps_boot = reused || self.terms.mutant == Mutant::BallotsShared;
+        let reused = self.settings.mutant == Mutant::BallotReused;
+        let keeps_boot = reused || self.settings.mutant == Mutant::BallotsShared;
         let boot = if keeps_boot { self.processes[at].boot } else { self.rng.u64(10..) };
-        // It knows only what the member of its process has accepted.
+        // It knows only the value that the member of its process has accepted.
         let accepted = self.voters[at].node.acceptor.accepted();
         let view = accepted
-            .map_or_else(|| (0, self.terms.first.clone()), |a| (a.value.sequence, sets_of(&a.value)));
-        // It knows the round that it was in, as from a counter on disk, and not that it had used it.
+            .map_or_else(|| (0, self.settings.first.clone()), |a| (a.value.sequence, sets_of(&a.value)));
+        // It knows the round number, as from a counter on disk, but not that it was used.
         let round = if reused { self.processes[at].round.saturating_sub(1) } else { 0 };
         self.processes[at] =
             Process { boot, round, known: None, view, watermarks: DurableWatermarks::default() };
         self.operations.retain(|_, operation| operation.at != at);
-        // The operator sends at once what it did not hear of.
+        // The operator immediately retries unanswered requests.
         if self.rng.bool() {
             self.start_new_request(at);
         }
--- a/crates/register/tests/support/world/mod.rs
+++ b/crates/register/tests/support/world/mod.rs
@@ -1,6 +1,6 @@
-//! A world of members, processes and operators whose messages are delivered in an order drawn from a seed, with losses,
-//! restarts, wipes, older disks and changes of members, and with mutants. It records a history; what
-//! the history must be like is checked in `checker.rs`, which knows nothing of the register.
+//! A randomized simulation of members, processes and operators. A seed determines the order of messages, losses, restarts,
+//! wipes, restored disks and membership changes; mutants are supported. It records a history, which `checker.rs` checks
+//! without knowledge of the register.
 
 mod faults;
 mod network;
@@ -8,7 +8,7 @@
 mod profile;
 mod reads;
 
-use super::attempt::Terms;
+use super::attempt::OperationSettings;
 use super::checker::{Event, History};
 use super::member;
 use super::mutants::Mutant;
@@ -23,27 +23,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Steps in which all is healed; for each read of the end the same once more.
+/// Number of steps without faults at the end, before the final reads and for each of them.
 const HEALING_STEPS: usize = 1500;
 const READING_STEPS: usize = 500;
 
-/// One thing that happens to a world.
+/// One kind of step of a simulation.
 type Action = fn(&mut World);
 
-/// Id of operations before the world begins.
-pub const BEFORE: usize = usize::MAX;
+/// Id of the operations that set up a simulation.
+pub const SETUP_OPERATION: usize = usize::MAX;
 
-/// A member, and a copy of its disk that somebody made.
-struct Voter {
+/// A member, and the copy of its disk that was made, if any.
+struct MemberState {
     member: Member,
     node: Node,
     up: bool,
     copy: Option<Disk>,
 }
 
-impl Voter {
+impl MemberState {
     fn new(member: Member) -> Self {
-        Voter { member, node: Node::new(member.incarnation), up: true, copy: None }
+        MemberState { member, node: Node::new(member.incarnation), up: true, copy: None }
     }
 
     fn start(&mut self) {
@@ -52,31 +52,31 @@
     }
 }
 
-/// A process that runs rounds.
+/// A process that proposes.
 struct Process {
     boot: u64,
     round: u64,
     known: Option<(Ballot, Rc<Value>)>,
-    /// The sets that it begins at, and the sequence that they are from.
+    /// The sets that it starts rounds with, and the sequence number of their value.
     view: (u64, Vec<BTreeSet<Member>>),
     watermarks: DurableWatermarks,
 }
 
 impl Process {
-    /// Newer sets of members become known.
-    fn hear(&mut self, sequence: u64, sets: &[BTreeSet<Member>]) {
+    /// Updates the view if these sets are newer.
+    fn update_view(&mut self, sequence: u64, sets: &[BTreeSet<Member>]) {
         if self.view.0 < sequence {
             self.view = (sequence, sets.to_vec());
         }
     }
 }
 
-/// The world.
+/// A simulation.
 pub struct World {
     rng: Rng,
     profile: Profile,
-    terms: Terms,
-    voters: Vec<Voter>,
+    settings: OperationSettings,
+    voters: Vec<MemberState>,
     /// The first members' processes, in their order.
     processes: Vec<Process>,
     operations: BTreeMap<usize, Operation>,
@@ -86,24 +86,24 @@
     next: usize,
     version: u64,
     requests: Vec<ConfigRequest>,
-    /// All that any process took for committed.
+    /// All values that any process considered committed.
     committed: Vec<(Ballot, Rc<Value>)>,
     /// Index of the next address.
     spare: u8,
-    /// Members that there should be; the change to them is retried until it is committed.
+    /// The wanted members; the change to them is retried until it is committed.
     wanted: Option<BTreeSet<Member>>,
-    /// Older disks that were recognized, and such that nobody remembered anything of.
+    /// Number of older disks that were detected, and of those without a watermark.
     restores: u64,
     unknown_restores: u64,
     history: History,
 }
 
-/// What came of a world.
-pub struct Played {
+/// Result of a simulation.
+pub struct RunResult {
     pub history: History,
     pub restores: u64,
     pub unknown_restores: u64,
-    /// Quorum reads that were answered, and such that only a round could tell.
+    /// Number of quorum reads that were answered, and of those that were unsettled.
     pub quorum_reads: u64,
     pub unsettled_reads: u64,
     /// None of the first members is left.
@@ -117,7 +117,7 @@
         let mut rng = Rng::with_seed(seed);
         let profile = Profile::draw(&mut rng);
         let first: BTreeSet<Member> = (0..profile.members).map(|at| member(at, 0)).collect();
-        let terms = Terms {
+        let settings = OperationSettings {
             first: vec![first.clone()],
             changes_before_first_value: profile.changes_before_first_value,
             max_applied: profile.max_applied,
@@ -127,16 +127,16 @@
             boot: if mutant == Mutant::BallotsShared { 1 } else { u64::from(at) + 1 },
             round: 0,
             known: None,
-            view: (0, terms.first.clone()),
+            view: (0, settings.first.clone()),
             watermarks: DurableWatermarks::default(),
         };
         let mut world = World {
             processes: (0..profile.members).map(process).collect(),
-            voters: first.iter().copied().map(Voter::new).collect(),
+            voters: first.iter().copied().map(MemberState::new).collect(),
             spare: profile.members,
             rng,
             profile,
-            terms,
+            settings,
             operations: BTreeMap::new(),
             packets: Vec::new(),
             reads: Reads::new(seed),
@@ -150,23 +150,23 @@
             unknown_restores: 0,
             history: History::default(),
         };
-        world.play_before();
+        world.run_setup();
         world
     }
 
-    /// What was applied long ago: each request was acknowledged, and all members have the last value.
-    fn play_before(&mut self) {
+    /// Applies the setup requests: each is acknowledged, and all members have the last value.
+    fn run_setup(&mut self) {
         let mut value: Option<Value> = None;
         for base in 0..self.profile.applied_before {
             let request = ConfigRequest::replace(base, base + 1, format!("before {base}").into_bytes());
             let (Decision::Propose(next), _) =
-                request.decide_within(value.as_ref(), &self.terms.first, self.terms.max_applied)
+                request.decide_within(value.as_ref(), &self.settings.first, self.settings.max_applied)
             else {
                 panic!("a request on the newest version is proposed")
             };
             value = Some(next);
             let request = self.add_request(request);
-            self.history.events.push(Event::Acknowledged { id: BEFORE, request });
+            self.history.events.push(Event::Acknowledged { id: SETUP_OPERATION, request });
         }
         let Some(value) = value.map(Rc::new) else { return };
         self.version = value.version;
@@ -179,17 +179,17 @@
         }
     }
 
-    /// Plays a world through, then heals it and reads what is left.
-    pub fn play(mut self) -> Played {
+    /// Runs the simulation, then ends all faults and reads the final value.
+    pub fn run(mut self) -> RunResult {
         for _ in 0..self.profile.steps {
             self.step();
         }
-        self.heal();
-        let all_replaced = self.newest_view().is_disjoint(&self.terms.first[0]);
+        self.end_faults();
+        let all_replaced = self.newest_view().is_disjoint(&self.settings.first[0]);
         let changed_before_first_value = self.committed.iter().any(|(_, value)| value.version == 0);
         let World { history, restores, unknown_restores, reads, .. } = self;
         let (quorum_reads, unsettled_reads) = (reads.answered, reads.unsettled);
-        Played {
+        RunResult {
             history,
             restores,
             unknown_restores,
@@ -229,34 +229,34 @@
         for _ in 0..self.rng.u32(1..3) {
             self.deliver();
         }
-        self.give_up_idle();
+        self.time_out_idle();
         self.step_reads();
     }
 
-    /// All is up and nothing is lost any more; then everybody reads.
-    fn heal(&mut self) {
+    /// Starts all members, ends message loss, and then reads at every process.
+    fn end_faults(&mut self) {
         for voter in self.voters.iter_mut().filter(|voter| !voter.up) {
             voter.start();
         }
         for _ in 0..HEALING_STEPS {
             self.deliver();
-            self.give_up_idle();
+            self.time_out_idle();
         }
-        self.forget_all();
+        self.clear_all_watermarks();
         self.gossip_to_all();
         self.history.events.push(Event::Healed);
         for at in 0..self.processes.len() {
             self.start(at, super::attempt::Purpose::Read, None);
             for _ in 0..READING_STEPS {
                 self.deliver();
-                self.give_up_idle();
+                self.time_out_idle();
             }
-            self.forget_all();
+            self.clear_all_watermarks();
         }
         self.history.events.push(Event::Ended);
     }
 
-    fn forget_all(&mut self) {
+    fn clear_all_watermarks(&mut self) {
         self.operations.clear();
         self.packets.clear();
     }
--- a/crates/register/tests/support/world/network.rs
+++ b/crates/register/tests/support/world/network.rs
@@ -1,10 +1,10 @@
-//! Packets on their way: each has its own delay, some are very late, and some never come.
+//! Packets in flight: each has its own delay, some are very late, and some are lost.
 
 use super::World;
 use runtrack_message::{Ballot, Member, RegisterReply, RegisterRequest};
 use runtrack_register::Send;
 
-/// What is in a packet.
+/// Payload of a packet.
 pub enum Content {
     Request(RegisterRequest),
     Reply(RegisterReply),
@@ -19,7 +19,7 @@
     due: usize,
 }
 
-/// The request in a packet, where it asks this member to accept a value.
+/// The accept request in a packet for this member, if it is one.
 pub fn accept_for(packet: &Packet, member: Member) -> Option<&RegisterRequest> {
     match &packet.content {
         Content::Request(request @ RegisterRequest::Accept { .. }) if packet.member == member => {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Delivers one of the packets that are due, or moves on to when the next one is.
+    /// Delivers a packet that is due, or advances the time to the next one.
     pub(super) fn deliver(&mut self) {
         let Some(first) = self.packets.iter().map(|packet| packet.due).min() else { return };
         self.now = self.now.max(first);
@@ -62,7 +62,7 @@
         let Packet { operation, ballot, member, content, .. } = self.packets.swap_remove(at);
         match content {
             Content::Request(request) => {
-                let mutant = self.terms.mutant;
+                let mutant = self.settings.mutant;
                 let Some(voter) = self.voters.iter_mut().find(|voter| voter.member == member && voter.up)
                 else {
                     return;
--- a/crates/register/tests/support/world/operations.rs
+++ b/crates/register/tests/support/world/operations.rs
@@ -1,50 +1,50 @@
-//! Requests, reads and changes of members: rounds until one ends well, or the caller gives up.
+//! Requests, reads and membership changes: each runs rounds until one succeeds or the caller gives up.
 
 use super::faults::MAX_CHANGES;
 use super::{Process, World};
 use crate::support::attempt::{Attempt, Decided, Purpose, Step};
-use crate::support::checker::{Event, Known};
+use crate::support::checker::{Event, KnownRequest};
 use crate::support::mutants::Mutant;
 use runtrack_message::{Ballot, Member, RegisterReply, Value};
 use runtrack_register::{ConfigAnswer, ConfigRequest, Outcome, Progress, is_joint, members_of};
 use std::rc::Rc;
 
-/// Rounds of one operation.
+/// Maximum number of rounds of one operation.
 const MAX_ATTEMPTS: u32 = 6;
-/// Steps after which a round that heard nothing is given up.
+/// Steps without a reply after which a round times out.
 const IDLE_STEPS: u32 = 40;
 
-/// Something that a process is asked for.
+/// An operation at a process.
 pub struct Operation {
     pub id: usize,
-    /// The process that was asked.
+    /// Index of the process.
     pub at: usize,
     pub purpose: Purpose,
-    /// Number of the request in the history.
+    /// Index of the request in the history.
     pub request: Option<usize>,
     attempt: Option<Attempt>,
     answer: Option<ConfigAnswer>,
     attempts: u32,
     idle: u32,
-    /// A value of its own has been sent out.
+    /// A value of its own has been proposed.
     sent: bool,
 }
 
 impl World {
-    /// A request of an operator: a new one, perhaps with a rival at once, or one that was sent before.
+    /// Starts a request of an operator: a new one, possibly with a concurrent rival, or a retry.
     pub(super) fn start_request(&mut self) {
         if self.operations.len() >= self.profile.max_operations {
             return;
         }
         if !self.requests.is_empty() && self.rng.u32(..100) < self.profile.retries {
-            let request = self.some_request();
+            let request = self.random_request();
             return self.start_request_at(request);
         }
         let at = self.rng.usize(..self.processes.len());
         self.start_new_request(at);
     }
 
-    /// A new request at this process, perhaps with a rival on the same base or a successor at others.
+    /// Starts a new request at this process, possibly with a rival on the same base or a successor at other processes.
     pub(super) fn start_new_request(&mut self, at: usize) {
         let base = self.draw_base();
         let request = self.new_request(base);
@@ -59,14 +59,14 @@
         }
     }
 
-    /// One that was sent before: often one of the last.
-    fn some_request(&mut self) -> usize {
+    /// Draws a request to retry, often a recent one.
+    fn random_request(&mut self) -> usize {
         let all = self.requests.len();
         let last = if self.rng.bool() { all.min(4) } else { all };
         all - 1 - self.rng.usize(..last)
     }
 
-    /// The newest version that any process knows, or now and then what some process knows.
+    /// Draws a base: the newest version that any process knows, or sometimes the version that one process knows.
     fn draw_base(&mut self) -> u64 {
         let knows = |process: &Process| process.known.as_ref().map_or(0, |(_, value)| value.version);
         if self.rng.u32(..4) == 0 {
@@ -90,7 +90,7 @@
     }
 
     pub(super) fn add_request(&mut self, request: ConfigRequest) -> usize {
-        self.history.requests.push(Known { base: request.base, version: request.version });
+        self.history.requests.push(KnownRequest { base: request.base, version: request.version });
         self.requests.push(request);
         self.requests.len() - 1
     }
@@ -154,7 +154,7 @@
         };
         operation.idle = 0;
         let Step { progress, decided, answered_early } =
-            attempt.reply(from, reply, &operation.purpose, &self.terms);
+            attempt.reply(from, reply, &operation.purpose, &self.settings);
         let sends = matches!(&progress, Progress::Send(sends) if !sends.is_empty());
         operation.sent |= sends && attempt.may_write();
         if let Some(Decided { answer, .. }) = &decided {
@@ -188,15 +188,15 @@
             Outcome::Preempted(highest) => {
                 let process = &mut self.processes[at];
                 process.round = process.round.max(highest.round);
-                if self.terms.mutant == Mutant::UnknownRefused && sent {
-                    return self.refuse_unknown(id);
+                if self.settings.mutant == Mutant::UnknownRefused && sent {
+                    return self.reject_unknown(id);
                 }
                 self.back_off(id);
             }
         }
     }
 
-    /// A higher ballot is about: the next round waits for a while.
+    /// Delays the next round after a rejection by a higher ballot.
     fn back_off(&mut self, id: usize) {
         let pause = self.rng.u32(..self.profile.max_backoff);
         if let Some(operation) = self.operations.get_mut(&id) {
@@ -205,14 +205,14 @@
         }
     }
 
-    fn refuse_unknown(&mut self, id: usize) {
+    fn reject_unknown(&mut self, id: usize) {
         if let Some(operation) = self.operations.get_mut(&id) {
             operation.answer = Some(ConfigAnswer::VersionNotIncreasing(0));
         }
         self.end(id, None);
     }
 
-    /// A process takes a value for committed, and others may hear of it.
+    /// A process considers a value committed and may announce it to others.
     fn learn(&mut self, at: usize, ballot: Ballot, value: &Rc<Value>) {
         let request = self.request_of(value);
         self.history.events.push(Event::Chosen { sequence: value.sequence, request });
@@ -230,12 +230,12 @@
         }
         for other in &mut self.processes {
             if self.rng.u32(..100) < self.profile.heard {
-                other.hear(value.sequence, &[members_of(value)]);
+                other.update_view(value.sequence, &[members_of(value)]);
             }
         }
     }
 
-    /// The request that brought the configuration of a value.
+    /// Index of the request that proposed the configuration of a value.
     pub(super) fn request_of(&self, value: &Value) -> Option<usize> {
         self.requests.iter().position(|request| request.body == value.config.as_slice())
     }
@@ -258,12 +258,12 @@
         self.history.events.push(event);
     }
 
-    /// Processes with a round whose own value has been sent out.
+    /// Processes with a round that has proposed its own value.
     pub(super) fn sending(&self) -> impl Iterator<Item = usize> + '_ {
         self.operations.values().filter(|operation| operation.sent).map(|operation| operation.at)
     }
 
-    pub(super) fn give_up_idle(&mut self) {
+    pub(super) fn time_out_idle(&mut self) {
         let mut idle = Vec::new();
         for operation in self.operations.values_mut() {
             operation.idle += 1;
--- a/crates/register/tests/support/world/profile.rs
+++ b/crates/register/tests/support/world/profile.rs
@@ -1,9 +1,9 @@
-//! What a world is like: drawn from its seed, so that each error has worlds in which it shows.
+//! Parameters of a simulation, drawn from its seed so that each kind of fault is frequent in some simulations.
 
 use fastrand::Rng;
 use runtrack_register::MAX_APPLIED_REQUESTS;
 
-/// How often each thing happens, in a thousand steps. Each step delivers one or two packets as well.
+/// Frequency of each kind of step per thousand steps. Each step delivers one or two packets as well.
 #[derive(Clone, Debug, Default)]
 pub struct Rates {
     pub request: u32,
@@ -20,52 +20,52 @@
     pub gossip: u32,
 }
 
-/// One world.
+/// Parameters of one simulation.
 #[derive(Clone, Debug)]
 pub struct Profile {
     /// Members of the first set.
     pub members: u8,
     pub steps: usize,
-    /// Requests and reads at a time.
+    /// Maximum number of concurrent requests and reads.
     pub max_operations: usize,
     /// Bound on the table of applied requests.
     pub max_applied: usize,
-    /// Requests that were applied before the world begins.
+    /// Number of requests applied during setup.
     pub applied_before: u64,
-    /// Of a hundred requests so many are one that was sent before.
+    /// Percentage of requests that are retries.
     pub retries: u32,
-    /// Of a hundred new requests so many have the version of another one and another body.
+    /// Percentage of new requests with the version of another request and a different body.
     pub same_version: u32,
-    /// Of a hundred new requests so many have a successor at once, on a version that may never come into force.
+    /// Percentage of new requests with an immediate successor, on a version that may never be committed.
     pub successors: u32,
-    /// Of a hundred new requests so many have a rival on the same base at once.
+    /// Percentage of new requests with a concurrent rival on the same base.
     pub rivals: u32,
-    /// Members may change before the first value is written.
+    /// Whether members may change before the first value is written.
     pub changes_before_first_value: bool,
-    /// Of a hundred changes of members so many replace two at once.
+    /// Percentage of membership changes that replace two members at once.
     pub double_changes: u32,
-    /// Of a hundred processes so many hear at once of what another one takes for committed.
+    /// Percentage of processes that learn of a committed value immediately.
     pub heard: u32,
-    /// A process leaves out up to so many ballots between its rounds.
+    /// Maximum number of ballots that a process skips between its rounds.
     pub ballot_gap: u64,
-    /// Longest pause, in steps, after a higher ballot got in the way.
+    /// Maximum backoff after a rejection by a higher ballot, in steps.
     pub max_backoff: u32,
-    /// Other packets take at most so many steps.
+    /// Maximum delay of ordinary packets, in steps.
     pub usual_delay: usize,
-    /// Half of all values are very late at the first member.
+    /// Whether half of all accepts to the first member are very late.
     pub has_lagging_member: bool,
-    /// Of a hundred packets so many are very late.
+    /// Percentage of packets that are very late.
     pub late: u32,
-    /// How late these are at most, in steps.
+    /// Maximum delay of very late packets, in steps.
     pub latest: usize,
     pub rates: Rates,
 }
 
-/// More than the table holds.
+/// More than the table of applied requests holds.
 const LONG_HISTORY: u64 = MAX_APPLIED_REQUESTS as u64 + 40;
 
 impl Profile {
-    /// Draws one: something of everything, and one thing that there is much of.
+    /// Draws a profile: a base rate of everything, and a high rate of one kind.
     pub fn draw(rng: &mut Rng) -> Self {
         let mut profile = Profile {
             members: if rng.u32(..4) == 0 { 5 } else { 3 },
@@ -86,7 +86,7 @@
             has_lagging_member: false,
             late: rng.u32(..30),
             latest: rng.usize(50..250),
-            rates: something_of_everything(rng),
+            rates: base_rates(rng),
         };
         match rng.u32(..20) {
             0..2 => profile.restarting_members(rng),
@@ -95,7 +95,7 @@
             11..15 => profile.late_copies(rng),
             15..18 => profile.lost_disks(rng),
             18 => profile.applied_before = LONG_HISTORY,
-            19 => profile.growing_from_nothing(rng),
+            19 => profile.joins_before_first_value(rng),
             _ => {}
         }
         profile
@@ -118,14 +118,14 @@
         self.rates.wipe = 0;
     }
 
-    /// Members join, and are replaced, before there is any configuration.
-    fn growing_from_nothing(&mut self, rng: &mut Rng) {
+    /// Members join and are replaced before the first configuration.
+    fn joins_before_first_value(&mut self, rng: &mut Rng) {
         self.rates.request = rng.u32(5..20);
         self.rates.change_members = rng.u32(50..150);
         self.rates.retry_change = rng.u32(40..120);
     }
 
-    /// Values under way meet changes of members, so there is a first value before members change.
+    /// Values in flight during membership changes; members change only after the first value.
     fn changing_members(&mut self, rng: &mut Rng) {
         self.changes_before_first_value = false;
         self.max_operations = 5;
@@ -141,7 +141,7 @@
         self.rates.drop_packet = rng.u32(..120);
     }
 
-    /// Values reach one member late or never in their rounds, and are copied to it.
+    /// One member gets values late or never in their rounds, and adopts them later.
     fn late_copies(&mut self, rng: &mut Rng) {
         self.members = 3;
         self.has_lagging_member = true;
@@ -161,7 +161,7 @@
         };
     }
 
-    /// Disks are lost or restored one at a time, with all members up, while values stand at bare majorities.
+    /// Disks are lost or restored one at a time, with all members up, while values are at minimal majorities.
     fn lost_disks(&mut self, rng: &mut Rng) {
         self.rates.restore = rng.u32(10..60);
         self.rates.wipe = rng.u32(..20);
@@ -173,7 +173,7 @@
     }
 }
 
-fn something_of_everything(rng: &mut Rng) -> Rates {
+fn base_rates(rng: &mut Rng) -> Rates {
     Rates {
         request: rng.u32(20..60),
         read: rng.u32(10..40),
--- a/crates/register/tests/support/world/reads.rs
+++ b/crates/register/tests/support/world/reads.rs
@@ -1,5 +1,5 @@
-//! Quorum reads beside everything else: requests and replies late, lost and in any order, members that restart or change
-//! meanwhile. They draw from a source of their own, so that a world is otherwise the same with and without them.
+//! Concurrent quorum reads: requests and replies are delayed, lost and reordered, and members restart or change meanwhile. They
+//! use a separate random source, so that a simulation is otherwise the same with and without them.
 
 use super::World;
 use super::network::accept_for;
@@ -14,13 +14,13 @@
 
 /// Ids of quorum reads in the history begin here, above those of operations.
 const FIRST_ID: usize = usize::MAX / 2;
-/// Reads at a time.
+/// Maximum number of concurrent reads.
 const MAX_READS: usize = 3;
-/// Steps after which a read is given up.
+/// Steps after which a read times out.
 const READ_STEPS: usize = 120;
-/// For a mutant: a member with an older disk answers for so many steps before it finds that out.
+/// For a mutant: steps during which a member with an older disk answers before its disk check ends.
 const UNCHECKED_STEPS: usize = 100;
-/// Separates the draws of quorum reads from those of their world, which has the same seed.
+/// Separates the random source of quorum reads from that of the simulation, which has the same seed.
 const SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
 enum Content {
@@ -41,28 +41,28 @@
     until: usize,
 }
 
-/// A member as its older disk has it.
-struct Unchecked {
+/// A member that runs from an older disk.
+struct UncheckedMember {
     member: Member,
     node: Node,
     until: usize,
 }
 
-/// The quorum reads of a world.
+/// The quorum reads of a simulation.
 pub(super) struct Reads {
     rng: Rng,
-    /// Of a hundred steps so many begin one.
+    /// Percentage of steps that start a read.
     rate: u32,
-    /// Of a hundred packets so many are lost.
+    /// Percentage of packets that are lost.
     lost: u32,
     usual_delay: usize,
     open: Vec<OpenRead>,
     packets: Vec<Packet>,
-    unchecked: Vec<Unchecked>,
-    /// For that mutant: what was on the members' disks, a copy for each value.
+    unchecked: Vec<UncheckedMember>,
+    /// For that mutant: copies of the members' disks, one for each value.
     copies: BTreeMap<Member, Vec<Disk>>,
     next: usize,
-    /// Reads that were answered, and such that only a round could tell.
+    /// Number of reads that were answered, and of those that were unsettled.
     pub(super) answered: u64,
     pub(super) unsettled: u64,
 }
@@ -109,7 +109,7 @@
 }
 
 impl World {
-    /// Reads begin, hear of members and are given up.
+    /// Starts reads, updates their sets and times them out.
     pub(super) fn step_reads(&mut self) {
         let now = self.now;
         self.copy_disks();
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Everybody reads, as right after a member has come back.
+    /// Starts a read at every process, as right after a member has restarted.
     pub(super) fn read_at_once(&mut self) {
         for _ in 0..self.processes.len() {
             self.begin_read();
@@ -136,7 +136,7 @@
         let at = self.reads.rng.usize(..self.processes.len());
         let process = &self.processes[at];
         let (read, inspections) =
-            ReadAttempt::new(process.view.1.clone(), process.known.clone(), self.terms.mutant);
+            ReadAttempt::new(process.view.1.clone(), process.known.clone(), self.settings.mutant);
         let id = self.reads.next;
         self.reads.next += 1;
         self.reads.open.push(OpenRead { id, read, until: self.now + READ_STEPS });
@@ -156,13 +156,13 @@
         }
     }
 
-    /// What a member answers to a reader; nothing where it is down or gone.
+    /// A member's reply to a reader; `None` if it is down or removed.
     fn inspect(&self, member: Member, request: &InspectRequest) -> Option<InspectReply> {
         if let Some(unchecked) = self.reads.unchecked.iter().find(|other| other.member == member) {
             return Some(unchecked.node.inspect(request));
         }
         let voter = self.voters.iter().find(|voter| voter.member == member && voter.up)?;
-        if self.terms.mutant == Mutant::UnsyncedReported {
+        if self.settings.mutant == Mutant::UnsyncedReported {
             let writes = self.packets.iter().filter_map(|packet| accept_for(packet, member));
             let mut reported =
                 writes.filter_map(|writing| voter.node.inspect_while_writing(request, writing));
@@ -202,7 +202,7 @@
     }
 
     fn copy_disks(&mut self) {
-        if self.terms.mutant != Mutant::InspectedBeforeDiskCheck {
+        if self.settings.mutant != Mutant::InspectedBeforeDiskCheck {
             return;
         }
         for voter in &self.voters {
@@ -214,10 +214,10 @@
         }
     }
 
-    /// For a mutant: a member whose disk is an older one answers readers before it has found out. The worst copy is one of
-    /// the value that another member has not got beyond.
+    /// For a mutant: a member with an older disk answers readers before its disk check. The most harmful copy has the value that
+    /// another member still has as its newest.
     pub(super) fn leave_unchecked(&mut self, at: usize) {
-        if self.terms.mutant != Mutant::InspectedBeforeDiskCheck {
+        if self.settings.mutant != Mutant::InspectedBeforeDiskCheck {
             return;
         }
         let member = self.voters[at].member;
@@ -231,6 +231,6 @@
         let mut node = Node { disk, ..self.voters[at].node.clone() };
         node.restart();
         let until = self.now + UNCHECKED_STEPS;
-        self.reads.unchecked.push(Unchecked { member, node, until });
+        self.reads.unchecked.push(UncheckedMember { member, node, until });
     }
 }
--- a/crates/register/tests/watermarks.rs
+++ b/crates/register/tests/watermarks.rs
@@ -1,5 +1,5 @@
-//! A member that starts asks the others what they remember of it before it promises anything: a disk that was restored
-//! from an older copy, or whose newest synced record is damaged, can't tell by itself.
+//! A starting member asks the others for its watermark before it promises anything: the disk alone does not show that it was
+//! restored from an older copy or that its newest synced record is damaged.
 
 mod support;
 
@@ -21,7 +21,7 @@
     vec![(0..3).map(|at| member(at, 0)).collect()]
 }
 
-/// The check of member 2 with this on its disk.
+/// The disk check of member 2 with `own` on its disk.
 fn check(own: Watermark) -> DiskCheck {
     DiskCheck::new(member(2, 0), own, three())
 }
@@ -29,7 +29,7 @@
 const START: Duration = Duration::from_secs(5);
 
 #[test]
-fn what_is_remembered_only_rises() {
+fn watermarks_only_increase() {
     let mut seen = DurableWatermarks::default();
     let at = member(1, 0);
     assert_eq!(seen.of(&at), Watermark::default());
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn one_answer_is_enough_to_know_that_the_disk_is_older() {
+fn one_higher_watermark_identifies_an_older_disk() {
     for remembered in [watermark(8, 5), watermark(7, 6)] {
         let mut check = check(watermark(7, 5));
         check.on_answer(member(0, 0), remembered);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_disk_that_has_all_that_is_remembered_is_current() {
+fn a_disk_at_or_above_all_watermarks_is_current() {
     let mut check = check(watermark(7, 5));
     assert_eq!(check.verdict(START), DiskVerdict::Waiting);
     check.on_answer(member(0, 0), watermark(7, 4));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn where_all_start_at_once_it_is_said_that_nothing_is_known() {
+fn the_verdict_is_unknown_when_all_members_start_at_once() {
     let mut check = check(watermark(7, 5));
     for at in 0..2 {
         check.on_answer(member(at, 0), Watermark::default());
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn without_a_majority_it_waits_for_as_long_as_that_lasts() {
+fn the_check_waits_while_there_is_no_majority() {
     let mut check = check(watermark(7, 5));
     for minutes in 0..10 {
         assert_eq!(check.verdict(Duration::from_secs(60 * minutes)), DiskVerdict::Waiting);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn one_that_answers_late_is_waited_for_within_bounds() {
+fn late_answers_are_awaited_within_bounds() {
     let mut check = check(watermark(7, 5));
     check.on_answer(member(0, 0), watermark(7, 5));
     assert_eq!(check.verdict(START), DiskVerdict::Waiting);
@@ -102,12 +102,16 @@
 }
 
 #[test]
-fn a_member_that_was_replaced_is_not_waited_for_and_counts_for_nothing() {
+fn a_replaced_member_is_not_awaited_and_does_not_count() {
     let mut check = check(watermark(7, 5));
     check.on_replaced(member(0, 0));
     assert_eq!(check.verdict(START + 2 * LATE_ANSWERS_TIMEOUT), DiskVerdict::Waiting);
     check.on_answer(member(1, 0), watermark(7, 5));
-    assert_eq!(check.verdict(START), DiskVerdict::Current, "a majority has answered and nobody else will");
+    assert_eq!(
+        check.verdict(START),
+        DiskVerdict::Current,
+        "a majority has answered and no other answers are expected"
+    );
 }
 
 #[test]
@@ -123,7 +127,7 @@
 }
 
 #[test]
-fn a_copy_of_long_ago_asks_the_members_that_are_in_force_now() {
+fn an_older_disk_asks_the_current_members() {
     let mut check = check(watermark(7, 5));
     let now = [member(2, 0), member(3, 9), member(4, 9)].into_iter().collect();
     check.set_sets(vec![now]);
@@ -145,22 +149,22 @@
 }
 
 #[test]
-fn a_member_that_goes_on_with_an_older_disk_loses_what_was_acknowledged() {
-    // What the check stands against: without it this happens every time.
+fn a_member_that_continues_on_an_older_disk_loses_acknowledged_changes() {
+    // Without the disk check this happens every time.
     let mut cluster = with_older_disk();
     cluster.set_partitioned(1, true);
     assert_eq!(cluster.read(0).version, 1, "version 2 was acknowledged");
 }
 
 #[test]
-fn a_member_with_an_older_disk_is_found_out_and_nothing_is_lost() {
+fn a_member_with_an_older_disk_is_detected_and_nothing_is_lost() {
     let mut cluster = with_older_disk();
     let mut check = cluster.disk_check(2);
     for at in 0..2 {
         check.on_answer(member(at as u8, 0), cluster.remembered(at, &member(2, 0)));
     }
     assert!(matches!(check.verdict(START), DiskVerdict::Older(_)));
-    // It answers no more under its old incarnation, and joins as another member.
+    // It no longer replies under its old incarnation, and joins as a new one.
     cluster.set_partitioned(2, true);
     cluster.add(member(2, 7));
     assert!(cluster.replace(0, &[member(0, 0), member(1, 0), member(2, 7)]));
@@ -169,7 +173,7 @@
 }
 
 #[test]
-fn a_damaged_newest_record_is_found_out_like_an_older_disk() {
+fn a_damaged_newest_record_is_detected_like_an_older_disk() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.submit(1, &request(0, 1)), Some(ConfigAnswer::Applied));
     let before = cluster.copy_disk(2);
@@ -182,13 +186,13 @@
 }
 
 #[test]
-fn what_only_a_process_saw_that_has_ended_since_is_not_known() {
+fn state_seen_only_by_a_terminated_process_is_not_known() {
     let mut cluster = with_older_disk();
-    cluster.forget(1);
+    cluster.clear_watermarks(1);
     let mut check = cluster.disk_check(2);
     for at in 0..2 {
         check.on_answer(member(at as u8, 0), cluster.remembered(at, &member(2, 0)));
     }
-    // Member 0 remembers an older state, and that is all there is: the bound of what can be found out.
+    // Member 0 remembers only an older state, so the check can't detect more.
     assert_eq!(check.verdict(START), DiskVerdict::Current);
 }
