--- a/crates/failure_detector/tests/contact.rs
+++ b/crates/failure_detector/tests/contact.rs
@@ -42,10 +42,10 @@
     let sets = [set(&[A, B, C])];
     assert!(!table.is_current(ms(0), &sets));
     let number = table.probe(ms(0), &B);
-    assert!(!table.is_current(ms(10), &sets), "a probe that went out proves nothing");
+    assert!(!table.is_current(ms(10), &sets), "a probe without a reply proves nothing");
     assert!(table.on_reply(ms(20), &B, number, set(&[])));
     assert!(table.is_current(ms(20), &sets), "two of three");
-    assert!(!table.is_current(ms(20), &[]), "nobody is a majority of nothing");
+    assert!(!table.is_current(ms(20), &[]), "an empty list of sets has no majority");
     assert!(!table.is_current(ms(20), &[set(&[])]), "nor of an empty set");
 }
 
--- a/crates/hash_ring/tests/hashing.rs
+++ b/crates/hash_ring/tests/hashing.rs
@@ -1,4 +1,4 @@
-//! Assignment by hashing: it is even, the same for all processes, and moves little when members change.
+//! Assignment by consistent hashing is even, identical in all processes, and changes little when members change.
 
 use runtrack_hash_ring::{HashRing, hash, rendezvous, weight};
 use std::collections::BTreeMap;
--- a/crates/link/tests/changes.rs
+++ b/crates/link/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Who waits for a change is woken in the order of waiting, and misses none that came meanwhile.
+//! Receivers of changes are woken in the order of waiting and miss no change.
 
 use runtrack_link::Changes;
 use std::cell::RefCell;
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
-/// With so many, an order by chance is the order of waiting once in 10^35 times.
+/// So many that a random wake order equals the order of waiting with a probability of only 10^-35.
 const WAITERS: usize = 32;
 
 fn on_one_thread(test: impl Future<Output = ()>) {
--- a/crates/link/tests/config_exchange.rs
+++ b/crates/link/tests/config_exchange.rs
@@ -1,5 +1,5 @@
-//! How configurations travel: by difference where the base is known, by digests of chunks where it was forgotten, complete
-//! where nothing else helps; once over a slow link, and as complete bodies to processes of the version before.
+//! Transfer of configurations: as a delta if the base is known, by chunk digests if it is not, complete as a fallback; only once
+//! over a slow link, and always complete to processes of an older version.
 
 mod support;
 
@@ -14,7 +14,7 @@
     format!(r#"{{"version":{version},"routes":[{}]}}"#, routes.join(",")).into_bytes()
 }
 
-/// What a peer has that went through these versions.
+/// The replica of a peer that had these versions.
 fn peer(versions: &[u64]) -> Replica {
     let mut replica = Replica::default();
     versions.iter().for_each(|version| {
@@ -47,7 +47,7 @@
     answer
 }
 
-/// An agent that has version 1 from a peer that it is linked to.
+/// An agent that got version 1 from a linked peer.
 async fn agent_with_first() -> (Agent, Link) {
     let agent = Agent::start();
     let mut link = agent.controller(1).linked().await;
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_change_comes_by_difference() {
+fn a_change_is_sent_as_a_delta() {
     in_virtual_time(async {
         let (agent, mut link) = agent_with_first().await;
         link.introduce(true, 2).await;
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_version_that_the_peer_has_forgotten_is_compared_by_digests() {
+fn a_base_unknown_to_the_peer_is_compared_by_digests() {
     in_virtual_time(async {
         let (agent, mut link) = agent_with_first().await;
         link.introduce(true, 9).await;
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_change_that_overtakes_another_is_asked_for_again_by_difference() {
+fn a_delta_for_an_outdated_base_is_requested_again() {
     in_virtual_time(async {
         let (agent, mut link) = agent_with_first().await;
         link.introduce(true, 3).await;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_delta_that_does_not_fit_is_followed_by_the_complete_body() {
+fn an_inapplicable_delta_is_followed_by_the_complete_body() {
     in_virtual_time(async {
         let (agent, mut link) = agent_with_first().await;
         link.introduce(true, 2).await;
@@ -127,7 +127,7 @@
         };
         link.say(Message::ConfigDelta(ConfigDelta { digest: [0; 16], ..sound })).await;
         assert_eq!(fetched(&mut link).await, 0, "the complete body");
-        assert_eq!(agent.gossip.replica().version(), 1, "what was there before stays in force meanwhile");
+        assert_eq!(agent.gossip.replica().version(), 1, "the previous version stays in force");
         answer(&mut link, &peer, 0).await;
         agent.settle().await;
         assert_has(&agent, 2);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_body_that_takes_long_on_a_slow_link_is_asked_for_once() {
+fn a_slow_transfer_is_requested_once() {
     in_virtual_time(async {
         let agent = Agent::start();
         let (mut first, mut second) = (agent.controller(1), agent.controller(2));
--- a/crates/link/tests/events.rs
+++ b/crates/link/tests/events.rs
@@ -1,11 +1,11 @@
-//! Each event that the fleet's programs log stands on the operators' page, and the page names no other.
+//! The operators' page documents exactly the events that the fleet's programs log.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 const PAGE: &str = include_str!("../../../docs/operators/fleet.md");
 
-/// All files of a folder and of those in it.
+/// All files of a folder, recursively.
 fn files_in(folder: &Path) -> Vec<PathBuf> {
     let entries =
         std::fs::read_dir(folder).expect("the sources").map(|entry| entry.expect("a file").path());
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn every_event_stands_on_the_operators_page() {
+fn every_event_is_on_the_operators_page() {
     let table = PAGE.split("| event |").nth(1).expect("a table of events");
     let names =
         table.lines().filter(|line| line.starts_with("| `")).filter_map(|line| line.split('|').nth(1));
--- a/crates/link/tests/support/mod.rs
+++ b/crates/link/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An agent's gossip in virtual time, and controllers whose every word the test says.
+//! An agent's gossip in virtual time, and controllers whose messages the test scripts.
 
 use bytes::BufMut;
 use runtrack_link::slog::{Discard, Logger, o};
@@ -21,7 +21,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{interval, timeout};
 
-/// Bytes that may be on their way.
+/// Capacity of a connection in bytes.
 const BUFFER_BYTES: usize = 1 << 20;
 
 struct Stream(DuplexStream);
@@ -91,7 +91,7 @@
 }
 
 impl Agent {
-    /// An agent that has just started.
+    /// Starts an agent.
     pub fn start() -> Self {
         let network = Rc::new(Controllers::default());
         let environment = Environment { network: network.clone(), logger: Logger::root(Discard, o!()) };
@@ -102,7 +102,7 @@
         Agent { gossip, network }
     }
 
-    /// A controller that the agent dials.
+    /// Adds a controller that the agent dials.
     pub fn controller(&self, last: u8) -> Controller {
         let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, last), 7660);
         let (dialled, dials) = unbounded_channel();
@@ -111,13 +111,13 @@
         Controller { address, dials }
     }
 
-    /// Lets all that is under way arrive.
+    /// Waits until all messages in flight are delivered.
     pub async fn settle(&self) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// A controller whose every word the test says.
+/// A controller whose messages the test scripts.
 pub struct Controller {
     pub address: SocketAddrV4,
     dials: UnboundedReceiver<DuplexStream>,
@@ -129,7 +129,7 @@
     pub heard: UnboundedReceiver<Message>,
 }
 
-/// A message as it stands on a link.
+/// The encoded frame of a message.
 pub fn frame(message: &Message) -> Vec<u8> {
     let payload = encode(message).expect("it can be written");
     let mut frame = Vec::new();
@@ -144,15 +144,17 @@
         if reader.read_exact(&mut payload).await.is_err() {
             return;
         }
-        let _ = heard.send(decode(&payload).expect("the agent's words can be read")); // the test may be over
+        let _ = heard.send(decode(&payload).expect("the agent's messages can be decoded")); // the test may be over
     }
 }
 
 impl Controller {
-    /// The next link that the agent makes; the controller says who it is.
+    /// Accepts the agent's next link and introduces the controller on it.
     pub async fn linked(&mut self) -> Link {
-        let stream =
-            timeout(Duration::from_secs(10), self.dials.recv()).await.expect("it dials").expect("it runs");
+        let stream = timeout(Duration::from_secs(10), self.dials.recv())
+            .await
+            .expect("the agent dials")
+            .expect("the agent is running");
         let (reader, writer) = split(stream);
         let (said, heard) = unbounded_channel();
         spawn_local(read(reader, said));
@@ -170,7 +172,7 @@
 }
 
 impl Link {
-    /// Says this; it has not been read when this returns.
+    /// Sends a message without waiting until it is read.
     pub async fn say(&mut self, message: Message) {
         self.write(&frame(&message)).await;
     }
@@ -180,14 +182,14 @@
         self.writer.write_all(bytes).await.expect("there is room");
     }
 
-    /// Says that it has this version, and whether it is in contact.
+    /// Announces this version, and whether the controller is in contact with a majority.
     pub async fn introduce(&mut self, in_contact: bool, version: u64) {
         self.say(Message::MajorityContact(in_contact)).await;
         let members = Vec::new().into();
         self.say(Message::StateSummary(StateSummary { version, sequence: 0, members, proxies: 0 })).await;
     }
 
-    /// Sends keep-alives for this long; how much of that had passed when it was asked for its configuration.
+    /// Sends keep-alives for up to `limit`; returns the time until the agent requested the configuration.
     pub async fn asked_within(&mut self, limit: Duration) -> Option<Duration> {
         let from = tokio::time::Instant::now();
         let mut pings = interval(PING_INTERVAL);
--- a/crates/link/tests/trust.rs
+++ b/crates/link/tests/trust.rs
@@ -1,5 +1,5 @@
-//! Whose word an agent takes: configuration and suspects from controllers in contact with a majority; nothing that came
-//! while it was suspended.
+//! Which controllers an agent trusts: it takes configurations and suspects only from those in contact with a majority, and
+//! nothing that was queued while it was suspended.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::{Agent, in_virtual_time};
 
 const LONG: Duration = Duration::from_secs(5);
-/// The agent looks for a configuration this often.
+/// Interval at which the agent checks for a newer configuration.
 const LOOK: Duration = Duration::from_millis(250);
 
 type Checked = Result<(), String>;
@@ -39,7 +39,7 @@
     }
 }
 
-/// An agent that starts beside a controller that is cut off takes its word only after the wait.
+/// An agent that starts beside a partitioned controller takes its configuration only after the wait.
 async fn starts_beside_a_partitioned_one() -> Checked {
     let agent = Agent::start();
     let mut link = agent.controller(1).linked().await;
@@ -52,7 +52,7 @@
     check(agent.gossip.replica().version() == 5, "the configuration is taken")
 }
 
-/// One that is in contact is asked at once, and one that is cut off not at all, whatever it says.
+/// A controller in contact is asked at once; a partitioned one is never asked, whatever it announces.
 async fn prefers_one_in_contact() -> Checked {
     let agent = Agent::start();
     let (mut first, mut second) = (agent.controller(1), agent.controller(2));
@@ -70,7 +70,7 @@
     check(agent.gossip.replica().version() == 5, "the configuration is taken")
 }
 
-/// Suspects are those that all controllers in contact name.
+/// Suspects are those reported by all controllers in contact.
 async fn heeds_suspects_of_those_in_contact() -> Checked {
     let agent = Agent::start();
     let (mut first, mut second) = (agent.controller(1), agent.controller(2));
@@ -84,10 +84,10 @@
     one.say(Message::MajorityContact(true)).await;
     other.introduce(false, 0).await;
     agent.settle().await;
-    check(agent.gossip.reported_suspects() == [7, 8], "one that is cut off has no say")?;
+    check(agent.gossip.reported_suspects() == [7, 8], "reports of a partitioned controller do not count")?;
     other.say(Message::MajorityContact(true)).await;
     agent.settle().await;
-    check(agent.gossip.reported_suspects().is_empty(), "the other one names nobody")?;
+    check(agent.gossip.reported_suspects().is_empty(), "the other one reports no suspects")?;
     other.say(suspects(&[8, 9])).await;
     agent.settle().await;
     check(agent.gossip.reported_suspects() == [8], "both name it")?;
@@ -99,7 +99,7 @@
     check(agent.gossip.reported_suspects().is_empty(), "what it named before it lost contact is old")
 }
 
-/// A controller that is no member has no say, neither alone nor beside members.
+/// Suspects reported by a controller that is not a member are ignored, with and without members linked.
 async fn heeds_suspects_of_members_alone() -> Checked {
     let agent = Agent::start();
     let (mut first, mut second) = (agent.controller(1), agent.controller(2));
@@ -109,7 +109,7 @@
     member.say(suspects(&[7, 8])).await;
     other.say(suspects(&[8, 9])).await;
     agent.settle().await;
-    check(agent.gossip.reported_suspects() == [8], "before members are known each has a say")?;
+    check(agent.gossip.reported_suspects() == [8], "before members are known all reports count")?;
     let members: Vec<Member> = vec![Member::new(first.address, 0)];
     let summary = StateSummary { version: 0, sequence: 1, members: members.into(), proxies: 0 };
     member.say(Message::StateSummary(summary)).await;
@@ -120,10 +120,10 @@
     )?;
     member.say(Message::MajorityContact(false)).await;
     agent.settle().await;
-    check(agent.gossip.reported_suspects().is_empty(), "the other one alone names nobody")
+    check(agent.gossip.reported_suspects().is_empty(), "the other one alone reports no suspects")
 }
 
-/// An agent that was suspended takes nothing that was queued for it, and makes its links anew.
+/// A resumed agent ignores messages that were queued for it and dials its links again.
 async fn takes_nothing_that_came_while_it_was_suspended() -> Checked {
     let agent = Agent::start();
     let mut controller = agent.controller(1);
@@ -142,10 +142,7 @@
         "neither what it had nor what was queued for it counts",
     )?;
     let known = agent.gossip.replica().registry().get(key_of("i-1")).map(|record| record.state);
-    check(
-        known == Some(EndpointState::Draining),
-        "that an endpoint leaves is true however late it is heard",
-    )?;
+    check(known == Some(EndpointState::Draining), "a leave stays valid however late it arrives")?;
     let again = tokio::time::timeout(LONG, controller.linked()).await;
     let mut again = again.map_err(|_| "it must dial again")?;
     again.introduce(false, 6).await;
@@ -154,7 +151,7 @@
 }
 
 #[test]
-fn an_agent_beside_a_partitioned_controller_waits_and_then_starts() {
+fn an_agent_beside_a_partitioned_controller_starts_after_the_wait() {
     in_virtual_time(starts_beside_a_partitioned_one()).expect("it holds");
 }
 
@@ -164,17 +161,17 @@
 }
 
 #[test]
-fn suspects_are_those_that_all_controllers_in_contact_name() {
+fn suspects_need_all_controllers_in_contact() {
     in_virtual_time(heeds_suspects_of_those_in_contact()).expect("it holds");
 }
 
 #[test]
-fn suspects_are_those_that_members_name() {
+fn suspects_are_accepted_from_members_only() {
     in_virtual_time(heeds_suspects_of_members_alone()).expect("it holds");
 }
 
 #[test]
-fn a_suspended_agent_takes_nothing_that_was_queued_for_it() {
+fn a_resumed_agent_ignores_messages_queued_while_suspended() {
     in_virtual_time(takes_nothing_that_came_while_it_was_suspended()).expect("it holds");
 }
 
--- a/crates/message/tests/wire.rs
+++ b/crates/message/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages on the wire: what is written is read, and nothing that comes can do harm.
+//! Messages on the wire: encoding round trips, and malformed input is rejected without harm.
 
 use proptest::prelude::*;
 use runtrack_message::*;
--- a/crates/record_store/tests/contract.rs
+++ b/crates/record_store/tests/contract.rs
@@ -5,13 +5,13 @@
 
 const PREALLOCATED: usize = 4096;
 
-/// A folder of this test run that goes away with it.
+/// A temporary folder that is removed on drop.
 struct Scratch(PathBuf);
 
 impl Scratch {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("record-store-{name}-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&path); // of a run that was killed
+        let _ = std::fs::remove_dir_all(&path); // left by a killed run
         std::fs::create_dir_all(&path).expect("a folder");
         Scratch(path)
     }
@@ -72,7 +72,7 @@
         assert!(!kept, "the write is torn");
         let found = newest(&files).expect("a record");
         assert!(found == [4; 30] || (torn >= 54 && found == [9; 30]), "torn after {torn}: {found:?}");
-        // The same process goes on, and the one before the torn one is never overwritten first.
+        // The same process continues, and the record before the torn one is not overwritten first.
         store.append(&[10; 30]).expect("the record is written");
         assert_eq!(newest(&files), Some(vec![10; 30]));
     }
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_record_that_was_synced_and_is_damaged_gives_way_to_the_one_before() {
-    // No disk can tell this from a torn write: what a member has lost by it must be found out from the others.
+    // The disk can't distinguish this from a torn write; the member must learn from the others what it has lost.
     let files = Memory::default();
     let (mut store, _) = RecordStore::open(files.clone(), "value", 64).expect("it opens");
     for number in 0..5u8 {
@@ -227,7 +227,11 @@
     let (mut store, _) = RecordStore::open(files.clone(), "value", PREALLOCATED).expect("it opens");
     store.append(b"before").expect("the record is written");
     append_whose_sync_fails(&files, &mut store, b"refused");
-    assert_eq!(newest(&files).as_deref(), Some(b"refused".as_slice()), "it would come back");
+    assert_eq!(
+        newest(&files).as_deref(),
+        Some(b"refused".as_slice()),
+        "the failed record would be recovered"
+    );
     store.discard_failed_write().expect("the disk takes it");
     assert_eq!(newest(&files).as_deref(), Some(b"before".as_slice()));
     store.append(b"after").expect("the record is written");
@@ -241,7 +245,7 @@
     let (mut store, _) = RecordStore::open(files.clone(), "value", PREALLOCATED).expect("it opens");
     append_whose_sync_fails(&files, &mut store, b"refused");
     files.set_full(true);
-    assert!(store.discard_failed_write().is_err(), "nothing can be said without it");
+    assert!(store.discard_failed_write().is_err(), "the failed record can't be discarded");
     files.set_full(false);
     store.discard_failed_write().expect("the disk takes it");
     assert_eq!(newest(&files), None, "there was none before it");
--- a/crates/record_store/tests/stored_bytes.rs
+++ b/crates/record_store/tests/stored_bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes that are kept in the repository: a folder that an earlier version wrote is read, and the same records make the
-//! same bytes again, so that versions read each other's disks both ways. `fixtures/folder` was written by the version
+//! Compatibility of stored bytes: a folder that an earlier version wrote is decoded, and the same records produce the same
+//! bytes, so that versions read each other's disks in both directions. `fixtures/folder` was written by the version
 //! before the crate got its present name.
 
 use runtrack_record_store::{Files, Folder, Memory, RecordStore};
--- a/crates/registry/tests/leaves.rs
+++ b/crates/registry/tests/leaves.rs
@@ -1,10 +1,10 @@
-//! The leaves that a member keeps: what is written when, what is forgotten, and within which bounds.
+//! The table of leaves: batches to write, eviction, and bounds.
 
 use deku::DekuContainerWrite;
 use runtrack_message::{Endpoint, EndpointState, MAX_TEXT};
 use runtrack_registry::{LEAVE_GENERATIONS, LeaveRecord, LeaveTable, MAX_LEAVE_RECORD, Registry, key_of};
 
-/// Endpoints of the fleet that is designed for, and ended ones of the days after a release of all.
+/// Endpoints of the largest supported fleet, and endpoints replaced in the days after a release of all.
 const ENDPOINTS: usize = 12_000;
 const REPLACED: usize = 3_000;
 
@@ -23,12 +23,12 @@
     }
 }
 
-/// An id as long as those of a usual fleet.
+/// An id of typical length.
 fn id(number: usize) -> String {
     format!("llm-7f9c-zone-a-0123456789abcdef-{number:08}")
 }
 
-/// Writes all that is to be written, as a disk would have it: by slot.
+/// Writes the pending batch to a simulated disk, by slot; returns the number of records.
 fn write(table: &mut LeaveTable, disk: &mut [Option<LeaveRecord>]) -> usize {
     let Some(batch) = table.batch() else { return 0 };
     let count = batch.records.len();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn only_leaves_are_noted_and_they_only_rise() {
+fn only_leaves_are_recorded_and_their_state_only_advances() {
     let mut table = LeaveTable::default();
     assert!(!table.note(&leaving("one", EndpointState::Ready)));
     assert!(table.batch().is_none());
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_state_that_has_risen_since_is_not_durable() {
+fn a_state_advanced_after_the_batch_is_not_durable() {
     let mut table = LeaveTable::default();
     table.note(&leaving("one", EndpointState::Draining));
     write(&mut table, &mut empty_disk());
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn what_is_recovered_is_durable_and_goes_on_in_its_generation() {
+fn recovered_leaves_are_durable_and_stay_in_their_generation() {
     let mut table = LeaveTable::default();
     let mut disk = empty_disk();
     for number in 0..2_000 {
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_release_of_all_endpoints_and_the_days_after_it_are_kept() {
+fn the_table_holds_a_release_of_all_endpoints_and_the_days_after() {
     let mut table = LeaveTable::default();
     let mut disk = empty_disk();
     for number in 0..ENDPOINTS + REPLACED {
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn of_more_leaves_the_first_are_forgotten() {
+fn the_oldest_leaves_are_evicted_first() {
     let mut table = LeaveTable::default();
     let mut disk = empty_disk();
     let count = 3 * (ENDPOINTS + REPLACED);
@@ -157,12 +157,12 @@
 }
 
 #[test]
-fn the_longest_ids_keep_within_the_bounds_too() {
+fn the_longest_ids_stay_within_the_bounds() {
     let mut table = LeaveTable::default();
     let mut disk = empty_disk();
     let long = |number: usize| format!("{number:0width$}", width = MAX_TEXT as usize + 9);
     for number in 0..1_000 {
-        // What is beyond the bound of a text is cut off, so the number stands before it.
+        // Texts are truncated at their bound, so the number comes first.
         let id: String = long(number).chars().rev().collect();
         table.note(&leaving(&id, EndpointState::Gone));
         write(&mut table, &mut disk);
--- a/crates/registry/tests/merging.rs
+++ b/crates/registry/tests/merging.rs
@@ -1,4 +1,4 @@
-//! Copies of the registry: whatever order words come in, they end up alike.
+//! Replicas of the registry converge regardless of the order of messages.
 
 use fastrand::Rng;
 use runtrack_message::{DELTA_WIRE_VERSION, Endpoint, EndpointState, Message, WIRE_VERSION};
@@ -35,7 +35,7 @@
             for word in &words {
                 copy.merge(word.clone());
                 if rng.bool() {
-                    copy.merge(word.clone()); // said twice
+                    copy.merge(word.clone()); // duplicate message
                 }
             }
             copies.push(copy);
@@ -51,18 +51,18 @@
 }
 
 #[test]
-fn a_late_heartbeat_does_not_bring_back_who_is_gone() {
+fn a_late_heartbeat_does_not_revive_a_gone_endpoint() {
     let mut registry = Registry::default();
     assert!(registry.merge(record(1, EndpointState::Ready, 3)));
     assert!(registry.merge(record(1, EndpointState::Draining, 4)));
-    assert!(!registry.merge(record(1, EndpointState::Ready, 9)), "nobody has to hear of this");
+    assert!(!registry.merge(record(1, EndpointState::Ready, 9)), "an outdated record is not forwarded");
     assert!(registry.merge(record(1, EndpointState::Gone, 5)));
     assert!(!registry.merge(record(1, EndpointState::Ready, 10)));
     assert_eq!(registry.get(key_of("i-1")).expect("it is remembered").state, EndpointState::Gone);
 }
 
 #[test]
-fn a_heartbeat_of_the_same_state_is_no_news() {
+fn a_heartbeat_without_a_state_change_is_not_forwarded() {
     let mut registry = Registry::default();
     assert!(registry.merge(record(1, EndpointState::Ready, 3)));
     assert!(!registry.merge(record(1, EndpointState::Ready, 4)));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn who_has_nothing_gets_all() {
+fn an_empty_replica_receives_all_records() {
     let mut full = Registry::default();
     for id in 0..50 {
         full.merge(record(id, EndpointState::Ready, 1));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn ended_incarnations_are_remembered_within_bounds() {
+fn the_number_of_gone_incarnations_is_bounded() {
     let mut registry = Registry::default();
     for id in 0..20_000 {
         registry.merge(record(id, EndpointState::Gone, 1));
@@ -107,11 +107,11 @@
     registry.iter().for_each(|(_, record)| {
         again.merge(record.clone());
     });
-    assert_eq!(again.digests(), registry.digests(), "digests follow what is there");
+    assert_eq!(again.digests(), registry.digests(), "digests depend on the records only");
 }
 
 #[test]
-fn a_configuration_only_rises() {
+fn configuration_versions_only_increase() {
     let mut replica = Replica::default();
     assert!(replica.take_config(3, b"three".to_vec()));
     assert!(!replica.take_config(3, b"other".to_vec()));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn who_misses_heartbeats_while_others_are_heard_is_stale() {
+fn an_endpoint_without_heartbeats_is_stale_while_others_send_theirs() {
     let mut heard = HeartbeatTable::default();
     heard.note(at(0), HEARTBEAT, [1, 2]);
     for number in 1..=4 {
@@ -138,16 +138,16 @@
     assert!(heard.is_suspect(at(4800), HEARTBEAT, 3, 1));
     assert!(!heard.is_suspect(at(4800), HEARTBEAT, 3, 2));
     heard.note(at(4900), HEARTBEAT, [1]);
-    assert!(!heard.is_suspect(at(4900), HEARTBEAT, 3, 1), "it is heard again");
+    assert!(!heard.is_suspect(at(4900), HEARTBEAT, 3, 1), "its heartbeats are back");
 }
 
 #[test]
-fn time_in_which_nobody_could_be_heard_does_not_count() {
+fn time_without_any_heartbeats_does_not_count() {
     let mut heard = HeartbeatTable::default();
     heard.note(at(0), HEARTBEAT, [1, 2]);
-    assert!(!heard.is_suspect(at(60_000), HEARTBEAT, 3, 1), "nothing came from anybody");
+    assert!(!heard.is_suspect(at(60_000), HEARTBEAT, 3, 1), "no heartbeats arrived at all");
     heard.note(at(60_000), HEARTBEAT, [2]);
-    assert!(!heard.is_suspect(at(60_100), HEARTBEAT, 3, 1), "the feed has only just come back");
+    assert!(!heard.is_suspect(at(60_100), HEARTBEAT, 3, 1), "the feed has only just resumed");
     for number in 1..=4 {
         heard.note(at(60_000 + 1200 * number), HEARTBEAT, [2]);
     }
--- a/crates/registry/tests/repair_bytes.rs
+++ b/crates/registry/tests/repair_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes that go between two copies until they are alike, by the number of records in which they differ.
+//! Bytes transferred until two replicas are equal, by the number of differing records.
 
 use fastrand::Rng;
 use runtrack_message::{Endpoint, EndpointState, Message, encode};
@@ -26,7 +26,8 @@
     FRAME + encode(message).expect("a message").len()
 }
 
-/// A digest of one copy goes to the other one, which answers with its ranges, and gets records; bytes both ways.
+/// Sends a replica's digest to another one, which answers with range digests and gets records. Returns the bytes in both
+/// directions.
 fn repair(from: &Replica, to: &mut Replica) -> usize {
     let have = from.digest();
     let Message::Digest(digest) = &have else { panic!("a digest") };
@@ -39,7 +40,7 @@
     all
 }
 
-/// Bytes until two copies are alike, of which each knows half of what the other one lacks.
+/// Bytes until two replicas are equal, each of which has half of the differing records.
 fn bytes_until_alike(endpoints: usize, different: usize) -> usize {
     let mut rng = Rng::with_seed(endpoints as u64 ^ different as u64);
     let records: Vec<Endpoint> = (0..endpoints).map(|id| record(id, EndpointState::Ready)).collect();
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn repair_costs_ranges_and_the_records_of_those_that_differ() {
+fn a_repair_sends_digests_and_only_the_differing_ranges() {
     for endpoints in [1_000, 12_000] {
         let all = bytes(&Message::Entries(
             (0..endpoints).map(|id| record(id, EndpointState::Ready)).collect::<Vec<_>>().into(),
