--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -55,7 +55,7 @@
         if operation.method != *request.method() {
             return refusal(StatusCode::METHOD_NOT_ALLOWED, "not this method");
         }
-        let reply = self.carry_out(operation, request).await;
+        let reply = self.execute(operation, request).await;
         debug_assert!(
             operation.statuses.contains(&reply.status().as_u16()),
             "{} {}",
@@ -65,7 +65,7 @@
         reply
     }
 
-    async fn carry_out(self: Rc<Self>, operation: &Operation, request: Request<Incoming>) -> Reply {
+    async fn execute(self: Rc<Self>, operation: &Operation, request: Request<Incoming>) -> Reply {
         match operation.kind {
             OperationKind::ReadConfig => self.read().await,
             OperationKind::ChangeConfig(change) => self.change_config(change, request).await,
--- a/crates/controller/src/api/body.rs
+++ b/crates/controller/src/api/body.rs
@@ -1,4 +1,4 @@
-//! What a request carries, read within bounds: the body, and the version that a change builds on.
+//! Reads a request's body within bounds, and the base version of a change.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
--- a/crates/controller/src/api/config.rs
+++ b/crates/controller/src/api/config.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// What a request of the register finds, unless contact with a majority is lost or time is up before.
+    /// Result of a request to the register; `None` if contact with a majority is lost or the limit passes before.
     async fn within<T>(&self, limit: Duration, request: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// An operator replaces or amends the configuration.
+    /// Handles an operator's replacement or amendment of the configuration.
     pub(super) async fn change_config(
         self: Rc<Self>,
         change: ConfigChange,
@@ -78,7 +78,7 @@
         if !self.contact.is_current() {
             return out_of_contact();
         }
-        // It goes on where the caller has gone or was answered that its outcome is not known: what has begun should end.
+        // The change continues if the caller disconnects or was answered that the outcome is unknown.
         let (this, proposed) = (self.clone(), request.clone());
         let changing = spawn_local(async move { this.proposer.change_config(&proposed).await });
         let limit = ANSWER_TIMEOUT + ANSWER_ALLOWANCE_PER_BYTE * request.body.len() as u32;
--- a/crates/controller/src/api/endpoint_calls.rs
+++ b/crates/controller/src/api/endpoint_calls.rs
@@ -15,7 +15,7 @@
 
 /// Bytes of an endpoint's call at most.
 const MAX_CALL: usize = 64 << 10;
-/// Heartbeats that can't be read are logged this often at most.
+/// Minimum interval between log lines about malformed heartbeats.
 const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The endpoint's id and the body of a call.
@@ -25,7 +25,7 @@
 }
 
 impl Api {
-    /// An endpoint says that it is there, ready or draining.
+    /// Handles an endpoint's heartbeat in state ready or draining.
     pub(super) async fn heartbeat(&self, request: Request<Incoming>) -> Reply {
         let call = match read_call(request).await {
             Ok(call) => call,
--- a/crates/controller/src/api/operations.rs
+++ b/crates/controller/src/api/operations.rs
@@ -10,7 +10,7 @@
     ChangeConfig(ConfigChange),
     /// The operator reads the configuration.
     ReadConfig,
-    /// An endpoint says that it is there.
+    /// An endpoint's heartbeat.
     Heartbeat,
     /// An endpoint has ended.
     Deregister,
@@ -65,7 +65,7 @@
 
 /// The statuses of a change of the configuration.
 const CHANGE_STATUSES: &[u16] = &[200, 400, 408, 409, 412, 413, 503];
-/// What the paths of endpoints' calls begin with.
+/// Path prefix of endpoints' calls.
 const INSTANCES: &str = "/runtrack/instances/";
 
 impl Operation {
@@ -82,7 +82,7 @@
     }
 }
 
-/// An endpoint's id and what it calls for, as its path says.
+/// An endpoint's id and the operation, parsed from the path.
 pub(super) fn endpoint_call(path: &str) -> Option<(&str, &str)> {
     path.strip_prefix(INSTANCES)?.split_once('/').filter(|(id, _)| !id.is_empty())
 }
--- a/crates/controller/src/api/replies.rs
+++ b/crates/controller/src/api/replies.rs
@@ -1,4 +1,4 @@
-//! Answers over HTTP: the status and the JSON body that each outcome gets.
+//! HTTP responses: the status and the JSON body of each outcome.
 
 use crate::api::body::BodyError;
 use bytes::Bytes;
@@ -7,10 +7,10 @@
 use hyper::{Response, StatusCode};
 use miniserde::json;
 
-/// An answer, complete in memory.
+/// A response that is complete in memory.
 pub(super) type Reply = Response<Full<Bytes>>;
 
-/// An answer with a JSON body.
+/// A response with a JSON body.
 pub(super) fn json_reply(status: StatusCode, body: Bytes) -> Reply {
     let mut reply = Response::new(Full::new(body));
     *reply.status_mut() = status;
@@ -18,12 +18,12 @@
     reply
 }
 
-/// The answer to a call that was carried out and has nothing to say.
+/// The response to a successful call without a result.
 pub(super) fn done() -> Reply {
     json_reply(StatusCode::OK, Bytes::from_static(b"{}"))
 }
 
-/// The answer of a member that has no majority behind it: the caller is to go on to another one.
+/// The response of a member without contact to a majority: the caller should try another member.
 pub(super) fn out_of_contact() -> Reply {
     refusal(StatusCode::SERVICE_UNAVAILABLE, "no majority of the members can be reached")
 }
--- a/crates/controller/src/api/server.rs
+++ b/crates/controller/src/api/server.rs
@@ -44,7 +44,7 @@
             .header_read_timeout(IDLE_TIMEOUT)
             .serve_connection(TokioIo::new(connection), service);
         spawn_local(async move {
-            let _ = serving.await; // who called has gone
+            let _ = serving.await; // the caller may have disconnected
         });
     }
 }
--- a/crates/controller/src/api/wire.rs
+++ b/crates/controller/src/api/wire.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// What a deregistration may carry.
+/// The body of a deregistration.
 #[derive(Default, Deserialize)]
 struct DeregisterWire {
     #[serde(rename = "callSeq")]
@@ -77,7 +77,7 @@
     wire.call_seq
 }
 
-/// The record of an endpoint that was never heard of and is gone.
+/// The record of an unknown endpoint that is gone.
 pub(super) fn gone_record(id: &str) -> Endpoint {
     Endpoint {
         id: id.into(),
--- a/crates/controller/src/components.rs
+++ b/crates/controller/src/components.rs
@@ -26,7 +26,7 @@
 pub(crate) struct Components {
     /// Rounds and reads of the register.
     pub(crate) proposer: Rc<Proposer>,
-    /// Who the members are.
+    /// Management of the members.
     pub(crate) membership: Rc<Membership>,
     /// Endpoints' calls.
     pub(crate) endpoints: Rc<Endpoints>,
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Starts what the components do by themselves, for as long as the process runs.
+    /// Starts the components' background tasks.
     pub(crate) fn spawn(&self, node: &Node) {
         spawn_local(self.backlogs.clone().run());
         spawn_local(self.placements.clone().run());
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Confirms records once they are on disk. Where that takes too long nobody waits for it any more.
+    /// Confirms records once they are on disk, unless that takes longer than the requester waits.
     fn confirm(&self, number: u64, records: Vec<Endpoint>, session: &Rc<Session>) {
         let (leaves, session) = (self.leaves.clone(), session.clone());
         spawn_local(async move {
@@ -154,7 +154,7 @@
         });
     }
 
-    /// Passes on what a message says of its sender's disk, or of this process's.
+    /// Passes messages about the state of disks to the disk check.
     fn note_watermarks(&self, session: &Session, message: &Message) {
         match message {
             Message::Reply(_, reply) => self.disk_guard.on_register_reply(session, reply),
@@ -223,7 +223,7 @@
     }
 }
 
-/// Mutant: what this member is asked to accept is announced to agents, whether it is committed or not.
+/// Mutant: announces values that this member is asked to accept to agents, whether they are committed or not.
 fn announce_accepted(gossip: &Gossip, request: &RegisterRequest) {
     if let RegisterRequest::Accept { value, .. } = request {
         gossip.take_config(value.version, value.config.as_slice().to_vec());
--- a/crates/controller/src/confirmation_tracker.rs
+++ b/crates/controller/src/confirmation_tracker.rs
@@ -8,7 +8,7 @@
 /// Number of a link among all that this process has had: one that came up again has another number.
 pub type SessionKey = usize;
 
-/// Who was asked for one record on which link, and on which links it was confirmed.
+/// The members that were asked to confirm one record, by link, and the links on which it was confirmed.
 #[derive(Clone, Debug, Default)]
 pub struct ConfirmationTracker {
     asked: BTreeMap<SessionKey, Member>,
--- a/crates/controller/src/confirmations.rs
+++ b/crates/controller/src/confirmations.rs
@@ -39,7 +39,7 @@
     Confirmed(SessionKey),
     /// The write to the own disk has ended.
     OwnWriteEnded {
-        /// The record is there.
+        /// The record is on the member's disk.
         written: bool,
     },
     /// Members, or links to them, may be others than before.
@@ -47,7 +47,7 @@
 }
 
 impl Confirmations {
-    /// Nothing is waited for. Numbers begin where no earlier process of this member began, so that an answer to one of
+    /// An empty set of pending confirmations. Numbers begin where no earlier process of this member began, so that an answer to one of
     /// those matches nothing.
     pub fn new(gossip: Rc<Gossip>, contact: Rc<MajorityContact>, leaves: Rc<Leaves>) -> Self {
         Confirmations {
@@ -82,8 +82,8 @@
         done
     }
 
-    /// Asks members until enough of those in force have confirmed, or time is up. Who is in force is looked at anew
-    /// with each confirmation and with each change of what this process knows.
+    /// Asks members until majorities of the sets in force have confirmed, or the timeout passes. The sets in force are read again
+    /// with each confirmation and each change of this process's state.
     async fn wait(
         &self,
         mut confirmation: Confirmation,
--- a/crates/controller/src/contact.rs
+++ b/crates/controller/src/contact.rs
@@ -1,7 +1,7 @@
 //! Contact with a majority of the members, proven by probes: see [`ContactTable`].
 //!
-//! It bounds how old what this process knows can be while it answers. It gives no exclusive right: operations of the
-//! register still take their rounds.
+//! It bounds the age of the state from which this process answers. It gives no exclusive right: operations of the register
+//! still run their rounds.
 
 use crate::member::MemberTask;
 use crate::proposer::Proposer;
@@ -33,13 +33,13 @@
     table: RefCell<ContactTable<Member>>,
     /// Ballots that others have on disk, by their last replies.
     accepted: RefCell<BTreeMap<Member, Ballot>>,
-    /// What agents were notified of last.
+    /// The state that agents were notified of last.
     reported: Cell<bool>,
     proven: Notify,
 }
 
 impl MajorityContact {
-    /// In contact with nobody.
+    /// The initial state, without contact.
     pub fn new(
         gossip: Rc<Gossip>,
         proposer: Rc<Proposer>,
@@ -85,7 +85,7 @@
         self.table.borrow().is_current(self.gossip.now(), &self.sets())
     }
 
-    /// The ballot of the value that another member has on disk, as it said last.
+    /// The ballot of the value on another member's disk, as reported last.
     pub fn peer_accepted(&self, member: &Member) -> Option<Ballot> {
         self.accepted.borrow().get(member).copied()
     }
--- a/crates/controller/src/copies.rs
+++ b/crates/controller/src/copies.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Interval at which a leaving member checks whether the others have what is committed.
+/// Interval at which a leaving member checks whether the others have the committed value.
 const COPY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Which members have the committed value.
@@ -38,7 +38,7 @@
         Copies { gossip, proposer, member, contact, table: RefCell::new(ReplicaTable::new(wait)) }
     }
 
-    /// What is known, as of the last look at it.
+    /// The replica table, as of its last update.
     pub fn table(&self) -> Ref<'_, ReplicaTable> {
         self.table.borrow()
     }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The other members that can be reached and lack what is committed.
+    /// The other members that are reachable and lack the committed value.
     fn lacking(&self) -> Vec<String> {
         let Some((committed, value)) = self.proposer.known() else { return Vec::new() };
         let me = self.gossip.me().member;
@@ -80,12 +80,12 @@
         lacking.map(|(member, _)| member.address().to_string()).collect()
     }
 
-    /// Logs who lacks what is committed.
+    /// Logs the members that lack the committed value.
     pub fn log_missing(&self) {
         warn!(self.gossip.logger(), "copies.missing"; "members" => self.lacking().join(" "));
     }
 
-    /// Waits until the other members that can be reached have what is committed.
+    /// Waits until the other reachable members have the committed value.
     pub async fn wait_until_complete(&self) {
         if mutant("leaving-member-goes-at-once") || self.lacking().is_empty() {
             return;
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -19,7 +19,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// What a member must not forget.
+/// A record that a member must keep across restarts.
 #[derive(Clone, Debug)]
 pub enum Record {
     /// A promise.
@@ -28,13 +28,13 @@
     Value(Box<ValueRecord>),
     /// Endpoints that leave.
     Leaves(LeaveRecord),
-    /// Where prefixes of prompts are. A hint alone: nothing is lost with it but time.
+    /// Placements of prompt prefixes. Only a hint: losing it costs time alone.
     Placements(PrefixPlacements),
-    /// The endpoints that are ready, as far as this process knows. A hint as well: each says so again with its next heartbeat.
+    /// The ready endpoints known to this process. Also a hint: heartbeats repeat it.
     Endpoints(Vec<Endpoint>),
 }
 
-/// A write that is under way; it ends once the record is durable, or with the reason why it is not.
+/// A write in progress; resolves once the record is durable, or to the error.
 pub type Persisting = Pin<Box<dyn Future<Output = Result<(), WriteError>>>>;
 
 /// Where a member keeps its records.
@@ -58,7 +58,7 @@
 pub(crate) struct Disk(pub(crate) Rc<dyn MemberDisk>);
 
 impl Disk {
-    /// Writes what an acceptor of this incarnation must not forget; whether it is durable.
+    /// Writes an acceptor's durable state for this incarnation; returns whether that succeeded.
     pub async fn persist(&self, incarnation: u64, durable: Durable) -> bool {
         let record = match durable {
             Durable::Promise(promised) => Record::Promise(PromiseRecord { incarnation, promised }),
--- a/crates/controller/src/disk/error.rs
+++ b/crates/controller/src/disk/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a member's disk.
+//! Errors of a member's disk.
 
 use quick_error::quick_error;
 use runtrack_record_store::StoreError;
--- a/crates/controller/src/disk/rings.rs
+++ b/crates/controller/src/disk/rings.rs
@@ -89,17 +89,17 @@
         &self.recovered_placements
     }
 
-    /// The endpoints that were there when the rings were opened.
+    /// The endpoints found when the rings were opened.
     pub fn recovered_endpoints(&self) -> &[Endpoint] {
         &self.recovered_endpoints
     }
 
-    /// Writes a record; once this returns it is there after any loss of power. Where it fails it may be there or not, and the
-    /// record before it still is.
+    /// Writes a record, which survives a power loss once this returns. If it fails, the record may or may not be on disk, and the
+    /// previous record still is.
     ///
-    /// A promise goes out with the value that the member stands for. A value whose write failed must not come back after a
-    /// restart then: it would have been accepted under a lower ballot than was promised without it. So what may be left of it
-    /// is overwritten before the promise, and a member whose disk refuses that promises nothing.
+    /// A promise reports the accepted value. A value whose write failed must therefore not be recovered after a later promise: it
+    /// would have been accepted under a lower ballot than was promised without it. So any remains of it are overwritten before
+    /// the promise, and a member whose disk refuses that promises nothing.
     pub fn write(&mut self, record: &Record) -> Result<(), StoreError> {
         match record {
             Record::Promise(promise) => {
--- a/crates/controller/src/disk/thread.rs
+++ b/crates/controller/src/disk/thread.rs
@@ -16,7 +16,7 @@
 /// Bytes of the stack of the thread that writes.
 const STACK: usize = 256 << 10;
 
-/// A record that is to be written, and who waits for it.
+/// A record to write, and the channel for the result.
 struct Job {
     record: Record,
     done: oneshot::Sender<Result<(), WriteError>>,
@@ -47,14 +47,14 @@
     }
 }
 
-/// Writes records in the order in which they come, until nobody can send any.
+/// Writes records in order of arrival, until all senders are dropped.
 fn write_all(mut rings: Rings<Folder>, waiting: &mpsc::Receiver<Job>, logger: &Logger) {
     for Job { record, done } in waiting {
         let result = rings.write(&record).map_err(WriteError::from);
         if let Err(problem) = &result {
             warn!(logger, "disk.refused"; "problem" => %problem);
         }
-        let _ = done.send(result); // nobody waits any more where the process ends
+        let _ = done.send(result); // the receiver is gone when the process ends
     }
 }
 
--- a/crates/controller/src/disk_guard.rs
+++ b/crates/controller/src/disk_guard.rs
@@ -1,5 +1,5 @@
-//! Holds a member back after its start until the others have said whether its disk is the newest one, and answers
-//! others that ask.
+//! The disk check: a starting member takes no part until the others have answered whether its disk is current. Also answers the
+//! checks of other members.
 
 use crate::member::MemberTask;
 use crate::proposer::Proposer;
@@ -23,7 +23,7 @@
 /// Where more members are remembered than this, those are forgotten that are neither in force nor connected.
 const MAX_REMEMBERED_MEMBERS: usize = 64;
 
-/// The check of this member's disk, and what it remembers of others.
+/// The check of this member's disk, and the watermarks of other members.
 pub(crate) struct DiskGuard {
     gossip: Rc<Gossip>,
     proposer: Rc<Proposer>,
@@ -61,13 +61,13 @@
         })
     }
 
-    /// A member asks what is remembered of it.
+    /// Answers a member's request for its watermark.
     pub fn on_watermark_request(&self, session: &Session, member: Member) {
         let remembered = self.watermarks.borrow().of(&member);
         session.send(&Message::WatermarkReply(WatermarkReply { member, remembered }));
     }
 
-    /// A member says what it remembers of this one.
+    /// Handles another member's watermark of this one.
     pub fn on_watermark_reply(&self, session: &Session, answer: &WatermarkReply) {
         if let Some(from) = controller_of(session).filter(|_| answer.member == self.me) {
             self.check.borrow_mut().on_answer(from, answer.remembered);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A member says what it has on disk.
+    /// Notes the ballot that a member reports to have on disk.
     pub fn on_accepted(&self, session: &Session, ballot: Ballot) {
         if let Some(from) = controller_of(session) {
             self.watermarks.borrow_mut().on_accepted(from, ballot);
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Keeps what is remembered within bounds. A member that is only down is in force, and is not forgotten.
+    /// Bounds the number of watermarks. Members in force are kept, also while they are down.
     fn forget_others(&self) {
         if self.watermarks.borrow().remembered_members() <= MAX_REMEMBERED_MEMBERS {
             return;
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Waits until the check is over; whether a process that has run for longer remembers this member. Nobody does where all
-    /// members have started together.
+    /// Waits until the check is over; returns whether a process that has run for longer has a watermark of this member. None has
+    /// if all members have started together.
     pub async fn is_remembered(&self) -> bool {
         loop {
             if let Some(known) = self.is_remembered.get() {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Asks those who have not answered; what is known so far.
+    /// Queries the members that have not answered; returns the verdict so far.
     fn query(&self) -> DiskVerdict {
         let mut check = self.check.borrow_mut();
         check.set_sets(self.proposer.sets());
--- a/crates/controller/src/endpoint_store.rs
+++ b/crates/controller/src/endpoint_store.rs
@@ -1,13 +1,13 @@
 //! The endpoints that are ready, on this member's disk.
 //!
-//! Endpoints are known by their heartbeats, and by whoever has heard of them. Where all processes of the fleet have ended, nobody
-//! has, and until the last endpoint has sent its next heartbeat, the first few are sent everything. So each member keeps a hint of
-//! who was ready, and tells it after such a restart.
+//! Endpoints are known from their heartbeats, directly or through other processes. After a restart of all processes of the fleet
+//! none is known, and until the last endpoint has sent its next heartbeat, the first few get all requests. So each member stores
+//! the ready endpoints as a hint and announces it after such a restart.
 //!
-//! A hint must not contradict an acknowledged leave, which may be on the disks of other members alone: it is told only once the
-//! leaves of a majority have been taken over ([`LeaveSync`]). Where any process has run for longer, that one knows better, and
-//! the hint is dropped: it may be as old as this member's absence. An endpoint that has crashed meanwhile is named as stalled
-//! as any other, and one whose address belongs to somebody else by now answers 421, since requests name the endpoint.
+//! A hint must not contradict an acknowledged leave, which may be on the disks of other members only: it is announced only after
+//! the leaves of a majority have been merged ([`LeaveSync`]). If any process has run for longer, its state is newer and the hint
+//! is dropped, since it may be as old as this member's absence. An endpoint that has crashed meanwhile is reported as stalled
+//! like any other, and one whose address is in use by another process answers 421, since requests name the endpoint.
 
 use crate::disk::{Disk, Record};
 use crate::disk_guard::DiskGuard;
@@ -31,7 +31,7 @@
 const ENDPOINT_BYTES: usize = 80;
 /// Interval at which members that have been linked meanwhile are asked for their leaves.
 const ASK_INTERVAL: Duration = Duration::from_millis(10);
-/// After so many heartbeat intervals every endpoint that is alive has been heard of, and the hint is of no use.
+/// Number of heartbeat intervals after which every live endpoint has sent a heartbeat, so that the hint is obsolete.
 const RESTORE_HEARTBEATS: u32 = 3;
 
 /// The endpoints on this member's disk.
@@ -41,7 +41,7 @@
     disk_guard: Rc<DiskGuard>,
     leave_sync: Rc<LeaveSync>,
     heartbeat: Duration,
-    /// What was on the disk at the start, until it is told or dropped.
+    /// Endpoints found on the disk at the start, until they are announced or dropped.
     recovered: RefCell<Vec<Endpoint>>,
     /// Keys of the endpoints that were written last.
     written: RefCell<BTreeSet<u64>>,
@@ -49,7 +49,7 @@
 }
 
 impl EndpointStore {
-    /// Reads what is on the disk.
+    /// Reads the endpoints from the disk.
     pub(crate) fn new(
         gossip: Rc<Gossip>,
         disk: Disk,
@@ -70,9 +70,10 @@
         })
     }
 
-    /// Tells what was on the disk, where nobody knows better, and keeps it up to date for as long as the process runs.
+    /// Announces the endpoints from the disk unless a process has newer state, then keeps the disk up to date while the process
+    /// runs.
     pub(crate) async fn run(self: Rc<Self>) {
-        let _ = timeout(self.heartbeat * RESTORE_HEARTBEATS, self.restore()).await; // every one has been heard of by then
+        let _ = timeout(self.heartbeat * RESTORE_HEARTBEATS, self.restore()).await; // by then every live endpoint has sent a heartbeat
         loop {
             sleep(self.interval.get()).await;
             self.write().await;
@@ -95,7 +96,7 @@
         self.gossip.merge(recovered, None);
     }
 
-    /// The endpoints that are ready and heard of.
+    /// The endpoints that are ready and send heartbeats.
     fn ready(&self) -> Vec<(u64, Endpoint)> {
         let replica = self.gossip.replica();
         let ready = replica.registry().iter().filter(|(_, record)| record.state == EndpointState::Ready);
--- a/crates/controller/src/endpoints.rs
+++ b/crates/controller/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints' calls: heartbeats, leaves, and who has stalled.
+//! Endpoints' calls: heartbeats, leaves, and the detection of stalled endpoints.
 
 use crate::confirmations::Confirmations;
 use crate::contact::MajorityContact;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// An endpoint that has missed this many heartbeats, while others were heard, counts as stalled.
+/// Number of missed heartbeats, while others arrived, after which an endpoint counts as stalled.
 pub(crate) const MISSED_HEARTBEATS: u32 = 3;
 
 /// Handles endpoints' calls.
@@ -24,12 +24,12 @@
     confirmations: Confirmations,
     /// Endpoints whose heartbeats came here since the last relay.
     heard: RefCell<BTreeSet<u64>>,
-    /// Who has stalled, as agents were notified last.
+    /// The stalled endpoints that agents were notified of last.
     reported: RefCell<Vec<u64>>,
 }
 
 impl Endpoints {
-    /// Nobody has called yet.
+    /// The initial state, without calls.
     pub fn new(gossip: Rc<Gossip>, contact: Rc<MajorityContact>, leaves: Rc<Leaves>) -> Rc<Self> {
         let confirmations = Confirmations::new(gossip.clone(), contact.clone(), leaves);
         Rc::new(Endpoints {
@@ -41,10 +41,9 @@
         })
     }
 
-    /// Handles a call; whether it may be acknowledged. Nothing is while this process is not in contact with a majority:
-    /// the endpoint is to call a member that others hear. One that leaves is acknowledged once a majority of the
-    /// members have it on disk, so that every proxy in touch hears of it whichever members it is linked to. What the call says is
-    /// merged and forwarded in any case.
+    /// Handles a call; returns whether it may be acknowledged. None is while this process is not in contact with a majority: the
+    /// endpoint must call a member that is. A leave is acknowledged once a majority of the members have it on disk, so that every
+    /// connected proxy learns of it whichever members it is linked to. The record is merged and forwarded in any case.
     pub async fn on_call(&self, record: Endpoint) -> bool {
         let id = record.id.as_string();
         let key = key_of(&id);
@@ -63,12 +62,12 @@
         self.confirmations.on_confirmed(number, session);
     }
 
-    /// Another member has received heartbeats of these.
+    /// Handles heartbeats of these endpoints that another member relays.
     pub fn on_heartbeat_relay(&self, keys: &[u64]) {
         self.gossip.note_heartbeats(keys);
     }
 
-    /// Endpoints that no member has heard of for too long; nobody while this process is not in contact.
+    /// Endpoints from which no member has received a heartbeat for too long; none while this process is not in contact.
     fn stalled(&self) -> Vec<u64> {
         if !self.contact.is_current() && !mutant("suspects-out-of-contact") {
             return Vec::new();
@@ -83,7 +82,7 @@
         stalled
     }
 
-    /// Relays heartbeats to the other members, and notifies agents of who has stalled, for as long as the process runs.
+    /// Relays heartbeats to the other members and notifies agents of stalled endpoints, while the process runs.
     pub async fn run(self: Rc<Self>, heartbeat: Duration) {
         let mut ticks = interval(heartbeat / 2);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Notifies a new agent of who has stalled.
+    /// Notifies a new agent of the stalled endpoints.
     pub fn on_agent_connect(&self, session: &Session) {
         session.send(&Message::Suspects(self.reported.borrow().clone().into()));
     }
--- a/crates/controller/src/leave_sync.rs
+++ b/crates/controller/src/leave_sync.rs
@@ -1,9 +1,9 @@
-//! Before this process asks to become a member, and before it tells of endpoints that it only knows from its disk, it takes
-//! over what the members know of leaves. An acknowledged leave is on the disks of a majority of them, so whoever has compared
-//! with a majority has it, and can stand in for one that is lost.
+//! Synchronizes leaves with the members before this process asks to join, and before it announces endpoints that it knows only
+//! from its disk. An acknowledged leave is on the disks of a majority, so a process that has compared its leaves with a majority
+//! has it and can replace a lost member.
 //!
-//! Each member is sent the digests of this process's ranges, which it answers with the records that differ, and behind them
-//! on the same link a request to confirm nothing: its confirmation comes after the records.
+//! Each member is sent the digests of this process's ranges, which it answers with the differing records, followed on the same
+//! link by a request to confirm an empty list: the confirmation arrives after the records.
 
 use crate::contact::MajorityContact;
 use crate::leaves::Leaves;
@@ -21,14 +21,14 @@
     contact: Rc<MajorityContact>,
     leaves: Rc<Leaves>,
     next_number: Cell<u64>,
-    /// Who was asked last on which link, and under which number.
+    /// The member asked last on each link, and the number of the request.
     asked: RefCell<BTreeMap<Member, (usize, u64)>>,
-    /// Who has answered, and the change of the table with which its leaves were merged.
+    /// The members that have answered, each with the change of the table by which its leaves were merged.
     merged: RefCell<BTreeMap<Member, u64>>,
 }
 
 impl LeaveSync {
-    /// Nobody has been asked.
+    /// The initial state, without requests.
     pub fn new(gossip: Rc<Gossip>, contact: Rc<MajorityContact>, leaves: Rc<Leaves>) -> Rc<Self> {
         Rc::new(LeaveSync {
             gossip,
@@ -59,14 +59,14 @@
         let number = self.next_number.get();
         self.next_number.set(number.wrapping_add(1));
         self.asked.borrow_mut().insert(member, (session.key, number));
-        // What came while the link was down is not among what was compared before.
+        // An earlier comparison does not include changes from while the link was down.
         self.merged.borrow_mut().remove(&member);
         let ranges = self.gossip.replica().registry().digests();
         session.send(&Message::RangeDigests(ranges.into()));
         session.send(&Message::Confirm(number, Vec::new().into()));
     }
 
-    /// A member has confirmed nothing: what differed has been merged before.
+    /// Handles the confirmation of the empty list: the differing records have been merged before it.
     pub fn on_confirmed(&self, number: u64, session: &Session) {
         let answered = (session.key, number);
         let asked = self.asked.borrow();
--- a/crates/controller/src/leaves.rs
+++ b/crates/controller/src/leaves.rs
@@ -1,5 +1,5 @@
-//! The leaves of endpoints on this member's disk. What the registry learns is noted here; one write at a time takes all
-//! that was noted meanwhile, so that a release of thousands of endpoints costs few syncs.
+//! The leaves of endpoints on this member's disk. New leaves are queued here and written in batches, one write at a time, so
+//! that a release of thousands of endpoints costs few syncs.
 
 use crate::disk::{Disk, Record};
 use runtrack_message::Endpoint;
@@ -15,20 +15,20 @@
 
 /// Backoff after a write that the disk refused.
 const REFUSED_BACKOFF: Duration = Duration::from_millis(300);
-/// An endpoint waits a second for its acknowledgement: who waits for the disk gives up before that, so that a stalled disk
-/// does not gather those who wait.
+/// Timeout of waiting for the disk. It is below the second that an endpoint waits for its acknowledgement, so that waiters do
+/// not accumulate while a disk is stalled.
 const PERSIST_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The leaves that this member stores.
 pub(crate) struct Leaves {
     table: RefCell<LeaveTable>,
     noted: Notify,
-    /// Wakes who waits for the disk, in the order of waiting: a `watch` channel would wake them in random order.
+    /// Wakes the tasks that wait for the disk in order of waiting; a `watch` channel would wake them in random order.
     written: Notify,
 }
 
 impl Leaves {
-    /// Reads what is on the disk, and writes there what is noted from now on; with the leaves that were found.
+    /// Reads the leaves from the disk and starts the writing of new ones. Returns the endpoints whose leaves were found.
     pub fn start(disk: Disk, logger: &Logger) -> (Rc<Self>, Vec<Endpoint>) {
         let records = if mutant("leaves-not-read") { Vec::new() } else { disk.0.leaves() };
         let endpoints: Vec<Endpoint> = records.iter().flat_map(|record| record.endpoints()).collect();
@@ -77,7 +77,7 @@
         self.table.borrow().is_durable(change)
     }
 
-    /// Writes what is noted, for as long as the process runs.
+    /// Writes queued leaves while the process runs.
     async fn run(self: Rc<Self>, disk: Disk) {
         loop {
             let batch = self.table.borrow().batch();
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,10 +1,10 @@
 //! A control member: the operator's API and the endpoints' on one side, links to agents and other members on the
 //! other, the register and its disk within.
 //!
-//! `api` serves HTTP; `components` hands messages of the links on. The register: `member` answers rounds (CASPaxos: Rystsov,
-//! 2018), `proposer` begins them, `membership` and `copies` change the members one at a time, `disk` and `disk_guard` keep
-//! what must not be forgotten. Beside it: `contact` with a majority, `endpoints` with `confirmations`, `leaves` and `endpoint_store`, `backlog`
-//! and `placements` for the proxies. The guarantees are in `docs/design/control-state.md`.
+//! `api` serves HTTP; `components` dispatches messages of the links. The register: `member` answers rounds (CASPaxos: Rystsov,
+//! 2018), `proposer` starts them, `membership` and `copies` change the members one at a time, `disk` stores the durable state
+//! and `disk_guard` checks it at the start. Besides: `contact` with a majority, `endpoints` with `confirmations`, `leaves` and
+//! `endpoint_store`, `backlog` and `placements` for the proxies. The guarantees are in `docs/design/control-state.md`.
 
 pub mod api;
 mod backlog;
--- a/crates/controller/src/member.rs
+++ b/crates/controller/src/member.rs
@@ -19,21 +19,21 @@
 
 type Reply = Box<dyn FnOnce(RegisterReply)>;
 
-/// A request and what its reply goes to.
+/// A request and the receiver of its reply.
 struct QueuedRequest {
     request: RegisterRequest,
     reply: Reply,
 }
 
-/// The member, its queue and what it has to copy.
+/// The member, its queue, and the committed value that it still has to store.
 pub struct MemberTask {
     started_at: Instant,
     acceptor: RefCell<Acceptor>,
-    /// What it has accepted and has on disk; what the acceptor says may still be on its way there.
+    /// The accepted value that is on disk; the acceptor's may still be being written.
     durable_accepted: RefCell<Option<Accepted>>,
     /// Its incarnation is on disk.
     durable: Cell<bool>,
-    /// The check of its disk is over: before that it takes no part.
+    /// Whether the disk check is over; before that the member takes no part.
     released: Cell<bool>,
     queue: RefCell<RequestQueue<QueuedRequest>>,
     /// The newest value that is known to be committed, where it may not be on disk yet.
@@ -106,7 +106,7 @@
         self.durable.get()
     }
 
-    /// What it has accepted last.
+    /// The value that it has accepted last.
     pub fn accepted(&self) -> Option<Accepted> {
         self.acceptor.borrow().accepted().cloned()
     }
@@ -116,8 +116,8 @@
         self.durable_accepted.borrow().as_ref().map(|accepted| accepted.ballot).unwrap_or_default()
     }
 
-    /// What it tells others that it has on disk. Nothing before the check of its disk: they would remember it, and take
-    /// what an older disk holds for what was there before.
+    /// The ballot on disk as reported to others. It is zero before the disk check: others would otherwise note the state of an
+    /// older disk as this member's watermark.
     pub fn shown_accepted(&self) -> Ballot {
         if self.released.get() { self.durable_accepted() } else { Ballot::default() }
     }
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Writes what must not be forgotten, or puts the acceptor back as it was; whether it is durable.
+    /// Writes a record; if that fails, restores the acceptor's previous state. Returns whether the record is durable.
     async fn persist(&self, before: Acceptor, durable: Durable, disk: &Disk, logger: &Logger) -> bool {
         let accepted = match &durable {
             Durable::Value(accepted) => Some(accepted.clone()),
@@ -206,7 +206,7 @@
         let [_, last] = self.write_times.get();
         self.write_times.set([last, began.elapsed()]);
         if !persisted {
-            // What is not on disk was never promised: the others are a majority without this member.
+            // A promise that is not on disk was not given: the others are a majority without this member.
             info!(logger, "member.stalled"; "promised" => before.promised().round);
             *self.acceptor.borrow_mut() = before;
             return false;
--- a/crates/controller/src/membership.rs
+++ b/crates/controller/src/membership.rs
@@ -1,12 +1,12 @@
-//! Who the members are: dialling them, taking in who asks to join, replacing who is lost, leaving at the end.
+//! Management of the members: dialling them, admitting joining processes, replacing lost members, leaving at the end.
 //!
-//! What comes next is decided by [`plan_membership`]; this shell gathers what it needs to know and carries the change
-//! out. One member is the coordinator, named by rendezvous hashing over those that are not suspected. Two that take
-//! themselves for it do no harm: a change names the set that it was planned on, and the register takes it on no other.
+//! [`plan_membership`] decides on the next change; this module collects its input and executes the change. One member is the
+//! coordinator, selected by rendezvous hashing over the members that are not suspected. Two concurrent coordinators are safe: a
+//! change names the set that it was planned on, and the register applies it to no other.
 //!
-//! This file holds the state and the loop. `requests` remembers who asked to join or to leave, `dialling` keeps links up,
-//! `joining` and `leaving` are this process's own way in and out, `coordinator` decides on changes, `change` carries one
-//! through the register.
+//! This file holds the state and the loop. `requests` records requests to join or to leave, `dialling` keeps links up,
+//! `joining` and `leaving` implement the joining and leaving of this process, `coordinator` decides on changes, `change`
+//! executes one in the register.
 //!
 //! [`plan_membership`]: runtrack_register::plan_membership
 
@@ -42,7 +42,7 @@
 /// Interval at which the membership is checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Who the members are, and who wants to be.
+/// The members, and the processes that ask to join.
 pub struct Membership {
     gossip: Rc<Gossip>,
     proposer: Rc<Proposer>,
@@ -50,7 +50,7 @@
     contact: Rc<MajorityContact>,
     leave_sync: Rc<LeaveSync>,
     me: Member,
-    /// What the register holds before the first value is written.
+    /// The value of the register before the first one is written.
     initial: Rc<Value>,
     seeds: RefCell<BTreeSet<SocketAddrV4>>,
     wanted: usize,
@@ -60,9 +60,9 @@
     dials: Dials,
     /// When this process asked to join last.
     asked_to_join_at: Cell<Option<Instant>>,
-    /// What a change waits for, as logged last.
+    /// The reason why a change waits, as logged last.
     waiting: Cell<Option<WaitReason>>,
-    /// This process is about to end, and asks for nothing any more.
+    /// This process is about to end and sends no more requests.
     shutting_down: Cell<bool>,
     /// It is a member, and that is logged.
     joined: Cell<bool>,
@@ -133,8 +133,8 @@
         }
     }
 
-    /// The newest value that is known to be committed, or what there is before the first one; nothing while it is not known
-    /// whether there is one.
+    /// The newest value known to be committed, or the initial one before the first; `None` while it is not known whether there is
+    /// one.
     fn newest(&self) -> Option<(Ballot, Rc<Value>)> {
         let nothing_announced = self.gossip.replica().members().sequence == 0;
         let nothing_written =
--- a/crates/controller/src/membership/change.rs
+++ b/crates/controller/src/membership/change.rs
@@ -11,11 +11,11 @@
 /// Time-out of a change of the membership.
 const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What a change was planned on.
+/// The state on which a change was planned.
 pub(super) struct BasisOfChange {
     /// The members.
     pub members: BTreeSet<Member>,
-    /// Nothing had been written.
+    /// Whether nothing had been written.
     pub is_empty: bool,
 }
 
@@ -27,9 +27,9 @@
 }
 
 impl Membership {
-    /// Carries one change through: the joint sets, then the new one alone. Where the members are others than those that
-    /// it was planned on, nothing is changed; where another change is under way, that is finished. What was planned while
-    /// nothing was written is planned again where a first value has come meanwhile: its copies come first.
+    /// Executes one change: the joint sets, then the new set alone. If the members differ from those of the plan, nothing is
+    /// changed; if another change is in progress, that one is finished. A change planned before the first value is planned again
+    /// if a first value was written meanwhile, since its replication has priority.
     pub(super) async fn change(&self, planned_on: &BasisOfChange, next: &BTreeSet<Member>) {
         let deadline = Instant::now() + MEMBERSHIP_CHANGE_TIMEOUT;
         let mut begin = |current: Option<&Value>| match current.unwrap_or(&self.initial) {
--- a/crates/controller/src/membership/coordinator.rs
+++ b/crates/controller/src/membership/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator, the one member that changes the membership: who it is, what it sees, and what it does.
+//! The coordinator, the member that changes the membership: its selection, its view and its actions.
 
 use crate::membership::Membership;
 use crate::membership::change::BasisOfChange;
@@ -23,7 +23,8 @@
         *member != self.me && self.contact.suspected_by_majority(member)
     }
 
-    /// Whether this process is the coordinator: one of those that are not lost, the same one for all who see the same.
+    /// Whether this process is the coordinator: one of the members that are not lost, the same one for all processes with the
+    /// same view.
     pub(super) fn is_coordinator(&self, members: &BTreeSet<Member>) -> bool {
         let alive = members
             .iter()
@@ -32,7 +33,7 @@
         rendezvous(hash(COORDINATOR_KEY), names) == Some(hash(self.me.address().to_string().as_bytes()))
     }
 
-    /// What the plan is made from.
+    /// The view that the plan is based on.
     fn view(&self, current: BTreeSet<Member>) -> MembershipView {
         let copies = self.copies.table();
         let mut present = copies.present(self.gossip.now());
--- a/crates/controller/src/membership/leaving.rs
+++ b/crates/controller/src/membership/leaving.rs
@@ -7,13 +7,13 @@
 use tokio::time::timeout;
 
 impl Membership {
-    /// A member is about to end, and there are members to spare.
+    /// Handles the request of a member that is about to end.
     pub fn on_leave_request(&self, leaving: Member) {
         self.requests.borrow_mut().leave(leaving);
     }
 
-    /// Hands over before the process ends: the others that can be reached hold what is committed, and where they bear
-    /// the loss without it, it leaves the register.
+    /// Hands over before the process ends: waits until the other reachable members hold the committed value, and leaves the
+    /// register if the rest tolerates a loss without this member.
     pub async fn leave(&self) {
         self.shutting_down.set(true);
         if timeout(self.leave_timeout, self.hand_over()).await.is_err() {
--- a/crates/controller/src/membership/requests.rs
+++ b/crates/controller/src/membership/requests.rs
@@ -1,4 +1,4 @@
-//! Who has asked to join or said that it leaves, for as long as that counts.
+//! Requests to join and to leave, until they expire.
 
 use runtrack_message::Member;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,7 +7,7 @@
 
 /// A request to join that is not repeated is dropped after this time.
 const JOIN_REQUEST_LIFETIME: Duration = Duration::from_millis(1500);
-/// A member that leaves is not taken in again for this long. After that it is another process at the address.
+/// Time for which a leaving member is not admitted again. After that it is another process at the address.
 const LEAVE_REQUEST_LIFETIME: Duration = Duration::from_millis(3000);
 
 /// Requests of other processes, and of this one at its end, with the time of the last one of each.
@@ -18,8 +18,8 @@
 }
 
 impl MembershipRequests {
-    /// A process asks to join, in place of any other incarnation at its address; whether that is new. One that has said
-    /// that it leaves is not heard.
+    /// Records a request to join, which replaces any other incarnation at its address; returns whether it is new. Requests of a
+    /// leaving member are ignored.
     pub fn join(&mut self, joining: Member) -> bool {
         if self.leaving.contains_key(&joining) {
             return false;
@@ -28,24 +28,24 @@
         self.joining.insert(joining, Instant::now()).is_none()
     }
 
-    /// A member says that it leaves.
+    /// Records that a member is leaving.
     pub fn leave(&mut self, leaving: Member) {
         self.joining.remove(&leaving);
         self.leaving.insert(leaving, Instant::now());
     }
 
-    /// Forgets requests that count no more.
+    /// Removes expired requests.
     pub fn forget_old(&mut self) {
         self.joining.retain(|_, at| at.elapsed() < JOIN_REQUEST_LIFETIME);
         self.leaving.retain(|_, at| at.elapsed() < LEAVE_REQUEST_LIFETIME);
     }
 
-    /// Who asks to join.
+    /// Processes that ask to join.
     pub fn joining(&self) -> impl Iterator<Item = &Member> {
         self.joining.keys()
     }
 
-    /// Who leaves.
+    /// Members that leave.
     pub fn leaving(&self) -> BTreeSet<Member> {
         self.leaving.keys().copied().collect()
     }
--- a/crates/controller/src/membership/settings.rs
+++ b/crates/controller/src/membership/settings.rs
@@ -1,4 +1,4 @@
-//! What the settings say about the membership.
+//! Settings of the membership.
 
 use runtrack_fleetconfig::Node;
 use runtrack_message::Member;
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// What the settings say about the membership.
+/// Settings of the membership.
 pub struct MembershipSettings {
     /// Where to look for members.
     pub seeds: BTreeSet<SocketAddrV4>,
--- a/crates/controller/src/pending.rs
+++ b/crates/controller/src/pending.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-/// Requests without a reply, by number, each with what its reply goes to.
+/// Requests without a reply, by number, each with the receiver of its reply.
 #[derive(Debug)]
 pub struct PendingRequests<T> {
     next: u64,
@@ -25,7 +25,7 @@
         self.next
     }
 
-    /// A reply of this number came over this session: what it goes to, once.
+    /// Takes the receiver of a reply with this number that arrived over this session.
     pub fn replied(&mut self, session: usize, number: u64) -> Option<T> {
         if self.pending.get(&number)?.0 != session {
             return None;
@@ -33,12 +33,12 @@
         self.pending.remove(&number).map(|(_, waiting)| waiting)
     }
 
-    /// Forgets requests whose replies nobody waits for any more.
+    /// Removes requests without a waiter.
     pub fn retain(&mut self, is_waited_for: impl Fn(&T) -> bool) {
         self.pending.retain(|_, (_, waiting)| is_waited_for(waiting));
     }
 
-    /// Nobody waits any more.
+    /// Removes all requests.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
--- a/crates/controller/src/placements.rs
+++ b/crates/controller/src/placements.rs
@@ -44,7 +44,7 @@
     queue: RefCell<VecDeque<PrefixPlacement>>,
     queued: Notify,
     started_at: Instant,
-    /// It has heard of all placements since the fleet started for the first time, or for long enough.
+    /// Whether it has received all placements in use: since the first boot of the fleet, or for long enough.
     is_complete: Cell<bool>,
     /// The index has changed since it was written to disk.
     changed: Cell<bool>,
@@ -84,7 +84,7 @@
         self.changed.set(true);
     }
 
-    /// Asks another controller for what it has heard of.
+    /// Fetches another controller's placements.
     pub(crate) fn fetch_from(&self, session: &Session) {
         if session.peer_wire() >= PLACEMENT_WIRE_VERSION {
             session.send(&Message::FetchPlacements);
@@ -111,7 +111,7 @@
         session.send(&Message::PlacementsComplete(self.is_complete.get()));
     }
 
-    /// Forgets what was placed at endpoints that have ended.
+    /// Removes placements at endpoints that are gone.
     pub(crate) fn forget_gone(&self, records: &[Endpoint]) {
         let mut index = self.index.borrow_mut();
         for record in records.iter().filter(|record| record.state == EndpointState::Gone) {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Notifies agents once all placements in use have been heard of.
+    /// Notifies agents once all placements in use have been received.
     async fn complete(self: Rc<Self>) {
         if self.is_complete.get() {
             return;
--- a/crates/controller/src/proposer.rs
+++ b/crates/controller/src/proposer.rs
@@ -1,8 +1,8 @@
 //! Rounds of the register on behalf of the operator, of readers and of the membership.
 //!
-//! `rounds` runs one after another, asks members and waits as `timing` says; `change` puts an operator's change through
-//! them, `read` answers a read without one where it can (`inspections` asks for it), `chosen` learns and announces what was
-//! chosen, and `catch_up` finds it out where this process is behind.
+//! `rounds` runs rounds one after another with the timeouts of `timing`; `change` executes an operator's change by rounds,
+//! `read` a read, by a quorum read (`inspections`) where possible; `chosen` learns and announces chosen values, and `catch_up`
+//! learns them when this process is behind.
 
 mod catch_up;
 mod change;
@@ -41,12 +41,12 @@
     boot: u64,
     round: Cell<u64>,
     known: RefCell<Option<(Ballot, Rc<Value>)>>,
-    /// A round has ended since the start: what is chosen is known.
+    /// Whether a round has completed since the start, so that the chosen value is known.
     informed: Cell<bool>,
-    /// Who was asked, and where the replies go.
+    /// Members with a pending request, and the channels for their replies.
     pending: RefCell<PendingRequests<(Member, Replies)>>,
     inspections: Inspections,
-    /// The newest ballot under which another controller says that it has a value.
+    /// The newest ballot of a value that another controller reports.
     newest_elsewhere: Cell<Ballot>,
     /// Ballots up to this one were elsewhere before a round of this process ended.
     accounted_for: Cell<Ballot>,
@@ -87,12 +87,12 @@
         self.known.borrow().clone()
     }
 
-    /// Something has changed by which this process may find out what is chosen.
+    /// Wakes the catch-up task after a change that may let it learn the chosen value.
     pub fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// Whether a round has come to its end since the start: what was chosen until then is known, or that nothing was.
+    /// Whether a round has completed since the start: the value chosen until then is known, or that there was none.
     pub fn is_informed(&self) -> bool {
         self.informed.get()
     }
--- a/crates/controller/src/proposer/catch_up.rs
+++ b/crates/controller/src/proposer/catch_up.rs
@@ -1,4 +1,4 @@
-//! Finding out what is chosen: at the start, and where others or this member's own disk know of more.
+//! Learning the chosen value: at the start, and whenever other members or this member's disk have a newer ballot.
 
 use crate::proposer::Proposer;
 use crate::proposer::limits::Limits;
@@ -10,20 +10,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Where a value was accepted here and no notice came that it is chosen, this process looks for it after up to twice this, and
-/// takes a round no sooner than this after it has noticed.
+/// If a value was accepted here and no notice arrived that it is chosen, this process catches up after up to twice this delay,
+/// and runs a round no sooner than this after it has noticed.
 const CATCH_UP_DELAY: Duration = Duration::from_millis(250);
-/// Interval of attempts to find out what is chosen after the start; up to as much more.
+/// Interval of catch-up attempts after the start, plus up to the same time at random.
 const START_INTERVAL: Duration = Duration::from_millis(40);
-/// How often in a row a proposer that has just started yields to the rounds of others.
+/// Maximum number of consecutive times that a proposer that has just started yields to the rounds of others.
 const MAX_YIELDS: u32 = 4;
 
 impl Proposer {
-    /// Finds out what is chosen where this process may be behind what somebody has accepted under this ballot.
+    /// Learns the chosen value if this process may be behind a value that some member has accepted under this ballot.
     ///
-    /// A quorum read disturbs nobody. Where it finds an older value, the accepted one is either a change under way, which a
-    /// round would only preempt, or what a proposer has left behind, which a round alone commits or supersedes: a round is
-    /// taken only where this process is still behind at `round_at`, and once the rounds of its own changes are over.
+    /// A quorum read disturbs no other process. If it finds an older value, the accepted one is either a change in progress, which
+    /// a round would only preempt, or left by a failed proposer, which only a round commits or supersedes: a round is run only if
+    /// this process is still behind at `round_at`, and after the rounds of its own changes.
     async fn catch_up(&self, accepted: Ballot, round_at: Instant, failures: u32) -> Result<(), ReadError> {
         if self.quorum_read().await.is_some() && !self.is_behind(accepted) {
             return Ok(());
@@ -44,14 +44,14 @@
         Limits { yields_when_preempted, ..Limits::of_request() }
     }
 
-    /// Finds out what is chosen: at the start, and where others or this member's own disk know of more.
+    /// Catches up at the start, and whenever other members or this member's disk have a newer ballot.
     pub async fn run(self: Rc<Self>) {
         let mut failures = 0;
         loop {
             let delay = at_least_writes(CATCH_UP_DELAY, self.member.write_time());
             let pause = if self.informed.get() { delay } else { START_INTERVAL };
             let _ = timeout(pause.mul_f64(1.0 + fastrand::f64()), self.wake.notified()).await;
-            // What is accepted later may be on its way to be chosen, and a round would only preempt it.
+            // Values accepted later may be about to be chosen; a round would only preempt them.
             let (accepted, elsewhere) = (self.newest_accepted(), self.newest_elsewhere.get());
             let mut round_at = Instant::now();
             if self.informed.get() {
--- a/crates/controller/src/proposer/change.rs
+++ b/crates/controller/src/proposer/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration: an operator's request put through rounds, and what may be answered of it.
+//! Changes of the configuration: runs rounds for an operator's request and determines its answer.
 
 use crate::proposer::Proposer;
 use crate::proposer::limits::Limits;
--- a/crates/controller/src/proposer/chosen.rs
+++ b/crates/controller/src/proposer/chosen.rs
@@ -1,4 +1,4 @@
-//! What is chosen, as far as this process knows: learning it, notifying the others, and whether this process is behind.
+//! The newest chosen value known to this process: learning it, notifying others, and detecting that this process is behind.
 
 use crate::proposer::Proposer;
 use runtrack_message::{Ballot, Member, Message, Role, Value};
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 impl Proposer {
-    /// Another controller says under which ballot it has a value on disk. Where that is newer than what is known here,
-    /// a round finds out what is chosen: the same value may have been accepted again under a higher ballot, and the
+    /// Another controller reports the ballot of the value on its disk. If that is newer than the known one, catching up learns
+    /// the chosen value: the same value may have been accepted again under a higher ballot, and the
     /// notice of that is sent once and may be lost.
     pub fn on_peer_accepted(&self, ballot: Ballot) {
         self.newest_elsewhere.set(self.newest_elsewhere.get().max(ballot));
@@ -22,7 +22,7 @@
         if elsewhere > self.accounted_for.get() { accepted.max(elsewhere) } else { accepted }
     }
 
-    /// Whether this ballot, or what others announce, is newer than what is known here.
+    /// Whether this ballot, or the sequence number that others announce, is newer than the known value.
     pub(super) fn is_behind(&self, accepted: Ballot) -> bool {
         let announced = self.gossip.replica().members().sequence;
         let known = self.known.borrow();
@@ -31,7 +31,7 @@
         accepted > ballot || sequence < announced
     }
 
-    /// Another member says that the value of this ballot is chosen.
+    /// Another member reports that the value of this ballot is chosen.
     pub fn on_committed(&self, ballot: Ballot) {
         self.on_peer_accepted(ballot);
         if self.known.borrow().as_ref().is_some_and(|(known, _)| *known >= ballot) {
@@ -55,7 +55,7 @@
         self.informed.set(true);
     }
 
-    /// Takes a chosen value that is newer than what is known: for its disk, the members and the configuration.
+    /// Stores a chosen value that is newer than the known one: on disk, as the members and as the configuration.
     fn learn(&self, ballot: Ballot, value: Rc<Value>) {
         let newer = self.known.borrow().as_ref().is_none_or(|(known, _)| *known < ballot);
         if !newer {
@@ -70,8 +70,8 @@
         }
     }
 
-    /// The sets of members to begin with: of what is announced as chosen, or of what this member has accepted, whichever
-    /// is newer. After the end of all processes nobody announces anything.
+    /// The sets of members to begin with: of the announced value or of the value that this member has accepted, whichever is
+    /// newer. After a restart of all processes no value is announced.
     pub fn sets(&self) -> Vec<BTreeSet<Member>> {
         let replica = self.gossip.replica();
         let announced = replica.members();
--- a/crates/controller/src/proposer/limits.rs
+++ b/crates/controller/src/proposer/limits.rs
@@ -1,20 +1,20 @@
-//! How long the rounds of one operation may go on.
+//! Time limits of the rounds of one operation.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A change or a read whose outcome is not certain by then gets no clear answer.
+/// Time after which a change or read without a certain outcome is answered as indeterminate.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// No round of a change or a read begins later than this: the caller has gone on to another member by then, and rounds here
-/// would only be in the way of its next try. One that has begun goes on.
+/// Time after which no round of a change or read begins: the caller has moved on to another member, and rounds here would only
+/// compete with its retry. A round that has begun continues.
 const LAST_ROUND: Duration = Duration::from_millis(900);
 
-/// How long rounds of one operation may go on.
+/// Time limits of the rounds of one operation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
     /// No round begins later.
     pub last_start: Instant,
-    /// None goes on for longer.
+    /// Rounds are abandoned at this time.
     pub deadline: Instant,
     /// It ends with the first round that is preempted.
     pub yields_when_preempted: bool,
--- a/crates/controller/src/proposer/read.rs
+++ b/crates/controller/src/proposer/read.rs
@@ -20,14 +20,14 @@
 /// Wait before a quorum read that found nothing certain is repeated. A value that is on its way to the members' disks is on a
 /// majority of them soon, and a round would only preempt it.
 const INSPECTION_PAUSE: Duration = Duration::from_millis(10);
-/// No further quorum read begins after this: the rest of what a caller waits is for a round.
+/// Time after which no further quorum read begins; the rest of the caller's wait is reserved for a round.
 const QUORUM_READ_TIMEOUT: Duration = Duration::from_millis(250);
 
 quick_error! {
     /// The register can't be read.
     #[derive(Debug)]
     pub enum ReadError {
-        /// What is chosen can't be known now.
+        /// The chosen value can't be determined now.
         Indeterminate {
             display("what is chosen can't be known now")
         }
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The newest value by a round, which also commits or supersedes what a minority has accepted.
+    /// Reads the newest value by a round, which also commits or supersedes values that only a minority has accepted.
     async fn read_by_round(&self, limits: Limits) -> Result<Option<Rc<Value>>, ReadError> {
         let turn = self.take_turn(limits).await.ok_or(ReadError::Indeterminate)?;
         self.read_in_turn(turn, limits).await
--- a/crates/controller/src/request_queue.rs
+++ b/crates/controller/src/request_queue.rs
@@ -1,12 +1,12 @@
 //! Requests that wait for the member's disk. No I/O and no clock.
 //!
-//! While the disk stalls the queue keeps the newest requests only, and whoever asked long ago has given up: answering
-//! would cost a write that nobody waits for. To the others a request that is dropped is a lost message.
+//! While the disk stalls the queue keeps only the newest requests. Senders of older ones have timed out, and answering those
+//! would cost a useless write. To the sender a dropped request equals a lost message.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Most requests that wait; of more, the oldest are dropped.
+/// Maximum number of waiting requests; beyond it the oldest are dropped.
 pub const MAX_QUEUED_REQUESTS: usize = 64;
 /// A request that has waited for longer is dropped: the round that it belongs to is over.
 pub const REQUEST_LIFETIME: Duration = Duration::from_millis(2000);
@@ -32,7 +32,7 @@
         self.waiting.push_back((now, request));
     }
 
-    /// Drops requests whose replies nobody waits for any more.
+    /// Drops requests whose sender has stopped waiting.
     pub fn discard(&mut self, is_obsolete: impl Fn(&T) -> bool) {
         self.waiting.retain(|(_, request)| !is_obsolete(request));
     }
--- a/crates/link/src/config_exchange.rs
+++ b/crates/link/src/config_exchange.rs
@@ -28,11 +28,11 @@
 struct CachedAnswers {
     /// The configuration that they lead to.
     version: u64,
-    /// By the version and the wire format of who asks.
+    /// By the version and the wire format of the requester.
     answers: BTreeMap<(u64, u16), Bytes>,
 }
 
-/// What this process has requested, and what it answers others.
+/// This process's pending request, and its answers to others.
 #[derive(Default)]
 pub(crate) struct ConfigExchange {
     pending: Cell<Option<Fetch>>,
--- a/crates/link/src/environment.rs
+++ b/crates/link/src/environment.rs
@@ -1,4 +1,4 @@
-//! What a process of the fleet runs on: the network, the log, and events such as a request to terminate. Tests pass an
+//! The environment of a process: the network, the log, and events such as a request to terminate. Tests pass an
 //! environment of their own, so that the same code runs in virtual time.
 
 use crate::logs::json_logger;
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::task::spawn_local;
 
-/// What a process runs on.
+/// The environment of a process.
 #[derive(Clone)]
 pub struct Environment {
     /// Dials and accepts connections.
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the fleet's three programs share: framed links between processes, the gossip that keeps their replicas of the
+//! Shared code of the fleet's three programs: framed links between processes, the gossip that keeps their replicas of the
 //! fleet's state equal, JSON logs and the start of a process.
 //!
 //! Every link works the same way, whichever programs it connects: both sides exchange digests of their state, send what
--- a/crates/link/src/trust.rs
+++ b/crates/link/src/trust.rs
@@ -26,26 +26,26 @@
     running_for: Duration,
     sessions: Vec<Rc<Session>>,
 ) -> impl Iterator<Item = Rc<Session>> {
-    let anyone = me != Role::Agent
+    let any_controller = me != Role::Agent
         || mutant("agent-takes-the-first-word")
         || running_for >= START_WAIT && !sessions.iter().any(|session| session.in_contact.get());
-    sessions.into_iter().filter(move |session| anyone || is_in_contact(session))
+    sessions.into_iter().filter(move |session| any_controller || is_in_contact(session))
 }
 
 /// Whether a peer is relayed all heartbeats that members receive: any but a controller that is no member. Before members are
-/// known there is no telling.
-fn hears_all_heartbeats(session: &Session, members: &BTreeSet<Member>) -> bool {
+/// known every controller counts.
+fn receives_all_heartbeats(session: &Session, members: &BTreeSet<Member>) -> bool {
     let Some(controller) = session.dialled_member() else { return true };
     members.is_empty() || members.contains(&controller) || mutant("suspects-of-non-members")
 }
 
 /// Keys of the endpoints that every trusted peer reports as suspect; none where no peer is trusted. Two core machines that are
-/// no members yet have no link to each other, so what one of them has not heard proves nothing.
+/// no members yet have no link to each other, so a heartbeat that one of them has not received proves nothing.
 pub(crate) fn agreed_suspects(sessions: &[Rc<Session>], members: &BTreeSet<Member>) -> BTreeSet<u64> {
     let trusted = sessions
         .iter()
         .filter(|session| is_in_contact(session) || mutant("suspects-of-anyone"))
-        .filter(|session| hears_all_heartbeats(session, members));
+        .filter(|session| receives_all_heartbeats(session, members));
     let mut reported = trusted.map(|session| session.suspects.borrow().clone());
     let first = reported.next().unwrap_or_default();
     reported.fold(first, |all, next| all.intersection(&next).copied().collect())
--- a/crates/record_store/src/disk.rs
+++ b/crates/record_store/src/disk.rs
@@ -1,4 +1,4 @@
-//! Files in a folder: the implementation that serves.
+//! Files in a folder: the implementation used in production.
 
 use crate::Files;
 use std::fs::{File, OpenOptions};
--- a/crates/registry/src/leaves.rs
+++ b/crates/registry/src/leaves.rs
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug)]
 struct Entry {
     leave: Leave,
-    /// The change by which it came to be as it is.
+    /// The change that set its current state.
     changed: u64,
 }
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// What is to be written, and which changes are durable once it is.
+/// Records to write, and the changes that are durable once they are.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaveBatch {
     /// Changes up to this one.
@@ -146,17 +146,17 @@
         table
     }
 
-    /// How many endpoints it holds.
+    /// Number of endpoints in the table.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Whether it holds none.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
-    /// Takes note of an endpoint that leaves; whether that is news.
+    /// Records an endpoint that leaves; returns whether that changed the table.
     pub fn note(&mut self, endpoint: &Endpoint) -> bool {
         let key = key_of(&endpoint.id.as_string());
         if endpoint.state == EndpointState::Ready || self.state(key) >= Some(endpoint.state) {
@@ -221,7 +221,7 @@
         change <= self.durable
     }
 
-    /// What is to be written; nothing where all is on disk.
+    /// The records to write; `None` if all changes are on disk.
     pub fn batch(&self) -> Option<LeaveBatch> {
         if self.is_durable(self.changes) {
             return None;
@@ -231,7 +231,7 @@
         Some(LeaveBatch { change: self.changes, records })
     }
 
-    /// A batch is on disk.
+    /// Marks the changes of a batch as durable.
     pub fn written(&mut self, change: u64) {
         self.durable = self.durable.max(change);
     }
