--- a/crates/sim/src/agreement/proxies.rs
+++ b/crates/sim/src/agreement/proxies.rs
@@ -1,8 +1,8 @@
-//! Proxies that are served by members and move between them.
+//! Proxies that hold xDS sessions with members and move between them.
 
 use super::*;
 
-/// What an instance serves to proxies.
+/// The cache from which an instance serves proxies.
 pub(super) struct Serving {
     pub(super) cache: Cache,
     pub(super) served: Option<(u64, u64)>,
@@ -10,16 +10,16 @@
 
 pub(super) struct Proxy {
     pub(super) at: MemberId,
-    /// The instance's run that the session belongs to.
+    /// The member and its number of starts that the session belongs to.
     pub(super) run: u64,
     pub(super) session: Session,
-    /// The version of clusters that it holds, and its index; the serial that it says.
+    /// Version of the clusters that it holds, with the index and the serial of that version.
     pub(super) held: (String, u64, u64),
     pub(super) draining: BTreeSet<String>,
 }
 
 impl World<'_> {
-    pub(super) fn serve(&mut self) {
+    pub(super) fn serve_proxies(&mut self) {
         let now = Duration::from_secs(self.now);
         for (member, serving) in &mut self.serving {
             let Some(state) = self.nodes.get(member).and_then(Node::state) else { continue };
@@ -36,20 +36,21 @@
                 .map(|(uid, _)| uid.clone())
                 .collect();
             let text = format!("serial {} draining {}", state.serial(), draining.join(","));
-            serving.cache.move_to(state.epoch, state.served);
+            serving.cache.begin_update(state.epoch, state.served);
             serving
                 .cache
-                .apply(now, [Change::Set(Kind::Cluster, "c".to_owned(), text.into_bytes().into())]);
-            serving.cache.settle();
+                .apply(now, [Change::Set(ResourceType::Cluster, "c".to_owned(), text.into_bytes().into())]);
+            serving.cache.finish_update();
         }
         for n in 0..self.proxies.len() {
-            self.poll(n, now);
+            self.poll_proxy(n, now);
         }
     }
 
-    fn poll(&mut self, n: usize, now: Duration) {
+    fn poll_proxy(&mut self, n: usize, now: Duration) {
         let proxy = &mut self.proxies[n];
-        let (Some(serving), Some(run)) = (self.serving.get(&proxy.at), self.runs.get(&proxy.at).copied())
+        let (Some(serving), Some(run)) =
+            (self.serving.get(&proxy.at), self.start_counts.get(&proxy.at).copied())
         else {
             return;
         };
@@ -62,18 +63,18 @@
             proxy.subscribe(n, &serving.cache, now);
         }
         while let Ok(Some(response)) = proxy.session.poll(&serving.cache, now) {
-            let told = Told::read(&response);
-            let (was, before, at) = (proxy.held.0.clone(), proxy.held.2, proxy.at);
-            let serial = told.serial;
-            let back = proxy.is_older(&told);
-            proxy.take(n, &response.version, told);
+            let served_state = ServedState::parse(&response);
+            let (held_version, held_serial, at) = (proxy.held.0.clone(), proxy.held.2, proxy.at);
+            let serial = served_state.serial;
+            let is_older = proxy.is_older(&served_state);
+            proxy.record(n, &response.version, served_state);
             let _ = proxy.session.request(&serving.cache, now, acknowledgement(&response));
-            if back {
+            if is_older {
                 let version = response.version;
-                let why = format!(
-                    "proxy {n} held {was} (serial {before}) and was told {version} (serial {serial}) by {at}"
+                let detail = format!(
+                    "proxy {n} held {held_version} (serial {held_serial}) and was sent {version} (serial {serial}) by {at}"
                 );
-                self.breach(Rule::Back, why);
+                self.report_violation(Rule::Back, detail);
                 return;
             }
         }
@@ -81,65 +82,68 @@
 }
 
 impl Proxy {
-    /// Begins a session, with what the proxy holds.
+    /// Starts a session, with the versions that the proxy holds.
     fn subscribe(&mut self, n: usize, cache: &Cache, now: Duration) {
         let incremental = is_incremental(n);
         self.session = Session::new(format!("p{n}"), incremental, None, Limits::default());
-        let mut request = Request { type_url: Kind::Cluster.url().to_owned(), ..Request::default() };
+        let mut request =
+            Request { type_url: ResourceType::Cluster.url().to_owned(), ..Request::default() };
         match (incremental, self.held.0.is_empty()) {
             (_, true) => {}
             (true, false) => drop(request.initial_versions.insert("c".to_owned(), self.held.0.clone())),
             (false, false) => request.version = self.held.0.clone(),
         }
-        let _ = self.session.request(cache, now, request); // a refusal shows as a proxy that is told nothing
+        let _ = self.session.request(cache, now, request); // a refused request shows as a proxy without updates
     }
 
-    fn is_older(&self, told: &Told) -> bool {
+    fn is_older(&self, served_state: &ServedState) -> bool {
         let (_, index, serial) = self.held;
-        told.index < index || told.serial < serial || !self.draining.is_subset(&told.draining)
+        served_state.index < index
+            || served_state.serial < serial
+            || !self.draining.is_subset(&served_state.draining)
     }
 
-    fn take(&mut self, n: usize, version: &str, told: Told) {
-        // As the incremental variant names it, or the whole.
+    fn record(&mut self, n: usize, version: &str, served_state: ServedState) {
+        // Resource version of the incremental variant, or the version of the response.
         let held = match is_incremental(n) {
-            true => format!("7.{}-0", told.index),
+            true => format!("7.{}-0", served_state.index),
             false => version.to_owned(),
         };
-        self.held = (held, told.index, told.serial);
-        self.draining = told.draining;
+        self.held = (held, served_state.index, served_state.serial);
+        self.draining = served_state.draining;
     }
 }
 
-/// Every other proxy speaks the incremental variant.
+/// Every other proxy uses the incremental variant of xDS.
 fn is_incremental(n: usize) -> bool {
     n % 2 == 1
 }
 
 fn acknowledgement(response: &Response) -> Request {
     Request {
-        type_url: Kind::Cluster.url().to_owned(),
+        type_url: ResourceType::Cluster.url().to_owned(),
         nonce: response.nonce.clone(),
         version: response.version.clone(),
         ..Request::default()
     }
 }
 
-/// What a response says.
-struct Told {
+/// The content of a response.
+struct ServedState {
     index: u64,
     serial: u64,
     draining: BTreeSet<String>,
 }
 
-impl Told {
-    fn read(response: &Response) -> Self {
+impl ServedState {
+    fn parse(response: &Response) -> Self {
         let text: String =
             response.resources.iter().map(|bytes| String::from_utf8_lossy(bytes).into_owned()).collect();
         let index = response.version.split('.').nth(1);
         let index = index.and_then(|index| index.split('-').next()?.parse().ok());
         let draining = text.rsplit("draining ").next().into_iter().flat_map(|list| list.split(','));
         let draining = draining.map(|uid| uid.chars().take_while(char::is_ascii_alphanumeric).collect());
-        Told {
+        ServedState {
             index: index.unwrap_or(0),
             serial: number_after(&text, "serial "),
             draining: draining.filter(|uid: &String| !uid.is_empty()).collect(),
--- a/crates/xds/src/hub.rs
+++ b/crates/xds/src/hub.rs
@@ -1,9 +1,9 @@
-//! What all streams share: the cache, who is connected, and who may be.
+//! State shared by all streams: the served versions, the open streams, access rules and load reports.
 
 use crate::cache::{Cache, Change, hash};
-use crate::kind::Kind;
-use crate::load::{Impossible, Loads, Report};
-use crate::session::{Limits, Standing};
+use crate::load::{InvalidReport, LoadReport, LoadStats};
+use crate::resource_type::ResourceType;
+use crate::session::{Limits, TypeStatus};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,32 +11,31 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Settings of the service; each limit guards against proxies that are many, broken or hostile.
+/// Settings of the service. The limits protect it from too many, faulty or malicious clients.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What the service calls itself in responses.
+    /// Control plane identifier in responses.
     pub identifier: String,
-    /// Limits of each stream.
+    /// Limits per stream.
     pub limits: Limits,
-    /// Streams in all. Against thousands of streams from one place that would fill the memory.
-    pub streams: usize,
-    /// Streams of one node id: one of each type and one aggregated, twice over for a reconnection.
-    pub streams_of_node: usize,
-    /// Streams of one connection.
-    pub streams_of_connection: u32,
-    /// Connections in all.
-    pub connections: usize,
-    /// Longest request, in bytes.
-    pub request_bytes: usize,
-    /// Requests that a stream may send a second on average, and ten times as many at once. Against those that
-    /// send without pause.
-    pub requests_per_s: f64,
-    /// A stream that says nothing for so long at first is ended.
-    pub first_request: Duration,
-    /// Nodes that may connect; empty: all.
-    pub access: Vec<Access>,
-    /// How often proxies are asked to report how their requests ended.
-    pub report_every: Duration,
+    /// Maximum open streams. Bounds the memory that a client with thousands of streams can take.
+    pub max_streams: usize,
+    /// Maximum streams per node id: one per type and one aggregated, doubled for reconnections.
+    pub max_streams_per_node: usize,
+    /// Maximum streams per connection.
+    pub max_streams_per_connection: u32,
+    /// Maximum open connections.
+    pub max_connections: usize,
+    /// Maximum size of a request in bytes.
+    pub max_request_bytes: usize,
+    /// Maximum average rate of requests per stream; bursts of up to ten seconds' worth are allowed.
+    pub max_requests_per_s: f64,
+    /// A stream without a first request within this time is closed.
+    pub first_request_timeout: Duration,
+    /// Nodes that may connect; empty: all nodes.
+    pub access: Vec<AccessRule>,
+    /// Interval requested for load reports.
+    pub load_report_interval: Duration,
 }
 
 impl Default for Settings {
@@ -44,29 +43,29 @@
         Settings {
             identifier: "runtrack-control".to_owned(),
             limits: Limits::default(),
-            streams: 20_000,
-            streams_of_node: 12,
-            streams_of_connection: 16,
-            connections: 10_000,
-            request_bytes: 4 << 20,
-            requests_per_s: 500.0,
-            first_request: Duration::from_secs(10),
+            max_streams: 20_000,
+            max_streams_per_node: 12,
+            max_streams_per_connection: 16,
+            max_connections: 10_000,
+            max_request_bytes: 4 << 20,
+            max_requests_per_s: 500.0,
+            first_request_timeout: Duration::from_secs(10),
             access: Vec::new(),
-            report_every: Duration::from_secs(10),
+            load_report_interval: Duration::from_secs(10),
         }
     }
 }
 
-/// Nodes that may connect. A text that ends in `*` stands for all that begin like it.
+/// Nodes that may connect. A pattern that ends in `*` matches by prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Access {
-    /// Their ids.
+pub struct AccessRule {
+    /// Pattern for node ids.
     pub id: String,
-    /// Their clusters.
+    /// Pattern for clusters.
     pub cluster: String,
 }
 
-impl Access {
+impl AccessRule {
     fn allows(&self, id: &str, cluster: &str) -> bool {
         let fits = |pattern: &str, text: &str| match pattern.strip_suffix('*') {
             Some(start) => text.starts_with(start),
@@ -76,10 +75,10 @@
     }
 }
 
-/// A connected stream.
+/// An open stream, for status output.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stream {
-    /// Its number, unique in this run of the service.
+pub struct StreamInfo {
+    /// Number, unique in this run of the service.
     pub number: u64,
     /// The node's id.
     pub node: String,
@@ -87,49 +86,49 @@
     pub cluster: String,
     /// The node's zone.
     pub zone: String,
-    /// Incremental or state-of-the-world.
+    /// Whether the stream uses the incremental variant; else state-of-the-world.
     pub incremental: bool,
-    /// Since when, on the hub's clock.
+    /// Start, on the hub's clock.
     pub since: Duration,
-    /// Requests taken.
+    /// Requests received.
     pub requests: u64,
-    /// Responses handed to the connection, and their resources' bytes.
+    /// Responses passed to the connection.
     pub responses: u64,
-    /// Bytes of resources handed to the connection.
+    /// Bytes of resources passed to the connection.
     pub bytes: u64,
-    /// The line that it follows: [`Hub::newest_line`] or the one before.
-    pub line: u64,
-    /// How each type stands.
-    pub standings: Vec<Standing>,
+    /// Id of the served version: [`Hub::newest_version_id`] or the previous one.
+    pub version_id: u64,
+    /// Status per resource type.
+    pub type_statuses: Vec<TypeStatus>,
 }
 
-/// How a stream that has ended did so.
+/// A closed stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedStream {
     /// The node's id.
     pub node: String,
-    /// When, on the hub's clock.
+    /// End, on the hub's clock.
     pub at: Duration,
-    /// Why.
+    /// Reason.
     pub why: String,
 }
 
-/// Longest node id, cluster or zone that is taken.
-pub(crate) const NODE_NAME_MOST: usize = 256;
-/// Ended streams remembered for people.
-const ENDED_MOST: usize = 64;
+/// Maximum length of a node id, cluster or zone.
+pub(crate) const MAX_NODE_NAME_BYTES: usize = 256;
+/// Closed streams kept for status output.
+const MAX_ENDED_STREAMS: usize = 64;
 
 #[derive(Default)]
 struct Streams {
-    open: BTreeMap<u64, Stream>,
+    open: BTreeMap<u64, StreamInfo>,
     of_node: BTreeMap<String, usize>,
-    ended: std::collections::VecDeque<Ended>,
-    /// Streams that report loads, by node.
-    reporters: BTreeMap<String, usize>,
+    ended: std::collections::VecDeque<EndedStream>,
+    /// Number of open load reporting streams by node.
+    load_streams: BTreeMap<String, usize>,
 }
 
-/// A node has one stream less.
-fn one_less(of_node: &mut BTreeMap<String, usize>, node: &str) {
+/// Decrements the number of streams of a node.
+fn decrement_stream_count(of_node: &mut BTreeMap<String, usize>, node: &str) {
     if let Some(count) = of_node.get_mut(node) {
         *count -= 1;
         if *count == 0 {
@@ -138,75 +137,76 @@
     }
 }
 
-/// A stream that reports loads, while it is open.
-pub(crate) struct Reporter {
+/// An open load reporting stream. Unregisters it when dropped.
+pub(crate) struct LoadStream {
     hub: Arc<Hub>,
     node: String,
 }
 
-impl Drop for Reporter {
+impl Drop for LoadStream {
     fn drop(&mut self) {
-        one_less(&mut self.hub.lock().reporters, &self.node);
+        decrement_stream_count(&mut self.hub.lock().load_streams, &self.node);
     }
 }
 
-/// A state that is served, and where it parted from the one before.
-pub(crate) struct Line {
+/// A served version of the resources, and the version that it was forked from.
+pub(crate) struct ServedVersion {
     pub(crate) id: u64,
     pub(crate) cache: Cache,
-    /// The line that it was the same as, up to this change.
-    pub(crate) forked: Option<(u64, u64)>,
+    /// Id of the parent version, and the sequence number of the last change that both have.
+    pub(crate) forked_from: Option<(u64, u64)>,
 }
 
-/// What is served: one line, or two while a version is rolled out.
-pub(crate) struct Lines {
-    main: Line,
-    /// The newer one, and the part of the nodes that follow it, in 10,000.
-    next: Option<(Line, u32)>,
+/// The served versions: one, or two during a rollout.
+pub(crate) struct ServedVersions {
+    main: ServedVersion,
+    /// The new version and the share of the nodes that are served it, in 1/10,000.
+    next: Option<(ServedVersion, u32)>,
 }
 
-impl Lines {
-    /// What a node of this place follows.
-    pub(crate) fn of(&self, place: u32) -> &Line {
-        self.next.as_ref().filter(|(_, share)| place < *share).map_or(&self.main, |(line, _)| line)
+impl ServedVersions {
+    /// The version for nodes of a bucket.
+    pub(crate) fn for_bucket(&self, bucket: u32) -> &ServedVersion {
+        self.next.as_ref().filter(|(_, share)| bucket < *share).map_or(&self.main, |(version, _)| version)
     }
 
     fn caches(&mut self) -> impl Iterator<Item = &mut Cache> {
-        let next = self.next.as_mut().map(|(line, _)| &mut line.cache);
+        let next = self.next.as_mut().map(|(version, _)| &mut version.cache);
         [&mut self.main.cache].into_iter().chain(next)
     }
 
-    fn newest(&self) -> &Line {
-        self.next.as_ref().map_or(&self.main, |(line, _)| line)
+    fn newest(&self) -> &ServedVersion {
+        self.next.as_ref().map_or(&self.main, |(version, _)| version)
     }
 }
 
-/// A node's place among all, `0..10_000`: a part of the nodes are those below it. The same in every run.
-pub fn place(node: &str) -> u32 {
+/// The rollout bucket of a node, `0..10_000`, from a hash of its id. A share of the nodes is the buckets below it. The
+/// same in every run.
+pub fn rollout_bucket(node: &str) -> u32 {
     (hash([node.as_bytes()]) % 10_000) as u32
 }
 
-/// What all streams share.
+/// State shared by all streams.
 pub struct Hub {
     pub(crate) settings: Settings,
-    lines: RwLock<Lines>,
+    versions: RwLock<ServedVersions>,
     head: watch::Sender<u64>,
     streams: Mutex<Streams>,
-    loads: Mutex<Loads>,
+    loads: Mutex<LoadStats>,
     next_stream: AtomicU64,
-    /// No other run of an instance has the same: streams are named after it.
+    /// Random id of this run, unique among all runs; part of the names of streams.
     pub(crate) run: u64,
     started: Instant,
 }
 
 impl Hub {
-    /// A hub whose versions are ordered after those of all earlier epochs.
+    /// An empty hub. Its versions are ordered after those of all earlier epochs.
     pub fn new(epoch: u64, settings: Settings) -> Arc<Hub> {
         Arc::new(Hub {
-            loads: Mutex::new(Loads::new(settings.report_every)),
+            loads: Mutex::new(LoadStats::new(settings.load_report_interval)),
             settings,
-            lines: RwLock::new(Lines {
-                main: Line { id: 1, cache: Cache::new(epoch), forked: None },
+            versions: RwLock::new(ServedVersions {
+                main: ServedVersion { id: 1, cache: Cache::new(epoch), forked_from: None },
                 next: None,
             }),
             head: watch::Sender::new(0),
@@ -217,139 +217,141 @@
         })
     }
 
-    /// Time on the hub's clock.
+    /// Time since the creation of the hub.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Takes changes of the newest line, all at once: no proxy sees some without the others. Tells whether anything
-    /// differs.
+    /// Applies changes to the newest version atomically: no proxy sees only some of them. Returns whether anything
+    /// changed.
     pub fn publish(&self, changes: impl IntoIterator<Item = Change>) -> bool {
         let now = self.now();
-        self.change(|lines| match &mut lines.next {
-            Some((line, _)) => line.cache.apply(now, changes),
-            None => lines.main.cache.apply(now, changes),
+        self.change(|versions| match &mut versions.next {
+            Some((version, _)) => version.cache.apply(now, changes),
+            None => versions.main.cache.apply(now, changes),
         })
     }
 
-    /// Takes changes of the line before the newest, where there are two.
-    pub fn publish_before(&self, changes: impl IntoIterator<Item = Change>) -> bool {
+    /// Applies changes to the previous version during a rollout.
+    pub fn publish_previous(&self, changes: impl IntoIterator<Item = Change>) -> bool {
         let now = self.now();
-        self.change(|lines| lines.next.is_some() && lines.main.cache.apply(now, changes))
+        self.change(|versions| versions.next.is_some() && versions.main.cache.apply(now, changes))
     }
 
-    /// Parts a new line from the one that is served, for nobody yet. Where there are two already, nothing happens.
+    /// Forks a new version from the served one, with a rollout share of 0. No effect during a rollout.
     pub fn fork(&self) {
-        self.change(|lines| {
-            if lines.next.is_none() {
-                let (id, cache) = (lines.main.id + 1, lines.main.cache.clone());
-                let forked = Some((lines.main.id, cache.seq()));
-                lines.next = Some((Line { id, cache, forked }, 0));
-                self.loads(|loads| loads.part(self.now()));
+        self.change(|versions| {
+            if versions.next.is_none() {
+                let (id, cache) = (versions.main.id + 1, versions.main.cache.clone());
+                let forked_from = Some((versions.main.id, cache.seq()));
+                versions.next = Some((ServedVersion { id, cache, forked_from }, 0));
+                self.loads(|loads| loads.start_rollout(self.now()));
             }
             false
         });
     }
 
-    /// Gives the newest line to so many of 10,000 nodes, by their [`place`].
-    pub fn set_share(&self, share: u32) {
-        self.change(|lines| {
-            lines.next.as_mut().is_some_and(|(_, was)| std::mem::replace(was, share) != share)
+    /// Serves the newest version to a share of the nodes in 1/10,000, by their [`rollout_bucket`].
+    pub fn set_rollout_share(&self, share: u32) {
+        self.change(|versions| {
+            versions.next.as_mut().is_some_and(|(_, was)| std::mem::replace(was, share) != share)
         });
-        self.loads(|loads| loads.stage(self.now(), share));
+        self.loads(|loads| loads.start_stage(self.now(), share));
     }
 
-    /// Gives the newest line to all, and forgets the one before.
-    pub fn settle(&self) {
-        self.change(|lines| {
-            let next = lines.next.take();
+    /// Serves the newest version to all nodes and discards the previous one.
+    pub fn finish_rollout(&self) {
+        self.change(|versions| {
+            let next = versions.next.take();
             let settled = next.is_some();
-            if let Some((line, _)) = next {
-                lines.main = line;
+            if let Some((version, _)) = next {
+                versions.main = version;
             }
             settled
         });
         self.cache(|cache| {
-            self.loads(|loads| loads.settle(|pool| cache.get(Kind::Cluster, pool).is_some()));
+            self.loads(|loads| {
+                loads.finish_rollout(|pool| cache.get(ResourceType::Cluster, pool).is_some())
+            });
         });
     }
 
-    fn change(&self, with: impl FnOnce(&mut Lines) -> bool) -> bool {
-        let changed = with(&mut self.lines.write().unwrap_or_else(PoisonError::into_inner));
+    fn change(&self, with: impl FnOnce(&mut ServedVersions) -> bool) -> bool {
+        let changed = with(&mut self.versions.write().unwrap_or_else(PoisonError::into_inner));
         if changed {
             self.head.send_modify(|changes| *changes += 1);
         }
         changed
     }
 
-    /// From now on what is served is to hold what is agreed up to this index of a cluster's log. No stream is told
-    /// anything until it is [`settled`](Self::arrive) there.
-    pub fn move_to(&self, epoch: u64, index: u64) {
-        self.change(|lines| {
-            lines.caches().for_each(|cache| cache.move_to(epoch, index));
+    /// Starts the update of the served versions to an index of the cluster's log. Streams are sent nothing until
+    /// [`finish_update`](Self::finish_update) is called.
+    pub fn begin_update(&self, epoch: u64, index: u64) {
+        self.change(|versions| {
+            versions.caches().for_each(|cache| cache.begin_update(epoch, index));
             false
         });
     }
 
-    /// What is served holds what is agreed up to the index that it was moved to.
-    pub fn arrive(&self) {
-        self.change(|lines| {
-            lines.caches().for_each(Cache::settle);
+    /// Ends the update: the served versions hold the state at the index given to [`begin_update`](Self::begin_update).
+    pub fn finish_update(&self) {
+        self.change(|versions| {
+            versions.caches().for_each(Cache::finish_update);
             true
         });
     }
 
-    /// Looks at what the newest line serves.
+    /// Gives access to the cache of the newest version.
     pub fn cache<T>(&self, with: impl FnOnce(&Cache) -> T) -> T {
-        with(&self.lines().newest().cache)
+        with(&self.versions().newest().cache)
     }
 
-    /// Looks at what the line before the newest serves, or the only one.
-    pub fn cache_before<T>(&self, with: impl FnOnce(&Cache) -> T) -> T {
-        with(&self.lines().main.cache)
+    /// Gives access to the cache of the previous version during a rollout, else of the only one.
+    pub fn previous_cache<T>(&self, with: impl FnOnce(&Cache) -> T) -> T {
+        with(&self.versions().main.cache)
     }
 
-    /// Looks at what proxies report of their requests. Where the lines are locked too, they come first.
-    pub fn loads<T>(&self, with: impl FnOnce(&mut Loads) -> T) -> T {
+    /// Gives access to the load statistics. Lock order: the versions before the load statistics.
+    pub fn loads<T>(&self, with: impl FnOnce(&mut LoadStats) -> T) -> T {
         with(&mut self.loads.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Takes a report of a node of this [`place`].
-    pub(crate) fn report(&self, place: u32, reports: &[Report]) -> Result<(), Impossible> {
-        let (now, lines) = (self.now(), self.lines());
-        let cache = &lines.of(place).cache;
+    /// Adds the reports of a node with this [`rollout_bucket`].
+    pub(crate) fn report(&self, bucket: u32, reports: &[LoadReport]) -> Result<(), InvalidReport> {
+        let (now, versions) = (self.now(), self.versions());
+        let cache = &versions.for_bucket(bucket).cache;
         self.loads(|loads| {
-            loads.report(now, place, reports, |pool| cache.get(Kind::Cluster, pool).is_some())
+            loads.report(now, bucket, reports, |pool| cache.get(ResourceType::Cluster, pool).is_some())
         })
     }
 
-    /// Takes a stream in that reports loads, or says why not.
-    pub(crate) fn open_reporter(
+    /// Registers a load reporting stream. Fails if the node is refused or a limit is reached.
+    pub(crate) fn open_load_stream(
         self: &Arc<Hub>,
         node: &str,
         cluster: &str,
-    ) -> Result<Reporter, tonic::Status> {
-        self.admits(node, cluster)?;
+    ) -> Result<LoadStream, tonic::Status> {
+        self.check_node(node, cluster)?;
         let mut streams = self.lock();
-        let (all, most) = (streams.reporters.values().sum::<usize>(), self.settings.streams);
-        let of_node = streams.reporters.get(node).copied().unwrap_or_default();
-        if all >= most || of_node >= self.settings.streams_of_node {
+        let (all, most) = (streams.load_streams.values().sum::<usize>(), self.settings.max_streams);
+        let of_node = streams.load_streams.get(node).copied().unwrap_or_default();
+        if all >= most || of_node >= self.settings.max_streams_per_node {
             let what =
                 format!("{all} streams report loads, {of_node} of them of node `{node}`: no more may");
             return Err(tonic::Status::resource_exhausted(what));
         }
-        *streams.reporters.entry(node.to_owned()).or_default() += 1;
-        Ok(Reporter { hub: self.clone(), node: node.to_owned() })
+        *streams.load_streams.entry(node.to_owned()).or_default() += 1;
+        Ok(LoadStream { hub: self.clone(), node: node.to_owned() })
     }
 
-    /// Whether a node may connect: its names are of a length that can be kept, and the settings allow it.
-    pub(crate) fn admits(&self, node: &str, cluster: &str) -> Result<(), tonic::Status> {
+    /// Checks that a node may connect: its names are within the length limit and an access rule allows it.
+    pub(crate) fn check_node(&self, node: &str, cluster: &str) -> Result<(), tonic::Status> {
         if node.is_empty() {
             let what = "the first request must name the node: `node.id` is empty";
             return Err(tonic::Status::invalid_argument(what));
         }
-        if [node, cluster].iter().any(|name| name.len() > NODE_NAME_MOST) {
-            let what = format!("a name of the node is over {NODE_NAME_MOST} bytes");
+        if [node, cluster].iter().any(|name| name.len() > MAX_NODE_NAME_BYTES) {
+            let what = format!("a name of the node is over {MAX_NODE_NAME_BYTES} bytes");
             return Err(tonic::Status::invalid_argument(what));
         }
         let access = &self.settings.access;
@@ -360,22 +362,22 @@
         Ok(())
     }
 
-    /// The newest line, as [`Stream::line`] names it.
-    pub fn newest_line(&self) -> u64 {
-        self.lines().newest().id
+    /// Id of the newest version, comparable to [`StreamInfo::version_id`].
+    pub fn newest_version_id(&self) -> u64 {
+        self.versions().newest().id
     }
 
-    pub(crate) fn lines(&self) -> RwLockReadGuard<'_, Lines> {
-        self.lines.read().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn versions(&self) -> RwLockReadGuard<'_, ServedVersions> {
+        self.versions.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The streams that are open, by number.
-    pub fn streams(&self) -> Vec<Stream> {
+    /// The open streams, sorted by number.
+    pub fn streams(&self) -> Vec<StreamInfo> {
         self.lock().open.values().cloned().collect()
     }
 
-    /// Streams that ended lately, the last one last.
-    pub fn ended(&self) -> Vec<Ended> {
+    /// The last closed streams, the most recent last.
+    pub fn ended(&self) -> Vec<EndedStream> {
         self.lock().ended.iter().cloned().collect()
     }
 
@@ -387,17 +389,17 @@
         self.next_stream.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Takes a stream in, or says why not.
-    pub(crate) fn open(&self, stream: Stream) -> Result<(), tonic::Status> {
+    /// Registers a stream. Fails if the node is refused or a limit is reached.
+    pub(crate) fn open(&self, stream: StreamInfo) -> Result<(), tonic::Status> {
         let (node, settings) = (stream.node.clone(), &self.settings);
-        self.admits(&node, &stream.cluster)?;
+        self.check_node(&node, &stream.cluster)?;
         let mut streams = self.lock();
-        if streams.open.len() >= settings.streams {
-            let what = format!("{} streams are open, the most there may be", settings.streams);
+        if streams.open.len() >= settings.max_streams {
+            let what = format!("{} streams are open, the most there may be", settings.max_streams);
             return Err(tonic::Status::resource_exhausted(what));
         }
         let of_node = streams.of_node.entry(node).or_default();
-        if *of_node >= settings.streams_of_node {
+        if *of_node >= settings.max_streams_per_node {
             let what = format!("node `{}` has {of_node} streams open, the most it may have", stream.node);
             return Err(tonic::Status::resource_exhausted(what));
         }
@@ -406,7 +408,7 @@
         Ok(())
     }
 
-    pub(crate) fn update(&self, number: u64, change: impl FnOnce(&mut Stream)) {
+    pub(crate) fn update(&self, number: u64, change: impl FnOnce(&mut StreamInfo)) {
         if let Some(stream) = self.lock().open.get_mut(&number) {
             change(stream);
         }
@@ -416,11 +418,11 @@
         let at = self.now();
         let mut streams = self.lock();
         let Some(stream) = streams.open.remove(&number) else { return };
-        one_less(&mut streams.of_node, &stream.node);
-        if streams.ended.len() == ENDED_MOST {
+        decrement_stream_count(&mut streams.of_node, &stream.node);
+        if streams.ended.len() == MAX_ENDED_STREAMS {
             streams.ended.pop_front();
         }
-        streams.ended.push_back(Ended { node: stream.node, at, why });
+        streams.ended.push_back(EndedStream { node: stream.node, at, why });
     }
 
     fn lock(&self) -> MutexGuard<'_, Streams> {
