--- a/crates/sim/src/mutants.rs
+++ b/crates/sim/src/mutants.rs
@@ -1,7 +1,7 @@
 //! Errors planted in the code under test, one line each, to prove that the search finds what it is for.
 
 /// Each error's name, and what it does.
-pub const ALL: [(&str, &str); 17] = [
+pub const SIDECAR_MUTANTS: [(&str, &str); 17] = [
     ("reset-never-ran", "a request that was reset after its last byte counts as never sent"),
     ("late-never-ran", "an attempt that was given up counts as never sent"),
     ("unsaid-last-byte", "the last byte of a body is not noted as sent"),
