--- a/crates/sim/src/agreement/applied.rs
+++ b/crates/sim/src/agreement/applied.rs
@@ -1,9 +1,9 @@
-//! What members applied, compared with what others did.
+//! Compares the entries and states that members applied with those of the other members.
 
 use super::*;
 
 impl World<'_> {
-    /// What a member applied.
+    /// Checks the entries that a member has just applied, and its state.
     pub(super) fn check_applied(&mut self, member: MemberId, applied: Vec<Applied>) {
         for one in applied {
             self.check_entry(member, one);
@@ -13,7 +13,7 @@
         let endpoints = state.pools.get(POOL).into_iter().flat_map(|pool| &pool.endpoints);
         let drained: Vec<(String, bool)> =
             endpoints.map(|(uid, endpoint)| (uid.clone(), endpoint.draining)).collect();
-        // Equal indices, equal states, to the byte; now and then, since it costs.
+        // Equal indices must give byte-identical states; checked at every 8th index, since it is expensive.
         let hash = index.is_multiple_of(8).then(|| fnv1a(0, state.snapshot().as_bytes()));
         if let Some(hash) = hash
             && *self.observed.snapshots.entry(index).or_insert(hash) != hash
--- a/crates/sim/src/agreement/clients.rs
+++ b/crates/sim/src/agreement/clients.rs
@@ -1,8 +1,8 @@
-//! Clients that repeat their writes, and consistent readers.
+//! Clients that retry their writes, and consistent readers.
 
 use super::*;
 
-/// A write on its way.
+/// A write without an answer so far.
 pub(super) struct Write {
     pub(super) proposal: Proposal,
     pub(super) at: MemberId,
@@ -12,13 +12,13 @@
 pub(super) struct Read {
     pub(super) number: u64,
     pub(super) at: MemberId,
-    /// What had been acknowledged before it was asked.
+    /// The highest index acknowledged before the read was submitted.
     pub(super) min_index: u64,
     pub(super) submitted: u64,
 }
 
 impl World<'_> {
-    /// Lets clients write and read at members that are awake.
+    /// Lets clients submit writes and reads at running members.
     pub(super) fn run_clients(&mut self, awake: &[MemberId]) {
         if awake.is_empty() {
             return;
@@ -50,12 +50,12 @@
         Some(Write { proposal: Proposal { id, command }, at, submitted: 0 })
     }
 
-    /// Proposes a write where it was not asked yet.
+    /// Proposes a write at its member, unless done already.
     pub(super) fn submit(&mut self, mut write: Write) -> Write {
         if write.submitted == 0 {
             write.submitted = self.now;
             if let Some(node) = self.nodes.get_mut(&write.at) {
-                let _ = node.propose(&write.proposal); // it is asked again elsewhere
+                let _ = node.propose(&write.proposal); // it is retried at another member
             }
         }
         write
@@ -73,7 +73,7 @@
         self.reads.retain(|read| read.submitted + 4 * RETRY_TICKS > submitted);
     }
 
-    /// Looks whether a write is answered where it was asked, or asks elsewhere with the same id.
+    /// Completes a write that its member has answered; after a timeout retries it with the same id at another member.
     pub(super) fn poll_write(&mut self, mut write: Write, awake: &[MemberId]) -> Option<Write> {
         let state = self
             .nodes
@@ -86,7 +86,7 @@
         if let Some((index, outcome)) = answer {
             self.outcomes.answered += 1;
             self.observed.max_acked_index = self.observed.max_acked_index.max(index);
-            // A refusal must be one: nothing of it may have been done.
+            // A refused write must not have taken effect.
             if !outcome.is_done()
                 && let Some(first) = self.observed.effects.get(&write.proposal.id)
             {
@@ -126,7 +126,7 @@
     }
 }
 
-/// A version on top of the one that a state has.
+/// A commit on top of the current version of a state.
 pub(super) fn commit(state: &State, number: u64) -> Command {
     let parent = state.current().map(|version| version.hash.clone()).unwrap_or_default();
     Command::Commit(Commit {
--- a/crates/sim/src/agreement/faults.rs
+++ b/crates/sim/src/agreement/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, as they begin.
+//! Starts the faults of a script.
 
 use super::*;
 
--- a/crates/sim/src/agreement/members.rs
+++ b/crates/sim/src/agreement/members.rs
@@ -1,4 +1,4 @@
-//! Changes of members: added, promoted once they are seen, removed.
+//! Membership changes: members are added, promoted once their folder is known, and removed.
 
 use super::*;
 
@@ -16,7 +16,7 @@
         self.pending_changes.push(change);
     }
 
-    /// Has the leader make the changes of members that are wanted.
+    /// Proposes the pending membership changes to the leader.
     pub(super) fn change_members(&mut self) {
         let Some(leader) = self.leader() else { return };
         let term = self.nodes[&leader].term();
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The change that a leader accepted: over once it has applied it, or leads no more.
+    /// The change that a leader has accepted and not applied yet, in the same term.
     fn change_in_progress(&self, leader: MemberId, term: u64) -> Option<String> {
         let node = &self.nodes[&leader];
         let (id, accepted_term) = self.accepted_changes.get(&leader)?;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Has a member that was added become a voter, once it has been seen.
+    /// Proposes to make an added member a voter, once its folder is known.
     fn promote(&mut self, leader: MemberId, term: u64, member: MemberId, open: Option<&str>) {
         let state = self.nodes[&leader].state();
         let Some(known) = state.and_then(|state| state.members.get(&member)).filter(|m| !m.voter) else {
@@ -78,7 +78,7 @@
         self.propose_change(leader, term, &id, &MemberChange::Promote { member }, open);
     }
 
-    /// Tells the leader, now and then, that a member has its folder.
+    /// Reports a member's folder to the leader, every 10 ticks.
     fn propose_seen(&mut self, leader: MemberId, member: MemberId) {
         let identity = identity(member);
         let seen = Command::Seen { member, ticket: identity.ticket, folder: identity.folder };
@@ -87,7 +87,7 @@
         if self.now.is_multiple_of(10)
             && let Some(node) = self.nodes.get_mut(&leader)
         {
-            let _ = node.propose(&proposal); // it is said again
+            let _ = node.propose(&proposal); // it is proposed again later
         }
     }
 
@@ -104,7 +104,7 @@
         }
         let Some(node) = self.nodes.get_mut(&leader) else { return };
         if let Err(error) = node.change_members(id, change) {
-            // One that leads is not removed: somebody else is to lead first.
+            // A leader cannot be removed: leadership is transferred first.
             if matches!(change, MemberChange::Remove { member } if *member == leader)
                 && error.contains("transfer")
             {
--- a/crates/sim/src/agreement/network.rs
+++ b/crates/sim/src/agreement/network.rs
@@ -1,9 +1,9 @@
-//! The network between members: messages on their way, and those that are lost.
+//! The network between members: delayed and lost messages.
 
 use super::*;
 
 impl World<'_> {
-    /// Sends what a member puts out, as far as it is not lost.
+    /// Sends a member's messages, except those that are lost.
     pub(super) fn send(
         &mut self,
         member: MemberId,
@@ -11,7 +11,7 @@
         removed: &BTreeSet<MemberId>,
     ) {
         for message in messages {
-            // A read that it asked while it was one may be answered; its vote may not.
+            // A removed member may get the answer to an earlier read, but no vote response.
             if VOTE_RESPONSE_KINDS.contains(&message.kind) && removed.contains(&message.to) {
                 let detail = format!("{member} answers {}, which was removed: {message:?}", message.to);
                 self.report_violation(Rule::Removed, detail);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// What is due reaches who is awake; a stalled member's messages wait for it.
+    /// Delivers the messages that are due; those to a stalled member wait until it continues.
     pub(super) fn deliver(&mut self) {
         let due: Vec<(u64, u64)> = self.in_flight.range(..(self.now + 1, 0)).map(|(key, _)| *key).collect();
         for key in due {
--- a/crates/sim/src/agreement/proxies.rs
+++ b/crates/sim/src/agreement/proxies.rs
@@ -1,8 +1,8 @@
-//! Proxies that are served by members and move between them.
+//! Proxies that hold xDS sessions with members and move between them.
 
 use super::*;
 
-/// What an instance serves to proxies.
+/// The cache from which an instance serves proxies.
 pub(super) struct Serving {
     pub(super) cache: Cache,
     pub(super) served: Option<(u64, u64)>,
@@ -10,10 +10,10 @@
 
 pub(super) struct Proxy {
     pub(super) at: MemberId,
-    /// The instance's run that the session belongs to.
+    /// The member and its number of starts that the session belongs to.
     pub(super) run: u64,
     pub(super) session: Session,
-    /// The version of clusters that it holds, and its index; the serial that it says.
+    /// Version of the clusters that it holds, with the index and the serial of that version.
     pub(super) held: (String, u64, u64),
     pub(super) draining: BTreeSet<String>,
 }
@@ -82,7 +82,7 @@
 }
 
 impl Proxy {
-    /// Begins a session, with what the proxy holds.
+    /// Starts a session, with the versions that the proxy holds.
     fn subscribe(&mut self, n: usize, cache: &Cache, now: Duration) {
         let incremental = is_incremental(n);
         self.session = Session::new(format!("p{n}"), incremental, None, Limits::default());
@@ -92,7 +92,7 @@
             (true, false) => drop(request.initial_versions.insert("c".to_owned(), self.held.0.clone())),
             (false, false) => request.version = self.held.0.clone(),
         }
-        let _ = self.session.request(cache, now, request); // a refusal shows as a proxy that is told nothing
+        let _ = self.session.request(cache, now, request); // a refused request shows as a proxy without updates
     }
 
     fn is_older(&self, served_state: &ServedState) -> bool {
@@ -103,7 +103,7 @@
     }
 
     fn record(&mut self, n: usize, version: &str, served_state: ServedState) {
-        // As the incremental variant names it, or the whole.
+        // Resource version of the incremental variant, or the version of the response.
         let held = match is_incremental(n) {
             true => format!("7.{}-0", served_state.index),
             false => version.to_owned(),
@@ -113,7 +113,7 @@
     }
 }
 
-/// Every other proxy speaks the incremental variant.
+/// Every other proxy uses the incremental variant of xDS.
 fn is_incremental(n: usize) -> bool {
     n % 2 == 1
 }
@@ -127,7 +127,7 @@
     }
 }
 
-/// What a response says.
+/// The content of a response.
 struct ServedState {
     index: u64,
     serial: u64,
--- a/crates/sim/src/agreement/recovery.rs
+++ b/crates/sim/src/agreement/recovery.rs
@@ -1,9 +1,9 @@
-//! After everything is healed: all must come back, to the same state.
+//! Final phase of a run: with all faults ended, the members must recover to the same state.
 
 use super::*;
 
 impl World<'_> {
-    /// Heals everything and waits until all members have applied the same and nothing is under way.
+    /// Ends all faults and waits until all members have applied the same index and nothing is pending.
     pub(super) fn recover(&mut self) {
         self.heal();
         let end = self.now + RECOVERY_TICKS;
@@ -33,7 +33,7 @@
         self.disks.values().for_each(|disk| disk.fail(None));
     }
 
-    /// Sees writes under way to their ends: how many are left.
+    /// Continues pending writes and returns how many remain.
     fn finish_writes(&mut self) -> usize {
         let awake: Vec<MemberId> = self.nodes.keys().copied().collect();
         let mut left = Vec::new();
@@ -45,7 +45,7 @@
         self.writes.iter().flatten().count()
     }
 
-    /// The members that the leader knows of; none where nobody leads.
+    /// The members in the state of the leader; empty without a leader.
     fn members_of_leader(&self) -> Vec<MemberId> {
         let state = self.leader().and_then(|leader| self.nodes[&leader].state());
         state.map(|state| state.members.keys().copied().collect()).unwrap_or_default()
--- a/crates/sim/src/agreement/rules.rs
+++ b/crates/sim/src/agreement/rules.rs
@@ -1,42 +1,42 @@
-//! The rules of a run, and what a run came to.
+//! The rules that a run must keep, and the result of a run.
 
 use std::fmt;
 
-/// A rule.
+/// A rule that a run can violate. Each variant describes its violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// Two lead in a term.
+    /// Two leaders in one term.
     Leaders,
-    /// Two members applied different things under one index, or hold different states of one.
+    /// Members applied different entries at one index, or have different states for it.
     Agreement,
-    /// What was acknowledged is not there, or otherwise.
+    /// An acknowledged write is missing or has another outcome.
     Lost,
-    /// A write took effect twice, or its repeat was answered otherwise.
+    /// A write took effect twice, or took effect although it was refused.
     Twice,
-    /// A consistent read missed what was acknowledged before it was asked.
+    /// A consistent read missed a write that was acknowledged before the read was submitted.
     Stale,
     /// A drain was undone.
     Undrained,
-    /// A proxy went back.
+    /// A proxy was sent an older version than it holds.
     Back,
-    /// One that was removed is answered.
+    /// A removed member got a vote response.
     Removed,
-    /// Two changes of members at once.
+    /// Two membership changes at the same time.
     Changes,
-    /// A folder can't be opened again.
+    /// A folder cannot be reopened.
     Folder,
-    /// After healing it does not come back.
+    /// The cluster does not recover after the faults have ended.
     Return,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When, in ticks.
+    /// Time in ticks.
     pub at: u64,
-    /// What shows it.
+    /// Evidence of the violation.
     pub detail: String,
 }
 
@@ -46,15 +46,15 @@
     }
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcomes {
-    /// Broken rules, the first of each.
+    /// The first violation of each rule.
     pub violations: Vec<Violation>,
-    /// Writes and reads that were answered.
+    /// Number of answered writes and reads.
     pub answered: u64,
-    /// The last index.
+    /// The last applied index.
     pub index: u64,
-    /// A hash over all that was applied: equal runs have equal ones.
+    /// Hash over all applied entries, equal for equal runs.
     pub hash: u64,
 }
--- a/crates/sim/src/agreement/script.rs
+++ b/crates/sim/src/agreement/script.rs
@@ -1,76 +1,76 @@
-//! A run as data, and the run that a seed draws.
+//! Script of a run, and its generation from a seed.
 
 use super::{ENDPOINTS, PROXIES};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
 
-/// A run as data. Times are in ticks.
+/// The script of a run. Times are in ticks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Of every draw that the script leaves open.
+    /// Seed of everything the script leaves open.
     pub seed: u64,
-    /// Members at the start.
+    /// Number of members at the start.
     pub members: u64,
-    /// How long before everything is healed.
+    /// Duration until all faults end.
     pub lasts: u64,
-    /// A message takes from one to so many ticks.
+    /// Highest message delay; the lowest is one tick.
     pub late: u64,
-    /// What goes wrong, and what people do.
+    /// Faults and operator actions.
     pub faults: Vec<Fault>,
 }
 
-/// Something that happens at a tick, and may last.
+/// A fault or operator action.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When.
+    /// Its start.
     pub at: u64,
-    /// For how long.
+    /// Its duration.
     pub lasts: u64,
-    /// What.
+    /// Its kind.
     pub what: FaultKind,
 }
 
-/// What happens. Members are named by their place among those there are then; 99: whoever leads.
+/// Kind of a fault. Members are given by their position among the current members; 99 is the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// It is cut off from all others.
+    /// A member is partitioned from all others.
     Cut(u64),
-    /// What it sends is lost.
+    /// A member's outgoing messages are lost.
     Mute(u64),
-    /// What is sent to it is lost.
+    /// A member's incoming messages are lost.
     Deaf(u64),
-    /// Of a hundred messages so many are lost, everywhere.
+    /// This percentage of all messages is lost.
     Lossy(u64),
-    /// Its power goes, with what was not synced.
+    /// A member loses power, and with it unsynced data.
     Crash(u64),
-    /// An operation of its disk fails, so many from now.
+    /// A member's disk fails after this many further operations.
     DiskFull(u64, u64),
-    /// Its disk is cut off in the middle of an operation, so many from now, and its power goes.
+    /// A member loses power in the middle of a disk operation, after this many further ones.
     DiskCut(u64, u64),
-    /// It stops, and goes on with what it believed.
+    /// A member is paused, and continues with its old state.
     Stall(u64),
-    /// Whoever has given a vote loses its power at once, every other time.
+    /// A member that has granted a vote loses power at once, with a probability of one half.
     Flicker,
     /// A member is removed.
     Remove(u64),
-    /// A member is added, and promoted once it has caught up.
+    /// A member is added, and promoted once its folder is known.
     Add,
-    /// Leadership is handed over.
+    /// Leadership is transferred to a member.
     Transfer(u64),
     /// An endpoint drains.
     Drain(u64),
-    /// It hears nothing of discovery.
+    /// A member gets no news of discovery.
     Blind(u64),
-    /// A proxy goes over to a member.
+    /// A proxy moves its session to a member.
     Move(usize, u64),
 }
 
 impl FaultKind {
-    /// The kind, for what came together with what.
+    /// Name of the kind, for statistics of combinations.
     pub fn kind(&self) -> &'static str {
         match self {
             FaultKind::Cut(_) => "cut",
@@ -92,7 +92,7 @@
     }
 }
 
-/// The run of a seed.
+/// Generates the script of a seed.
 pub fn script(seed: u64) -> Script {
     let mut draws = Pcg32::seed_from_u64(seed ^ 0xa9ee);
     let mut below = |most: u64| u64::from(draws.next_u32()) % most.max(1);
--- a/crates/sim/src/agreement/turn.rs
+++ b/crates/sim/src/agreement/turn.rs
@@ -1,9 +1,9 @@
-//! One tick of all members, and what they put out.
+//! One tick of the simulation.
 
 use super::*;
 
 impl World<'_> {
-    /// One tick of all members, and what comes of it.
+    /// Advances all members by one tick and processes their output; `with_clients` also submits reads and writes.
     pub(super) fn tick(&mut self, with_clients: bool) {
         self.now += 1;
         let now = self.now;
@@ -42,7 +42,7 @@
         self.nodes.keys().copied().filter(|id| !self.stalled.contains_key(id)).collect()
     }
 
-    /// Offers snapshots again to members that have not fetched theirs.
+    /// Retries snapshots that members have not fetched.
     fn offer_snapshots(&mut self) {
         for node in self.nodes.values_mut().filter(|node| node.is_leader()) {
             let status = node.status();
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Lets a member do what is due, and takes what it puts out.
+    /// Drives a member and processes its output.
     fn drive(&mut self, member: MemberId) {
         let Some(node) = self.nodes.get_mut(&member) else { return };
         let removed: BTreeSet<MemberId> =
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The disk failed, for now or for good.
+    /// Handles a failure of a member's disk: power loss or a restart of the process.
     fn on_disk_failed(&mut self, member: MemberId) {
         let disk = self.disks[&member].clone();
         disk.fail(None);
--- a/crates/sim/src/agreement/world.rs
+++ b/crates/sim/src/agreement/world.rs
@@ -1,4 +1,4 @@
-//! The state of a run: members with their disks, the network between them, and what was judged so far.
+//! State of a run: members with their disks, the network between them and the observations for the rules.
 
 use super::*;
 
@@ -8,13 +8,13 @@
     pub(super) now: u64,
     pub(super) nodes: BTreeMap<MemberId, Node<Disk>>,
     pub(super) disks: BTreeMap<MemberId, Disk>,
-    /// Those that are off until a tick.
+    /// Members without power, and the tick at which they restart.
     pub(super) powered_off: BTreeMap<MemberId, u64>,
     pub(super) stalled: BTreeMap<MemberId, u64>,
     pub(super) start_counts: BTreeMap<MemberId, u64>,
     pub(super) in_flight: BTreeMap<(u64, u64), PeerMessage>,
     pub(super) sent_count: u64,
-    /// Until when which messages are lost.
+    /// Active faults: kind, member, end.
     pub(super) active_faults: Vec<(FaultKind, MemberId, u64)>,
     pub(super) members: BTreeSet<MemberId>,
     pub(super) next_member: MemberId,
@@ -35,10 +35,10 @@
     pub(super) outcomes: Outcomes,
 }
 
-/// What was seen of all members together, for the rules.
+/// Observations of all members, for the rules.
 #[derive(Default)]
 pub(super) struct Observed {
-    /// What was acknowledged: by id, its index and outcome; and the highest index.
+    /// Acknowledged writes by id, with index and outcome.
     pub(super) acked: BTreeMap<String, (u64, Outcome)>,
     pub(super) max_acked_index: u64,
     pub(super) applied: BTreeMap<u64, Applied>,
@@ -117,7 +117,7 @@
         leading.map(|(id, node)| (node.term(), *id)).max().map(|(_, id)| id)
     }
 
-    /// A member by its place, or whoever leads.
+    /// The member at a position, or the leader for 99.
     pub(super) fn member_at(&self, place: u64) -> MemberId {
         let members: Vec<MemberId> = self.members.iter().copied().collect();
         let at = members[place as usize % members.len()];
@@ -134,7 +134,7 @@
                 self.serving.insert(member, Serving { cache, served: None });
             }
             Err(NodeError::Disk(DiskError::File { .. })) => {
-                // It is full, or has been cut off while it was opened.
+                // The disk is full or failed during the opening.
                 self.disks[&member].fail(None);
                 self.crash(member, self.now + REOPEN_TICKS);
             }
--- a/crates/sim/src/client.rs
+++ b/crates/sim/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients: they ask as the script says, keep connections, and note what they get. Some keep to no protocol.
+//! Simulated clients: send the script's requests, reuse connections and record the responses. Some violate the protocol
+//! on purpose.
 
 use crate::facts::{RequestRecord, Response};
 use crate::http::Reader;
@@ -13,14 +14,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// What is listened for after an answer, in case another one comes.
+/// How long a client reads on after a response, to detect a second one.
 const SURPLUS_WAIT: Duration = Duration::from_millis(20);
-/// A hidden request comes this much behind the one that hides it.
+/// Delay between a smuggling request and the request hidden in its body.
 const HIDDEN_REQUEST_DELAY: Duration = Duration::from_millis(150);
-/// Bad clients look for so long whether they are told.
+/// How long a client that violates the protocol waits for an error or a close.
 const BAD_CLIENT_WAIT: Duration = Duration::from_secs(8);
 
-/// The connections that clients keep, the last used last.
+/// Idle connections of each client, the most recently used last.
 #[derive(Default)]
 pub struct IdleConnections(RefCell<BTreeMap<u32, Vec<Stream>>>);
 
@@ -46,15 +47,15 @@
 
 /// How an exchange ended.
 enum ExchangeEnd {
-    /// With a whole answer; the connection may be kept.
+    /// With a complete response; the connection may be reused unless `close` is set.
     Answered { close: bool },
-    /// The connection ended without.
+    /// The connection ended without a complete response.
     Disconnected,
-    /// The client left.
+    /// The client gave up waiting.
     TimedOut,
 }
 
-/// Asks one request, at its time.
+/// Sends one request of the script at its scheduled time and records the result.
 pub async fn send_request(world: Rc<World>, idle_connections: Rc<IdleConnections>, number: usize) {
     let plan = world.script.asks[number].clone();
     tokio::time::sleep_until(world.at(plan.at)).await;
@@ -95,7 +96,7 @@
                 let until = world.start + world.now() + ms(plan.wait);
                 match timeout_at(until, world.network.connect(client_ip(plan.client), to)).await {
                     Ok(Ok(stream)) => stream,
-                    _ => return, // nobody there: never taken
+                    _ => return, // connect failed: the request never arrived
                 }
             }
         };
@@ -107,14 +108,14 @@
         match end {
             ExchangeEnd::Answered { close: true } | ExchangeEnd::TimedOut => return,
             ExchangeEnd::Answered { close: false } => {
-                // What comes behind an answer would be one too many, and ends the connection.
+                // Bytes after the response would be a second response, and end the connection.
                 let mut bytes = [0; 256];
                 if timeout_at(Instant::now() + SURPLUS_WAIT, stream.read(&mut bytes)).await.is_err() {
                     idle_connections.0.borrow_mut().entry(plan.client).or_default().push(stream);
                 }
                 return;
             }
-            // It crossed the closing of a kept connection, unread: sent once more.
+            // The sidecar closed the idle connection before it read the request: retried on a new connection.
             ExchangeEnd::Disconnected if !is_new && !read => {
                 is_new = true;
                 let record = &mut world.facts.borrow_mut().requests[index];
@@ -137,7 +138,7 @@
     stream: &mut Stream,
 ) -> ExchangeEnd {
     let text = request_text(plan, id);
-    // A kept connection has been answered on before: the offsets go on.
+    // Offsets continue on a reused connection, since it has carried responses before.
     let begin = stream.written();
     let parts = match plan.manner {
         ClientBehavior::Slowly(after) => {
@@ -162,7 +163,7 @@
             (Some(sent), arrives, Some((link, response_offset)));
     }
     let wait = ms(plan.wait);
-    // A client that waits for its time waits a little longer for what was sent in time.
+    // The client waits slightly beyond its timeout, for responses that were sent in time.
     let patience = match plan.manner {
         ClientBehavior::Leaves(after) => ms(after),
         _ => wait + Duration::from_millis(500),
@@ -192,7 +193,7 @@
     ended
 }
 
-/// Sends what is against the protocol, and notes what comes of it.
+/// Sends a request that violates the protocol and records the response.
 async fn send_malformed(world: &World, plan: &RequestPlan, id: &str, index: usize, mut stream: Stream) {
     let valid_request = request_text(plan, id);
     let bytes = match plan.manner {
@@ -208,7 +209,7 @@
         ClientBehavior::Stops => valid_request[..valid_request.len() / 2].to_owned(),
         _ => valid_request,
     };
-    // What is hidden comes when the request before it may have been answered.
+    // The hidden request is sent when the request before it may have been answered.
     let (first, rest) = match bytes.find("0\r\n\r\n").filter(|_| plan.manner == ClientBehavior::Smuggles) {
         Some(place) => bytes.split_at(place + 5),
         None => (&bytes[..], ""),
--- a/crates/sim/src/discovery.rs
+++ b/crates/sim/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: it knows which endpoints are there, and tells it late, in part, or not at all, as the script says.
+//! Simulated discovery service: lists the endpoints and streams changes, late, partially or not at all, as scripted.
 
 use crate::facts::EndpointNotice;
 use crate::http::Reader;
@@ -15,11 +15,11 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::{sleep_until, timeout};
 
-/// An empty line comes this often.
+/// Interval of empty lines on an idle watch.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Versions of the server that discovery moves to don't compare with those of the first.
+/// Separates the revisions of the two servers, which are not comparable with each other.
 const REV_OFFSET_PER_SERVER: u64 = 100_000;
-/// After a move the old server ends this much later.
+/// Time from the move to the second server until the first one stops.
 const OLD_SERVER_SHUTDOWN_MS: u32 = 1500;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,24 +33,24 @@
     endpoint: u32,
     state: State,
     boot: Option<Duration>,
-    /// The version in which it changed last.
+    /// Revision of its last change.
     rev: u64,
 }
 
-/// Discovery.
+/// The simulated discovery service.
 pub struct Discovery {
     world: Rc<World>,
     entries: RefCell<Vec<Entry>>,
-    /// Rises with each change, and with each break: the version, and how many breaks there were.
+    /// The current revision, and how often all watches were broken.
     changes: Cell<(u64, u64)>,
-    /// How often all watches have fallen silent.
+    /// How often all open watches stopped sending.
     silences: Cell<u64>,
-    /// Wakes in the order of waiting; a `watch` channel's order is random.
+    /// Wakes waiters in order; a `watch` channel would wake them in random order.
     changed: Notify,
 }
 
 impl Discovery {
-    /// It knows of the endpoints that are there from the start.
+    /// Creates the service with the endpoints that exist from the start.
     pub fn new(world: Rc<World>) -> Rc<Discovery> {
         let entry = |endpoint| Entry { endpoint, state: State::Up, boot: None, rev: 1 };
         let entries = RefCell::new((0..world.script.endpoints).map(entry).collect());
@@ -58,7 +58,7 @@
         Rc::new(Discovery { world, entries, changes, silences, changed: Notify::new() })
     }
 
-    /// The whole list, as a sidecar is given it at its start.
+    /// The full endpoint list, for a sidecar's initial configuration.
     pub fn list(&self) -> Value {
         self.render_list(0, 0, true).0
     }
@@ -77,7 +77,7 @@
         self.changed.notify_waiters();
     }
 
-    /// What changed after a version, or all; and who is in it.
+    /// The changes after a revision, or the full list, and the endpoints (number, ready) that it mentions.
     fn render_list(&self, server: u32, after: u64, all: bool) -> (Value, Vec<(u32, bool)>) {
         let rev = self.changes.get().0 + u64::from(server) * REV_OFFSET_PER_SERVER;
         let after = after.saturating_sub(u64::from(server) * REV_OFFSET_PER_SERVER);
@@ -100,14 +100,14 @@
             listed.push((entry.endpoint, entry.state == State::Up));
         }
         if all {
-            // Who is missing from a whole list is gone.
+            // An endpoint that a full list omits is removed.
             let gone = entries.iter().filter(|entry| entry.state == State::Removed);
             listed.extend(gone.map(|entry| (entry.endpoint, false)));
         }
         (json!({"rev": rev, "all": all, "targets": targets}), listed)
     }
 
-    /// Plays what the script says.
+    /// Starts the servers and schedules the script's discovery events.
     pub fn start(self: Rc<Self>) {
         let world = self.world.clone();
         let mut steps: Vec<(u32, Step)> = Vec::new();
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Until when it is down or tells nothing new, if it is.
+    /// The end of the current outage (`down`) or lag, if there is one.
     fn outage_end(&self, down: bool) -> Option<tokio::time::Instant> {
         let now = self.world.now().as_millis() as u32;
         let windows = self.world.script.faults.iter().filter_map(|fault| match fault {
@@ -223,7 +223,7 @@
             }
         };
         if self.outage_end(true).is_some() {
-            return; // down: the call ends with nothing
+            return; // down: closes without a response
         }
         let Some((_, query)) = message.first.split_once("watch=1&after=") else {
             let (list, listed) = self.render_list(server, 0, true);
@@ -244,7 +244,7 @@
         let mut first = true;
         loop {
             if self.silences.get() != silences {
-                // Open, until the other side ends it.
+                // Keeps the watch open until the peer closes it.
                 let mut bytes = [0; 16];
                 while stream.read(&mut bytes).await? > 0 {}
                 return Ok(());
@@ -261,7 +261,7 @@
                 stream.abort();
                 return Ok(());
             }
-            // A version of another server is none of ours: it gets all.
+            // A revision of the other server is unknown here, so the full list is sent.
             let all = after < u64::from(server) * REV_OFFSET_PER_SERVER
                 || after >= u64::from(server + 1) * REV_OFFSET_PER_SERVER;
             let (list, listed) = self.render_list(server, after, all);
@@ -272,7 +272,7 @@
                 self.record_notices(stream, &listed);
                 first = false;
             }
-            // What has changed while this was written is told at once.
+            // Changes that occurred during the write are sent at once.
             let seen = self.changes.get();
             let up_to_date = seen.0 + u64::from(server) * REV_OFFSET_PER_SERVER <= after;
             if up_to_date && timeout(KEEPALIVE_INTERVAL, self.changed.notified()).await.is_err() {
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Notes what has just been written to a sidecar.
+    /// Records the endpoint states that were just written to a sidecar.
     fn record_notices(&self, stream: &Stream, listed: &[(u32, bool)]) {
         let Some((0, sidecar)) = stream.peer().map(host_kind_and_number) else { return };
         let Some((_, at)) = self.world.network.write_times(stream.link(), 1, stream.written()) else {
--- a/crates/sim/src/draw.rs
+++ b/crates/sim/src/draw.rs
@@ -1,5 +1,5 @@
-//! Scripts from seeds. Each seed switches a random part of the kinds of fault on (swarm testing), so that rare
-//! combinations come about that a mixture of all would bury.
+//! Generates scripts from seeds. Each seed enables a random subset of the fault kinds (swarm testing), so that rare
+//! combinations occur that a mixture of all kinds would hide.
 
 use crate::script::{
     Class, ClientBehavior, Fault, RequestPlan, ResponseFault, Script, default_connect_ms, default_window_ms,
@@ -7,28 +7,27 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Kinds of fault that can be switched on.
+/// Number of fault kinds that can be enabled.
 const FAULT_KINDS: u32 = 19;
-/// A second copy comes this much behind the first at most. A connection that an endpoint's silences have earned rests
-/// for 5 ms (`docs/design/wire-speed.md`): a copy that is later than that, and the first one ever, is beyond what is
-/// promised.
+/// Longest delay of a duplicate response. The sidecar keeps a connection out of use for at least 5 ms after a response
+/// (`docs/design/wire-speed.md`); it does not promise to catch an endpoint's first duplicate that comes later than that.
 const MAX_DUPLICATE_DELAY_MS: u32 = 4;
 const CLASSES: [Class; 3] = [Class::Quote, Class::Book, Class::Pay];
-/// Sets the draws of `narrow_moments` apart.
+/// Gives `draw_extra_timings` a random stream of its own.
 const EXTRA_DRAWS_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Requests begin once the sidecars listen.
+/// Time of the first request, when the sidecars listen.
 const FIRST_REQUEST_MS: u32 = 300;
 
-/// What a script is drawn from.
+/// Random number source of a script.
 pub(crate) struct Draws(pub(crate) Pcg32);
 
 impl Draws {
-    /// From the least up to the most, both included.
+    /// A number in `least..=most`.
     pub(crate) fn of(&mut self, least: u32, most: u32) -> u32 {
         least + self.0.next_u32() % (most - least + 1)
     }
 
-    /// Whether one of so many cases has come up.
+    /// True with a probability of 1 in `count`.
     pub(crate) fn one_in(&mut self, count: u32) -> bool {
         self.0.next_u32().is_multiple_of(count)
     }
@@ -116,7 +115,7 @@
                 12 => Fault::Joins { at, count: d.of(1, 3) },
                 13 => match d.of(0, 2) {
                     0 => {
-                        // What happens while it is down must be heard afterwards.
+                        // Changes during the outage must reach the sidecars afterwards.
                         if draining + 1 < endpoints {
                             draining += 1;
                             let at = at + d.of(0, lasts);
@@ -135,7 +134,7 @@
                     Fault::Moves { at: at.max(1_500) }
                 }
                 18 if draining == 0 => {
-                    // A release: cold ones come, and the others go.
+                    // A rolling release: cold endpoints join and the existing ones drain.
                     draining = endpoints;
                     for endpoint in 0..endpoints {
                         script.faults.push(Fault::Drains {
@@ -156,12 +155,12 @@
     script
 }
 
-/// What came later, from draws of its own, so that what the seeds had before stays as it was.
+/// Draws the kinds that were added later from a separate random stream, so that existing seeds keep their earlier faults.
 fn draw_extra_timings(script: &mut Script, length: u32, clients: u32) {
     let mut d = Draws(Pcg32::seed_from_u64(script.seed ^ EXTRA_DRAWS_SEED));
     let enabled = |d: &mut Draws| d.one_in(4);
     if enabled(&mut d) {
-        // Who drains then is heard of by those alone who open their watch anew, and requests go on for long enough.
+        // Only sidecars that reopen their watch learn of the drain, and requests continue for long enough to show it.
         let at = FIRST_REQUEST_MS + d.of(0, 2_000);
         script.faults.push(Fault::WatchesSilent { at });
         if !script.faults.iter().any(|fault| matches!(fault, Fault::Drains { .. })) {
@@ -193,7 +192,7 @@
                 script.faults.push(Fault::LateConnects { endpoint, at, lasts, by });
             }
         }
-        // More at once than have connections, and many of them leave.
+        // More concurrent requests than connections; many of these clients disconnect early.
         let (at, after) = (at + d.of(0, lasts), d.of(20, 400));
         for n in 0..d.of(10, 50) {
             let client = clients * script.sidecars + n;
--- a/crates/sim/src/endpoint.rs
+++ b/crates/sim/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints: they run what comes whole, and are slow, cold, draining or gone, and spoil answers, as the script says.
+//! Simulated endpoints: run every complete request; slow, cold, draining or down, with faulty responses, as scripted.
 
 use crate::facts::Execution;
 use crate::http::{Message, Reader};
@@ -14,25 +14,25 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// An endpoint.
+/// A simulated endpoint.
 pub struct Endpoint {
     world: Rc<World>,
     number: u32,
-    /// When its process started, if that was in this run.
+    /// When its process started, if during this run.
     started: Cell<Option<Duration>>,
     running: Cell<usize>,
-    /// Requests that came, for draws.
+    /// Requests accepted so far; seeds the random numbers of each.
     received: Cell<u64>,
 }
 
 impl Endpoint {
-    /// One that has been up for long.
+    /// An endpoint that has been running for long and is warm.
     pub fn new(world: Rc<World>, number: u32) -> Rc<Endpoint> {
         let (started, running, received) = Default::default();
         Rc::new(Endpoint { world, number, started, running, received })
     }
 
-    /// Its process starts now, cold.
+    /// Starts its process, cold.
     pub fn start_process(&self) {
         let now = self.world.now();
         self.started.set(Some(now));
@@ -40,7 +40,7 @@
         self.world.facts.borrow_mut().endpoint_starts.push((self.number, now));
     }
 
-    /// Serves until the task is dropped, as when its process dies. What has begun to run goes on for itself.
+    /// Serves connections until the task is dropped, as when the process dies.
     pub async fn serve(self: Rc<Self>) {
         let at = SocketAddr::new(endpoint_ip(self.number), PORT);
         let Ok(listener) = self.world.network.listen(at) else { return };
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Runs a request and answers it; none where the connection is to be closed.
+    /// Runs a request and responds; `None` if the connection must be closed.
     async fn handle_request(&self, stream: &mut Stream, message: &Message) -> Option<()> {
         let class = match message.first.split([' ', '/', '?']).nth(2)? {
             "quote" => Class::Quote,
@@ -161,7 +161,7 @@
         draws.next_u32().is_multiple_of(one_of.max(1)).then_some(how)
     }
 
-    /// How many times as long as usual it takes.
+    /// Factor on the usual service time, from faults and from being cold.
     fn slowdown(&self) -> f64 {
         let slow = self.active_fault(|fault| match fault {
             Fault::Slow { endpoint, at, lasts, times } => Some((*endpoint, *at, *lasts, *times)),
@@ -180,7 +180,7 @@
     stream.write_all(text.as_bytes()).await.ok()
 }
 
-/// Plays an endpoint's process through the script: its deaths, and its coming.
+/// Starts and kills an endpoint's process at the times of the script; `from` is its first start, if not running already.
 pub fn run_process(endpoint: Rc<Endpoint>, from: Option<u32>) {
     let (world, number) = (endpoint.world.clone(), endpoint.number);
     let mut transitions: Vec<(u32, bool)> = from.iter().map(|at| (*at, true)).collect();
--- a/crates/sim/src/facts.rs
+++ b/crates/sim/src/facts.rs
@@ -1,9 +1,9 @@
-//! What happened in a run, as the world saw it. Nothing here comes from the code under test but the gauges at the end.
+//! Events of a run as the simulation recorded them. Only the gauges at the end come from the code under test.
 
 use crate::script::{Class, ClientBehavior};
 use std::time::Duration;
 
-/// A request at a sidecar. Times are from the run's start.
+/// A client's request to a sidecar. Times are since the start of the run.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// Its id.
@@ -12,29 +12,29 @@
     pub class: Class,
     /// The sidecar.
     pub sidecar: u32,
-    /// How the client goes about it.
+    /// How the client sends it.
     pub behavior: ClientBehavior,
-    /// When its client began, for those who owe no request.
+    /// When its client started to connect.
     pub started: Duration,
     /// When its last byte was sent.
     pub sent: Option<Duration>,
-    /// When its last byte was at the sidecar's machine; none: it never came.
+    /// When its last byte arrived at the sidecar's host; `None` if it never did.
     pub arrived: Option<Duration>,
-    /// Whether the sidecar has read it whole.
+    /// Whether the sidecar has read all of it.
     pub read: bool,
-    /// For how long its client waits from then.
+    /// How long the client waits after the arrival.
     pub timeout: Duration,
-    /// When the client left by itself.
+    /// When the client gave up and disconnected.
     pub disconnected: Option<Duration>,
-    /// When the connection ended with no whole answer.
+    /// When the connection ended without a complete response.
     pub connection_lost: Option<Duration>,
-    /// The connection that it went on, and how much had been answered on that before.
+    /// Its connection, and the offset in the response stream before its response.
     pub connection: Option<(u64, u64)>,
-    /// The answers that were written for it.
+    /// The responses that were written for it.
     pub responses: Vec<Response>,
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// When the sidecar wrote its last byte.
@@ -45,12 +45,12 @@
     pub body: String,
 }
 
-/// An attempt, as it is written to an endpoint.
+/// An attempt at a request, as written to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request.
+    /// Id of the request.
     pub id: String,
-    /// Who sent it.
+    /// The sidecar that sent it.
     pub sidecar: u32,
     /// The endpoint.
     pub endpoint: u32,
@@ -58,61 +58,61 @@
     pub connection: u64,
     /// When its first byte was written.
     pub first_byte: Duration,
-    /// When its last byte was written; none: it never was.
+    /// When its last byte was written; `None` if it was not.
     pub last_byte: Option<Duration>,
-    /// When the endpoint wrote that it has turned it away.
+    /// When the endpoint wrote that it rejected the request without running it.
     pub rejected: Option<Duration>,
 }
 
-/// A request that has run at an endpoint.
+/// One execution of a request at an endpoint.
 #[derive(Clone, Debug)]
 pub struct Execution {
-    /// The request.
+    /// Id of the request.
     pub id: String,
-    /// Where.
+    /// The endpoint.
     pub endpoint: u32,
     /// When it began.
     pub at: Duration,
-    /// The body of its answer.
+    /// The body of its response.
     pub body: String,
-    /// Whether that was or will be sent as a good answer.
+    /// Whether the endpoint sends that body in a valid response.
     pub response_valid: bool,
 }
 
-/// What a sidecar was told of an endpoint.
+/// Notice to a sidecar of an endpoint's state.
 #[derive(Clone, Debug)]
 pub struct EndpointNotice {
     /// The sidecar.
     pub sidecar: u32,
     /// The endpoint.
     pub endpoint: u32,
-    /// When it had come.
+    /// When it arrived.
     pub at: Duration,
-    /// Whether new requests may go there.
+    /// Whether the endpoint accepts new requests.
     pub ready: bool,
 }
 
-/// A span of a sidecar's life.
+/// One run of a sidecar process.
 #[derive(Clone, Debug)]
 pub struct ProcessRun {
     /// The sidecar.
     pub sidecar: u32,
-    /// When it was ready.
+    /// When it started.
     pub started: Duration,
-    /// When it ended, or was killed.
+    /// When it exited or was killed.
     pub ended: Option<Duration>,
-    /// When it was told to drain.
+    /// When it received the order to drain (SIGTERM).
     pub drain_requested: Option<Duration>,
-    /// Whether it was killed.
+    /// Whether it was killed without warning.
     pub killed: bool,
 }
 
-/// An answer as it was written to a client's connection.
+/// A response as written to a client's connection.
 #[derive(Clone, Debug)]
 pub struct WrittenResponse {
-    /// The connection, and the offset of the answer's first byte.
+    /// The connection, and the offset of the response's first byte.
     pub position: (u64, u64),
-    /// The answer.
+    /// The response.
     pub response: Response,
 }
 
@@ -123,31 +123,30 @@
     pub requests: Vec<RequestRecord>,
     /// Attempts.
     pub attempts: Vec<Attempt>,
-    /// What sidecars wrote to clients.
+    /// Responses that sidecars wrote to clients.
     pub written_responses: Vec<WrittenResponse>,
-    /// What ran.
+    /// Executions at endpoints.
     pub executions: Vec<Execution>,
-    /// What was told.
+    /// Notices to sidecars.
     pub notices: Vec<EndpointNotice>,
-    /// What discovery knew: endpoint, when, ready.
+    /// State changes known to discovery: endpoint, time, ready.
     pub discovery_states: Vec<(u32, Duration, bool)>,
-    /// When discovery answered nobody, or not with what it knew.
+    /// Periods in which discovery was down or lagged.
     pub discovery_outages: Vec<(Duration, Duration)>,
-    /// When endpoints started, those that did so during the run.
+    /// Endpoint starts during the run.
     pub endpoint_starts: Vec<(u32, Duration)>,
-    /// The sidecars' lives.
+    /// Runs of the sidecar processes.
     pub process_runs: Vec<ProcessRun>,
-    /// When sidecars had no processor.
+    /// Periods in which a sidecar was paused.
     pub pauses: Vec<(u32, Duration, Duration)>,
-    /// What was still open at the end, in words.
+    /// Descriptions of what was still open at the end.
     pub leftovers: Vec<String>,
-    /// Sidecars that ended with a problem of their own.
+    /// Sidecars that ended with an error: number, time, message.
     pub crashes: Vec<(u32, Duration, String)>,
 }
 
 impl Facts {
-    /// Gives each request that keeps to the protocol the answers that were written behind it on its connection, and
-    /// before those of the next one there.
+    /// Assigns each valid request the responses that were written on its connection between it and the next request.
     pub fn assign_responses(&mut self) {
         let connections: Vec<(u64, u64)> =
             self.requests.iter().filter_map(|request| request.connection).collect();
--- a/crates/sim/src/gate.rs
+++ b/crates/sim/src/gate.rs
@@ -1,11 +1,11 @@
-//! A process that can be stopped where it is and go on later, as SIGSTOP and SIGCONT have it.
+//! Pauses and resumes a simulated process, like SIGSTOP and SIGCONT.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// Lets a process run, or not.
+/// Pause switch of a process.
 #[derive(Default)]
 pub(crate) struct Gate {
     paused: Cell<bool>,
--- a/crates/sim/src/http.rs
+++ b/crates/sim/src/http.rs
@@ -1,15 +1,15 @@
-//! HTTP/1.1 messages out of bytes, with the offsets at which they lie: for those who play peers, and for who looks on.
+//! HTTP/1.1 message parser that also reports stream offsets, for the simulated peers and the traffic observer.
 
 /// A message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// Its first line.
     pub first: String,
-    /// Its headers, with names in small letters.
+    /// Its headers, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// Its body, by `Content-Length`.
     pub body: Vec<u8>,
-    /// Offsets of its first byte, and behind its last.
+    /// Stream offsets of its first byte and of the byte after its last.
     pub at: (u64, u64),
 }
 
@@ -19,36 +19,36 @@
         self.headers.iter().find(|(held, _)| held == name).map(|(_, value)| value.as_str())
     }
 
-    /// An answer's status; 0 where it has none.
+    /// The status code of a response; 0 if there is none.
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Takes bytes and gives messages.
+/// Incremental parser.
 #[derive(Default)]
 pub struct Reader {
     bytes: Vec<u8>,
-    /// The offset of the first of them.
+    /// Stream offset of the first buffered byte.
     offset: u64,
 }
 
-/// What came is no message.
+/// The bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedMessage;
 
 impl Reader {
-    /// More bytes have come.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Whether a message has begun.
+    /// Whether a part of a message is buffered.
     pub fn has_partial_message(&self) -> bool {
         !self.bytes.is_empty()
     }
 
-    /// The head of the message that has begun, if that is there; its body is empty.
+    /// The head of the buffered message and its length, if complete; the body is empty.
     pub fn peek_head(&self) -> Result<Option<(Message, usize)>, MalformedMessage> {
         let Some(end) = self.bytes.windows(4).position(|four| four == b"\r\n\r\n") else { return Ok(None) };
         let text = std::str::from_utf8(&self.bytes[..end]).map_err(|_| MalformedMessage)?;
@@ -63,7 +63,7 @@
         Ok(Some((Message { first, headers, body: Vec::new(), at }, end + 4)))
     }
 
-    /// The next message, if it is whole.
+    /// Removes and returns the next message, if complete.
     pub fn next_message(&mut self) -> Result<Option<Message>, MalformedMessage> {
         let Some((mut message, head)) = self.peek_head()? else { return Ok(None) };
         let length = message.header("content-length").map_or(Ok(0), |text| text.parse::<usize>());
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,6 +1,6 @@
-//! A virtual world for the sidecar's real network code. One thread, one clock that moves only when nothing is left to
-//! do, one seed: the same script gives the same run. What the code under test does is judged by [`oracle`], from the
-//! world's facts alone.
+//! Deterministic simulation of the sidecar's real network code. A run uses one thread, one seed and a virtual clock that
+//! advances only when no task is ready, so the same script always gives the same run. [`oracle`] checks the behaviour of
+//! the code under test against the recorded facts alone.
 
 pub mod agreement;
 pub mod campaign;
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -1,4 +1,4 @@
-//! `runtrack-sim`: runs scripts and seeds, searches for broken rules, makes them small, and explains them.
+//! `runtrack-sim`: runs scripts and seeds, searches for rule violations, minimizes scripts and explains violations.
 
 use clap::{Parser, Subcommand};
 use runtrack_sim::campaign::{FaultPairs, MutantArgs, SeedArgs, read_script, with_path};
@@ -19,7 +19,7 @@
     after_help = "Exit codes: 0 no rule broken; 1 a rule was broken; 2 the command line or a file is wrong."
 )]
 struct Cli {
-    /// An error to plant in the code under test; `mutants` lists them.
+    /// Mutant to enable in the code under test; `mutants` lists them.
     #[arg(long, global = true, value_name = "NAME")]
     mutant: Option<String>,
     #[command(subcommand)]
@@ -37,15 +37,15 @@
         #[arg(long, value_name = "FILE")]
         script: Option<PathBuf>,
     },
-    /// Run many seeds and say which break a rule.
+    /// Run many seeds and print those that break a rule.
     Search {
         #[command(flatten)]
         which: SeedArgs,
-        /// Stop at the first that breaks a rule.
+        /// Stop at the first seed that breaks a rule.
         #[arg(long)]
         first: bool,
     },
-    /// Make a script that breaks a rule small; write it in its place with `.small` behind.
+    /// Minimize a script that breaks a rule, and write it next to the original with the suffix `.small`.
     Shrink {
         /// The script (JSON).
         script: PathBuf,
@@ -54,22 +54,22 @@
     Replay {
         /// The script (JSON).
         script: PathBuf,
-        /// Print all that happened, a line an event.
+        /// Print all events, one per line.
         #[arg(long)]
         trace: bool,
     },
-    /// Run a script and print what led to each broken rule.
+    /// Run a script and print the events that led to each broken rule.
     Explain {
         /// The script (JSON).
         script: PathBuf,
     },
-    /// Several control instances that agree, in place of the sidecar.
+    /// Simulate a cluster of control instances instead of the sidecar.
     #[command(subcommand)]
     Cluster(Cluster),
     /// The fleet's controllers and agents, in place of the sidecar.
     #[command(subcommand)]
     Fleet(fleet::command::Fleet),
-    /// Plant each error in turn, and count the seeds until it is found and the lines of its smallest script.
+    /// Enable each mutant in turn; count the seeds until it is found and the lines of its minimized script.
     Mutants(MutantArgs),
 }
 
@@ -84,14 +84,14 @@
         #[arg(long, value_name = "FILE")]
         script: Option<PathBuf>,
     },
-    /// Run many seeds and say which break a rule.
+    /// Run many seeds and print those that break a rule.
     Search(SeedArgs),
     /// Run a script.
     Replay {
         /// The script (JSON).
         script: PathBuf,
     },
-    /// Plant each error in turn, and count the seeds until it is found and the faults of its smallest script.
+    /// Enable each mutant in turn; count the seeds until it is found and the faults of its minimized script.
     Mutants(MutantArgs),
 }
 
@@ -99,7 +99,7 @@
     std::fs::write(path, format_script(script)).map_err(with_path(path))
 }
 
-/// A script with a line for each request and each fault.
+/// Formats a script with one line for each request and each fault.
 fn format_script(script: &Script) -> String {
     let mut without_lists = script.clone();
     let (asks, faults) =
@@ -131,7 +131,7 @@
     if outcome.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// All planted errors that there are, each with what it does.
+/// All mutants, with their effects.
 fn known_mutants() -> impl Iterator<Item = (&'static str, &'static str)> {
     let of_fleet = fleet::MUTANTS.iter().map(|mutant| (mutant.name, mutant.what));
     mutants::SIDECAR_MUTANTS.into_iter().chain(agreement::MUTANTS).chain(of_fleet)
@@ -145,7 +145,7 @@
     if let Some(name) = &cli.mutant
         && known_mutants().all(|(known, _)| known != name)
     {
-        eprintln!("there is no mutant `{name}`; those that there are:");
+        eprintln!("unknown mutant `{name}`; known mutants:");
         known_mutants().for_each(|(name, what)| eprintln!("  {name}: {what}"));
         return ExitCode::from(2);
     }
@@ -185,7 +185,9 @@
 fn shrink_script_file(path: &Path, mutant: Option<&str>) -> Result<ExitCode, String> {
     let script = read_script(path)?;
     let outcome = mutants::with(mutant, || run(&script, false));
-    let Some(violation) = outcome.violations.first() else { return Err("it breaks no rule".to_owned()) };
+    let Some(violation) = outcome.violations.first() else {
+        return Err("the script breaks no rule".to_owned());
+    };
     let (small, runs) = mutants::with(mutant, || {
         shrink::shrink(&script, violation.rule, |left| eprintln!("{left} requests and faults"))
     });
@@ -246,10 +248,10 @@
     )
 }
 
-// ---- several control instances ----
+// ---- cluster of control instances ----
 
 fn run_cluster_command(ask: Cluster, mutant: Option<&str>) -> Result<ExitCode, String> {
-    // A member that panics is a broken rule, and reported as one; with RUST_BACKTRACE it is also shown where.
+    // A panic of a member is reported as a violation; its message and backtrace are shown only with RUST_BACKTRACE.
     if std::env::var_os("RUST_BACKTRACE").is_none() {
         std::panic::set_hook(Box::new(|_| {}));
     }
--- a/crates/sim/src/net.rs
+++ b/crates/sim/src/net.rs
@@ -1,9 +1,8 @@
-//! Byte streams between hosts, on tokio's paused clock: latency, short reads and writes, back-pressure, resets,
-//! half-closes, refusals, and windows in which a way is stalled or a machine is silent.
+//! Simulated TCP between hosts on tokio's paused clock: latency, short reads and writes, back-pressure, resets,
+//! half-closes, refused connections, and time windows with faults such as stalled directions or silent hosts.
 //!
-//! What happens when is decided when bytes are written: a segment gets its time of arrival, which is never before that
-//! of the one in front of it. Every draw comes from the connection's own generator, so that one connection's fate
-//! does not change another's.
+//! A segment's arrival time is fixed when it is written and is never before that of the segment in front of it. Each
+//! connection draws from a random generator of its own, so that connections do not affect each other's timing.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -20,25 +19,25 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Bytes that may be on the way and unread: then a writer waits.
+/// Bytes that may be in flight or unread before the writer blocks.
 const SEND_WINDOW_BYTES: usize = 64 * 1024;
-/// A lost packet is sent again after this at first.
+/// Initial retransmission timeout; it doubles with each loss.
 const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What is wrong with the network between two moments.
+/// A network fault that is active during a time window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NetFault {
-    /// What one host sends to the other arrives after the window.
+    /// Data from the first host to the second arrives only after the window.
     Stalled(IpAddr, IpAddr),
-    /// The machine is gone: what is sent to it or by it is lost, and its connections are reset when it is back.
+    /// The host is unreachable: all traffic from and to it is lost, and its connections are reset when it is back.
     Silent(IpAddr),
     /// New connections to this host hang until the window ends.
     Hangs(IpAddr),
-    /// New connections to this host come up this much late.
+    /// New connections to this host are established this much later.
     Late(IpAddr, Duration),
-    /// All that this host sends and gets takes so much longer.
+    /// All traffic from and to this host takes this much longer.
     Slow(IpAddr, Duration),
-    /// So many of 100 packets of this host are lost, and come when they are sent again.
+    /// Percentage of this host's packets that are lost and arrive after retransmission.
     Lossy(IpAddr, u32),
 }
 
@@ -58,18 +57,18 @@
 
 #[derive(Default)]
 struct Pipe {
-    /// In the order of their arrival.
+    /// Segments in flight or unread, in order of arrival.
     segments: VecDeque<(Instant, Segment)>,
-    /// Bytes in them.
+    /// Number of bytes in `segments`.
     buffered_bytes: usize,
-    /// Bytes ever written, and ever read before the reader ended its own side.
+    /// Total bytes written, and total read before the reader closed its own direction.
     written: u64,
     read: u64,
-    /// When each byte that was written last of a write was written, and will arrive: by the offset behind it.
+    /// For each write: the offset after its last byte, the time of the write and the time of arrival.
     times: VecDeque<(u64, Instant, Instant)>,
     reader: Option<Waker>,
     writer: Option<Waker>,
-    /// The writer has ended it.
+    /// The writer has closed this direction.
     ended: bool,
 }
 
@@ -88,51 +87,51 @@
 
 struct Link {
     hosts: [IpAddr; 2],
-    /// `pipes[n]` is what side n writes.
+    /// `pipes[n]` carries what side n writes.
     pipes: [Pipe; 2],
-    /// Sides that have closed.
+    /// Which sides have dropped their stream.
     closed: [bool; 2],
-    /// A machine was silent while bytes were on the way: nothing arrives any more.
+    /// Data was lost while a host was silent: nothing arrives on this connection any more.
     cut: bool,
     rng: Pcg32,
 }
 
 #[derive(Default)]
 struct Port {
-    /// Links that have come, in their order.
+    /// Connections that wait to be accepted, in order.
     backlog: VecDeque<u64>,
     waker: Option<Waker>,
 }
 
-/// What is noted of bytes by those who look on.
+/// Observer of the bytes that hosts write.
 pub trait WriteObserver {
-    /// A host that is looked on wrote these bytes to another one on a connection.
+    /// Called when an observed host writes these bytes to another host on a connection.
     fn on_write(&mut self, link: u64, from: IpAddr, to: IpAddr, bytes: &[u8], now: Instant);
 }
 
 struct State {
     start: Instant,
     seed: u64,
-    /// One way between two hosts, at least and at most.
+    /// Lowest and highest one-way latency.
     latency: (Duration, Duration),
-    /// Of 100 reads and writes, how many are short.
+    /// Percentage of reads and writes that are short.
     short_io_percent: u32,
     links: BTreeMap<u64, Link>,
     next: u64,
     ports: BTreeMap<SocketAddr, Port>,
     windows: Vec<FaultWindow>,
     observer: Option<(Vec<IpAddr>, Box<dyn WriteObserver>)>,
-    /// Every write, arrival of an end and reset, hashed in order.
+    /// Hash over all connects, writes, closes and resets in order.
     hash: u64,
-    /// What happened, in words, if wanted.
+    /// Description of each event, if enabled.
     event_lines: Option<Vec<(Instant, String)>>,
 }
 
-/// The network.
+/// The simulated network; clones share its state.
 #[derive(Clone)]
 pub struct VirtualNetwork(Rc<RefCell<State>>);
 
-/// FNV-1a, going on from a hash.
+/// Continues an FNV-1a hash.
 pub(crate) fn fnv1a(hash: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
 }
@@ -153,7 +152,7 @@
         }
     }
 
-    /// When what is sent now arrives; none: never.
+    /// When data sent now arrives; `None` if it is lost.
     fn arrival_time(&mut self, from: IpAddr, to: IpAddr, draw: u32) -> Option<Instant> {
         let now = Instant::now();
         let silent = |at: Instant| {
@@ -174,14 +173,14 @@
         (!silent(at)).then_some(at)
     }
 
-    /// How much longer it takes by slow links, and by packets that are sent again.
+    /// Additional delay from slow hosts and retransmissions.
     fn extra_delay(&self, from: IpAddr, to: IpAddr, draw: u32) -> Duration {
         let now = Instant::now();
         let running = self.windows.iter().filter(|window| window.from <= now && now < window.until);
         let delays = running.map(|window| match window.fault {
             NetFault::Slow(host, by) if host == from || host == to => by,
             NetFault::Lossy(host, percent) if host == from || host == to => {
-                // The timer for sending again doubles each time.
+                // The retransmission timeout doubles each time.
                 let lost = [draw >> 3, draw >> 11, draw >> 19].map(|draw| draw % 100 < percent);
                 match lost {
                     [true, true, true] => RETRANSMIT_TIMEOUT * 7,
@@ -195,7 +194,7 @@
         delays.sum()
     }
 
-    /// When a silent machine of two is back, if one is silent now.
+    /// When a currently silent host of these two is back, if there is one.
     fn silence_end(&self, hosts: [IpAddr; 2]) -> Option<Instant> {
         let now = Instant::now();
         let silent = self.windows.iter().filter(|window| {
@@ -228,7 +227,7 @@
         self.record_event(number, 0, "reset", 0);
     }
 
-    /// Sends a segment of one side.
+    /// Sends a segment from one side.
     fn send_segment(&mut self, number: u64, side: usize, segment: Segment) {
         let Some(link) = self.links.get_mut(&number) else { return };
         let (hosts, draw) = (link.hosts, link.rng.next_u32());
@@ -243,7 +242,7 @@
             pipe.times.push_back((pipe.written, now, at.filter(|_| !cut).unwrap_or(never)));
         }
         match at {
-            // The machine that answers knows of no such connection any more.
+            // The peer no longer knows the connection and responds with a reset.
             Some(at) if cut => link.pipes[1 - side].push(at, Segment::Reset),
             Some(at) if link.closed[1 - side] => {
                 if matches!(segment, Segment::Data(_)) {
@@ -257,7 +256,8 @@
 }
 
 impl VirtualNetwork {
-    /// A network of this latency one way, with so many of 100 reads and writes short.
+    /// Creates a network with this range of one-way latency and this percentage of short reads and writes;
+    /// `lines` enables event descriptions.
     pub fn new(
         seed: u64,
         latency: (Duration, Duration),
@@ -279,22 +279,22 @@
         })))
     }
 
-    /// Has something go wrong from one moment to another.
+    /// Activates a fault from one instant to another.
     pub fn add_fault(&self, fault: NetFault, from: Instant, until: Instant) {
         self.0.borrow_mut().windows.push(FaultWindow { fault, from, until });
     }
 
-    /// Looks on at what these hosts write.
+    /// Reports all writes of these hosts to the observer.
     pub fn observe_writes(&self, hosts: Vec<IpAddr>, observer: Box<dyn WriteObserver>) {
         self.0.borrow_mut().observer = Some((hosts, observer));
     }
 
-    /// The network as a host sees it.
+    /// The network interface of a host.
     pub fn host(&self, host: IpAddr) -> Rc<dyn Network> {
         Rc::new(HostNetwork { wires: self.clone(), host })
     }
 
-    /// Resets all connections of a host: its process has died. Its ports no longer listen.
+    /// Resets all connections of a host and closes its ports, since its process has died.
     pub fn process_died(&self, host: IpAddr) {
         let mut state = self.0.borrow_mut();
         state.ports.retain(|at, _| at.ip() != host);
@@ -306,7 +306,7 @@
         }
     }
 
-    /// A host has lost power: what is sent to it finds nobody who knows of the connection.
+    /// Closes the ports of a host that has lost power; its peers get a reset only when they send again.
     pub fn lost_power(&self, host: IpAddr) {
         let mut state = self.0.borrow_mut();
         state.ports.retain(|at, _| at.ip() != host);
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Resets the connections of a host, which goes on.
+    /// Resets all connections of a host whose process keeps running.
     pub fn reset_connections(&self, host: IpAddr) {
         let mut state = self.0.borrow_mut();
         for number in state.links_of(host) {
@@ -325,37 +325,37 @@
         }
     }
 
-    /// When the byte before an offset was written by a side, and when it arrives at the other machine.
+    /// When the byte before an offset was written by a side, and when it arrives at the other host.
     pub fn write_times(&self, link: u64, side: usize, offset: u64) -> Option<(Instant, Instant)> {
         let state = self.0.borrow();
         let times = &state.links.get(&link)?.pipes[side].times;
         times.iter().find(|(end, ..)| *end >= offset).map(|(_, wrote, arrives)| (*wrote, *arrives))
     }
 
-    /// How much of what a side wrote the other one has read before it ended its own side: what is read after that is
-    /// thrown away (lingering close), and a client may send it again.
+    /// How many of the bytes that a side wrote were read by the other before that one closed its own direction. Later reads
+    /// are discarded (lingering close), and a client may send those bytes again.
     pub fn bytes_read(&self, link: u64, side: usize) -> u64 {
         self.0.borrow().links.get(&link).map_or(0, |link| link.pipes[side].read)
     }
 
-    /// Connections of a host that it has not closed.
+    /// Number of connections that a host has not closed.
     pub fn open_connections(&self, host: IpAddr) -> usize {
         let state = self.0.borrow();
         let open = |link: &&Link| (0..2).any(|side| link.hosts[side] == host && !link.closed[side]);
         state.links.values().filter(open).count()
     }
 
-    /// What all writes, ends and resets hash to, in their order.
+    /// Hash over all events so far, in order.
     pub fn hash(&self) -> u64 {
         self.0.borrow().hash
     }
 
-    /// What happened, in words.
+    /// Descriptions of all events, if enabled.
     pub fn event_lines(&self) -> Vec<(Instant, String)> {
         self.0.borrow().event_lines.clone().unwrap_or_default()
     }
 
-    /// Connects, as a stream that tells more than a connection does.
+    /// Connects and returns the concrete stream type, which exposes more than [`Connection`].
     pub async fn connect(&self, from: IpAddr, to: SocketAddr) -> io::Result<Stream> {
         let (hosts, hangs) = ([from, to.ip()], NetFault::Hangs(to.ip()));
         let (arrives, number) = {
@@ -426,7 +426,7 @@
         }
     }
 
-    /// Listens.
+    /// Opens a listening port.
     pub fn listen(&self, at: SocketAddr) -> io::Result<VirtualListener> {
         let mut state = self.0.borrow_mut();
         if state.ports.contains_key(&at) {
@@ -441,7 +441,7 @@
 pub struct Stream {
     wires: VirtualNetwork,
     link: u64,
-    /// 0: it connected.
+    /// 0 for the side that connected, 1 for the one that accepted.
     side: usize,
     timer: Option<Pin<Box<Sleep>>>,
 }
@@ -457,12 +457,12 @@
         self.wires.0.borrow().links.get(&self.link).map(|link| link.hosts[1 - self.side])
     }
 
-    /// How much this side has written.
+    /// Total bytes that this side has written.
     pub fn written(&self) -> u64 {
         self.wires.0.borrow().links.get(&self.link).map_or(0, |link| link.pipes[self.side].written)
     }
 
-    /// Ends it with a reset.
+    /// Resets the connection.
     pub fn abort(&self) {
         self.wires.0.borrow_mut().reset_link(self.link);
     }
@@ -475,7 +475,7 @@
         let Some(link) = state.links.get_mut(&number) else { return };
         link.closed[side] = true;
         let now = Instant::now();
-        // The system resets where something lies unread.
+        // Like a kernel, sends a reset if received data is still unread.
         let unread =
             link.pipes[1 - side].segments.iter().any(|(at, s)| *at <= now && matches!(s, Segment::Data(_)));
         let ended = std::mem::replace(&mut link.pipes[side].ended, true);
@@ -614,7 +614,7 @@
     }
 }
 
-/// A port that listens.
+/// A listening port.
 pub struct VirtualListener {
     wires: VirtualNetwork,
     at: SocketAddr,
@@ -635,7 +635,7 @@
         }
     }
 
-    /// The next connection that comes.
+    /// Accepts the next connection.
     pub async fn next(&self) -> io::Result<Stream> {
         std::future::poll_fn(|cx| self.poll(cx)).await
     }
--- a/crates/sim/src/oracle.rs
+++ b/crates/sim/src/oracle.rs
@@ -1,5 +1,5 @@
-//! The four rules as PROTOCOL-runtrack.md words them, decided on the world's facts alone. It shares no code and no state
-//! with what it judges.
+//! Checks the four rules of PROTOCOL-runtrack.md on the recorded facts alone. Shares no code and no state with the code
+//! under test.
 
 use crate::facts::{Attempt, Facts, RequestRecord};
 use crate::script::{Class, ClientBehavior, Script};
@@ -8,47 +8,47 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Each time limit is this much longer on sockets.
+/// Tolerance on each time limit, for the network.
 const TIME_SLACK: Duration = Duration::from_millis(50);
-/// Bad clients are owed an error or a close within this.
+/// A client that violates the protocol must get an error or a close within this time.
 const BAD_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// For a client that has left nothing is sent on later than this.
+/// Latest forward of a request after its client has disconnected.
 const ABANDONED_GRACE: Duration = Duration::from_millis(300);
-/// What discovery has to tell counts as told this much later, whether or not it was asked.
+/// A change known to discovery counts as delivered after this time, whether or not the sidecar asked.
 const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
-/// Over the budget of a cold endpoint: chance, and a last call that was under way.
+/// Tolerance on the work budget of a cold endpoint, for random variation (factor) and a last request in flight (allowance).
 const COLD_WORK_FACTOR: f64 = 1.25;
 const COLD_WORK_ALLOWANCE: Duration = Duration::from_millis(200);
 
-/// Which rule.
+/// A rule that a run can violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final answer, in time.
+    /// Each request gets exactly one final response, in time.
     Lost,
-    /// No effect twice, and no refusal of what may have run.
+    /// No unsafe request runs twice, and none that may have run is refused.
     Twice,
-    /// Nothing new to an endpoint later than the grace after being told.
+    /// No new request goes to a draining endpoint after the drain grace.
     Drain,
-    /// No cold endpoint pushed over.
+    /// No cold endpoint is overloaded.
     Cold,
-    /// An answer belongs to its request, and is one that an endpoint made for it.
+    /// A response belongs to its request and was produced for it by an endpoint.
     Answer,
-    /// For a client that has left nothing is sent on later than a moment after.
+    /// Nothing is forwarded for a client that has disconnected, after a short grace.
     Gone,
-    /// Who keeps to no protocol is told so, and passes nothing on.
+    /// A client that violates the protocol gets an error and nothing of it is forwarded.
     Bad,
-    /// Nothing is left open, and nothing crashes.
+    /// Nothing stays open at the end and no sidecar crashes.
     Left,
 }
 
-/// A broken rule: which request or endpoint, when, and how.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// When it was broken.
+    /// When it was violated.
     pub at: Duration,
-    /// Whom it is about: a request's id, or an endpoint or a sidecar.
+    /// The request id, endpoint or sidecar concerned.
     pub subject: String,
     /// What happened.
     pub detail: String,
@@ -71,7 +71,7 @@
     format!("{:.3} s", time.as_secs_f64())
 }
 
-/// Everything that breaks a rule, in the order of time.
+/// All violations in order of time.
 pub fn judge(script: &Script, facts: &Facts) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut attempts_by_request: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
@@ -109,7 +109,7 @@
     Violation { rule, at, subject: subject.to_owned(), detail: detail.into() }
 }
 
-/// When a sidecar has had so much time since a moment: pauses do not count.
+/// The instant at which a sidecar has had `time` since `from`, not counting its pauses.
 fn deadline_excluding_pauses(facts: &Facts, sidecar: u32, from: Duration, time: Duration) -> Duration {
     let mut pauses: Vec<_> = facts.pauses.iter().filter(|(paused, ..)| *paused == sidecar).collect();
     pauses.sort_unstable();
@@ -122,7 +122,7 @@
     end
 }
 
-/// Rule one, and whose answer it is.
+/// Checks rule one, and that the response belongs to the request.
 fn check_answered(facts: &Facts, request: &RequestRecord, unsent: bool, violations: &mut Vec<Violation>) {
     let Some(arrived) = request.arrived.filter(|arrived| *arrived < Duration::from_secs(1 << 20)) else {
         return;
@@ -158,7 +158,7 @@
         }
         Some(_) => {}
         None => {
-            // A machine on which no such process runs takes nothing.
+            // Without a running process the host accepts nothing.
             let process_run = facts.process_runs.iter().find(|process_run| {
                 process_run.sidecar == request.sidecar
                     && process_run.started <= arrived
@@ -166,7 +166,7 @@
             });
             let Some(process_run) = process_run else { return };
             let killed = process_run.ended.is_some_and(|until| {
-                // Who had no processor after SIGTERM did not have the time that is promised until SIGKILL.
+                // A sidecar that was paused after SIGTERM did not have the promised time until SIGKILL.
                 let robbed = process_run.drain_requested.is_some_and(|told| {
                     deadline_excluding_pauses(facts, process_run.sidecar, told, until.saturating_sub(told))
                         > until
@@ -180,7 +180,7 @@
                     && told.saturating_add(Duration::from_millis(400)) < arrived
                     && !request.read
             });
-            // The first request on a connection that is closed with nothing sent on for it has failed and is not lost.
+            // An unread request whose connection closed with nothing forwarded has failed cleanly and is not lost.
             let crossed = request.connection_lost.is_some() && !request.read && unsent;
             if crossed || killed || disconnected || new_while_draining {
                 return;
@@ -202,7 +202,7 @@
     }
 }
 
-/// Nothing is sent on for who has left.
+/// Checks that nothing is forwarded for a client that has disconnected.
 fn check_abandoned(
     facts: &Facts,
     request: &RequestRecord,
@@ -237,7 +237,7 @@
         violations.push(violation(Rule::Bad, hidden.first_byte, id, detail));
     }
     if request.behavior == ClientBehavior::HalfCloses {
-        // It has gone away: no answer is owed, but its connection must not stay.
+        // After a half-close no response is owed, but the connection must close.
         if request
             .connection_lost
             .is_none_or(|connection_lost| connection_lost > sent + BAD_CLIENT_TIMEOUT + TIME_SLACK)
@@ -266,7 +266,7 @@
     }
 }
 
-/// Rule two.
+/// Checks rule two.
 fn check_repeats(
     script: &Script,
     request: &RequestRecord,
@@ -279,7 +279,7 @@
         let detail = format!("{} attempts", attempts.len());
         violations.push(violation(Rule::Twice, attempts[world::MAX_ATTEMPTS].first_byte, id, detail));
     }
-    // Until its endpoint says that it has turned it away, what was written whole may have run.
+    // A completely written request may have run until its endpoint reports that it rejected it.
     let may_have_run = |attempt: &Attempt, by: Duration| {
         attempt.last_byte.is_some_and(|last_byte| last_byte <= by)
             && attempt.rejected.is_none_or(|at| at > by)
@@ -333,7 +333,7 @@
     }
 }
 
-/// Rule three.
+/// Checks rule three.
 fn check_drains(facts: &Facts, violations: &mut Vec<Violation>) {
     for attempt in &facts.attempts {
         let (sidecar, endpoint) = (attempt.sidecar, attempt.endpoint);
@@ -341,7 +341,7 @@
             .notices
             .iter()
             .filter(|t| t.sidecar == sidecar && t.endpoint == endpoint && t.at <= attempt.first_byte);
-        // Of two that came at once the one that was written later counts.
+        // Of two notices with the same arrival time the later written one counts.
         let told = told.max_by_key(|told| told.at);
         let heard = told.filter(|told| !told.ready).map(|told| told.at);
         let fact = facts
@@ -349,7 +349,7 @@
             .iter()
             .filter(|(e, at, _)| *e == endpoint && *at <= attempt.first_byte)
             .max_by_key(|k| k.1);
-        // Not heard, it counts as told once it could have been.
+        // A drain that was not received counts as known once it could have been.
         let notice_due =
             fact.filter(|(.., ready)| !ready).and_then(|(_, at, _)| notice_deadline(facts, sidecar, *at));
         let since = first_notice(facts, sidecar, endpoint, heard);
@@ -373,7 +373,7 @@
     }
 }
 
-/// When the telling began that stands at a moment: the first of those that say the same.
+/// The first of the consecutive drain notices that are in effect at this time.
 fn first_notice(facts: &Facts, sidecar: u32, endpoint: u32, heard: Option<Duration>) -> Option<Duration> {
     let heard = heard?;
     let mut told: Vec<_> = facts
@@ -383,7 +383,7 @@
         .collect();
     told.sort_by_key(|told| told.at);
     let since = told.iter().rev().take_while(|told| !told.ready).last().map(|told| told.at)?;
-    // A sidecar that has started since has heard of it since then at the earliest.
+    // A sidecar that restarted since can have learned of it only after the restart.
     let started = facts
         .process_runs
         .iter()
@@ -396,7 +396,7 @@
     Some(since)
 }
 
-/// When a sidecar must have heard what discovery has known since a moment: six seconds in which both were there.
+/// When a sidecar must know a change that discovery has had since `at`: after six seconds in which both were available.
 fn notice_deadline(facts: &Facts, sidecar: u32, at: Duration) -> Option<Duration> {
     let lives = facts.process_runs.iter().filter(|process_run| process_run.sidecar == sidecar);
     let mut unavailable: Vec<(Duration, Duration)> = facts.discovery_outages.clone();
@@ -421,7 +421,7 @@
     Some(begin.saturating_add(MAX_DISCOVERY_DELAY))
 }
 
-/// Rule four: the work that was sent to a cold endpoint within any window, by all sidecars, against what it could do.
+/// Checks rule four: the work that all sidecars send to a cold endpoint within any window, against its capacity.
 fn check_cold_starts(script: &Script, facts: &Facts, violations: &mut Vec<Violation>) {
     let multiple = f64::from(script.fall_tenths) / 10.0;
     for (endpoint, started) in &facts.endpoint_starts {
--- a/crates/sim/src/run.rs
+++ b/crates/sim/src/run.rs
@@ -1,4 +1,4 @@
-//! A run: the world as a script has it, the sidecars' real code in it, and what the oracle says of that.
+//! Runs a script: builds the simulated world, runs the sidecars' real code in it and has the oracle check the result.
 
 use crate::client::{self, IdleConnections};
 use crate::discovery::Discovery;
@@ -20,29 +20,29 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{sleep, sleep_until, timeout_at};
 
-/// From the last request's end until all must be at rest: clients' connections rest for 20 s at most.
+/// Time from the end of the last request until everything must be closed: idle client connections last up to 20 s.
 const SETTLE_TIME: Duration = Duration::from_secs(26);
-/// SIGKILL comes this much after SIGTERM.
+/// Time from SIGTERM to SIGKILL.
 const SIGKILL_DELAY: Duration = Duration::from_millis(3700);
-/// What the module may remember once nothing is open: its endpoints, each with a few timers.
+/// Most entries in the decision module's state once nothing is open: its endpoints, each with a few timers.
 const MAX_STATE_PER_ENDPOINT: usize = 6;
 const MAX_BASE_STATE: usize = 16;
 
-/// What came of a run.
+/// Result of a run.
 pub struct Outcome {
-    /// Broken rules, in the order of time.
+    /// Violated rules in order of time.
     pub violations: Vec<Violation>,
-    /// What was seen.
+    /// The recorded events.
     pub facts: Facts,
-    /// All that went over the network, hashed.
+    /// Hash over all network events.
     pub hash: u64,
-    /// The network's events in words, where they were wanted.
+    /// Descriptions of the network events, if enabled.
     pub network_events: Vec<(Duration, String)>,
-    /// How long it was, in the world's time.
+    /// Virtual duration.
     pub virtual_duration: Duration,
 }
 
-/// A sidecar's process.
+/// A running sidecar process.
 struct Process {
     gate: Rc<Gate>,
     commands: UnboundedSender<Command>,
@@ -57,18 +57,18 @@
     Move,
     Pause,
     Term,
-    /// SIGKILL at the end of a planned restart.
+    /// SIGKILL at the end of the grace after SIGTERM.
     KillAfterGrace,
-    /// Killed outright.
+    /// SIGKILL without warning.
     Kill,
 }
 
-/// A list with nobody on it.
+/// An endpoint list without endpoints.
 fn empty_list() -> Value {
     json!({"rev": 0, "all": true, "targets": []})
 }
 
-/// A sidecar through the script.
+/// Runs one sidecar through the script.
 struct SidecarRunner {
     world: Rc<World>,
     number: u32,
@@ -81,7 +81,7 @@
     fn start(&self) -> Process {
         let (world, number) = (self.world.clone(), self.number);
         let start_count = self.start_count.replace(self.start_count.get() + 1);
-        // What is started again knows nothing.
+        // A restarted process knows no endpoints.
         let known = if start_count == 0 { self.discovery.list() } else { empty_list() };
         let config = world.config(number, start_count, self.server.get(), &known);
         let (commands, receiver) = unbounded_channel();
@@ -159,7 +159,7 @@
         steps
     }
 
-    /// Plays to the end, and says what it has left open.
+    /// Executes the steps of the script and records what is still open at the end.
     async fn run(self, end: Duration) {
         let world = self.world.clone();
         let mut process = Some(self.start());
@@ -182,8 +182,7 @@
                     }
                 }
                 (Step::Kill | Step::KillAfterGrace, Some(running)) => {
-                    // After SIGTERM it has had its time: what is unanswered then is lost. Another process, started
-                    // since, was never told.
+                    // Killed only if its grace has passed: a process that was started since never got SIGTERM.
                     let told = world.facts.borrow().process_runs[running.run_index].drain_requested;
                     let due =
                         step == Step::Kill || told.is_some_and(|told| told + SIGKILL_DELAY <= world.now());
@@ -199,7 +198,7 @@
         let Some(process) = process.filter(|process| !process.task.is_finished()) else { return };
         let (ask, told) = oneshot::channel();
         let _ = process.commands.send(Command::Report(ask));
-        let Ok(gauges) = told.await else { return }; // it has just ended, and says so itself
+        let Ok(gauges) = told.await else { return }; // the process has just ended and recorded that itself
         let mut open = Vec::new();
         let mut check_limit = |what: &str, count: usize, limit: usize| {
             if count > limit {
@@ -211,7 +210,7 @@
         check_limit("attempts out", gauges.attempts, 0);
         let limit = world.script.total_endpoints() as usize * MAX_STATE_PER_ENDPOINT + MAX_BASE_STATE;
         check_limit("things that the module remembers", gauges.remembered, limit);
-        // The watch, and what asks for a list now and then.
+        // The watch, and the periodic fetch of the full list.
         check_limit("connections open", world.network.open_connections(sidecar_ip(self.number)), 2);
         world.facts.borrow_mut().leftovers.extend(open);
     }
@@ -305,7 +304,7 @@
     Outcome { violations, facts, hash: world.network.hash(), network_events, virtual_duration: world.now() }
 }
 
-/// Runs a script; with `lines` the network's events are kept in words.
+/// Runs a script; `lines` enables descriptions of the network events.
 pub fn run(script: &Script, record_events: bool) -> Outcome {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let runtime = runtime.expect("a runtime needs no more than memory");
--- a/crates/sim/src/script.rs
+++ b/crates/sim/src/script.rs
@@ -1,50 +1,50 @@
-//! A run as data: what is there, what is asked, and what goes wrong when. A script is drawn from a seed, can be written
-//! down and edited, and is all that a run depends on.
+//! Script of a run: topology, requests and faults. A script is generated from a seed, can be stored and edited as JSON,
+//! and fully determines the run.
 
 use serde::{Deserialize, Serialize};
 
-/// A run. Times are in milliseconds from its start.
+/// The script of a run. Times are in milliseconds since its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Of every draw that the script leaves open: service times, latencies, splits.
+    /// Seed of everything the script leaves open: service times, latencies, short reads and writes.
     pub seed: u64,
-    /// Sidecars, each with clients of its own.
+    /// Number of sidecars, each with clients of its own.
     pub sidecars: u32,
-    /// One way, at least and at most.
+    /// Lowest and highest one-way latency.
     pub latency_ms: (u32, u32),
-    /// Of 100 reads and writes, how many are short.
+    /// Percentage of reads and writes that are short.
     pub split: u32,
-    /// How a cold endpoint may be loaded: this many tenths of what it can do.
+    /// Most load on a cold endpoint, in tenths of its current capacity.
     pub fall_tenths: u32,
-    /// Endpoints that are there from the start; those that [`Fault::Joins`] brings come after them.
+    /// Endpoints that exist from the start; those of [`Fault::Joins`] are numbered after them.
     pub endpoints: u32,
-    /// How long a sidecar may wait for a connection to an endpoint, in milliseconds.
+    /// Connect timeout of the sidecars to endpoints, in milliseconds.
     #[serde(default = "default_connect_ms")]
     pub connect_ms: u32,
-    /// How long a keyed request may be repeated after it may have run first, in milliseconds.
+    /// How long a keyed request may be repeated after it may first have run, in milliseconds.
     #[serde(default = "default_window_ms")]
     pub window_ms: u32,
-    /// What has been sent may not be cancelled.
+    /// Whether sidecars may not cancel a request that they have sent.
     #[serde(default)]
     pub uncancelled: bool,
-    /// What is asked.
+    /// The requests.
     pub asks: Vec<RequestPlan>,
-    /// What goes wrong.
+    /// The faults.
     pub faults: Vec<Fault>,
 }
 
-/// What a sidecar's settings allow a connection where a script says nothing else.
+/// Connect timeout of scripts that set none, in milliseconds.
 pub const fn default_connect_ms() -> u32 {
     250
 }
 
-/// The window for repeats where a script says nothing else.
+/// Repeat window of scripts that set none, in milliseconds.
 pub const fn default_window_ms() -> u32 {
     400
 }
 
-/// A class of requests.
+/// Class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
@@ -56,30 +56,30 @@
     Book,
 }
 
-/// How a client goes about it.
+/// How a client sends its request. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClientBehavior {
-    /// As the protocol has it.
+    /// Correct use of the protocol.
     Plain,
-    /// It leaves after so long.
+    /// Disconnects after this time.
     Leaves(u32),
-    /// It sends the request in two parts, so long apart.
+    /// Sends the request in two parts, this far apart.
     Slowly(u32),
-    /// It ends its sending behind the request.
+    /// Half-closes the connection after the request.
     HalfCloses,
-    /// It sends what can't be read.
+    /// Sends bytes that are not HTTP.
     Rubbish,
-    /// It states two lengths, and hides a request in the body.
+    /// Sends two lengths and hides a request in the body (request smuggling).
     Smuggles,
-    /// It sends another request right behind.
+    /// Pipelines a second request.
     Pipelines,
-    /// It sends half a request and says nothing more.
+    /// Sends half a request and stops.
     Stops,
 }
 
 impl ClientBehavior {
-    /// Whether the client keeps to the protocol, so that its request is owed an answer.
+    /// Whether the client follows the protocol, so that its request must be answered.
     pub fn follows_protocol(self) -> bool {
         matches!(self, ClientBehavior::Plain | ClientBehavior::Leaves(_) | ClientBehavior::Slowly(_))
     }
@@ -89,87 +89,87 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestPlan {
-    /// When.
+    /// When it is sent.
     pub at: u32,
-    /// Whose connections it uses; the client's sidecar is its number modulo theirs.
+    /// The client, with connections of its own. It uses the sidecar with its number modulo the number of sidecars.
     pub client: u32,
     /// Its class.
     pub class: Class,
-    /// For how long the client waits.
+    /// How long the client waits for the response.
     pub wait: u32,
-    /// How.
+    /// How it is sent.
     pub manner: ClientBehavior,
 }
 
-/// How an answer is spoilt. The request has run.
+/// A faulty response to a request that has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResponseFault {
-    /// Noise in its place.
+    /// Bytes that are not HTTP.
     Noise,
-    /// It breaks off half-way.
+    /// A response that is cut short.
     Short,
-    /// A good one, and a second copy this much later.
+    /// A valid response and a duplicate this many milliseconds later.
     Twice(u32),
-    /// None comes, and the connection stays open.
+    /// No response, on a connection that stays open.
     Swallowed,
-    /// A 1xx comes ahead of a good one.
+    /// A 1xx response ahead of a valid one.
     Informed,
-    /// A 500.
+    /// A response with status 500.
     Error,
-    /// The connection is reset in place of the answer.
+    /// A connection reset.
     Reset,
 }
 
-/// Something that goes wrong: to whom, `at` when, and for how long it `lasts`.
+/// A fault: the affected part, when it starts (`at`) and its duration (`lasts`).
 #[allow(missing_docs, reason = "the fields say the same in every variant")]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// An endpoint takes so many times as long.
+    /// An endpoint's service time is multiplied by `times`.
     Slow { endpoint: u32, at: u32, lasts: u32, times: u32 },
-    /// An endpoint spoils one answer of so many.
+    /// One of `one_of` responses of an endpoint is faulty.
     Spoils { endpoint: u32, at: u32, lasts: u32, one_of: u32, how: ResponseFault },
-    /// An endpoint's machine is gone, and back.
+    /// An endpoint's host is unreachable.
     Silent { endpoint: u32, at: u32, lasts: u32 },
     /// New connections to an endpoint hang.
     Hangs { endpoint: u32, at: u32, lasts: u32 },
     /// An endpoint's connections are reset.
     Resets { endpoint: u32, at: u32 },
-    /// What a sidecar sends to an endpoint comes late, or what the endpoint answers.
+    /// Data from a sidecar to an endpoint is held back until the end, or the responses if `answers` is set.
     Stalls { endpoint: u32, sidecar: u32, answers: bool, at: u32, lasts: u32 },
-    /// An endpoint's process dies and is back, cold.
+    /// An endpoint's process dies and restarts cold.
     Dies { endpoint: u32, at: u32, lasts: u32 },
-    /// An endpoint drains, and is gone so much later.
+    /// An endpoint drains and is removed at the end.
     Drains { endpoint: u32, at: u32, lasts: u32 },
-    /// An endpoint drains, and is up again so much later.
+    /// An endpoint drains and is ready again at the end.
     Wavers { endpoint: u32, at: u32, lasts: u32 },
-    /// Endpoints join, cold.
+    /// New endpoints join, cold.
     Joins { at: u32, count: u32 },
-    /// Discovery ends all watches and answers nobody.
+    /// Discovery closes all watches and answers no call.
     DiscoveryDown { at: u32, lasts: u32 },
-    /// Discovery tells what happens only at the end of it, all at once.
+    /// Discovery delivers changes only at the end, all at once.
     DiscoveryLags { at: u32, lasts: u32 },
-    /// Discovery breaks its watches; they may come again at once.
+    /// Discovery breaks all watches; sidecars may reopen them at once.
     WatchesBreak { at: u32 },
-    /// All watches that are open then fall silent, and stay open.
+    /// All open watches stop sending but stay open.
     WatchesSilent { at: u32 },
-    /// New connections to an endpoint come up this much late.
+    /// New connections to an endpoint are established `by` later.
     LateConnects { endpoint: u32, at: u32, lasts: u32, by: u32 },
-    /// A sidecar gets no processor.
+    /// A sidecar process is paused.
     Pause { sidecar: u32, at: u32, lasts: u32 },
-    /// A sidecar gets SIGTERM, and starts again so much later, at 3.7 s the earliest.
+    /// A sidecar gets SIGTERM and starts again after `lasts`, but not before 3.7 s.
     Term { sidecar: u32, at: u32, lasts: u32 },
-    /// A sidecar is killed, and starts again so much later.
+    /// A sidecar is killed and starts again after `lasts`.
     Kill { sidecar: u32, at: u32, lasts: u32 },
-    /// All sidecars get SIGHUP with a configuration that names another discovery; the old one ends 1.5 s later.
+    /// All sidecars reload a configuration with another discovery server; the old one stops 1.5 s later.
     Moves { at: u32 },
-    /// What a client's sidecar answers comes late to one machine of clients.
+    /// Responses of a client's sidecar to the client's host are held back until the end.
     ClientStalls { client: u32, at: u32, lasts: u32 },
 }
 
 impl Fault {
-    /// Its kind, for counting.
+    /// Name of the kind, for statistics.
     pub fn kind(&self) -> &'static str {
         match self {
             Fault::Slow { .. } => "slow",
@@ -195,7 +195,7 @@
         }
     }
 
-    /// When it begins, and how long it lasts if it does.
+    /// Its start and, if it has one, its duration.
     pub fn timing_mut(&mut self) -> (&mut u32, Option<&mut u32>) {
         match self {
             Fault::Slow { at, lasts, .. }
@@ -223,14 +223,14 @@
 }
 
 impl Script {
-    /// Endpoints in all.
+    /// Number of endpoints including those that join.
     pub fn total_endpoints(&self) -> u32 {
         let joined =
             self.faults.iter().map(|fault| if let Fault::Joins { count, .. } = fault { *count } else { 0 });
         self.endpoints + joined.sum::<u32>()
     }
 
-    /// When the last request is asked.
+    /// When the last request is sent.
     pub fn last_request_at(&self) -> u32 {
         self.asks.iter().map(|ask| ask.at).max().unwrap_or(0)
     }
--- a/crates/sim/src/shrink.rs
+++ b/crates/sim/src/shrink.rs
@@ -1,14 +1,14 @@
-//! Makes a script that breaks a rule small: fewer faults, fewer requests, shorter and rounder times, with the same rule
-//! still broken (delta debugging, Zeller and Hildebrandt 2002).
+//! Minimizes a script that violates a rule: fewer faults and requests, shorter and rounder times, while the same rule is
+//! still violated (delta debugging, Zeller and Hildebrandt 2002).
 
 use crate::oracle::Rule;
 use crate::run::run;
 use crate::script::Script;
 
-/// Runs at most: enough for hundreds of requests, and an end in any case.
+/// Most runs: enough for scripts with hundreds of requests, and a bound in any case.
 const MAX_RUNS: usize = 3_000;
 
-/// The smaller script, and how many runs that took.
+/// Returns the minimized script and the number of runs.
 pub fn shrink(script: &Script, rule: Rule, mut progress: impl FnMut(usize)) -> (Script, usize) {
     let mut runs = 0;
     let mut breaks = |candidate: &Script| {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Leaves out parts of a script's list, large ones first, for as long as what is left still breaks the rule.
+/// Removes parts of one list of a script, large ones first, as long as the rest still violates the rule.
 pub fn minimize_list<S: Clone, T>(
     mut best: S,
     list: impl Fn(&mut S) -> &mut Vec<T>,
@@ -56,7 +56,7 @@
     best
 }
 
-/// Scripts that differ in one setting, each simpler.
+/// Variants of the script with one setting simplified.
 fn simplifications(script: &Script) -> Vec<Script> {
     let with = |change: &dyn Fn(&mut Script)| {
         let mut changed = script.clone();
@@ -73,7 +73,7 @@
     candidates.into_iter().filter(|candidate| candidate != script).collect()
 }
 
-/// Times in whole tenths of a second, as early as they go.
+/// Rounds times down to whole seconds, or else tenths, where the rule stays violated.
 fn round_times(mut best: Script, breaks: &mut impl FnMut(&Script) -> bool) -> Script {
     for n in 0..best.faults.len() {
         for unit in [1_000, 100] {
--- a/crates/sim/src/timeline.rs
+++ b/crates/sim/src/timeline.rs
@@ -1,4 +1,4 @@
-//! What happened, for a person: a line an event, in the order of time, and what led to a broken rule.
+//! Readable timeline of a run, one line per event, and the events that led to a violation.
 
 use crate::oracle::Violation;
 use crate::run::Outcome;
@@ -94,7 +94,7 @@
     out
 }
 
-/// All that happened; with the network's events where the run has kept them.
+/// All events of a run, with the network events if the run recorded them.
 pub fn render(outcome: &Outcome) -> String {
     let mut all = events(outcome, None);
     all.extend(outcome.network_events.iter().map(|(at, line)| (*at, format!("           {line}"))));
@@ -102,7 +102,7 @@
     format_events(all)
 }
 
-/// What led to a broken rule: the events of the request or endpoint that it is about, and the script's faults.
+/// Explains a violation: the script's faults, and the events of the 10 s before it that concern its subject.
 pub fn explain(script: &Script, outcome: &Outcome, violation: &Violation) -> String {
     let request = outcome.facts.requests.iter().any(|request| request.id == violation.subject);
     let mut relevant = events(outcome, request.then_some(&violation.subject));
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,4 +1,4 @@
-//! What all players share: the network, the script, the clock, and the facts so far.
+//! State shared by all simulated parts: the network, the script, the clock and the recorded facts.
 
 use crate::facts::{Attempt, Facts, Response, WrittenResponse};
 use crate::http::Reader;
@@ -14,33 +14,33 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Unix time at a run's start: any, but always the same.
+/// Unix time at the start of a run; any fixed value serves.
 pub const START_UNIX_TIME: Duration = Duration::from_secs(1_800_000_000);
-/// The limits that the sidecars are told, and that the oracle knows.
+/// Drain grace in the sidecars' settings, also used by the oracle.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(2000);
-/// A cold endpoint has this part of its capacity ...
+/// Share of its capacity that an endpoint has when it starts.
 pub const COLD_SHARE: f64 = 0.4;
-/// ... and is warm after this.
+/// Time from start to full capacity.
 pub const WARM_WITHIN: Duration = Duration::from_millis(5000);
-/// What a cold endpoint is sent counts over this long.
+/// Window over which the load of a cold endpoint is limited.
 pub const COLD_LOAD_WINDOW: Duration = Duration::from_millis(1500);
-/// Attempts in all.
+/// Most attempts per request.
 pub const MAX_ATTEMPTS: usize = 4;
-/// Longest time that a client waits, of any class.
+/// Longest client timeout of any class.
 pub const MAX_DEADLINE: Duration = Duration::from_millis(3000);
-/// What an endpoint can work on at once.
+/// Cores of an endpoint.
 pub const ENDPOINT_CORES: f64 = 2.0;
-/// Requests that an endpoint holds; it turns away more.
+/// Requests that an endpoint accepts at once; it rejects more.
 pub const ENDPOINT_SLOTS: usize = 24;
-/// An endpoint closes a connection that is idle for so long.
+/// Time after which an endpoint closes an idle connection.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A script's time.
+/// Converts milliseconds of a script.
 pub fn ms(time: u32) -> Duration {
     Duration::from_millis(time.into())
 }
 
-/// Of each class.
+/// Mean service time of a class.
 pub fn mean_service_time(class: Class) -> Duration {
     ms(match class {
         Class::Quote => 40,
@@ -49,26 +49,26 @@
     })
 }
 
-/// A sidecar's machine.
+/// Address of a sidecar's host.
 pub fn sidecar_ip(n: u32) -> IpAddr {
     [10, 0, 0, 1 + n as u8].into()
 }
-/// An endpoint's machine.
+/// Address of an endpoint's host.
 pub fn endpoint_ip(n: u32) -> IpAddr {
     [10, 1, 0, 1 + n as u8].into()
 }
-/// Discovery's machine: the first, and the one that it moves to.
+/// Address of a discovery server: 0 is the first, 1 the one that discovery moves to.
 pub fn discovery_at(n: u32) -> SocketAddr {
     ([10, 2, 0, 1 + n as u8], 8500).into()
 }
-/// A client's machine.
+/// Address of a client's host.
 pub fn client_ip(n: u32) -> IpAddr {
     [10, 3, (n / 200) as u8, 1 + (n % 200) as u8].into()
 }
-/// Where sidecars and endpoints listen.
+/// Port of sidecars and endpoints.
 pub const PORT: u16 = 7070;
 
-/// A machine's number among its kind.
+/// The kind of a host and its number within the kind.
 pub fn host_kind_and_number(ip: IpAddr) -> (u8, u32) {
     match ip {
         IpAddr::V4(ip) => {
@@ -79,7 +79,7 @@
     }
 }
 
-/// What all players share.
+/// Shared state of a run.
 pub struct World {
     /// The network.
     pub network: VirtualNetwork,
@@ -87,12 +87,12 @@
     pub script: Script,
     /// When the run began.
     pub start: Instant,
-    /// What happened so far.
+    /// The facts recorded so far.
     pub facts: Rc<RefCell<Facts>>,
 }
 
 impl World {
-    /// A world that begins now.
+    /// Creates a world whose clock starts now.
     pub fn new(script: Script, lines: bool) -> Rc<World> {
         let (least, most) = script.latency_ms;
         let network =
@@ -109,23 +109,23 @@
         self.start.elapsed()
     }
 
-    /// A moment of the script.
+    /// The instant of a script time.
     pub fn at(&self, at: u32) -> Instant {
         self.start + ms(at)
     }
 
-    /// A moment as a fact has it.
+    /// Time of an instant since the start of the run.
     pub fn time_of(&self, at: Instant) -> Duration {
         at.duration_since(self.start)
     }
 
-    /// Draws that depend on the seed and a name alone, and not on who drew before.
+    /// A random generator that depends only on the seed and a name, not on earlier draws.
     pub fn draws(&self, name: &str) -> Pcg32 {
         let hash = fnv1a(self.script.seed ^ 0x51_7c_c1_b7_27_22_0a_95, name.as_bytes());
         Pcg32::seed_from_u64(hash)
     }
 
-    /// A sidecar's configuration, which names the first or the second discovery.
+    /// A sidecar's configuration, with the first or the second discovery server.
     pub fn config(&self, sidecar: u32, life: usize, discovery: u32, known: &Value) -> Value {
         let class = |name: &str, semantics: &str| {
             json!({"name": name, "semantics": semantics, "group": "zone",
@@ -157,7 +157,7 @@
     }
 }
 
-/// Looks on at what sidecars write to endpoints and to clients, byte by byte.
+/// Parses what sidecars write to endpoints and clients, and records attempts and responses.
 struct TrafficObserver {
     facts: Rc<RefCell<Facts>>,
     start: Instant,
@@ -167,7 +167,7 @@
 #[derive(Default)]
 struct ConnectionState {
     reader: Reader,
-    /// When the message under way began, and the place of its attempt once its head is there.
+    /// When the current message began, and the index of its attempt once its head is complete.
     began: Option<Duration>,
     attempt: Option<usize>,
 }
@@ -197,7 +197,7 @@
         state.reader.feed(bytes);
         let facts = &mut self.facts.borrow_mut();
         loop {
-            // The head is there before the message is whole, and says whose attempt it is.
+            // The head is complete before the message is, and names the request.
             let Ok(Some((head, _))) = state.reader.peek_head() else { return };
             if head.first.contains(" /-/") {
                 if !matches!(state.reader.next_message(), Ok(Some(_))) {
